--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -325,9 +325,9 @@
             }
             Effect::Lease(holding) => event::Event::Lease(holding),
             Effect::View(view) => event::Event::View(view),
-            Effect::Heard { member, version } => event::Event::Applied { member, version },
+            Effect::Applied { member, version } => event::Event::Applied { member, version },
             Effect::Peers(peers) => event::Event::Peers(peers),
-            Effect::News(_) | Effect::Left => return,
+            Effect::Item(_) | Effect::Left => return,
         };
         self.feed(index, Event::Agreement(event));
     }
@@ -356,7 +356,7 @@
                 return;
             }
             Effect::Announce(version) => membership::Event::Applied(version),
-            Effect::View => membership::Event::Look,
+            Effect::View => membership::Event::ReadAll,
         };
         self.feed(index, Event::Membership(event));
     }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -293,10 +293,10 @@
 fn member_settings(settings: &Settings) -> member::configs::membership::Settings {
     let leases = &settings.leases;
     member::configs::membership::Settings {
-        renewal: Span::from_millis(leases.renew_interval_ms),
+        renewal_interval: Span::from_millis(leases.renew_interval_ms),
         renewals_per_term: leases.term_ms / leases.renew_interval_ms.max(1),
         margin: Span::from_millis(leases.margin_ms),
-        gossip: Span::from_millis(settings.peers.digest_interval_ms),
+        gossip_interval: Span::from_millis(settings.peers.digest_interval_ms),
         fanout: settings.peers.fan_out as usize,
         ..member::configs::membership::Settings::default()
     }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -174,7 +174,11 @@
                 leaving,
             } => self.own_instance_read(now, incarnation, leaving, effects),
             Event::EntriesRead(addresses) => {
-                self.attend(now, member::event::Event::Listed(addresses), effects);
+                self.attend(
+                    now,
+                    member::event::Event::InstancesListed(addresses),
+                    effects,
+                );
             }
             Event::NoticesRead(notices) => self.notices_read(now, &notices, effects),
             Event::LoadRead {
@@ -220,7 +224,7 @@
         Vitals {
             open_requests: self.flights.len() as u64,
             version: self.book.version(),
-            members: self.membership.directory().count() as u64,
+            members: self.membership.directory().present_count() as u64,
             backends: self.backends.iter().count() as u64,
             ready: self.is_ready(now),
             store_available: self.store_available,
--- a/crates/entry/src/leaders.rs
+++ b/crates/entry/src/leaders.rs
@@ -181,7 +181,7 @@
     fn should_lead(&self, now: Time, name: &str) -> bool {
         let key = xxh3_64(name.as_bytes());
         !self.stop.is_stopping()
-            && self.membership.forward(now, key, false).is_none()
+            && self.membership.forward_target(now, key, false).is_none()
             && self.is_ready(now)
     }
 
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -63,11 +63,11 @@
             }
             MemberEffect::Lease(holding) => self.leased(now, holding, effects),
             MemberEffect::View(view) => self.viewed(now, view, effects),
-            MemberEffect::Heard { member, version } => {
+            MemberEffect::Applied { member, version } => {
                 let heard = config::event::Event::Applied { member, version };
                 self.agree(now, heard, effects);
             }
-            MemberEffect::News(item) => self.news_came(now, &item, effects),
+            MemberEffect::Item(item) => self.news_came(now, &item, effects),
             MemberEffect::Peers(peers) => {
                 let entries = u32::try_from(peers.len() + 1).unwrap_or(u32::MAX);
                 self.scheduler.set_entries(entries);
@@ -80,7 +80,7 @@
 
     /// All members are to be read soon.
     pub(crate) fn look(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        self.attend(now, MemberEvent::Look, effects);
+        self.attend(now, MemberEvent::ReadAll, effects);
     }
 
     /// A configuration version is in force here: others are to hear of it.
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -4,7 +4,7 @@
 use config::edit;
 use config::edit::Item;
 use config::row::Version;
-use member::directory::Known;
+use member::directory::Member;
 use member::row::State;
 use ops::fault::Fault;
 use ops::reply::BackendState;
@@ -133,7 +133,7 @@
     }
 
     /// One entry, as known here.
-    fn entry_status(&self, now: Time, known: &Known) -> EntryStatus {
+    fn entry_status(&self, now: Time, known: &Member) -> EntryStatus {
         let row = &known.record.row;
         let own = row.id.0 == self.identity.incarnation.0;
         EntryStatus {
@@ -156,8 +156,8 @@
 }
 
 /// State of a member's lease, by its heartbeat.
-fn lease_of(now: Time, known: &Known) -> LeaseState {
-    let silent = now.since(known.heard);
+fn lease_of(now: Time, known: &Member) -> LeaseState {
+    let silent = now.since(known.last_seen);
     let term = known.record.row.term();
     match known.record.row.state {
         State::Draining | State::Left => LeaseState::Leaving,
--- a/crates/gateway/src/configs/gateway.rs
+++ b/crates/gateway/src/configs/gateway.rs
@@ -143,7 +143,7 @@
 /// Membership among few entries on a fast network: a killed one must not be named to callers for long.
 fn member_settings() -> member::configs::membership::Settings {
     member::configs::membership::Settings {
-        quiet: Span::from_millis(2_500),
+        heartbeat_timeout: Span::from_millis(2_500),
         digest_bytes: 2_048,
         gossip_bytes_per_second: 16_384,
         renewals_per_second: 30,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -289,7 +289,7 @@
             fence: self.warrant(now).map_or(0, |warrant| warrant.fence),
             open_requests: self.open.len() as u64,
             version: self.book.as_ref().map_or(0, |book| book.version),
-            members: self.membership.directory().count() as u64,
+            members: self.membership.directory().present_count() as u64,
             servers: self.servers.count() as u64,
             list_revision: self.servers.position().revision,
             list_age_ms: now.since(self.servers.position().at).as_millis(),
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -113,7 +113,7 @@
 
     /// Goes over to hubs once there are too many entries.
     pub(crate) fn consider_hubs(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if !self.hub.on && self.membership.directory().addresses() > DIRECT {
+        if !self.hub.on && self.membership.directory().address_count() > DIRECT {
             self.use_hubs(now, effects);
         }
     }
--- a/crates/gateway/src/lagging.rs
+++ b/crates/gateway/src/lagging.rs
@@ -53,7 +53,7 @@
         let me = self.identity.incarnation;
         let helpers = self.helpers(now);
         let mut due = BTreeMap::new();
-        for (id, known) in self.membership.directory().latest() {
+        for (id, known) in self.membership.directory().latest_by_address() {
             let told = known.beat.count > 0;
             if id == me || !told || known.beat.applied >= ours {
                 continue;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -48,7 +48,7 @@
             let line = Line::debug("members_looked_up").with("at", at);
             effects.push(Effect::Log(line));
             self.looks += 1;
-            self.attend(now, MemberEvent::Look, effects);
+            self.attend(now, MemberEvent::ReadAll, effects);
         }
         if self.membership.next_wake() <= now {
             self.attend(now, MemberEvent::Wake, effects);
@@ -58,7 +58,7 @@
                 let load = u8::MAX - self.settings.capacity;
                 self.attend(now, MemberEvent::Load(load), effects);
             }
-            self.membership.raise_beat(now);
+            self.membership.advance_beat(now);
             self.consider_hubs(now, effects);
             self.silence_tick(now, effects);
             self.assign_roles(now);
@@ -86,8 +86,8 @@
     /// How long a member may be silent before it isn't counted on. News of many takes several rounds to
     /// come round.
     pub(crate) fn quiet(&self) -> Span {
-        let members = self.membership.directory().addresses();
-        let quiet = self.settings.members.quiet_among(members);
+        let members = self.membership.directory().address_count();
+        let quiet = self.settings.members.heartbeat_timeout_for(members);
         match self.by_hubs() {
             true => quiet.times(HUB_PACE),
             false => quiet,
@@ -163,9 +163,9 @@
                     lane: Lane::News,
                 });
             }
-            MemberEffect::News(item) => self.news_came(now, &item, effects),
+            MemberEffect::Item(item) => self.news_came(now, &item, effects),
             MemberEffect::Peers(peers) => self.peers_changed(now, &peers, effects),
-            MemberEffect::Heard { version, .. } => {
+            MemberEffect::Applied { version, .. } => {
                 let ours = self.book.as_ref().map_or(0, |book| book.version);
                 if version > ours {
                     effects.push(Effect::ReadConfiguration);
@@ -187,7 +187,7 @@
 
     /// How many entries there are, those counted once that were started anew.
     pub(crate) fn entries(&self) -> u32 {
-        u32::try_from(self.membership.directory().addresses().max(1)).unwrap_or(u32::MAX)
+        u32::try_from(self.membership.directory().address_count().max(1)).unwrap_or(u32::MAX)
     }
 
     /// Takes in a piece of news.
--- a/crates/gateway/src/silence.rs
+++ b/crates/gateway/src/silence.rs
@@ -13,7 +13,7 @@
 use member::digest::Digest;
 use member::digest::Item;
 use member::digest::Topic;
-use member::directory::Known;
+use member::directory::Member;
 use smol_str::format_smolstr;
 
 use crate::effect::Effect;
@@ -52,7 +52,7 @@
         let hub = self.hub.knows(self.identity.incarnation);
         let since = self.hub.watching.look(now, hub);
         let peers = || self.membership.peers();
-        let is_silent = |known: &Known| now.since(known.heard.max(since)) >= SILENT;
+        let is_silent = |known: &Member| now.since(known.last_seen.max(since)) >= SILENT;
         // Without any heartbeat, this entry is the one that is cut off.
         if peers().all(|(_, known)| is_silent(known)) {
             return;
--- a/crates/member/src/addresses.rs
+++ b/crates/member/src/addresses.rs
@@ -14,7 +14,7 @@
 use smol_str::SmolStr;
 
 use crate::directory::Directory;
-use crate::directory::Known;
+use crate::directory::Member;
 use crate::rendezvous;
 
 /// Weight of an idle entry.
@@ -24,7 +24,7 @@
 
 /// One entry named to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Named {
+pub struct Endpoint {
     /// Which.
     pub id: holder::Id,
     /// `host:port` to connect to.
@@ -43,11 +43,11 @@
     key: Option<u64>,
     limit: usize,
     random: &mut Pcg64Mcg,
-) -> Vec<Named> {
-    let mut usable: Vec<Named> = directory
+) -> Vec<Endpoint> {
+    let mut usable: Vec<Endpoint> = directory
         .iter()
         .filter(|(_, known)| known.is_usable(now, quiet))
-        .map(|(id, known)| named(id, known))
+        .map(|(id, known)| endpoint(id, known))
         .collect();
     let mut chosen = Vec::new();
     if let Some(key) = key
@@ -82,19 +82,23 @@
 }
 
 /// Moves the first match over.
-fn take(usable: &mut Vec<Named>, chosen: &mut Vec<Named>, matches: impl Fn(&Named) -> bool) {
+fn take(
+    usable: &mut Vec<Endpoint>,
+    chosen: &mut Vec<Endpoint>,
+    matches: impl Fn(&Endpoint) -> bool,
+) {
     let place = usable.iter().position(matches).unwrap_or(0);
     chosen.push(usable.remove(place));
 }
 
-fn zone_count(chosen: &[Named], zone: &str) -> usize {
+fn zone_count(chosen: &[Endpoint], zone: &str) -> usize {
     chosen.iter().filter(|item| item.zone == zone).count()
 }
 
-fn named(id: holder::Id, known: &Known) -> Named {
+fn endpoint(id: holder::Id, known: &Member) -> Endpoint {
     let load = u32::from(known.beat.load);
     let weight = FULL_WEIGHT - FULL_WEIGHT * load / u32::from(u8::MAX);
-    Named {
+    Endpoint {
         id,
         address: known.record.row.address.clone(),
         zone: known.record.row.zone.clone(),
--- a/crates/member/src/configs/membership.rs
+++ b/crates/member/src/configs/membership.rs
@@ -6,31 +6,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Time between two renewals of our row while few members share the service.
-    pub renewal: Span,
+    pub renewal_interval: Span,
     /// Renewals a second that all members together may make.
     pub renewals_per_second: u64,
     /// A lease's term, in renewals.
     pub renewals_per_term: u64,
     /// Shortest time between two renewals that carry news.
-    pub early_renewal: Span,
+    pub min_renewal_interval: Span,
     /// Added to the term before others treat a lease as lapsed.
     pub margin: Span,
     /// A step that follows the last after a longer gap means that the loop slept.
-    pub longest_gap: Span,
+    pub max_step_gap: Span,
     /// Shortest time between two reads of the members of our zone.
-    pub scan: Span,
+    pub scan_interval: Span,
     /// Bytes a second that one member may read of the members of its zone, and as many of all.
     pub scan_bytes_per_second: u64,
     /// What one member's row takes in an answer, bytes.
     pub row_bytes: u64,
     /// Time between two rounds of digests.
-    pub gossip: Span,
+    pub gossip_interval: Span,
     /// Peers that are sent a digest each round.
     pub fanout: usize,
     /// Peers that are told of a request that crashes backend servers at once; the others by rounds.
     /// Twice today's 8 entries; at full size those beside which the same replicas are used must come
     /// first, which isn't built.
-    pub announced: usize,
+    pub announce_fanout: usize,
     /// Most bytes of one digest.
     pub digest_bytes: usize,
     /// Most bytes of one digest while there is much news and bytes are saved up for it.
@@ -38,18 +38,18 @@
     /// Bytes of digests a second beyond which nothing is brought forward.
     pub gossip_bytes_per_second: u64,
     /// Shortest time between two rounds when there is urgent news.
-    pub urgent: Span,
+    pub urgent_interval: Span,
     /// A member whose heartbeat has not risen for so long is not named to callers. Stretched where
     /// heartbeats of all members take longer to come round.
-    pub quiet: Span,
+    pub heartbeat_timeout: Span,
     /// How long the row of a member that left is kept, for those who look for its ledger's heir.
-    pub keep_left: Span,
+    pub left_retention: Span,
     /// How long a lapsed row is kept unless the instance is known to be gone.
-    pub keep_lapsed: Span,
+    pub lapsed_retention: Span,
     /// First wait after a failed call.
-    pub retry: Span,
+    pub retry_delay: Span,
     /// Longest wait after failed calls.
-    pub retry_limit: Span,
+    pub max_retry_delay: Span,
     /// Most addresses in one answer to a caller.
     pub addresses: usize,
 }
@@ -57,27 +57,27 @@
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            renewal: Span::from_seconds(2),
+            renewal_interval: Span::from_seconds(2),
             renewals_per_second: 100,
             renewals_per_term: 3,
-            early_renewal: Span::from_millis(250),
+            min_renewal_interval: Span::from_millis(250),
             margin: Span::from_seconds(1),
-            longest_gap: Span::from_seconds(3),
-            scan: Span::from_seconds(2),
+            max_step_gap: Span::from_seconds(3),
+            scan_interval: Span::from_seconds(2),
             scan_bytes_per_second: 500,
             row_bytes: 250,
-            gossip: Span::from_seconds(1),
+            gossip_interval: Span::from_seconds(1),
             fanout: 2,
-            announced: 16,
+            announce_fanout: 16,
             digest_bytes: 480,
             burst_digest_bytes: 8_192,
             gossip_bytes_per_second: 1_200,
-            urgent: Span::from_millis(100),
-            quiet: Span::from_seconds(8),
-            keep_left: Span::from_seconds(1_800),
-            keep_lapsed: Span::from_seconds(86_400),
-            retry: Span::from_millis(200),
-            retry_limit: Span::from_seconds(2),
+            urgent_interval: Span::from_millis(100),
+            heartbeat_timeout: Span::from_seconds(8),
+            left_retention: Span::from_seconds(1_800),
+            lapsed_retention: Span::from_seconds(86_400),
+            retry_delay: Span::from_millis(200),
+            max_retry_delay: Span::from_seconds(2),
             addresses: 8,
         }
     }
@@ -85,33 +85,35 @@
 
 impl Settings {
     /// Time between renewals when `members` share the service.
-    pub fn renewal_among(&self, members: usize) -> Span {
+    pub fn renewal_interval_for(&self, members: usize) -> Span {
         let shared = Span::from_millis(members as u64 * 1_000 / self.renewals_per_second);
-        self.renewal.max(shared)
+        self.renewal_interval.max(shared)
     }
 
     /// A lease's term when `members` share the service.
-    pub fn term_among(&self, members: usize) -> Span {
-        self.renewal_among(members).times(self.renewals_per_term)
+    pub fn term_for(&self, members: usize) -> Span {
+        self.renewal_interval_for(members)
+            .times(self.renewals_per_term)
     }
 
     /// Shortest time between renewals that carry news when `members` share the service.
-    pub fn early_among(&self, members: usize) -> Span {
+    pub fn min_renewal_interval_for(&self, members: usize) -> Span {
         let shared = Span::from_millis(members as u64 * 1_000 / self.renewals_per_second);
-        self.early_renewal.max(shared)
+        self.min_renewal_interval.max(shared)
     }
 
     /// Time between reads of `rows` rows.
-    pub fn scan_among(&self, rows: usize) -> Span {
+    pub fn scan_interval_for(&self, rows: usize) -> Span {
         let bytes = rows as u64 * self.row_bytes;
         let shared = Span::from_millis(bytes * 1_000 / self.scan_bytes_per_second);
-        self.scan.max(shared)
+        self.scan_interval.max(shared)
     }
 
     /// How long a heartbeat may stand still when there are `members`.
-    pub fn quiet_among(&self, members: usize) -> Span {
+    pub fn heartbeat_timeout_for(&self, members: usize) -> Span {
         let beats = (self.digest_bytes / crate::digest::BEAT_BYTES).max(1);
         let rounds = members.div_ceil(beats * self.fanout.max(1)) as u64;
-        self.quiet.max(self.gossip.times(3 * rounds))
+        self.heartbeat_timeout
+            .max(self.gossip_interval.times(3 * rounds))
     }
 }
--- a/crates/member/src/digest.rs
+++ b/crates/member/src/digest.rs
@@ -97,7 +97,7 @@
     }
 
     /// Whether it is told at once and not with the next round.
-    pub const fn urgent(self) -> bool {
+    pub const fn is_urgent(self) -> bool {
         !matches!(
             self,
             Topic::Demand | Topic::Count | Topic::List | Topic::Renewed
--- a/crates/member/src/directory.rs
+++ b/crates/member/src/directory.rs
@@ -16,39 +16,39 @@
 use crate::row::State;
 
 /// Heartbeats that may come in after a suspicion though they were sent before it: gossip takes longer ways.
-pub const LEAD: u64 = 12;
+pub const REFUTATION_LEAD: u64 = 12;
 
 /// The members.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    members: BTreeMap<holder::Id, Known>,
+    members: BTreeMap<holder::Id, Member>,
 }
 
 /// One member.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct Member {
     /// The newest record.
     pub record: Record,
     /// The newest heartbeat.
     pub beat: Beat,
     /// When the heartbeat last rose, or the member was first heard of.
-    pub heard: Time,
+    pub last_seen: Time,
     /// The last heartbeat that doesn't refute a suspicion, if there is one.
-    pub suspected: Option<u64>,
+    pub suspected_count: Option<u64>,
 }
 
 impl Directory {
     /// Takes a record; true if it says something that others should hear.
-    pub fn take(&mut self, now: Time, record: &Record) -> bool {
+    pub fn merge(&mut self, now: Time, record: &Record) -> bool {
         let Some(known) = self.members.get_mut(&record.row.id) else {
             if record.gone || record.row.state == State::Left {
                 return false;
             }
-            let known = Known {
+            let known = Member {
                 record: record.clone(),
                 beat: Beat::default(),
-                heard: now,
-                suspected: None,
+                last_seen: now,
+                suspected_count: None,
             };
             self.members.insert(record.row.id, known);
             return true;
@@ -68,7 +68,7 @@
     }
 
     /// Takes a heartbeat; true if the member is known and has applied a newer version.
-    pub fn hear(&mut self, now: Time, beat: &Beat) -> bool {
+    pub fn record_beat(&mut self, now: Time, beat: &Beat) -> bool {
         let Some(known) = self.members.get_mut(&beat.id) else {
             return false;
         };
@@ -77,7 +77,7 @@
         }
         let newer = beat.applied > known.beat.applied;
         known.beat = *beat;
-        known.heard = now;
+        known.last_seen = now;
         newer
     }
 
@@ -86,11 +86,11 @@
         let Some(known) = self.members.get_mut(&id) else {
             return false;
         };
-        let lead = count + LEAD;
-        if known.beat.count > lead || known.suspected.is_some_and(|known| known >= lead) {
+        let lead = count + REFUTATION_LEAD;
+        if known.beat.count > lead || known.suspected_count.is_some_and(|known| known >= lead) {
             return false;
         }
-        known.suspected = Some(lead);
+        known.suspected_count = Some(lead);
         true
     }
 
@@ -98,7 +98,7 @@
     pub fn expire(&mut self, now: Time, keep: Span) -> Vec<holder::Id> {
         let expired: Vec<holder::Id> = self
             .iter()
-            .filter(|(_, known)| !known.is_present() && now.since(known.heard) > keep)
+            .filter(|(_, known)| !known.is_present() && now.since(known.last_seen) > keep)
             .map(|(id, _)| id)
             .collect();
         for id in &expired {
@@ -108,52 +108,52 @@
     }
 
     /// What is known of a member.
-    pub fn get(&self, id: holder::Id) -> Option<&Known> {
+    pub fn get(&self, id: holder::Id) -> Option<&Member> {
         self.members.get(&id)
     }
 
     /// All members, also those that are gone.
-    pub fn iter(&self) -> impl Iterator<Item = (holder::Id, &Known)> {
+    pub fn iter(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
         self.members.iter().map(|(id, known)| (*id, known))
     }
 
     /// Members that have not gone or left.
-    pub fn present(&self) -> impl Iterator<Item = (holder::Id, &Known)> {
+    pub fn present(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
         self.iter().filter(|(_, known)| known.is_present())
     }
 
     /// Of the members at each address the one that was heard last; the others are earlier lives of it.
-    pub fn latest(&self) -> impl Iterator<Item = (holder::Id, &Known)> {
-        let mut latest: BTreeMap<&SmolStr, (holder::Id, &Known)> = BTreeMap::new();
+    pub fn latest_by_address(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
+        let mut latest: BTreeMap<&SmolStr, (holder::Id, &Member)> = BTreeMap::new();
         for (id, known) in self.present() {
             let at = latest
                 .entry(&known.record.row.peer_address)
                 .or_insert((id, known));
-            let spoken = |one: &Known| (one.beat.count > 0, one.heard);
+            let spoken = |one: &Member| (one.beat.count > 0, one.last_seen);
             if spoken(known) > spoken(at.1) {
                 *at = (id, known);
             }
         }
         // In the order of ids, as all members come.
-        let latest: BTreeMap<holder::Id, &Known> = latest.into_values().collect();
+        let latest: BTreeMap<holder::Id, &Member> = latest.into_values().collect();
         latest.into_iter()
     }
 
     /// How many have not gone or left.
-    pub fn count(&self) -> usize {
+    pub fn present_count(&self) -> usize {
         self.present().count()
     }
 
     /// How many addresses the members have that haven't gone or left. One that was killed and started again is
     /// two members until the first is known gone; both have one address.
-    pub fn addresses(&self) -> usize {
+    pub fn address_count(&self) -> usize {
         let present = self.present();
         let addresses = present.map(|(_, known)| &known.record.row.peer_address);
         addresses.collect::<BTreeSet<_>>().len()
     }
 }
 
-impl Known {
+impl Member {
     /// Whether it has not gone or left.
     pub fn is_present(&self) -> bool {
         !self.record.gone && self.record.row.state != State::Left
@@ -169,12 +169,13 @@
 
     /// Whether it is suspected, and no heartbeat has refuted that.
     pub fn is_suspected(&self) -> bool {
-        self.suspected.is_some_and(|count| self.beat.count <= count)
+        self.suspected_count
+            .is_some_and(|count| self.beat.count <= count)
     }
 
     /// Whether it may be named to callers: live, with a heartbeat within `quiet`, and not suspected.
     pub fn is_usable(&self, now: Time, quiet: Span) -> bool {
         let live = self.is_present() && self.record.row.state == State::Live;
-        live && now.since(self.heard) <= quiet && !self.is_suspected()
+        live && now.since(self.last_seen) <= quiet && !self.is_suspected()
     }
 }
--- a/crates/member/src/event.rs
+++ b/crates/member/src/event.rs
@@ -39,11 +39,11 @@
         heir: Option<holder::Id>,
     },
     /// All members are to be read as soon as may be.
-    Look,
+    ReadAll,
     /// The instance list says that this member's instance is gone for good.
-    Gone(holder::Id),
+    InstanceGone(holder::Id),
     /// The instance list names these entries, by the addresses that callers connect to.
-    Listed(Vec<SmolStr>),
+    InstancesListed(Vec<SmolStr>),
     /// News from this entry itself, to be told to all.
     Publish(Item),
 }
@@ -77,14 +77,14 @@
     /// All members were read.
     View(View),
     /// A member is heard to have applied a version.
-    Heard {
+    Applied {
         /// Which.
         member: holder::Id,
         /// The version.
         version: u64,
     },
     /// News that was not known here.
-    News(Item),
+    Item(Item),
     /// The members that can be talked to have changed.
     Peers(Vec<holder::Id>),
     /// The service has it that we left.
--- a/crates/member/src/fake.rs
+++ b/crates/member/src/fake.rs
@@ -197,7 +197,7 @@
                     self.send(index, to, digest);
                 }
             }
-            Effect::Heard { version, .. } if self.follow => {
+            Effect::Applied { version, .. } if self.follow => {
                 let at = self.now + HOP + HOP;
                 self.queue
                     .push(at, Delivery::Event(index, Event::Applied(version)));
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -26,15 +26,15 @@
 use store::call::Outcome;
 
 use crate::addresses;
-use crate::addresses::Named;
+use crate::addresses::Endpoint;
 use crate::configs::membership::Settings;
 use crate::digest::Beat;
 use crate::digest::Item;
 use crate::digest::Record;
 use crate::digest::Topic;
 use crate::directory::Directory;
-use crate::directory::Known;
-use crate::directory::LEAD;
+use crate::directory::Member;
+use crate::directory::REFUTATION_LEAD;
 use crate::event::Effect;
 use crate::event::Event;
 use crate::news::News;
@@ -104,7 +104,7 @@
             directory: Directory::default(),
             news: News::default(),
             rumors: Rumors::default(),
-            pulse: Pulse::new(settings.longest_gap),
+            pulse: Pulse::new(settings.max_step_gap),
             beat: Beat {
                 id: row.id,
                 ..Beat::default()
@@ -124,7 +124,7 @@
             seeds,
             holding: Holding::default(),
             left: false,
-            backoff: Backoff::new(settings.retry, settings.retry_limit, seed),
+            backoff: Backoff::new(settings.retry_delay, settings.max_retry_delay, seed),
             random: Pcg64Mcg::seed_from_u64(seed),
             settings,
         }
@@ -132,7 +132,7 @@
 
     /// Takes one event and appends what is to be done.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
-        let before = self.directory.count();
+        let before = self.directory.present_count();
         if self.pulse.beat(now) {
             self.registration.lapse(now);
         }
@@ -145,11 +145,11 @@
             Event::StoreLost(lost) => self.beat.store_lost = lost,
             Event::Drain => self.change_state(now, State::Draining, None),
             Event::Leave { heir } => self.leave(now, heir),
-            Event::Look => self.next_whole = now,
-            Event::Gone(id) => {
+            Event::ReadAll => self.next_whole = now,
+            Event::InstanceGone(id) => {
                 self.known_gone.insert(id);
             }
-            Event::Listed(addresses) => self.listed(now, &addresses),
+            Event::InstancesListed(addresses) => self.listed(now, &addresses),
             Event::Publish(item) if item.topic == Topic::Count => self.announce(item, effects),
             Event::Publish(item) => {
                 if self.learn(now, &item) && item.topic == Topic::Quarantine {
@@ -174,7 +174,7 @@
     }
 
     /// Entries to name to a caller, a key's owner first.
-    pub fn addresses(&mut self, now: Time, key: Option<u64>) -> Vec<Named> {
+    pub fn addresses(&mut self, now: Time, key: Option<u64>) -> Vec<Endpoint> {
         let quiet = self.quiet();
         let limit = self.settings.addresses;
         addresses::choose(&self.directory, now, quiet, key, limit, &mut self.random)
@@ -183,7 +183,7 @@
     /// Where to forward a request with this key: its owner, if that is another entry and the request
     /// was not forwarded before. One forward at most, so that entries that know different members
     /// never send a request in a circle.
-    pub fn forward(&self, now: Time, key: u64, forwarded: bool) -> Option<holder::Id> {
+    pub fn forward_target(&self, now: Time, key: u64, forwarded: bool) -> Option<holder::Id> {
         if forwarded {
             return None;
         }
@@ -225,9 +225,9 @@
     /// Guards against earlier lives, which stand among the members until they are known gone: after all entries of a
     /// large system had ended together, each message to all was sent three times, and the links of those that send
     /// the most were full for eight seconds.
-    pub fn peers(&self) -> impl Iterator<Item = (holder::Id, &Known)> {
+    pub fn peers(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
         let address = &self.registration.row().peer_address;
-        let latest = self.directory.latest();
+        let latest = self.directory.latest_by_address();
         latest
             .filter(move |(id, known)| *id != self.me && known.record.row.peer_address != *address)
     }
@@ -238,17 +238,17 @@
     }
 
     /// Raises our heartbeat, for a message past the rounds.
-    pub fn raise_beat(&mut self, now: Time) {
+    pub fn advance_beat(&mut self, now: Time) {
         self.beat.count += 1;
         let beat = self.beat;
-        self.directory.hear(now, &beat);
+        self.directory.record_beat(now, &beat);
     }
 
     /// Suspects a member by the count of its last heartbeat; whether that is news. A suspicion of ourselves is refuted.
     pub fn suspect(&mut self, now: Time, id: holder::Id, count: u64) -> bool {
         if id == self.me {
-            self.beat.count = self.beat.count.max(count + LEAD);
-            self.raise_beat(now);
+            self.beat.count = self.beat.count.max(count + REFUTATION_LEAD);
+            self.advance_beat(now);
             self.hurry(now);
             return false;
         }
@@ -320,8 +320,8 @@
     fn delete_outdated(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let outdated = self.roster.outdated(
             now,
-            self.settings.keep_left,
-            self.settings.keep_lapsed,
+            self.settings.left_retention,
+            self.settings.lapsed_retention,
             |id| self.known_gone.contains(&id),
         );
         let mine = outdated.into_iter().filter(|(id, _)| {
@@ -339,7 +339,9 @@
             return;
         }
         self.beat.applied = version;
-        let early = self.settings.early_among(self.directory.count());
+        let early = self
+            .settings
+            .min_renewal_interval_for(self.directory.present_count());
         self.registration.change(early, |row| row.applied = version);
         self.hurry(now);
     }
@@ -370,10 +372,10 @@
 
     /// Renews our row when that is due.
     fn renew(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let members = self.directory.count();
-        let interval = self.settings.renewal_among(members);
+        let members = self.directory.present_count();
+        let interval = self.settings.renewal_interval_for(members);
         let interval = self.backoff.spread(interval).min(interval);
-        let term = self.settings.term_among(members);
+        let term = self.settings.term_for(members);
         if let Some(call) = self.registration.due(now, interval, term) {
             self.take_own(now);
             self.call(Purpose::Renewal, call, effects);
@@ -395,10 +397,12 @@
             return;
         }
         let zone = row::zone_prefix(&self.registration.row().zone);
-        let zone_interval = self.settings.scan_among(self.roster.count(&zone));
+        let zone_interval = self.settings.scan_interval_for(self.roster.count(&zone));
         self.next_zone = now + self.backoff.spread(zone_interval);
         let prefix = if now >= self.next_whole {
-            let whole_interval = self.settings.scan_among(self.directory.count());
+            let whole_interval = self
+                .settings
+                .scan_interval_for(self.directory.present_count());
             self.next_whole = now + self.backoff.spread(whole_interval);
             SmolStr::default()
         } else {
@@ -415,7 +419,7 @@
             self.holding = holding;
             effects.push(Effect::Lease(holding));
         }
-        if self.directory.count() != before {
+        if self.directory.present_count() != before {
             let peers = self.directory.present().map(|(id, _)| id);
             effects.push(Effect::Peers(peers.filter(|id| *id != self.me).collect()));
         }
@@ -426,7 +430,8 @@
     }
 
     fn quiet(&self) -> Span {
-        self.settings.quiet_among(self.directory.count())
+        self.settings
+            .heartbeat_timeout_for(self.directory.present_count())
     }
 
     fn call(&mut self, purpose: Purpose, call: Call, effects: &mut Vec<Effect>) {
--- a/crates/member/src/membership/gossip.rs
+++ b/crates/member/src/membership/gossip.rs
@@ -39,13 +39,13 @@
         if now < self.next_gossip {
             return;
         }
-        let regular = now >= self.last_gossip + self.settings.gossip || self.round == 0;
+        let regular = now >= self.last_gossip + self.settings.gossip_interval || self.round == 0;
         self.last_gossip = now;
-        self.next_gossip = now + self.backoff.spread(self.settings.gossip);
+        self.next_gossip = now + self.backoff.spread(self.settings.gossip_interval);
         self.round += 1;
         self.beat.count += 1;
         let beat = self.beat;
-        self.directory.hear(now, &beat);
+        self.directory.record_beat(now, &beat);
         if self.round.is_multiple_of(EXPIRE_ROUNDS) {
             self.expire(now);
         }
@@ -74,7 +74,7 @@
             ..Digest::default()
         };
         let peers: Vec<holder::Id> = self.peers().map(|(id, _)| id).collect();
-        for to in peers.into_iter().take(self.settings.announced) {
+        for to in peers.into_iter().take(self.settings.announce_fanout) {
             self.purse.spend(digest.size());
             effects.push(Effect::Send {
                 to,
@@ -95,8 +95,8 @@
             self.take_record(now, record);
         }
         for beat in digest.beats.iter().chain([&digest.own]) {
-            if beat.id != self.me && self.directory.hear(now, beat) {
-                effects.push(Effect::Heard {
+            if beat.id != self.me && self.directory.record_beat(now, beat) {
+                effects.push(Effect::Applied {
                     member: beat.id,
                     version: beat.applied,
                 });
@@ -108,7 +108,7 @@
                 false => self.news.take(now, item),
             };
             if new {
-                effects.push(Effect::News(item.clone()));
+                effects.push(Effect::Item(item.clone()));
             }
         }
         if digest.greeting {
@@ -127,7 +127,7 @@
         if id == self.me && record.gone {
             return;
         }
-        if self.directory.take(now, record) {
+        if self.directory.merge(now, record) {
             self.rumors.add(Subject::Member(id));
             self.hurry(now);
         } else if self.directory.get(id).is_some() {
@@ -141,7 +141,7 @@
             return false;
         }
         self.rumors.add(Subject::Item(item.topic, item.key.clone()));
-        if item.topic.urgent() {
+        if item.topic.is_urgent() {
             self.hurry(now);
         }
         true
@@ -158,7 +158,7 @@
         if self.urgent_rounds == 0 || !self.purse.affords(now, &self.settings) {
             return;
         }
-        let soon = (self.last_gossip + self.settings.urgent).max(now);
+        let soon = (self.last_gossip + self.settings.urgent_interval).max(now);
         self.next_gossip = self.next_gossip.min(soon);
     }
 
@@ -167,7 +167,7 @@
         let quiet = self.quiet();
         let (mut heard, silent): (Vec<_>, Vec<_>) = self
             .peers()
-            .map(|(id, known)| (id, now.since(known.heard) <= quiet))
+            .map(|(id, known)| (id, now.since(known.last_seen) <= quiet))
             .partition(|(_, heard)| *heard);
         let mut targets = Vec::new();
         if !silent.is_empty() && (heard.is_empty() || self.round.is_multiple_of(SILENT_ROUNDS)) {
@@ -205,7 +205,7 @@
             own: self.beat,
             ..Digest::default()
         };
-        let members = self.directory.count();
+        let members = self.directory.present_count();
         let room = |share: f64| (limit as f64 * share) as usize;
         let most = self.settings.burst_digest_bytes.saturating_sub(limit);
         let extra = (self.purse.spare(&self.settings) / self.settings.fanout.max(1)).min(most);
@@ -286,7 +286,7 @@
             .directory
             .present()
             .filter(|(id, known)| {
-                *id != self.me && known.beat.count > 0 && now.since(known.heard) <= quiet
+                *id != self.me && known.beat.count > 0 && now.since(known.last_seen) <= quiet
             })
             .map(|(_, known)| known.beat)
             .collect();
@@ -304,7 +304,7 @@
         for (topic, key) in self.news.expire(now) {
             self.rumors.remove(&Subject::Item(topic, key));
         }
-        for id in self.directory.expire(now, self.settings.keep_left) {
+        for id in self.directory.expire(now, self.settings.left_retention) {
             self.rumors.remove(&Subject::Member(id));
         }
     }
--- a/crates/member/tests/membership.rs
+++ b/crates/member/tests/membership.rs
@@ -118,7 +118,7 @@
     fleet.run(Span::from_seconds(10));
     for index in 0..=late {
         assert_eq!(named(&mut fleet, index).len(), 8, "at {index}");
-        assert_eq!(fleet.nodes[index].membership.directory().count(), 9);
+        assert_eq!(fleet.nodes[index].membership.directory().present_count(), 9);
     }
 }
 
@@ -210,7 +210,7 @@
     for index in 1..8 {
         let told = &fleet.nodes[index].told;
         let heard = told.iter().any(|(_, effect)| match effect {
-            Effect::News(news) => news.topic == item.topic && news.payload == item.payload,
+            Effect::Item(news) => news.topic == item.topic && news.payload == item.payload,
             _ => false,
         });
         assert!(heard, "at {index}");
@@ -246,9 +246,12 @@
             assert_eq!(node.membership.addresses(now, Some(key))[0].id, first);
         }
         owned[first.0 as usize - 1] += 1;
-        let forward = fleet.nodes[0].membership.forward(now, key, false);
+        let forward = fleet.nodes[0].membership.forward_target(now, key, false);
         assert_eq!(forward, Some(first).filter(|id| *id != fleet.id(0)));
-        assert_eq!(fleet.nodes[0].membership.forward(now, key, true), None);
+        assert_eq!(
+            fleet.nodes[0].membership.forward_target(now, key, true),
+            None
+        );
     }
     assert!(owned.iter().all(|count| *count > 50), "{owned:?}");
 }
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -79,10 +79,10 @@
 fn member_settings(settings: &Settings) -> member::configs::membership::Settings {
     let leases = &settings.leases;
     member::configs::membership::Settings {
-        renewal: Span::from_millis(leases.renew_interval_ms),
+        renewal_interval: Span::from_millis(leases.renew_interval_ms),
         renewals_per_term: leases.term_ms / leases.renew_interval_ms.max(1),
         margin: Span::from_millis(leases.margin_ms),
-        gossip: Span::from_millis(settings.peers.digest_interval_ms),
+        gossip_interval: Span::from_millis(settings.peers.digest_interval_ms),
         fanout: settings.peers.fan_out as usize,
         ..gateway::configs::gateway::Settings::default().members
     }
