--- a/crates/gateway/src/following.rs
+++ b/crates/gateway/src/following.rs
@@ -10,8 +10,8 @@
 use smol_str::format_smolstr;
 use store::revision::Revision;
 use watch::report::Report;
-use watch::server::News;
 use watch::server::Reading;
+use watch::server::Update;
 use watch::watch::Extent;
 use watch::watch::Learned;
 use watch::watch::Role;
@@ -55,7 +55,7 @@
         if known > 0 && Revision::is_of_older_era(known, reading.revision) {
             self.following.read_again = Some(now + self.settings.return_time);
         }
-        let reading = self.watch.read(now, &reading);
+        let reading = self.watch.apply_reading(now, &reading);
         // From here on only gaps of our own matter.
         self.servers.doubt_until(Time::ZERO);
         self.servers_read(now, reading, effects);
@@ -102,11 +102,11 @@
                 .with("removed", learned.removed.len());
             effects.push(Effect::Log(line));
             let (written, removed) = (learned.written, learned.removed);
-            let news = News::Changes { written, removed };
+            let news = Update::Changes { written, removed };
             self.servers_reported(now, news, effects);
         }
         if let Some(position) = learned.position {
-            self.note_reading(position.at, position.revision);
+            self.note_reading(position.as_of, position.revision);
             // The same rows are missing to one that had no gap: their servers are gone.
             if report.lapsed_ms == 0 {
                 self.missing_gone(now, Source::Peer, effects);
@@ -118,7 +118,7 @@
     /// Starts and stops reading, and passes on what is new.
     pub(crate) fn following_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let role = self.role();
-        let pause = self.watch.pause(now, role);
+        let pause = self.watch.read_interval(now, role);
         if pause != self.following.pause {
             if pause.is_some() || self.following.pause == Some(Span::ZERO) {
                 let line = Line::info("list_followed")
@@ -137,7 +137,7 @@
         if self.following.read_again.take_if(due).is_some() || anew {
             effects.push(Effect::ReadServers);
         }
-        if self.by_hubs() && self.watch.is_due(now) {
+        if self.by_hubs() && self.watch.is_report_due(now) {
             self.report_list(now, effects);
         }
     }
@@ -145,8 +145,8 @@
     /// When [`Gateway::following_tick`] is wanted next.
     pub(crate) fn next_following(&self) -> Option<Time> {
         let reads = self.following.pause.is_none();
-        let reads = reads.then(|| self.watch.reads_at(self.role()));
-        let due = self.watch.next_due().filter(|_| self.by_hubs());
+        let reads = reads.then(|| self.watch.next_read(self.role()));
+        let due = self.watch.next_report_due().filter(|_| self.by_hubs());
         let Following {
             ask_anew,
             read_again,
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -9,10 +9,10 @@
 use crate::effect::Effect;
 use crate::gateway::Gateway;
 use crate::servers::LEAVE_TIME;
-use watch::server::News;
 use watch::server::Reading;
 use watch::server::Removal;
 use watch::server::Server;
+use watch::server::Update;
 
 /// By whose word a server leaves or is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,9 +44,9 @@
             self.servers_since = now;
         }
         self.note_reading(now, reading.revision);
-        match reading.news {
-            News::All(servers) => self.all_read(now, servers, effects),
-            News::Changes { written, removed } => {
+        match reading.update {
+            Update::All(servers) => self.all_read(now, servers, effects),
+            Update::Changes { written, removed } => {
                 for server in written {
                     self.server_seen(now, server, effects);
                 }
@@ -65,9 +65,9 @@
     }
 
     /// Another entry reported changes, to everybody at once.
-    pub(crate) fn servers_reported(&mut self, now: Time, news: News, effects: &mut Vec<Effect>) {
+    pub(crate) fn servers_reported(&mut self, now: Time, news: Update, effects: &mut Vec<Effect>) {
         self.doubt_after_failure();
-        let News::Changes { written, removed } = news else {
+        let Update::Changes { written, removed } = news else {
             return;
         };
         for server in written {
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -44,10 +44,10 @@
 use store::call::Call;
 use store::call::Outcome;
 use store::fake::Table;
-use watch::server::News;
 use watch::server::Reading;
 use watch::server::Removal;
 use watch::server::Server;
+use watch::server::Update;
 
 pub const ACCOUNT: &str = "amber";
 pub const SERVICE: &str = "drafts";
@@ -293,7 +293,7 @@
         }];
         let reading = Reading {
             revision: self.list,
-            news: News::Changes {
+            update: Update::Changes {
                 written: Vec::new(),
                 removed,
             },
@@ -387,7 +387,7 @@
         }
         let reading = Reading {
             revision,
-            news: News::All(servers),
+            update: Update::All(servers),
         };
         self.step(entry, Event::Servers(reading));
     }
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -9,10 +9,10 @@
 use gateway::event::Event;
 use gateway::event::Source;
 use smol_str::SmolStr;
-use watch::server::News;
 use watch::server::Reading;
 use watch::server::Removal;
 use watch::server::Server;
+use watch::server::Update;
 
 use crate::adapter::Changes;
 use crate::adapter::Fault;
@@ -206,7 +206,7 @@
         let (servers, _) = self.sort(&rows.rows);
         self.shared.link.event(Event::Servers(Reading {
             revision: rows.revision,
-            news: News::All(servers),
+            update: Update::All(servers),
         }));
     }
 
@@ -216,7 +216,7 @@
         let removed = ended.map(removal_of).collect();
         self.shared.link.event(Event::Servers(Reading {
             revision: changes.revision,
-            news: News::Changes { written, removed },
+            update: Update::Changes { written, removed },
         }));
     }
 
--- a/crates/watch/src/list.rs
+++ b/crates/watch/src/list.rs
@@ -10,9 +10,9 @@
 
 use crate::report::Change;
 use crate::report::State;
-use crate::server::News;
 use crate::server::Reading;
 use crate::server::Server;
+use crate::server::Update;
 
 /// All rows.
 #[derive(Clone, Debug, Default)]
@@ -21,11 +21,11 @@
     /// Rows that ended, and at which revision. Invariant: each is newer than `complete`.
     ended: BTreeMap<SmolStr, u64>,
     /// Every change up to this revision is taken in: an older row that isn't here has ended.
-    complete: u64,
+    complete_revision: u64,
     /// Invariant: over all rows, the exclusive or of their hashes.
     digest: u64,
     /// The newest revision at which a row changed.
-    changed: u64,
+    changed_revision: u64,
 }
 
 impl List {
@@ -35,8 +35,8 @@
     }
 
     /// The newest revision at which a row changed.
-    pub fn changed(&self) -> u64 {
-        self.changed
+    pub fn changed_revision(&self) -> u64 {
+        self.changed_revision
     }
 
     /// What a row says.
@@ -45,22 +45,22 @@
     }
 
     /// Takes in what the table service says; what of it is new.
-    pub fn read(&mut self, reading: &Reading) -> Vec<Change> {
-        let news = self.take(self.changes_of(reading));
+    pub fn apply_reading(&mut self, reading: &Reading) -> Vec<Change> {
+        let changes = self.apply(self.changes_of(reading));
         self.complete_to(reading.revision);
-        news
+        changes
     }
 
     /// What an answer says, row by row.
     fn changes_of(&self, reading: &Reading) -> Vec<Change> {
-        match &reading.news {
-            News::All(servers) if self.is_restored(reading) => self.still_leaving(servers),
-            News::All(servers) => {
+        match &reading.update {
+            Update::All(servers) if self.is_restored(reading) => self.still_leaving(servers),
+            Update::All(servers) => {
                 let absent = self.absent(servers);
                 let ended = absent.map(|id| Change::ended(id.clone(), reading.revision));
                 servers.iter().map(Change::written).chain(ended).collect()
             }
-            News::Changes { written, removed } => {
+            Update::Changes { written, removed } => {
                 let ended = removed
                     .iter()
                     .map(|row| Change::ended(row.id.clone(), row.revision));
@@ -71,7 +71,8 @@
 
     /// Whether the service came back from a copy since the list was read last.
     fn is_restored(&self, reading: &Reading) -> bool {
-        self.complete > 0 && Revision::is_of_older_era(self.complete, reading.revision)
+        self.complete_revision > 0
+            && Revision::is_of_older_era(self.complete_revision, reading.revision)
     }
 
     /// Of rows that were restored from a copy, what is believed before their servers write them again: that one leaves.
@@ -94,10 +95,10 @@
     }
 
     /// Of an answer that was taken in, what holds by now.
-    pub fn up_to_date(&self, news: &News) -> News {
-        match news {
-            News::All(_) => News::All(self.rows.values().cloned().collect()),
-            News::Changes { written, removed } => News::Changes {
+    pub fn up_to_date(&self, update: &Update) -> Update {
+        match update {
+            Update::All(_) => Update::All(self.rows.values().cloned().collect()),
+            Update::Changes { written, removed } => Update::Changes {
                 written: written
                     .iter()
                     .filter(|server| self.is_current(server))
@@ -120,23 +121,23 @@
 
     /// Notes that every change up to a revision is taken in.
     pub fn complete_to(&mut self, revision: u64) {
-        self.complete = self.complete.max(revision);
-        let complete = self.complete;
+        self.complete_revision = self.complete_revision.max(revision);
+        let complete = self.complete_revision;
         self.ended.retain(|_, ended| *ended > complete);
     }
 
     /// Takes in changes; those that are new here, in the order of their revisions.
     ///
     /// The newest of a row comes first, so that an older one among them is never in force.
-    pub fn take(&mut self, mut changes: Vec<Change>) -> Vec<Change> {
+    pub fn apply(&mut self, mut changes: Vec<Change>) -> Vec<Change> {
         changes.sort_by_key(|change| Reverse(change.at));
-        changes.retain(|change| self.take_one(change));
+        changes.retain(|change| self.apply_one(change));
         changes.reverse();
         changes
     }
 
-    fn take_one(&mut self, change: &Change) -> bool {
-        if self.is_overtaken(change) {
+    fn apply_one(&mut self, change: &Change) -> bool {
+        if self.is_outdated(change) {
             return false;
         }
         match &change.now {
@@ -149,12 +150,12 @@
     }
 
     /// Whether what is known of the row is as new.
-    fn is_overtaken(&self, change: &Change) -> bool {
+    fn is_outdated(&self, change: &Change) -> bool {
         if let Some(known) = self.rows.get(&change.id) {
             return known.revision >= change.at;
         }
         let ended = self.ended.get(&change.id).copied();
-        ended.unwrap_or(0).max(self.complete) >= change.at
+        ended.unwrap_or(0).max(self.complete_revision) >= change.at
     }
 
     fn write(&mut self, server: Server) -> bool {
@@ -167,19 +168,19 @@
             return false;
         }
         self.digest ^= before ^ hash;
-        self.changed = self.changed.max(revision);
+        self.changed_revision = self.changed_revision.max(revision);
         true
     }
 
     fn end(&mut self, change: &Change) -> bool {
-        if change.at > self.complete {
+        if change.at > self.complete_revision {
             self.ended.insert(change.id.clone(), change.at);
         }
         let Some(server) = self.rows.remove(&change.id) else {
             return false;
         };
         self.digest ^= hash_of(&server);
-        self.changed = self.changed.max(change.at);
+        self.changed_revision = self.changed_revision.max(change.at);
         true
     }
 }
--- a/crates/watch/src/server.rs
+++ b/crates/watch/src/server.rs
@@ -42,12 +42,12 @@
     /// The list's revision that it tells.
     pub revision: u64,
     /// What it says.
-    pub news: News,
+    pub update: Update,
 }
 
 /// What an answer says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum Update {
     /// All servers as of one moment.
     All(Vec<Server>),
     /// What changed since the reading before; often nothing.
--- a/crates/watch/src/watch.rs
+++ b/crates/watch/src/watch.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
     /// When the table service said so, as far as known.
-    pub at: Time,
+    pub as_of: Time,
     /// Everything up to this revision is known.
     pub revision: u64,
 }
@@ -90,7 +90,7 @@
 impl Watch {
     /// An entry that knows nothing; `seed` sets its moment among those that read for themselves.
     pub fn new(config: Config, seed: u64) -> Watch {
-        let moment = rendezvous::weight(seed, 0) % config.spread.as_millis().max(1);
+        let moment = rendezvous::weight(seed, 0) % config.follower_jitter.as_millis().max(1);
         Watch {
             config,
             list: List::default(),
@@ -108,15 +108,15 @@
     /// Takes in an answer of the table service; what of it isn't out of date by now.
     ///
     /// Guards against an answer that was under way while reports brought newer changes: it names servers that are gone.
-    pub fn read(&mut self, now: Time, reading: &Reading) -> Reading {
+    pub fn apply_reading(&mut self, now: Time, reading: &Reading) -> Reading {
         let first = self.position.is_none();
-        let changes = self.list.read(reading);
+        let changes = self.list.apply_reading(reading);
         // What an entry finds as it starts is known to all others.
         if !first {
             self.pass_on(now, changes);
         }
         self.know(Position {
-            at: now,
+            as_of: now,
             revision: reading.revision,
         });
         self.unequal = None;
@@ -125,7 +125,7 @@
         self.read_at = Some(now);
         Reading {
             revision: reading.revision,
-            news: self.list.up_to_date(&reading.news),
+            update: self.list.up_to_date(&reading.update),
         }
     }
 
@@ -137,7 +137,7 @@
         }
         self.doubted = report.lapsed_ms > 0;
         let mut learned = Learned::default();
-        let changes = self.list.take(report.changes.clone());
+        let changes = self.list.apply(report.changes.clone());
         for change in &changes {
             match &change.now {
                 State::Written(server) => learned.written.push(server.clone()),
@@ -159,13 +159,13 @@
         if report.digest == self.list.digest() {
             self.unequal = None;
             self.know(Position {
-                at: before(now, Span::from_millis(report.age_ms)),
+                as_of: before(now, Span::from_millis(report.age_ms)),
                 revision: report.revision,
             });
             return self.position;
         }
         // A report of before our newest change says nothing of what is missing here.
-        if report.revision >= self.list.changed() {
+        if report.revision >= self.list.changed_revision() {
             self.unequal.get_or_insert(now);
         }
         None
@@ -176,7 +176,7 @@
         self.list.complete_to(position.revision);
         let known = self.position.unwrap_or(position);
         self.position = Some(Position {
-            at: known.at.max(position.at),
+            as_of: known.as_of.max(position.as_of),
             revision: known.revision.max(position.revision),
         });
     }
@@ -191,13 +191,14 @@
     }
 
     /// Whether there is something to pass on before the next regular report.
-    pub fn is_due(&self, now: Time) -> bool {
-        self.is_urgent() && now >= self.reported + self.config.gap
+    pub fn is_report_due(&self, now: Time) -> bool {
+        self.is_urgent() && now >= self.reported + self.config.min_report_interval
     }
 
-    /// When [`Watch::is_due`] holds next.
-    pub fn next_due(&self) -> Option<Time> {
-        self.is_urgent().then_some(self.reported + self.config.gap)
+    /// When [`Watch::is_report_due`] holds next.
+    pub fn next_report_due(&self) -> Option<Time> {
+        self.is_urgent()
+            .then_some(self.reported + self.config.min_report_interval)
     }
 
     /// Whether something was not passed on yet.
@@ -212,7 +213,7 @@
 
     /// Whether this entry reads by itself at present, and needs nobody's word on which rows may have lapsed.
     pub fn is_reading(&self, now: Time) -> bool {
-        let standby = self.config.standby;
+        let standby = self.config.reader_timeout;
         self.read_at.is_some_and(|at| now.since(at) < standby)
     }
 
@@ -221,7 +222,7 @@
         let position = self.position?;
         self.read = false;
         self.reported = now;
-        let repeat = self.config.repeat;
+        let repeat = self.config.retransmission_time;
         self.passing
             .retain(|one| !one.reported || now.since(one.since) < repeat);
         let passing = self.passing.iter_mut();
@@ -232,7 +233,7 @@
         });
         Some(Report {
             revision: position.revision,
-            age_ms: now.since(position.at).as_millis(),
+            age_ms: now.since(position.as_of).as_millis(),
             digest: self.list.digest(),
             lapsed_ms: lapsed.as_millis(),
             changes: changes.collect(),
@@ -240,29 +241,35 @@
     }
 
     /// The pause between two reads of this entry; none while it need not read.
-    pub fn pause(&self, now: Time, role: Role) -> Option<Span> {
+    pub fn read_interval(&self, now: Time, role: Role) -> Option<Span> {
         match role {
             Role::Alone => Some(Span::ZERO),
-            Role::Reader { .. } => (now >= self.reads_at(role)).then_some(self.config.pace),
-            Role::Follower => (now >= self.reads_at(role)).then_some(self.config.alone),
+            Role::Reader { .. } => {
+                (now >= self.next_read(role)).then_some(self.config.reader_interval)
+            }
+            Role::Follower => {
+                (now >= self.next_read(role)).then_some(self.config.follower_interval)
+            }
         }
     }
 
     /// When an entry reads next unless a newer report comes.
-    pub fn reads_at(&self, role: Role) -> Time {
+    pub fn next_read(&self, role: Role) -> Time {
         let Some(position) = self.position else {
             return Time::ZERO;
         };
         let patience = match role {
             Role::Alone | Role::Reader { rank: 0 } => return Time::ZERO,
             // Those that stand by have followed the list without a gap, where the reader has not.
-            Role::Reader { rank } if self.doubted => self.config.pace.times(rank as u64),
-            Role::Reader { rank } => self.config.standby + self.config.pace.times(rank as u64),
-            Role::Follower => self.config.stale + self.delay,
+            Role::Reader { rank } if self.doubted => self.config.reader_interval.times(rank as u64),
+            Role::Reader { rank } => {
+                self.config.reader_timeout + self.config.reader_interval.times(rank as u64)
+            }
+            Role::Follower => self.config.follower_timeout + self.delay,
         };
-        let stale = position.at + patience;
+        let stale = position.as_of + patience;
         match self.unequal {
-            Some(since) => stale.min(since + self.config.unequal + self.delay),
+            Some(since) => stale.min(since + self.config.mismatch_timeout + self.delay),
             None => stale,
         }
     }
--- a/crates/watch/tests/order.rs
+++ b/crates/watch/tests/order.rs
@@ -13,10 +13,10 @@
 use smol_str::format_smolstr;
 use watch::list::List;
 use watch::report::Change;
-use watch::server::News;
 use watch::server::Reading;
 use watch::server::Removal;
 use watch::server::Server;
+use watch::server::Update;
 
 /// What happens to a row.
 #[derive(Clone, Copy, Debug)]
@@ -74,7 +74,7 @@
     }
     Reading {
         revision,
-        news: News::All(rows.into_values().flatten().cloned().collect()),
+        update: Update::All(rows.into_values().flatten().cloned().collect()),
     }
 }
 
@@ -99,7 +99,7 @@
     }
     Reading {
         revision: to,
-        news: News::Changes { written, removed },
+        update: Update::Changes { written, removed },
     }
 }
 
@@ -129,7 +129,7 @@
         let history = history_of(&steps);
         let newest = 3 * steps.len() as u64;
         let mut truth = List::default();
-        truth.read(&all(&history, newest));
+        truth.apply_reading(&all(&history, newest));
 
         let mut list = List::default();
         let rows: Vec<(&u64, &(SmolStr, Option<Server>))> = history.iter().collect();
@@ -141,20 +141,20 @@
         let mut known = 0;
         for cut in cuts {
             if let Some((revision, (id, now))) = reports.next() {
-                list.take(vec![change(**revision, id, now.as_ref())]);
+                list.apply(vec![change(**revision, id, now.as_ref())]);
             }
-            list.read(&changes(&history, known, cut, backwards));
+            list.apply_reading(&changes(&history, known, cut, backwards));
             known = cut;
             if let Some((from, length, whole)) = late.next() {
                 let to = (from + length).min(known);
-                list.read(&match whole {
+                list.apply_reading(&match whole {
                     true => all(&history, to),
                     false => changes(&history, from.min(to), to, backwards),
                 });
             }
         }
         for (revision, (id, now)) in reports {
-            list.take(vec![change(**revision, id, now.as_ref())]);
+            list.apply(vec![change(**revision, id, now.as_ref())]);
         }
 
         prop_assert_eq!(list.digest(), truth.digest());
--- a/crates/watch/tests/spread.rs
+++ b/crates/watch/tests/spread.rs
@@ -12,10 +12,10 @@
 use watch::configs::watch::Config;
 use watch::list::List;
 use watch::report::Report;
-use watch::server::News;
 use watch::server::Reading;
 use watch::server::Removal;
 use watch::server::Server;
+use watch::server::Update;
 use watch::watch::Extent;
 use watch::watch::Role;
 use watch::watch::Watch;
@@ -138,19 +138,19 @@
             ),
         };
         self.rows.insert(id, Row { server, revision });
-        let news = News::Changes { written, removed };
-        self.truth.read(&Reading { revision, news });
+        let update = Update::Changes { written, removed };
+        self.truth.apply_reading(&Reading { revision, update });
         self.history.insert(self.truth.digest(), self.now);
     }
 
     /// A list that holds this row alone.
     fn only(&self, id: &str) -> List {
         let row = &self.rows[id];
-        let news = News::All(row.server.clone().into_iter().collect());
+        let update = Update::All(row.server.clone().into_iter().collect());
         let mut list = List::default();
-        list.read(&Reading {
+        list.apply_reading(&Reading {
             revision: self.revision,
-            news,
+            update,
         });
         list
     }
@@ -227,7 +227,7 @@
         let now = self.time();
         let rank = readers.iter().position(|reader| *reader == entry);
         let role = rank.map_or(Role::Follower, |rank| Role::Reader { rank });
-        let pause = self.entries[entry].pause(now, role);
+        let pause = self.entries[entry].read_interval(now, role);
         if let Some(pause) = pause.filter(|_| self.now >= self.next_read[entry]) {
             self.next_read[entry] = self.now + pause.as_millis();
             self.read(entry);
@@ -235,7 +235,7 @@
         let hub = hubs.contains(&entry);
         let regular = (self.now + entry as u64 * STEP_MILLIS).is_multiple_of(REPORT_MILLIS)
             && (hub || self.entries[entry].has_read());
-        if !regular && !self.entries[entry].is_due(now) {
+        if !regular && !self.entries[entry].is_report_due(now) {
             return;
         }
         let extent = match regular {
@@ -260,7 +260,7 @@
         let reading = match self.entries[entry].position() {
             None => Reading {
                 revision: self.revision,
-                news: News::All(rows.filter_map(|(_, row)| row.server.clone()).collect()),
+                update: Update::All(rows.filter_map(|(_, row)| row.server.clone()).collect()),
             },
             Some(position) => {
                 let (mut written, mut removed) = (Vec::new(), Vec::new());
@@ -275,12 +275,12 @@
                 }
                 Reading {
                     revision: self.revision,
-                    news: News::Changes { written, removed },
+                    update: Update::Changes { written, removed },
                 }
             }
         };
         let now = self.time();
-        self.entries[entry].read(now, &reading);
+        self.entries[entry].apply_reading(now, &reading);
     }
 
     fn send(&mut self, from: usize, to: usize, report: &Report) {
@@ -408,14 +408,14 @@
     };
     let reading = Reading {
         revision: world.revision + 5,
-        news: News::Changes {
+        update: Update::Changes {
             written,
             removed: vec![ended],
         },
     };
     let before = world.entries[0].digest();
     let now = world.time();
-    world.entries[0].read(now, &reading);
+    world.entries[0].apply_reading(now, &reading);
     assert_eq!(world.entries[0].digest(), before);
     let report = world.entries[0]
         .report(now, Span::ZERO, Extent::Recent)
@@ -439,10 +439,10 @@
         .expect("a report");
     let standby = Role::Reader { rank: 1 };
     world.entries[1].receive(now, &sure, true);
-    let soon = now + Config::default().pace;
-    assert_eq!(world.entries[1].pause(soon, standby), None);
+    let soon = now + Config::default().reader_interval;
+    assert_eq!(world.entries[1].read_interval(soon, standby), None);
     world.entries[1].receive(now, &doubtful, true);
-    assert!(world.entries[1].pause(soon, standby).is_some());
+    assert!(world.entries[1].read_interval(soon, standby).is_some());
 }
 
 /// A report that a server started comes after its receiver has read that the server is gone again: an older report
@@ -480,12 +480,12 @@
         let mut entry = World::new(1).entries.remove(0);
         let reading = Reading {
             revision: world.revision + 5,
-            news: News::Changes {
+            update: Update::Changes {
                 written,
                 removed: Vec::new(),
             },
         };
-        entry.read(world.time(), &reading);
+        entry.apply_reading(world.time(), &reading);
         assert_eq!(entry.digest(), world.only("s900").digest());
     }
 }
@@ -511,10 +511,10 @@
     let restored = |number| Revision { era: 1, number }.packed();
     let reading = Reading {
         revision: restored(3),
-        news: News::All(copy.clone()),
+        update: Update::All(copy.clone()),
     };
     let now = world.time();
-    world.entries[0].read(now, &reading);
+    world.entries[0].apply_reading(now, &reading);
     assert_eq!(world.entries[0].digest(), before);
 
     // Its server writes a row again, by a number that was given out before.
@@ -524,19 +524,19 @@
     };
     let reading = Reading {
         revision: restored(4),
-        news: News::Changes {
+        update: Update::Changes {
             written: vec![back],
             removed: Vec::new(),
         },
     };
-    let taken = world.entries[0].read(now, &reading);
-    assert_eq!(taken.news, reading.news);
+    let taken = world.entries[0].apply_reading(now, &reading);
+    assert_eq!(taken.update, reading.update);
     // Once more read whole, rows that nobody wrote again are gone.
     let reading = Reading {
         revision: restored(9),
-        news: News::All(Vec::new()),
+        update: Update::All(Vec::new()),
     };
-    world.entries[0].read(now, &reading);
+    world.entries[0].apply_reading(now, &reading);
     assert_eq!(world.entries[0].digest(), List::default().digest());
 }
 
@@ -552,7 +552,7 @@
         world.write(900 + server, false);
         world.read(0);
         let now = world.time();
-        if world.entries[0].is_due(now) {
+        if world.entries[0].is_report_due(now) {
             let report = world.entries[0].report(now, Span::ZERO, Extent::New);
             told.extend(report.expect("a report").changes);
         }
