--- a/crates/gateway/src/bulletin.rs
+++ b/crates/gateway/src/bulletin.rs
@@ -110,7 +110,7 @@
         }
         for (service, tally) in &one.tallies {
             if let Some(into) = rest.tallies.get_mut(service) {
-                into.take(tally);
+                into.subtract(tally);
             }
         }
         rest
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -11,7 +11,7 @@
 use member::digest::Digest;
 use member::digest::Item;
 use member::digest::Topic;
-use role::roster::HUBS;
+use role::roster::HUB_COUNT;
 use smol_str::SmolStr;
 use store::call;
 
@@ -163,7 +163,7 @@
         }
         let most = match self.by_hubs() {
             true => usize::MAX,
-            false => HUBS,
+            false => HUB_COUNT,
         };
         let mut claimants = self.roster.readers().iter().take(most);
         claimants.any(|one| *one == self.identity.incarnation)
--- a/crates/gateway/src/rollout_lead.rs
+++ b/crates/gateway/src/rollout_lead.rs
@@ -9,8 +9,8 @@
 use member::digest::Item;
 use member::digest::Topic;
 use rollout::configs;
-use rollout::lead::Fleet;
-use rollout::lead::Lead;
+use rollout::leader::Fleet;
+use rollout::leader::Leader;
 use rollout::order::Order;
 use rollout::stage::Phase;
 use rollout::stage::Stage;
@@ -42,7 +42,7 @@
 pub(crate) struct Led {
     order: Order,
     /// None until a former leader's stage was asked for.
-    lead: Option<Lead>,
+    lead: Option<Leader>,
     /// The call of the table service that is under way.
     asked: Option<Asked>,
     /// It isn't asked or written again before.
@@ -136,7 +136,7 @@
         let stage = lead.stage(now, &tally);
         let pause = match stage.phase.is_final() {
             true => FINAL_REPEAT,
-            false => lead.repeat(),
+            false => lead.announcement_interval(),
         };
         if may_call {
             led.asked = led.next_write(stage.phase);
@@ -187,8 +187,8 @@
                 let elapsed = Span::from_millis(elapsed).max(now.since(since));
                 let begun = Time::from_millis(now.as_millis().saturating_sub(elapsed.as_millis()));
                 led.saved = stage.as_ref().map(|stage| stage.phase);
-                led.lead = Some(Lead::new(
-                    configs::lead::Config::default(),
+                led.lead = Some(Leader::new(
+                    configs::leader::Config::default(),
                     configs::judge::Config::default(),
                     led.order.clone(),
                     begun,
@@ -261,7 +261,7 @@
     }))
 }
 
-fn phase_line(service: &SmolStr, lead: &Lead, tally: &Tally) -> Line {
+fn phase_line(service: &SmolStr, lead: &Leader, tally: &Tally) -> Line {
     let total = tally.total();
     Line::info("rollout_decided")
         .with("service", service)
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -12,9 +12,9 @@
 use member::digest::Item;
 use policy::rendezvous;
 use rand::RngExt;
+use rollout::baseline::Baseline;
 use rollout::configs;
 use rollout::order::Order;
-use rollout::pace::Pace;
 use rollout::split::Side;
 use rollout::split::Split;
 use rollout::stage::Phase;
@@ -65,9 +65,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Paces {
     /// The whole answer, or a stream's first event.
-    first: Pace,
+    first: Baseline,
     /// A token after the first.
-    token: Pace,
+    token: Baseline,
 }
 
 /// What of a service a replica belongs to.
@@ -223,7 +223,8 @@
             servers.filter(|one| one.service == server.service)
         };
         let old = of_service().filter(|one| self.rollouts.part(one) == Part::Old);
-        let enough = (old.count() as f64 * configs::lead::Config::default().share).ceil() as usize;
+        let enough =
+            (old.count() as f64 * configs::leader::Config::default().canary_share).ceil() as usize;
         let rank = |one: &Server| rendezvous::identity(&one.incarnation);
         let before = of_service()
             .filter(|one| self.rollouts.part(one) == Part::New && rank(one) < rank(server));
@@ -288,13 +289,13 @@
         let token = now.since(first).as_millis() as f64 / f64::from(tokens.max(1));
         let paces = self.rollouts.paces.entry(route.clone()).or_default();
         let failed = status.is_none_or(|status| status >= FAILED_STATUS);
-        let slow = paces.first.is_far_slower(took) || paces.token.is_far_longer(token);
+        let slow = paces.first.is_slow(took) || paces.token.is_long_gap(token);
         if !open.canary && !failed {
-            paces.first.learn(took);
-            paces.token.learn(token);
+            paces.first.record(took);
+            paces.token.record(token);
         }
         if let Some(tally) = self.rollouts.tallies.get_mut(&open.service) {
-            tally.answered(route, open.canary, failed || slow);
+            tally.record(route, open.canary, failed || slow);
         }
     }
 
@@ -311,7 +312,7 @@
             return;
         };
         let age = Span::from_millis(item.age_ms);
-        if !known.split.announced(now, item.version, age, &stage) {
+        if !known.split.apply_stage(now, item.version, age, &stage) {
             return;
         }
         let line = Line::info("rollout_phase")
--- a/crates/role/src/roster.rs
+++ b/crates/role/src/roster.rs
@@ -10,7 +10,7 @@
 use crate::candidate::Candidate;
 
 /// Hubs: with one, its loss would silence all until everyone has noticed.
-pub const HUBS: usize = 2;
+pub const HUB_COUNT: usize = 2;
 /// Most readers: each that stands by costs calls of the table service, and one of five is nearly always fit.
 const READERS: usize = 5;
 /// Entries that can take less than this part of the most able one decide on no account: a busy account's home is asked
@@ -75,7 +75,7 @@
 fn hubs(candidates: &[Candidate]) -> Vec<holder::Id> {
     let mut ranked: Vec<&Candidate> = candidates.iter().collect();
     ranked.sort_by_key(|one| Reverse(rank(one, HUB_KEY)));
-    ranked.truncate(HUBS);
+    ranked.truncate(HUB_COUNT);
     ranked.into_iter().map(|one| one.id).collect()
 }
 
@@ -93,7 +93,7 @@
     let mut others: Vec<&Candidate> = best.into_values().collect();
     others.retain(|one| !hubs.contains(&one.id));
     others.sort_by_key(|one| Reverse(order(one)));
-    others.truncate(READERS - HUBS);
+    others.truncate(READERS - HUB_COUNT);
     let find = |id: &holder::Id| candidates.iter().find(|one| one.id == *id);
     let mut readers: Vec<&Candidate> = hubs.iter().filter_map(find).chain(others).collect();
     readers.sort_by_key(|one| one.store_lost);
--- a/crates/role/tests/roster.rs
+++ b/crates/role/tests/roster.rs
@@ -5,7 +5,7 @@
 use lease::holder;
 use policy::rendezvous;
 use role::candidate::Candidate;
-use role::roster::HUBS;
+use role::roster::HUB_COUNT;
 use role::roster::Roster;
 use smol_str::SmolStr;
 
@@ -89,7 +89,7 @@
             .map(|one| one.id)
             .collect();
         let roster = Roster::new(&known);
-        assert_eq!(roster.hubs().len(), HUBS);
+        assert_eq!(roster.hubs().len(), HUB_COUNT);
         assert!(roster.hubs().iter().all(|id| able.contains(id)));
         assert!(roster.homes().iter().all(|id| able.contains(id)));
         assert!(roster.homes().iter().all(|id| !roster.hubs().contains(id)));
--- a/crates/rollout/src/pace.rs
+++ b/crates/rollout/src/baseline.rs
@@ -11,14 +11,14 @@
 
 /// The median time of answers of one kind, in any unit of time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct Baseline {
     /// Milliseconds; 0 before the first answer.
     median: f64,
 }
 
-impl Pace {
+impl Baseline {
     /// Takes in an answer of the version in use.
-    pub fn learn(&mut self, took_ms: f64) {
+    pub fn record(&mut self, took_ms: f64) {
         if self.median == 0.0 {
             self.median = took_ms;
         }
@@ -29,13 +29,13 @@
     }
 
     /// Whether an answer came far slower than usual.
-    pub fn is_far_slower(&self, took_ms: f64) -> bool {
+    pub fn is_slow(&self, took_ms: f64) -> bool {
         let usual = self.median * FAR_SLOWER;
         self.median > 0.0 && took_ms > usual && took_ms > self.median + LEAST.as_millis() as f64
     }
 
     /// The same for a pause that is a few milliseconds long.
-    pub fn is_far_longer(&self, pause_ms: f64) -> bool {
+    pub fn is_long_gap(&self, pause_ms: f64) -> bool {
         self.median > 0.0 && pause_ms > self.median * FAR_SLOWER
     }
 }
--- a/crates/rollout/src/configs/mod.rs
+++ b/crates/rollout/src/configs/mod.rs
@@ -1,4 +1,4 @@
 //! Settings, one file a module.
 
 pub mod judge;
-pub mod lead;
+pub mod leader;
--- a/crates/rollout/src/lead.rs
+++ b/crates/rollout/src/leader.rs
@@ -27,8 +27,8 @@
 
 /// One service's roll-out, at the entry that leads.
 #[derive(Clone, Debug)]
-pub struct Lead {
-    config: configs::lead::Config,
+pub struct Leader {
+    config: configs::leader::Config,
     judge: configs::judge::Config,
     order: Order,
     /// When the order was given, by our clock.
@@ -38,17 +38,17 @@
     finding: Finding,
 }
 
-impl Lead {
+impl Leader {
     /// Leads an order that was given at `begun`, from the stage that a former leader wrote, if one did.
     pub fn new(
-        config: configs::lead::Config,
+        config: configs::leader::Config,
         judge: configs::judge::Config,
         order: Order,
         begun: Time,
         before: Option<&Stage>,
-    ) -> Lead {
+    ) -> Leader {
         let before = before.filter(|stage| stage.order == order.revision);
-        Lead {
+        Leader {
             config,
             judge,
             begun,
@@ -89,9 +89,9 @@
         }
         let left = self.order.within - now.since(self.begun);
         match self.phase {
-            Phase::Canary if left > self.config.move_time => Phase::Canary,
+            Phase::Canary if left > self.config.move_reserve => Phase::Canary,
             Phase::Canary if self.finding == Finding::Good && self.has_room(fleet) => Phase::Moving,
-            Phase::Canary if left > self.config.last_call => Phase::Canary,
+            Phase::Canary if left > self.config.decision_reserve => Phase::Canary,
             Phase::Canary if self.finding == Finding::Likely && self.has_room(fleet) => {
                 Phase::Moving
             }
@@ -104,7 +104,7 @@
     }
 
     fn has_room(&self, fleet: Fleet) -> bool {
-        f64::from(fleet.slots_new) >= f64::from(fleet.slots_old) * self.config.room
+        f64::from(fleet.slots_new) >= f64::from(fleet.slots_old) * self.config.min_capacity_ratio
     }
 
     /// The order was withdrawn, or another one took its place: the version gets nothing more.
@@ -129,8 +129,8 @@
     }
 
     /// Time between two announcements.
-    pub fn repeat(&self) -> Span {
-        self.config.repeat
+    pub fn announcement_interval(&self) -> Span {
+        self.config.announcement_interval
     }
 
     /// Share of each route that goes to the canary replicas: all routes get an equal number, as far as each has requests.
@@ -144,17 +144,17 @@
         };
         let total: f64 = tally.routes.keys().map(asked).sum();
         let tried = tally.total().new.answers as f64;
-        let most = total * self.config.exposure + self.config.exposure_allowance as f64;
+        let most = total * self.config.max_exposure + self.config.exposure_allowance as f64;
         if total == 0.0 || tried >= most {
             return BTreeMap::new();
         }
-        let mut left = total * self.config.share;
+        let mut left = total * self.config.canary_share;
         let mut routes: Vec<&SmolStr> = tally.routes.keys().collect();
         routes.sort_by(|one, other| asked(one).total_cmp(&asked(other)));
         let mut shares = BTreeMap::new();
         for (place, route) in routes.iter().enumerate() {
             let part = left / (routes.len() - place) as f64;
-            let given = part.min(asked(route) * self.config.route_share);
+            let given = part.min(asked(route) * self.config.max_route_share);
             left -= given;
             shares.insert((*route).clone(), given / asked(route).max(1.0));
         }
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -58,7 +58,7 @@
     }
 
     /// Takes in an announcement of the leader, which is `age` old; whether the phase changed.
-    pub fn announced(&mut self, now: Time, number: u64, age: Span, stage: &Stage) -> bool {
+    pub fn apply_stage(&mut self, now: Time, number: u64, age: Span, stage: &Stage) -> bool {
         let other = stage.order != self.order.revision || stage.to != self.order.to;
         if other || number <= self.announcement {
             return false;
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -39,7 +39,7 @@
         self.bad += other.bad;
     }
 
-    fn take(&mut self, other: Count) {
+    fn subtract(&mut self, other: Count) {
         self.answers = self.answers.saturating_sub(other.answers);
         self.bad = self.bad.saturating_sub(other.bad);
     }
@@ -55,7 +55,7 @@
     }
 
     /// Counts an answer; `canary` if it is of the canary version.
-    pub fn answered(&mut self, route: &SmolStr, canary: bool, bad: bool) {
+    pub fn record(&mut self, route: &SmolStr, canary: bool, bad: bool) {
         let pair = self.routes.entry(route.clone()).or_default();
         let count = match canary {
             true => &mut pair.new,
@@ -83,14 +83,14 @@
     }
 
     /// Takes an entry's counts off a sum that holds them.
-    pub fn take(&mut self, other: &Tally) {
+    pub fn subtract(&mut self, other: &Tally) {
         if other.order != self.order {
             return;
         }
         for (route, pair) in &other.routes {
             if let Some(into) = self.routes.get_mut(route) {
-                into.old.take(pair.old);
-                into.new.take(pair.new);
+                into.old.subtract(pair.old);
+                into.new.subtract(pair.new);
             }
         }
     }
--- a/crates/rollout/tests/trials.rs
+++ b/crates/rollout/tests/trials.rs
@@ -9,8 +9,8 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rollout::configs;
-use rollout::lead::Fleet;
-use rollout::lead::Lead;
+use rollout::leader::Fleet;
+use rollout::leader::Leader;
 use rollout::order::Order;
 use rollout::split::Side;
 use rollout::split::Split;
@@ -79,7 +79,7 @@
     counts_under_way: VecDeque<(u64, Tally)>,
     known: Tally,
     words: Vec<(u64, usize, u64, u64, Stage)>,
-    lead: Option<Lead>,
+    lead: Option<Leader>,
     /// Both versions' answers are bad that much more.
     burst: f64,
 }
@@ -93,9 +93,9 @@
     }
 }
 
-fn lead(begun: u64, before: Option<&Stage>) -> Lead {
-    Lead::new(
-        configs::lead::Config::default(),
+fn lead(begun: u64, before: Option<&Stage>) -> Leader {
+    Leader::new(
+        configs::leader::Config::default(),
         configs::judge::Config::default(),
         order(),
         Time::from_millis(begun),
@@ -169,7 +169,7 @@
         let time = Time::from_millis(now);
         let due: Vec<_> = self.words.extract_if(.., |word| word.0 <= now).collect();
         for (_, entry, word, age, stage) in due {
-            self.splits[entry].announced(time, word, Span::from_millis(age), &stage);
+            self.splits[entry].apply_stage(time, word, Span::from_millis(age), &stage);
         }
         for (route, (name, per_second)) in ROUTES.iter().enumerate() {
             let name = SmolStr::new_static(name);
@@ -194,7 +194,7 @@
                         outcome.known_bad_at.get_or_insert(now);
                     }
                 }
-                self.tallies[entry].answered(&name, trial, bad);
+                self.tallies[entry].record(&name, trial, bad);
             }
         }
     }
@@ -323,11 +323,11 @@
     };
     let at = Time::from_millis;
     assert_eq!(split.side(at(0), &route, 0.0), Side::Old);
-    split.announced(at(1_000), 1, Span::ZERO, &stage);
+    split.apply_stage(at(1_000), 1, Span::ZERO, &stage);
     assert_eq!(split.side(at(1_000), &route, 0.0), Side::New);
     assert_eq!(split.side(at(5_000), &route, 0.0), Side::Old);
     // An announcement that took long to come is as old as it is.
-    split.announced(at(6_000), 2, Span::from_seconds(5), &stage);
+    split.apply_stage(at(6_000), 2, Span::from_seconds(5), &stage);
     assert_eq!(split.side(at(6_000), &route, 0.0), Side::Old);
 }
 
@@ -341,6 +341,6 @@
         phase: Phase::Completed,
         ..Stage::default()
     };
-    assert!(!split.announced(Time::ZERO, 9, Span::ZERO, &stage));
+    assert!(!split.apply_stage(Time::ZERO, 9, Span::ZERO, &stage));
     assert_eq!(split.phase(), Phase::Canary);
 }
