--- a/crates/member/examples/spread.rs
+++ b/crates/member/examples/spread.rs
@@ -14,9 +14,9 @@
 /// Time that members have to find each other.
 const WARM_UP: Span = Span::from_seconds(120);
 /// Time over which costs are measured.
-const MEASURED: Span = Span::from_seconds(60);
+const MEASUREMENT: Span = Span::from_seconds(60);
 /// Longest time that news may take.
-const LIMIT: Span = Span::from_seconds(120);
+const PROPAGATION_LIMIT: Span = Span::from_seconds(120);
 /// Longest time that a wave may take.
 const WAVE_LIMIT: Span = Span::from_seconds(600);
 
@@ -75,7 +75,7 @@
 
 fn measure(nodes: usize, zones: usize) {
     let mut fleet = Fleet::default();
-    fleet.follow = true;
+    fleet.apply_versions = true;
     for index in 0..nodes {
         fleet.start(&format!("zone-{}", index % zones), Settings::default());
         fleet.run(Span::from_millis(20));
@@ -89,9 +89,9 @@
     }
     let served = fleet.table.served();
     let start = Instant::now();
-    fleet.run(MEASURED);
+    fleet.run(MEASUREMENT);
     let took = start.elapsed();
-    let seconds = MEASURED.as_millis() as f64 / 1_000.0;
+    let seconds = MEASUREMENT.as_millis() as f64 / 1_000.0;
     let each = |total: u64| total as f64 / nodes as f64 / seconds;
     let sum = |value: fn(&member::fake::Node) -> u64| fleet.nodes.iter().map(value).sum::<u64>();
     let steps = sum(|node| node.steps);
@@ -110,23 +110,23 @@
         all(reads, served.0),
         all(writes, served.1),
     );
-    println!("{}", news(&mut fleet));
+    println!("{}", propagation(&mut fleet));
 }
 
 /// Freezes a third and tells one of the others of a leaving backend server and of a new version.
-fn news(fleet: &mut Fleet) -> String {
+fn propagation(fleet: &mut Fleet) -> String {
     let nodes = fleet.nodes.len();
     for index in (1..nodes).step_by(3) {
         fleet.set_frozen(index, true);
     }
     let item = leaving("i-7.1");
     fleet.feed(0, Event::Publish(item));
-    let leaving = fleet.run_until(LIMIT, |fleet| {
+    let leaving = fleet.run_until(PROPAGATION_LIMIT, |fleet| {
         let mut thawed = fleet.nodes.iter().filter(|node| !node.frozen);
         thawed.all(|node| node.membership.is_leaving("i-7.1"))
     });
     fleet.feed(0, Event::Applied(1));
-    let version = fleet.run_until(LIMIT, |fleet| {
+    let version = fleet.run_until(PROPAGATION_LIMIT, |fleet| {
         let mut thawed = fleet.nodes.iter().filter(|node| !node.frozen);
         thawed.all(|node| node.membership.applied_version() == 1)
     });
--- a/crates/member/src/addresses.rs
+++ b/crates/member/src/addresses.rs
@@ -39,21 +39,21 @@
 pub fn choose(
     directory: &Directory,
     now: Time,
-    quiet: Span,
+    timeout: Span,
     key: Option<u64>,
     limit: usize,
     random: &mut Pcg64Mcg,
 ) -> Vec<Endpoint> {
     let mut usable: Vec<Endpoint> = directory
         .iter()
-        .filter(|(_, known)| known.is_usable(now, quiet))
+        .filter(|(_, known)| known.is_usable(now, timeout))
         .map(|(id, known)| endpoint(id, known))
         .collect();
     let mut chosen = Vec::new();
     if let Some(key) = key
         && let Some(owner) = rendezvous::owner(key, usable.iter().map(|item| item.id))
     {
-        take(&mut usable, &mut chosen, |item| item.id == owner);
+        move_first(&mut usable, &mut chosen, |item| item.id == owner);
     }
     while chosen.len() < limit && !usable.is_empty() {
         let fewest = usable
@@ -66,29 +66,29 @@
             .filter(|item| zone_count(&chosen, &item.zone) == fewest)
             .map(|item| item.weight)
             .sum();
-        let mut left = random.random_range(0..total.max(1));
+        let mut remaining = random.random_range(0..total.max(1));
         let drawn = usable
             .iter()
             .filter(|item| zone_count(&chosen, &item.zone) == fewest)
             .find(|item| {
-                let here = left < item.weight;
-                left = left.saturating_sub(item.weight);
-                here
+                let is_drawn = remaining < item.weight;
+                remaining = remaining.saturating_sub(item.weight);
+                is_drawn
             })
             .map(|item| item.id);
-        take(&mut usable, &mut chosen, |item| Some(item.id) == drawn);
+        move_first(&mut usable, &mut chosen, |item| Some(item.id) == drawn);
     }
     chosen
 }
 
 /// Moves the first match over.
-fn take(
+fn move_first(
     usable: &mut Vec<Endpoint>,
     chosen: &mut Vec<Endpoint>,
     matches: impl Fn(&Endpoint) -> bool,
 ) {
-    let place = usable.iter().position(matches).unwrap_or(0);
-    chosen.push(usable.remove(place));
+    let index = usable.iter().position(matches).unwrap_or(0);
+    chosen.push(usable.remove(index));
 }
 
 fn zone_count(chosen: &[Endpoint], zone: &str) -> usize {
--- a/crates/member/src/directory.rs
+++ b/crates/member/src/directory.rs
@@ -59,12 +59,12 @@
         if !newer && !lapsed {
             return false;
         }
-        let news = record.gone != old.gone
+        let is_news = record.gone != old.gone
             || record.row.state != old.row.state
             || record.row.heir != old.row.heir
             || record.row.address != old.row.address;
         known.record = record.clone();
-        news
+        is_news
     }
 
     /// Takes a heartbeat; true if the member is known and has applied a newer version.
@@ -86,11 +86,15 @@
         let Some(known) = self.members.get_mut(&id) else {
             return false;
         };
-        let lead = count + REFUTATION_LEAD;
-        if known.beat.count > lead || known.suspected_count.is_some_and(|known| known >= lead) {
+        let refuted_above = count + REFUTATION_LEAD;
+        if known.beat.count > refuted_above
+            || known
+                .suspected_count
+                .is_some_and(|known| known >= refuted_above)
+        {
             return false;
         }
-        known.suspected_count = Some(lead);
+        known.suspected_count = Some(refuted_above);
         true
     }
 
@@ -126,12 +130,12 @@
     pub fn latest_by_address(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
         let mut latest: BTreeMap<&SmolStr, (holder::Id, &Member)> = BTreeMap::new();
         for (id, known) in self.present() {
-            let at = latest
+            let newest = latest
                 .entry(&known.record.row.peer_address)
                 .or_insert((id, known));
-            let spoken = |one: &Member| (one.beat.count > 0, one.last_seen);
-            if spoken(known) > spoken(at.1) {
-                *at = (id, known);
+            let recency = |one: &Member| (one.beat.count > 0, one.last_seen);
+            if recency(known) > recency(newest.1) {
+                *newest = (id, known);
             }
         }
         // In the order of ids, as all members come.
@@ -174,8 +178,8 @@
     }
 
     /// Whether it may be named to callers: live, with a heartbeat within `quiet`, and not suspected.
-    pub fn is_usable(&self, now: Time, quiet: Span) -> bool {
+    pub fn is_usable(&self, now: Time, timeout: Span) -> bool {
         let live = self.is_present() && self.record.row.state == State::Live;
-        live && now.since(self.last_seen) <= quiet && !self.is_suspected()
+        live && now.since(self.last_seen) <= timeout && !self.is_suspected()
     }
 }
--- a/crates/member/src/fake.rs
+++ b/crates/member/src/fake.rs
@@ -20,9 +20,9 @@
 use crate::row::Row;
 
 /// One way between two entries.
-const HOP: Span = Span::from_millis(1);
+const PEER_LATENCY: Span = Span::from_millis(1);
 /// One way between an entry and the table service.
-const STORE_HOP: Span = Span::from_millis(3);
+const STORE_LATENCY: Span = Span::from_millis(3);
 
 /// All members and what is on its way between them.
 #[derive(Debug, Default)]
@@ -34,7 +34,7 @@
     /// The present time.
     pub now: Time,
     /// Members apply a configuration version as soon as they hear of it.
-    pub follow: bool,
+    pub apply_versions: bool,
     by_address: BTreeMap<SmolStr, usize>,
     queue: Queue<Delivery>,
 }
@@ -49,11 +49,11 @@
     /// Gets nothing until it is thawed; then everything at once, as a stopped process does.
     pub frozen: bool,
     /// Members hear each other only within the same part of a cut network.
-    pub part: u32,
+    pub partition: u32,
     /// Whether the network cuts it off from the table service.
     pub store_cut: bool,
     /// What it told its embedder, with the time.
-    pub told: Vec<(Time, Effect)>,
+    pub effects: Vec<(Time, Effect)>,
     /// Bytes of digests sent.
     pub sent_bytes: u64,
     /// Bytes of digests received.
@@ -62,8 +62,8 @@
     pub read_bytes: u64,
     /// Steps made.
     pub steps: u64,
-    held: Vec<Event>,
-    woken_for: Time,
+    deferred: Vec<Event>,
+    next_wake: Time,
 }
 
 /// Something on its way.
@@ -108,15 +108,15 @@
             membership: Membership::new(row, seeds, settings, index as u64),
             dead: false,
             frozen: false,
-            part: 0,
+            partition: 0,
             store_cut: false,
-            told: Vec::new(),
+            effects: Vec::new(),
             sent_bytes: 0,
             received_bytes: 0,
             read_bytes: 0,
             steps: 0,
-            held: Vec::new(),
-            woken_for: Time::ZERO,
+            deferred: Vec::new(),
+            next_wake: Time::ZERO,
         });
         self.feed(index, Event::Wake);
         index
@@ -133,7 +133,7 @@
         if frozen {
             return;
         }
-        for event in std::mem::take(&mut self.nodes[index].held) {
+        for event in std::mem::take(&mut self.nodes[index].deferred) {
             self.feed(index, event);
         }
         self.feed(index, Event::Wake);
@@ -169,15 +169,15 @@
             return;
         }
         if node.frozen {
-            node.held.push(event);
+            node.deferred.push(event);
             return;
         }
         let mut effects = Vec::new();
         node.steps += 1;
         node.membership.step(now, event, &mut effects);
         let wake = node.membership.next_wake().max(now + Span::from_millis(1));
-        if node.woken_for <= now || wake < node.woken_for {
-            node.woken_for = wake;
+        if node.next_wake <= now || wake < node.next_wake {
+            node.next_wake = wake;
             self.queue.push(wake, Delivery::Wake(index));
         }
         for effect in effects {
@@ -188,7 +188,7 @@
     fn carry_out(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Store { id, call } => {
-                let at = self.now + STORE_HOP;
+                let at = self.now + STORE_LATENCY;
                 self.queue.push(at, Delivery::Call(index, id, call));
             }
             Effect::Send { to, digest } => self.send(index, to.0 as usize - 1, digest),
@@ -197,18 +197,18 @@
                     self.send(index, to, digest);
                 }
             }
-            Effect::Applied { version, .. } if self.follow => {
-                let at = self.now + HOP + HOP;
+            Effect::Applied { version, .. } if self.apply_versions => {
+                let at = self.now + PEER_LATENCY + PEER_LATENCY;
                 self.queue
                     .push(at, Delivery::Event(index, Event::Applied(version)));
             }
-            effect => self.nodes[index].told.push((self.now, effect)),
+            effect => self.nodes[index].effects.push((self.now, effect)),
         }
     }
 
     fn send(&mut self, from: usize, to: usize, digest: Digest) {
         self.nodes[from].sent_bytes += digest.size() as u64;
-        let at = self.now + HOP;
+        let at = self.now + PEER_LATENCY;
         self.queue.push(at, Delivery::Digest(from, to, digest));
     }
 
@@ -217,7 +217,7 @@
             Delivery::Wake(index) => self.feed(index, Event::Wake),
             Delivery::Event(index, event) => self.feed(index, event),
             Delivery::Digest(from, to, digest) => {
-                if self.nodes[from].part != self.nodes[to].part {
+                if self.nodes[from].partition != self.nodes[to].partition {
                     return;
                 }
                 self.nodes[to].received_bytes += digest.size() as u64;
@@ -235,7 +235,7 @@
                 }
                 let event = Event::Store { id, outcome };
                 self.queue
-                    .push(self.now + STORE_HOP, Delivery::Event(index, event));
+                    .push(self.now + STORE_LATENCY, Delivery::Event(index, event));
             }
         }
     }
--- a/crates/member/src/news.rs
+++ b/crates/member/src/items.rs
@@ -11,17 +11,17 @@
 
 /// Most pieces kept; beyond it the oldest goes. A wave that takes half of 12,000 backend servers
 /// makes 6,000.
-const LIMIT: usize = 8_192;
+const MAX_ITEMS: usize = 8_192;
 
 /// All pieces held.
 #[derive(Clone, Debug, Default)]
-pub struct News {
-    held: BTreeMap<(Topic, SmolStr), Held>,
+pub struct Items {
+    entries: BTreeMap<(Topic, SmolStr), Entry>,
 }
 
 /// One piece.
 #[derive(Clone, Debug)]
-struct Held {
+struct Entry {
     version: u64,
     payload: Vec<u8>,
     /// When it would have been made by our clock; its age counts from here.
@@ -29,80 +29,80 @@
     age: Span,
 }
 
-impl News {
+impl Items {
     /// Takes a piece; true if it is new here.
-    pub fn take(&mut self, now: Time, item: &Item) -> bool {
+    pub fn insert(&mut self, now: Time, item: &Item) -> bool {
         let age = Span::from_millis(item.age_ms);
         if age >= item.topic.lifetime() {
             return false;
         }
         let key = (item.topic, item.key.clone());
         if self
-            .held
+            .entries
             .get(&key)
-            .is_some_and(|held| held.version >= item.version)
+            .is_some_and(|entry| entry.version >= item.version)
         {
             return false;
         }
-        let held = Held {
+        let entry = Entry {
             version: item.version,
             payload: item.payload.clone(),
             received: now,
             age,
         };
-        self.held.insert(key, held);
-        self.bound();
+        self.entries.insert(key, entry);
+        self.evict_oldest();
         true
     }
 
     /// The piece on a subject, with its age now.
     pub fn get(&self, now: Time, topic: Topic, key: &SmolStr) -> Option<Item> {
-        let held = self.held.get(&(topic, key.clone()))?;
+        let entry = self.entries.get(&(topic, key.clone()))?;
         Some(Item {
             topic,
             key: key.clone(),
-            version: held.version,
-            age_ms: (held.age + now.since(held.received)).as_millis(),
-            payload: held.payload.clone(),
+            version: entry.version,
+            age_ms: (entry.age + now.since(entry.received)).as_millis(),
+            payload: entry.payload.clone(),
         })
     }
 
     /// Whether there is news of this topic on this subject.
     pub fn contains(&self, topic: Topic, key: &str) -> bool {
-        self.held.contains_key(&(topic, SmolStr::from(key)))
+        self.entries.contains_key(&(topic, SmolStr::from(key)))
     }
 
     /// Forgets what has outlived its topic; names what was forgotten.
     pub fn expire(&mut self, now: Time) -> Vec<(Topic, SmolStr)> {
         let expired: Vec<(Topic, SmolStr)> = self
-            .held
+            .entries
             .iter()
-            .filter(|((topic, _), held)| held.age + now.since(held.received) >= topic.lifetime())
+            .filter(|((topic, _), entry)| entry.age + now.since(entry.received) >= topic.lifetime())
             .map(|(key, _)| key.clone())
             .collect();
         for key in &expired {
-            self.held.remove(key);
+            self.entries.remove(key);
         }
         expired
     }
 
     /// How many pieces are held.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.entries.len()
     }
 
     /// Whether none is held.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.entries.is_empty()
     }
 
-    fn bound(&mut self) {
-        if self.held.len() <= LIMIT {
+    fn evict_oldest(&mut self) {
+        if self.entries.len() <= MAX_ITEMS {
             return;
         }
-        let oldest = self.held.iter().min_by_key(|(_, held)| held.received);
+        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.received);
         if let Some(key) = oldest.map(|(key, _)| key.clone()) {
-            self.held.remove(&key);
+            self.entries.remove(&key);
         }
     }
 }
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -4,7 +4,7 @@
 //! again with [`Event::Wake`] at the time that [`Membership::next_wake`] names.
 
 mod gossip;
-mod listed;
+mod instances;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,6 +27,7 @@
 
 use crate::addresses;
 use crate::addresses::Endpoint;
+use crate::budget::Budget;
 use crate::configs::membership::Settings;
 use crate::digest::Beat;
 use crate::digest::Item;
@@ -37,8 +38,7 @@
 use crate::directory::REFUTATION_LEAD;
 use crate::event::Effect;
 use crate::event::Event;
-use crate::news::News;
-use crate::purse::Purse;
+use crate::items::Items;
 use crate::registration::Registration;
 use crate::rendezvous;
 use crate::roster::Roster;
@@ -49,7 +49,7 @@
 use crate::rumors::Subject;
 
 /// Outdated rows deleted after one read.
-const DELETIONS: usize = 8;
+const MAX_DELETIONS: usize = 8;
 
 /// The state machine.
 #[derive(Clone, Debug)]
@@ -59,25 +59,25 @@
     registration: Registration,
     roster: Roster,
     directory: Directory,
-    news: News,
+    items: Items,
     rumors: Rumors,
     pulse: Pulse,
     beat: Beat,
     calls: BTreeMap<call::Id, Purpose>,
     next_call: u64,
-    next_zone: Time,
-    next_whole: Time,
+    next_zone_read: Time,
+    next_full_read: Time,
     next_gossip: Time,
     last_gossip: Time,
     round: u64,
     /// Rounds that are still to be brought forward.
     urgent_rounds: u32,
-    purse: Purse,
+    budget: Budget,
     /// Where the round of heartbeats stands.
-    turn: holder::Id,
+    beat_cursor: holder::Id,
     known_gone: BTreeSet<holder::Id>,
     /// Since when lapsed members are missing from the instance list.
-    unlisted: BTreeMap<holder::Id, Time>,
+    unlisted_since: BTreeMap<holder::Id, Time>,
     seeds: Vec<SmolStr>,
     holding: Holding,
     left: bool,
@@ -102,7 +102,7 @@
             registration: Registration::new(row.clone()),
             roster: Roster::new(settings.margin),
             directory: Directory::default(),
-            news: News::default(),
+            items: Items::default(),
             rumors: Rumors::default(),
             pulse: Pulse::new(settings.max_step_gap),
             beat: Beat {
@@ -111,16 +111,16 @@
             },
             calls: BTreeMap::new(),
             next_call: 0,
-            next_zone: Time::ZERO,
-            next_whole: Time::ZERO,
+            next_zone_read: Time::ZERO,
+            next_full_read: Time::ZERO,
             next_gossip: Time::ZERO,
             last_gossip: Time::ZERO,
             round: 0,
             urgent_rounds: 0,
-            purse: Purse::default(),
-            turn: holder::Id::default(),
+            budget: Budget::default(),
+            beat_cursor: holder::Id::default(),
             known_gone: BTreeSet::new(),
-            unlisted: BTreeMap::new(),
+            unlisted_since: BTreeMap::new(),
             seeds,
             holding: Holding::default(),
             left: false,
@@ -134,25 +134,25 @@
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         let before = self.directory.present_count();
         if self.pulse.beat(now) {
-            self.registration.lapse(now);
+            self.registration.invalidate(now);
         }
         match event {
             Event::Wake => {}
-            Event::Store { id, outcome } => self.answered(now, id, outcome, effects),
+            Event::Store { id, outcome } => self.handle_outcome(now, id, outcome, effects),
             Event::Digest(digest) => self.receive(now, digest, effects),
             Event::Applied(version) => self.applied(now, version),
             Event::Load(load) => self.beat.load = load,
             Event::StoreLost(lost) => self.beat.store_lost = lost,
             Event::Drain => self.change_state(now, State::Draining, None),
             Event::Leave { heir } => self.leave(now, heir),
-            Event::ReadAll => self.next_whole = now,
+            Event::ReadAll => self.next_full_read = now,
             Event::InstanceGone(id) => {
                 self.known_gone.insert(id);
             }
-            Event::InstancesListed(addresses) => self.listed(now, &addresses),
+            Event::InstancesListed(addresses) => self.note_listed_instances(now, &addresses),
             Event::Publish(item) if item.topic == Topic::Count => self.announce(item, effects),
             Event::Publish(item) => {
-                if self.learn(now, &item) && item.topic == Topic::Quarantine {
+                if self.merge_item(now, &item) && item.topic == Topic::Quarantine {
                     self.announce(item, effects);
                 }
             }
@@ -160,7 +160,7 @@
         self.renew(now, effects);
         self.read(now, effects);
         self.gossip(now, effects);
-        self.report(before, effects);
+        self.emit_changes(before, effects);
     }
 
     /// Replaces the addresses that are tried while no members are known.
@@ -175,9 +175,9 @@
 
     /// Entries to name to a caller, a key's owner first.
     pub fn addresses(&mut self, now: Time, key: Option<u64>) -> Vec<Endpoint> {
-        let quiet = self.quiet();
+        let timeout = self.heartbeat_timeout();
         let limit = self.settings.addresses;
-        addresses::choose(&self.directory, now, quiet, key, limit, &mut self.random)
+        addresses::choose(&self.directory, now, timeout, key, limit, &mut self.random)
     }
 
     /// Where to forward a request with this key: its owner, if that is another entry and the request
@@ -187,22 +187,22 @@
         if forwarded {
             return None;
         }
-        let quiet = self.quiet();
+        let timeout = self.heartbeat_timeout();
         let usable = self
             .directory
             .iter()
-            .filter(|(_, known)| known.is_usable(now, quiet))
+            .filter(|(_, known)| known.is_usable(now, timeout))
             .map(|(id, _)| id);
         rendezvous::owner(key, usable).filter(|owner| *owner != self.me)
     }
 
     /// Who holds the ledger of an entry that left.
-    pub fn heir(&self, now: Time, of: holder::Id) -> Option<holder::Id> {
-        let told = self
-            .news
-            .get(now, Topic::Heir, &format_smolstr!("{of}"))
+    pub fn heir(&self, now: Time, member: holder::Id) -> Option<holder::Id> {
+        let from_items = self
+            .items
+            .get(now, Topic::Heir, &format_smolstr!("{member}"))
             .and_then(|item| holder::Id::parse(std::str::from_utf8(&item.payload).ok()?));
-        told.or_else(|| self.directory.get(of)?.record.row.heir)
+        from_items.or_else(|| self.directory.get(member)?.record.row.heir)
     }
 
     /// `host:port` at which other entries reach a member.
@@ -212,7 +212,7 @@
 
     /// Whether a backend server incarnation is known to be leaving. Sticky.
     pub fn is_leaving(&self, incarnation: &str) -> bool {
-        self.news.contains(Topic::Leaving, incarnation)
+        self.items.contains(Topic::Leaving, incarnation)
     }
 
     /// The configuration version this entry has applied, as it tells others.
@@ -249,7 +249,7 @@
         if id == self.me {
             self.beat.count = self.beat.count.max(count + REFUTATION_LEAD);
             self.advance_beat(now);
-            self.hurry(now);
+            self.schedule_urgent_rounds(now);
             return false;
         }
         self.directory.suspect(id, count)
@@ -267,12 +267,18 @@
             wake = wake.min(renewal);
         }
         if !self.roster.is_busy() {
-            wake = wake.min(self.next_zone).min(self.next_whole);
+            wake = wake.min(self.next_zone_read).min(self.next_full_read);
         }
         wake
     }
 
-    fn answered(&mut self, now: Time, id: call::Id, outcome: Outcome, effects: &mut Vec<Effect>) {
+    fn handle_outcome(
+        &mut self,
+        now: Time,
+        id: call::Id,
+        outcome: Outcome,
+        effects: &mut Vec<Effect>,
+    ) {
         let failed = matches!(outcome, Outcome::Unavailable | Outcome::Unknown);
         let wait = if failed {
             self.backoff.fail()
@@ -281,54 +287,54 @@
             Span::ZERO
         };
         match self.calls.remove(&id) {
-            Some(Purpose::Renewal) => self.registration.answered(now, outcome, wait),
-            Some(Purpose::Read) => self.was_read(now, outcome, wait, effects),
+            Some(Purpose::Renewal) => self.registration.handle_outcome(now, outcome, wait),
+            Some(Purpose::Read) => self.handle_page(now, outcome, wait, effects),
             Some(Purpose::Delete) | None => {}
         }
     }
 
     /// Takes a page or the end of a read.
-    fn was_read(&mut self, now: Time, outcome: Outcome, wait: Span, effects: &mut Vec<Effect>) {
-        let (page, finished) = self.roster.answered(now, outcome);
+    fn handle_page(&mut self, now: Time, outcome: Outcome, wait: Span, effects: &mut Vec<Effect>) {
+        let (page, finished) = self.roster.handle_outcome(now, outcome);
         if let Some(call) = page {
             return self.call(Purpose::Read, call, effects);
         }
         let Some(finished) = finished else {
-            self.next_zone = now + wait;
-            self.next_whole = self.next_whole.min(now + wait);
+            self.next_zone_read = now + wait;
+            self.next_full_read = self.next_full_read.min(now + wait);
             return;
         };
         for record in &finished.records {
-            self.take_record(now, record);
+            self.merge_record(now, record);
         }
-        if finished.whole {
+        if finished.is_full {
             let members = self.roster.members().map(|(row, lapsed)| Seen {
                 member: row.id,
                 applied: row.applied,
                 lapsed,
             });
             let view = View {
-                asked: finished.asked,
+                asked: finished.requested_at,
                 members: members.collect(),
             };
             effects.push(Effect::View(view));
         }
-        self.delete_outdated(now, effects);
+        self.delete_rows(now, effects);
     }
 
     /// Deletes rows nobody needs. Each has one member that does it, so that they don't all try.
-    fn delete_outdated(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let outdated = self.roster.outdated(
+    fn delete_rows(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        let deletable = self.roster.deletable(
             now,
             self.settings.left_retention,
             self.settings.lapsed_retention,
             |id| self.known_gone.contains(&id),
         );
-        let mine = outdated.into_iter().filter(|(id, _)| {
+        let mine = deletable.into_iter().filter(|(id, _)| {
             let present = self.directory.present().map(|(id, _)| id);
             rendezvous::owner(id.0, present) == Some(self.me)
         });
-        let calls: Vec<Call> = mine.map(|(_, call)| call).take(DELETIONS).collect();
+        let calls: Vec<Call> = mine.map(|(_, call)| call).take(MAX_DELETIONS).collect();
         for call in calls {
             self.call(Purpose::Delete, call, effects);
         }
@@ -339,11 +345,12 @@
             return;
         }
         self.beat.applied = version;
-        let early = self
+        let min_interval = self
             .settings
             .min_renewal_interval_for(self.directory.present_count());
-        self.registration.change(early, |row| row.applied = version);
-        self.hurry(now);
+        self.registration
+            .change(min_interval, |row| row.applied = version);
+        self.schedule_urgent_rounds(now);
     }
 
     fn leave(&mut self, now: Time, heir: Option<holder::Id>) {
@@ -356,7 +363,7 @@
                 age_ms: 0,
                 payload: format!("{heir}").into_bytes(),
             };
-            self.learn(now, &item);
+            self.merge_item(now, &item);
         }
     }
 
@@ -365,9 +372,9 @@
             row.state = state;
             row.heir = heir;
         });
-        self.take_own(now);
+        self.merge_own_record(now);
         self.rumors.add(Subject::Member(self.me));
-        self.hurry(now);
+        self.schedule_urgent_rounds(now);
     }
 
     /// Renews our row when that is due.
@@ -376,34 +383,34 @@
         let interval = self.settings.renewal_interval_for(members);
         let interval = self.backoff.spread(interval).min(interval);
         let term = self.settings.term_for(members);
-        if let Some(call) = self.registration.due(now, interval, term) {
-            self.take_own(now);
+        if let Some(call) = self.registration.take_due(now, interval, term) {
+            self.merge_own_record(now);
             self.call(Purpose::Renewal, call, effects);
         }
     }
 
     /// Notes our own row among the members.
-    fn take_own(&mut self, now: Time) {
+    fn merge_own_record(&mut self, now: Time) {
         let record = Record {
             row: self.registration.row().clone(),
             gone: false,
         };
-        self.take_record(now, &record);
+        self.merge_record(now, &record);
     }
 
     /// Reads the rows of our zone often and all rows rarely.
     fn read(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if self.roster.is_busy() || now < self.next_zone.min(self.next_whole) {
+        if self.roster.is_busy() || now < self.next_zone_read.min(self.next_full_read) {
             return;
         }
         let zone = row::zone_prefix(&self.registration.row().zone);
         let zone_interval = self.settings.scan_interval_for(self.roster.count(&zone));
-        self.next_zone = now + self.backoff.spread(zone_interval);
-        let prefix = if now >= self.next_whole {
-            let whole_interval = self
+        self.next_zone_read = now + self.backoff.spread(zone_interval);
+        let prefix = if now >= self.next_full_read {
+            let full_interval = self
                 .settings
                 .scan_interval_for(self.directory.present_count());
-            self.next_whole = now + self.backoff.spread(whole_interval);
+            self.next_full_read = now + self.backoff.spread(full_interval);
             SmolStr::default()
         } else {
             zone
@@ -413,7 +420,7 @@
     }
 
     /// Tells the embedder what has changed.
-    fn report(&mut self, before: usize, effects: &mut Vec<Effect>) {
+    fn emit_changes(&mut self, before: usize, effects: &mut Vec<Effect>) {
         let holding = self.registration.holding();
         if holding != self.holding {
             self.holding = holding;
@@ -429,7 +436,7 @@
         }
     }
 
-    fn quiet(&self) -> Span {
+    fn heartbeat_timeout(&self) -> Span {
         self.settings
             .heartbeat_timeout_for(self.directory.present_count())
     }
--- a/crates/member/src/membership/gossip.rs
+++ b/crates/member/src/membership/gossip.rs
@@ -14,7 +14,7 @@
 use crate::rumors::Subject;
 
 /// Rounds between two words to a member that seems to be silent, so that a healed cut is noticed.
-const SILENT_ROUNDS: u64 = 8;
+const SILENT_PEER_ROUNDS: u64 = 8;
 /// Rounds between two sweeps of what has expired.
 const EXPIRE_ROUNDS: u64 = 64;
 /// Part of a digest that items may take. They go before records: a wave that takes many members makes
@@ -25,13 +25,13 @@
 /// Part of a digest that may be taken before old news in turn.
 const BEATS_SHARE: f64 = 0.8;
 /// Most bytes of the answer to a greeting, which brings a starting entry up to date.
-const WELCOME_BYTES: usize = 128 << 10;
+const MAX_SNAPSHOT_BYTES: usize = 128 << 10;
 /// Urgent rounds after something new was learnt. With two peers a round and a third of them frozen,
 /// one round reaches too few for the news to grow; after three, the next regular rounds reach the
 /// rest.
 const URGENT_ROUNDS: u32 = 3;
 /// Least bytes that a digest is worth putting a subject into.
-const LEAST_SUBJECT_BYTES: usize = 32;
+const MIN_SUBJECT_BYTES: usize = 32;
 
 impl Membership {
     /// Sends a round of digests when one is due.
@@ -55,7 +55,7 @@
         }
         for to in targets {
             let digest = self.digest(now, self.settings.digest_bytes, regular);
-            self.purse.spend(digest.size());
+            self.budget.spend(digest.size());
             effects.push(Effect::Send { to, digest });
         }
         self.urgent_rounds = self.urgent_rounds.saturating_sub(1);
@@ -75,7 +75,7 @@
         };
         let peers: Vec<holder::Id> = self.peers().map(|(id, _)| id).collect();
         for to in peers.into_iter().take(self.settings.announce_fanout) {
-            self.purse.spend(digest.size());
+            self.budget.spend(digest.size());
             effects.push(Effect::Send {
                 to,
                 digest: digest.clone(),
@@ -92,7 +92,7 @@
             return;
         }
         for record in &digest.records {
-            self.take_record(now, record);
+            self.merge_record(now, record);
         }
         for beat in digest.beats.iter().chain([&digest.own]) {
             if beat.id != self.me && self.directory.record_beat(now, beat) {
@@ -104,24 +104,24 @@
         }
         for item in &digest.items {
             let new = match item.topic.is_passed_on() {
-                true => self.learn(now, item),
-                false => self.news.take(now, item),
+                true => self.merge_item(now, item),
+                false => self.items.insert(now, item),
             };
             if new {
                 effects.push(Effect::Item(item.clone()));
             }
         }
         if digest.greeting {
-            let welcome = self.welcome(now);
+            let snapshot = self.snapshot(now);
             effects.push(Effect::Send {
                 to: digest.own.id,
-                digest: welcome,
+                digest: snapshot,
             });
         }
     }
 
     /// Takes a record and passes it on if it is news.
-    pub(super) fn take_record(&mut self, now: Time, record: &Record) {
+    pub(super) fn merge_record(&mut self, now: Time, record: &Record) {
         let id = record.row.id;
         // Our next attempt to renew counts higher, whether it succeeds or not, and is told on.
         if id == self.me && record.gone {
@@ -129,53 +129,55 @@
         }
         if self.directory.merge(now, record) {
             self.rumors.add(Subject::Member(id));
-            self.hurry(now);
+            self.schedule_urgent_rounds(now);
         } else if self.directory.get(id).is_some() {
-            self.rumors.rest(Subject::Member(id));
+            self.rumors.add_cold(Subject::Member(id));
         }
     }
 
     /// Takes an item and passes it on if it is news.
-    pub(super) fn learn(&mut self, now: Time, item: &Item) -> bool {
-        if !self.news.take(now, item) {
+    pub(super) fn merge_item(&mut self, now: Time, item: &Item) -> bool {
+        if !self.items.insert(now, item) {
             return false;
         }
         self.rumors.add(Subject::Item(item.topic, item.key.clone()));
         if item.topic.is_urgent() {
-            self.hurry(now);
+            self.schedule_urgent_rounds(now);
         }
         true
     }
 
     /// Something new was learnt: the next rounds are brought forward.
-    pub(super) fn hurry(&mut self, now: Time) {
+    pub(super) fn schedule_urgent_rounds(&mut self, now: Time) {
         self.urgent_rounds = URGENT_ROUNDS;
         self.schedule_urgent(now);
     }
 
     /// Brings the next round forward while urgent rounds are left and bytes are saved up for them.
     fn schedule_urgent(&mut self, now: Time) {
-        if self.urgent_rounds == 0 || !self.purse.affords(now, &self.settings) {
+        if self.urgent_rounds == 0 || !self.budget.can_spend(now, &self.settings) {
             return;
         }
-        let soon = (self.last_gossip + self.settings.urgent_interval).max(now);
-        self.next_gossip = self.next_gossip.min(soon);
+        let next_urgent = (self.last_gossip + self.settings.urgent_interval).max(now);
+        self.next_gossip = self.next_gossip.min(next_urgent);
     }
 
     /// The peers of this round: at random among those that are heard, now and then a silent one.
     fn targets(&mut self, now: Time) -> Vec<holder::Id> {
-        let quiet = self.quiet();
-        let (mut heard, silent): (Vec<_>, Vec<_>) = self
+        let timeout = self.heartbeat_timeout();
+        let (mut reachable, silent): (Vec<_>, Vec<_>) = self
             .peers()
-            .map(|(id, known)| (id, now.since(known.last_seen) <= quiet))
-            .partition(|(_, heard)| *heard);
+            .map(|(id, known)| (id, now.since(known.last_seen) <= timeout))
+            .partition(|(_, reachable)| *reachable);
         let mut targets = Vec::new();
-        if !silent.is_empty() && (heard.is_empty() || self.round.is_multiple_of(SILENT_ROUNDS)) {
+        if !silent.is_empty()
+            && (reachable.is_empty() || self.round.is_multiple_of(SILENT_PEER_ROUNDS))
+        {
             targets.push(silent[self.random.random_range(0..silent.len())].0);
         }
-        while targets.len() < self.settings.fanout && !heard.is_empty() {
-            let place = self.random.random_range(0..heard.len());
-            targets.push(heard.swap_remove(place).0);
+        while targets.len() < self.settings.fanout && !reachable.is_empty() {
+            let index = self.random.random_range(0..reachable.len());
+            targets.push(reachable.swap_remove(index).0);
         }
         targets
     }
@@ -185,7 +187,7 @@
         if self.seeds.is_empty() {
             return;
         }
-        let place = self.random.random_range(0..self.seeds.len());
+        let index = self.random.random_range(0..self.seeds.len());
         let digest = Digest {
             own: self.beat,
             records: vec![Record {
@@ -195,7 +197,7 @@
             greeting: true,
             ..Digest::default()
         };
-        let address = self.seeds[place].clone();
+        let address = self.seeds[index].clone();
         effects.push(Effect::Greet { address, digest });
     }
 
@@ -206,26 +208,27 @@
             ..Digest::default()
         };
         let members = self.directory.present_count();
-        let room = |share: f64| (limit as f64 * share) as usize;
-        let most = self.settings.burst_digest_bytes.saturating_sub(limit);
-        let extra = (self.purse.spare(&self.settings) / self.settings.fanout.max(1)).min(most);
+        let share_bytes = |share: f64| (limit as f64 * share) as usize;
+        let max_extra = self.settings.burst_digest_bytes.saturating_sub(limit);
+        let extra =
+            (self.budget.spare_bytes(&self.settings) / self.settings.fanout.max(1)).min(max_extra);
         for (kind, share) in [(Kind::Item, ITEMS_SHARE), (Kind::Member, NEWS_SHARE)] {
-            let limit = room(share) + extra;
-            for subject in self.rumors.hottest(kind, limit / LEAST_SUBJECT_BYTES) {
-                if self.put(now, &subject, limit, &mut digest) {
-                    self.rumors.tell(&subject, members);
+            let limit = share_bytes(share) + extra;
+            for subject in self.rumors.hottest(kind, limit / MIN_SUBJECT_BYTES) {
+                if self.add(now, &subject, limit, &mut digest) {
+                    self.rumors.record_sent(&subject, members);
                 }
             }
         }
         if !regular {
             return digest;
         }
-        self.put_beats(now, room(BEATS_SHARE), &mut digest);
+        self.add_beats(now, share_bytes(BEATS_SHARE), &mut digest);
         for _ in 0..self.rumors.len() {
-            let Some(subject) = self.rumors.next_in_turn() else {
+            let Some(subject) = self.rumors.next_round_robin() else {
                 break;
             };
-            if !self.put(now, &subject, limit, &mut digest) {
+            if !self.add(now, &subject, limit, &mut digest) {
                 break;
             }
         }
@@ -233,21 +236,21 @@
     }
 
     /// Everything that a starting entry should know.
-    fn welcome(&mut self, now: Time) -> Digest {
+    fn snapshot(&mut self, now: Time) -> Digest {
         let mut digest = Digest {
             own: self.beat,
             ..Digest::default()
         };
         for _ in 0..self.rumors.len() {
-            if let Some(subject) = self.rumors.next_in_turn() {
-                self.put(now, &subject, WELCOME_BYTES, &mut digest);
+            if let Some(subject) = self.rumors.next_round_robin() {
+                self.add(now, &subject, MAX_SNAPSHOT_BYTES, &mut digest);
             }
         }
         digest
     }
 
     /// Adds a subject if it fits; false if it doesn't fit or is there already.
-    fn put(&mut self, now: Time, subject: &Subject, limit: usize, digest: &mut Digest) -> bool {
+    fn add(&mut self, now: Time, subject: &Subject, limit: usize, digest: &mut Digest) -> bool {
         match subject {
             Subject::Member(id) => {
                 let Some(known) = self.directory.get(*id) else {
@@ -255,22 +258,22 @@
                     return true;
                 };
                 let record = &known.record;
-                let there = digest.records.iter().any(|other| other.row.id == *id);
-                if there || digest.size() + record.size() > limit {
+                let is_included = digest.records.iter().any(|other| other.row.id == *id);
+                if is_included || digest.size() + record.size() > limit {
                     return false;
                 }
                 digest.records.push(record.clone());
             }
             Subject::Item(topic, key) => {
-                let Some(item) = self.news.get(now, *topic, key) else {
+                let Some(item) = self.items.get(now, *topic, key) else {
                     self.rumors.remove(subject);
                     return true;
                 };
-                let there = digest
+                let is_included = digest
                     .items
                     .iter()
                     .any(|other| other.topic == *topic && other.key == *key);
-                if there || digest.size() + item.size() > limit {
+                if is_included || digest.size() + item.size() > limit {
                     return false;
                 }
                 digest.items.push(item);
@@ -280,28 +283,28 @@
     }
 
     /// Adds heartbeats of others, in turn.
-    fn put_beats(&mut self, now: Time, limit: usize, digest: &mut Digest) {
-        let quiet = self.quiet();
+    fn add_beats(&mut self, now: Time, limit: usize, digest: &mut Digest) {
+        let timeout = self.heartbeat_timeout();
         let fresh: Vec<_> = self
             .directory
             .present()
             .filter(|(id, known)| {
-                *id != self.me && known.beat.count > 0 && now.since(known.last_seen) <= quiet
+                *id != self.me && known.beat.count > 0 && now.since(known.last_seen) <= timeout
             })
             .map(|(_, known)| known.beat)
             .collect();
-        let start = fresh.partition_point(|beat| beat.id <= self.turn);
+        let start = fresh.partition_point(|beat| beat.id <= self.beat_cursor);
         for beat in fresh[start..].iter().chain(&fresh[..start]) {
             if digest.size() + BEAT_BYTES > limit {
                 break;
             }
             digest.beats.push(*beat);
-            self.turn = beat.id;
+            self.beat_cursor = beat.id;
         }
     }
 
     fn expire(&mut self, now: Time) {
-        for (topic, key) in self.news.expire(now) {
+        for (topic, key) in self.items.expire(now) {
             self.rumors.remove(&Subject::Item(topic, key));
         }
         for id in self.directory.expire(now, self.settings.left_retention) {
--- a/crates/member/src/membership/listed.rs
+++ b/crates/member/src/membership/instances.rs
@@ -14,11 +14,11 @@
 use crate::membership::Membership;
 
 /// A lapsed member that is missing from the instance list for so long is gone for good.
-const UNLISTED_TIME: Span = Span::from_seconds(15);
+const UNLISTED_TIMEOUT: Span = Span::from_seconds(15);
 
 impl Membership {
     /// Notes which lapsed members' instances are gone for good.
-    pub(super) fn listed(&mut self, now: Time, addresses: &[SmolStr]) {
+    pub(super) fn note_listed_instances(&mut self, now: Time, addresses: &[SmolStr]) {
         if !addresses.contains(&self.registration.row().address) {
             return;
         }
@@ -30,17 +30,17 @@
             .collect();
         let mut missing = BTreeMap::new();
         for (row, _) in self.roster.members().filter(|(_, lapsed)| *lapsed) {
-            let since = self.unlisted.get(&row.id).copied().unwrap_or(now);
+            let since = self.unlisted_since.get(&row.id).copied().unwrap_or(now);
             if live.contains(&row.address) {
                 self.known_gone.insert(row.id);
             } else if !addresses.contains(&row.address) {
                 missing.insert(row.id, since);
             }
         }
-        let long = missing
+        let expired = missing
             .iter()
-            .filter(|(_, since)| now.since(**since) >= UNLISTED_TIME);
-        self.known_gone.extend(long.map(|(id, _)| *id));
-        self.unlisted = missing;
+            .filter(|(_, since)| now.since(**since) >= UNLISTED_TIMEOUT);
+        self.known_gone.extend(expired.map(|(id, _)| *id));
+        self.unlisted_since = missing;
     }
 }
--- a/crates/member/src/registration.rs
+++ b/crates/member/src/registration.rs
@@ -27,11 +27,11 @@
     epoch: u64,
     valid_until: Time,
     /// When the renewal on its way was sent, and its term.
-    sent: Option<(Time, Span)>,
+    in_flight: Option<(Time, Span)>,
     last_sent: Time,
-    next: Time,
+    next_renewal: Time,
     /// The row was changed since the last renewal was sent.
-    changed: bool,
+    has_unsent_change: bool,
     /// The row says that we left, and the service has it so.
     left: bool,
 }
@@ -44,10 +44,10 @@
             revision: None,
             epoch: 0,
             valid_until: Time::ZERO,
-            sent: None,
+            in_flight: None,
             last_sent: Time::ZERO,
-            next: Time::ZERO,
-            changed: true,
+            next_renewal: Time::ZERO,
+            has_unsent_change: true,
             left: false,
         }
     }
@@ -71,34 +71,34 @@
     }
 
     /// Changes the row; `early` is the shortest time between renewals that carry news.
-    pub fn change(&mut self, early: Span, change: impl FnOnce(&mut Row)) {
+    pub fn change(&mut self, min_interval: Span, change: impl FnOnce(&mut Row)) {
         let before = self.row.clone();
         change(&mut self.row);
         if self.row != before {
             self.row.renewals += 1;
-            self.changed = true;
-            self.next = self.next.min(self.last_sent + early);
+            self.has_unsent_change = true;
+            self.next_renewal = self.next_renewal.min(self.last_sent + min_interval);
         }
     }
 
     /// The loop slept: the lease no longer counts, and is renewed at once.
-    pub fn lapse(&mut self, now: Time) {
+    pub fn invalidate(&mut self, now: Time) {
         self.valid_until = Time::ZERO;
-        self.next = self.next.min(now);
+        self.next_renewal = self.next_renewal.min(now);
     }
 
     /// The renewal to send now, if one is due. `interval` and `term` hold for the one after it.
-    pub fn due(&mut self, now: Time, interval: Span, term: Span) -> Option<Call> {
-        if now < self.next || self.sent.is_some() || self.left {
+    pub fn take_due(&mut self, now: Time, interval: Span, term: Span) -> Option<Call> {
+        if now < self.next_renewal || self.in_flight.is_some() || self.left {
             return None;
         }
         self.row.renewals += 1;
         self.row.term_ms = term.as_millis();
-        self.sent = Some((now, term));
+        self.in_flight = Some((now, term));
         self.last_sent = now;
-        self.next = now + interval;
-        self.changed = false;
-        let at = self.row.at();
+        self.next_renewal = now + interval;
+        self.has_unsent_change = false;
+        let at = self.row.store_address();
         Some(Call::Transact(Transaction {
             token: at.key.clone(),
             checks: vec![Check {
@@ -113,8 +113,8 @@
     }
 
     /// The renewal ended; `wait` passes before a failed one is tried again.
-    pub fn answered(&mut self, now: Time, outcome: Outcome, wait: Span) {
-        let Some((sent, term)) = self.sent.take() else {
+    pub fn handle_outcome(&mut self, now: Time, outcome: Outcome, retry_delay: Span) {
+        let Some((sent, term)) = self.in_flight.take() else {
             return;
         };
         match outcome {
@@ -126,15 +126,15 @@
                     self.valid_until = Time::ZERO;
                 }
                 self.revision = row.map(|row| row.revision);
-                self.next = now;
+                self.next_renewal = now;
             }
-            _ => self.next = self.next.min(now + wait),
+            _ => self.next_renewal = self.next_renewal.min(now + retry_delay),
         }
     }
 
     /// When a renewal is due.
     pub fn next_wake(&self) -> Option<Time> {
-        (self.sent.is_none() && !self.left).then_some(self.next)
+        (self.in_flight.is_none() && !self.left).then_some(self.next_renewal)
     }
 
     fn renewed(&mut self, now: Time, valid_until: Time, revision: u64) {
@@ -143,7 +143,7 @@
             self.epoch += 1;
         }
         self.valid_until = valid_until;
-        self.left = self.row.state == State::Left && !self.changed;
+        self.left = self.row.state == State::Left && !self.has_unsent_change;
         if self.left {
             self.valid_until = Time::ZERO;
         }
--- a/crates/member/src/roster.rs
+++ b/crates/member/src/roster.rs
@@ -25,13 +25,13 @@
 use crate::row::TABLE;
 
 /// Rows read with one call.
-const PAGE: u32 = 500;
+const PAGE_ROWS: u32 = 500;
 
 /// All rows seen, and the read on its way.
 #[derive(Clone, Debug)]
 pub struct Roster {
     watched: BTreeMap<SmolStr, Watched>,
-    running: Option<Scan>,
+    in_flight: Option<Scan>,
     margin: Span,
 }
 
@@ -40,7 +40,7 @@
 struct Watched {
     row: Row,
     watch: Watch,
-    since: Time,
+    changed_at: Time,
 }
 
 /// One read of a range, in pages.
@@ -49,7 +49,7 @@
     prefix: SmolStr,
     after: SmolStr,
     /// When its first page was asked for.
-    asked: Time,
+    requested_at: Time,
     rows: Vec<call::Row>,
 }
 
@@ -57,9 +57,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finished {
     /// When it was sent: every row written before is in it.
-    pub asked: Time,
+    pub requested_at: Time,
     /// Whether it covered all members.
-    pub whole: bool,
+    pub is_full: bool,
     /// Every row that it changed here, and those that are gone.
     pub records: Vec<Record>,
 }
@@ -69,21 +69,21 @@
     pub fn new(margin: Span) -> Roster {
         Roster {
             watched: BTreeMap::new(),
-            running: None,
+            in_flight: None,
             margin,
         }
     }
 
     /// Whether a read is on its way.
     pub fn is_busy(&self) -> bool {
-        self.running.is_some()
+        self.in_flight.is_some()
     }
 
     /// Begins to read all rows whose key begins so.
     pub fn start(&mut self, now: Time, prefix: SmolStr) -> Call {
-        self.running = Some(Scan {
+        self.in_flight = Some(Scan {
             after: SmolStr::default(),
-            asked: now,
+            requested_at: now,
             rows: Vec::new(),
             prefix: prefix.clone(),
         });
@@ -91,8 +91,12 @@
     }
 
     /// Takes an answer: asks for the next page, or is finished, or has failed (neither).
-    pub fn answered(&mut self, now: Time, outcome: Outcome) -> (Option<Call>, Option<Finished>) {
-        let Some(mut scan) = self.running.take() else {
+    pub fn handle_outcome(
+        &mut self,
+        now: Time,
+        outcome: Outcome,
+    ) -> (Option<Call>, Option<Finished>) {
+        let Some(mut scan) = self.in_flight.take() else {
             return (None, None);
         };
         let Outcome::Rows { rows, more } = outcome else {
@@ -102,7 +106,7 @@
         if let (true, Some(last)) = (more, scan.rows.last()) {
             scan.after = last.key.clone();
             let call = page(scan.prefix.clone(), scan.after.clone());
-            self.running = Some(scan);
+            self.in_flight = Some(scan);
             return (Some(call), None);
         }
         (None, Some(self.finish(now, scan)))
@@ -113,7 +117,7 @@
         self.watched
             .values()
             .filter(|item| item.row.state != State::Left)
-            .map(|item| (&item.row, item.lapsed(self.margin)))
+            .map(|item| (&item.row, item.has_lapsed(self.margin)))
     }
 
     /// How many rows there are whose key begins so.
@@ -125,20 +129,23 @@
     }
 
     /// Rows that may be deleted: of members that left or lapsed so long ago, or are known gone.
-    pub fn outdated(
+    pub fn deletable(
         &self,
         now: Time,
-        left: Span,
-        lapsed: Span,
+        left_retention: Span,
+        lapsed_retention: Span,
         known_gone: impl Fn(holder::Id) -> bool,
     ) -> Vec<(holder::Id, Call)> {
         self.watched
             .iter()
             .filter(|(_, item)| {
-                let age = now.since(item.since);
+                let age = now.since(item.changed_at);
                 match item.row.state {
-                    State::Left => age >= left,
-                    _ => item.lapsed(self.margin) && (age >= lapsed || known_gone(item.row.id)),
+                    State::Left => age >= left_retention,
+                    _ => {
+                        item.has_lapsed(self.margin)
+                            && (age >= lapsed_retention || known_gone(item.row.id))
+                    }
                 }
             })
             .map(|(key, item)| (item.row.id, delete(key, item.watch.revision())))
@@ -164,17 +171,17 @@
             }
         }
         for row in &scan.rows {
-            records.extend(self.see(now, scan.asked, row));
+            records.extend(self.observe(now, scan.requested_at, row));
         }
         Finished {
-            asked: scan.asked,
-            whole: scan.prefix.is_empty(),
+            requested_at: scan.requested_at,
+            is_full: scan.prefix.is_empty(),
             records,
         }
     }
 
     /// Notes a row; returns its record if there is something new in it.
-    fn see(&mut self, now: Time, asked: Time, row: &call::Row) -> Option<Record> {
+    fn observe(&mut self, now: Time, requested_at: Time, row: &call::Row) -> Option<Record> {
         let value: Row = serde_json::from_value(row.value.clone()).ok()?;
         let item = self
             .watched
@@ -182,25 +189,25 @@
             .or_insert_with(|| Watched {
                 row: Row::default(),
                 watch: Watch::new(row.revision, now),
-                since: now,
+                changed_at: now,
             });
-        let before = item.lapsed(self.margin);
-        item.watch.see(row.revision, asked, now);
+        let had_lapsed = item.has_lapsed(self.margin);
+        item.watch.see(row.revision, requested_at, now);
         if item.row != value {
             item.row = value;
-            item.since = now;
-        } else if item.lapsed(self.margin) == before {
+            item.changed_at = now;
+        } else if item.has_lapsed(self.margin) == had_lapsed {
             return None;
         }
         Some(Record {
             row: item.row.clone(),
-            gone: item.lapsed(self.margin),
+            gone: item.has_lapsed(self.margin),
         })
     }
 }
 
 impl Watched {
-    fn lapsed(&self, margin: Span) -> bool {
+    fn has_lapsed(&self, margin: Span) -> bool {
         self.watch.lapsed(self.row.term(), margin)
     }
 }
@@ -210,7 +217,7 @@
         table: SmolStr::from(TABLE),
         prefix,
         after,
-        limit: PAGE,
+        limit: PAGE_ROWS,
     }
 }
 
--- a/crates/member/src/row.rs
+++ b/crates/member/src/row.rs
@@ -49,7 +49,7 @@
 
 impl Row {
     /// Where the row is: rows of one zone stand together, so that a zone can be read by itself.
-    pub fn at(&self) -> Address {
+    pub fn store_address(&self) -> Address {
         Address::new(
             TABLE,
             format_smolstr!("{}{}", zone_prefix(&self.zone), self.id),
--- a/crates/member/src/rumors.rs
+++ b/crates/member/src/rumors.rs
@@ -15,7 +15,7 @@
 use crate::digest::Topic;
 
 /// Tellings beyond the logarithm, for peers that are frozen or gone when they are told.
-const SPARE_TELLINGS: u32 = 8;
+const EXTRA_SENDS: u32 = 8;
 
 /// What a piece of news is on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -53,7 +53,7 @@
     /// Subjects that have tellings left, and how often they were told.
     hot: BTreeMap<Subject, u32>,
     /// Where the turn stands.
-    turn: Option<Subject>,
+    cursor: Option<Subject>,
 }
 
 impl Rumors {
@@ -64,7 +64,7 @@
     }
 
     /// A subject is known to all or doesn't hurry: it only takes its turn.
-    pub fn rest(&mut self, subject: Subject) {
+    pub fn add_cold(&mut self, subject: Subject) {
         self.known.insert(subject);
     }
 
@@ -85,9 +85,9 @@
             .hot
             .iter()
             .filter(|(subject, _)| subject.kind() == kind)
-            .map(|(subject, told)| (subject, *told))
+            .map(|(subject, sent)| (subject, *sent))
             .collect();
-        subjects.sort_by_key(|(_, told)| *told);
+        subjects.sort_by_key(|(_, sent)| *sent);
         subjects
             .into_iter()
             .take(limit)
@@ -96,19 +96,19 @@
     }
 
     /// Notes that a subject was told to one of `members`.
-    pub fn tell(&mut self, subject: &Subject, members: usize) {
-        let Some(told) = self.hot.get_mut(subject) else {
+    pub fn record_sent(&mut self, subject: &Subject, members: usize) {
+        let Some(sent) = self.hot.get_mut(subject) else {
             return;
         };
-        *told += 1;
-        if *told >= members.max(2).ilog2() + SPARE_TELLINGS {
+        *sent += 1;
+        if *sent >= members.max(2).ilog2() + EXTRA_SENDS {
             self.hot.remove(subject);
         }
     }
 
     /// The next subject in turn.
-    pub fn next_in_turn(&mut self) -> Option<Subject> {
-        let after = match &self.turn {
+    pub fn next_round_robin(&mut self) -> Option<Subject> {
+        let after = match &self.cursor {
             Some(last) => Bound::Excluded(last.clone()),
             None => Bound::Unbounded,
         };
@@ -118,7 +118,7 @@
             .next()
             .or_else(|| self.known.first())
             .cloned();
-        self.turn = next.clone();
+        self.cursor = next.clone();
         next
     }
 
--- a/crates/member/tests/histories.rs
+++ b/crates/member/tests/histories.rs
@@ -18,8 +18,8 @@
 use proptest::test_runner::TestRunner;
 use store::fake::Fault;
 
-const START: usize = 5;
-const MOST: usize = 8;
+const INITIAL_MEMBERS: usize = 5;
+const MAX_MEMBERS: usize = 8;
 const CASES: u32 = 128;
 
 /// One thing that happens.
@@ -36,30 +36,30 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let at = 0..MOST;
+    let index = 0..MAX_MEMBERS;
     prop_oneof![
-        4 => (at.clone(), any::<bool>()).prop_map(|(at, frozen)| Step::Freeze(at, frozen)),
-        1 => at.clone().prop_map(Step::Kill),
+        4 => (index.clone(), any::<bool>()).prop_map(|(index, frozen)| Step::Freeze(index, frozen)),
+        1 => index.clone().prop_map(Step::Kill),
         1 => (0..1_u8).prop_map(|_| Step::Start),
-        3 => (at.clone(), any::<bool>()).prop_map(|(at, cut)| Step::CutStore(at, cut)),
-        2 => (at, 0..3_u32).prop_map(|(at, part)| Step::CutPeers(at, part)),
+        3 => (index.clone(), any::<bool>()).prop_map(|(index, cut)| Step::CutStore(index, cut)),
+        2 => (index, 0..3_u32).prop_map(|(index, part)| Step::CutPeers(index, part)),
         1 => any::<bool>().prop_map(Step::Outage),
         3 => (0..3_u8).prop_map(Step::Fault),
         8 => (0..9_000_u16).prop_map(Step::Wait),
     ]
 }
 
-fn take(fleet: &mut Fleet, step: &Step) -> Result<(), TestCaseError> {
+fn apply(fleet: &mut Fleet, step: &Step) -> Result<(), TestCaseError> {
     let count = fleet.nodes.len();
     match *step {
-        Step::Freeze(at, frozen) => fleet.set_frozen(at % count, frozen),
-        Step::Kill(at) => fleet.nodes[at % count].dead = true,
-        Step::Start if count < MOST => {
+        Step::Freeze(index, frozen) => fleet.set_frozen(index % count, frozen),
+        Step::Kill(index) => fleet.nodes[index % count].dead = true,
+        Step::Start if count < MAX_MEMBERS => {
             fleet.start("b", Settings::default());
         }
         Step::Start => {}
-        Step::CutStore(at, cut) => fleet.nodes[at % count].store_cut = cut,
-        Step::CutPeers(at, part) => fleet.nodes[at % count].part = part,
+        Step::CutStore(index, cut) => fleet.nodes[index % count].store_cut = cut,
+        Step::CutPeers(index, part) => fleet.nodes[index % count].partition = part,
         Step::Outage(down) => fleet.table.set_down(down),
         Step::Fault(kind) => {
             let faults = [Fault::Down, Fault::LostCall, Fault::LostAnswer];
@@ -68,7 +68,7 @@
         Step::Wait(millis) => {
             for _ in 0..millis / 100 {
                 fleet.run(Span::from_millis(100));
-                views_are_true(fleet)?;
+                assert_views_are_correct(fleet)?;
             }
         }
     }
@@ -77,10 +77,10 @@
 
 /// Compares every view since the last look with what the members hold now. A lease that is valid now
 /// and was gained or renewed in time was valid when the view was made, a moment ago.
-fn views_are_true(fleet: &mut Fleet) -> Result<(), TestCaseError> {
+fn assert_views_are_correct(fleet: &mut Fleet) -> Result<(), TestCaseError> {
     let now = fleet.now;
     for index in 0..fleet.nodes.len() {
-        for (at, effect) in std::mem::take(&mut fleet.nodes[index].told) {
+        for (at, effect) in std::mem::take(&mut fleet.nodes[index].effects) {
             let Effect::View(view) = effect else {
                 continue;
             };
@@ -104,7 +104,7 @@
     fleet.table.set_down(false);
     for index in 0..fleet.nodes.len() {
         fleet.nodes[index].store_cut = false;
-        fleet.nodes[index].part = 0;
+        fleet.nodes[index].partition = 0;
         fleet.set_frozen(index, false);
     }
     fleet.run(Span::from_seconds(60));
@@ -137,12 +137,12 @@
     let steps = proptest::collection::vec(step(), 1..60);
     let run = TestRunner::new(config).run(&steps, |steps| {
         let mut fleet = Fleet::default();
-        for index in 0..START {
+        for index in 0..INITIAL_MEMBERS {
             fleet.start(["a", "b", "c"][index % 3], Settings::default());
         }
         fleet.run(Span::from_seconds(15));
         for step in &steps {
-            take(&mut fleet, step)?;
+            apply(&mut fleet, step)?;
         }
         heal(&mut fleet)
     });
--- a/crates/member/tests/membership.rs
+++ b/crates/member/tests/membership.rs
@@ -44,7 +44,7 @@
 /// An operator stops an entry. A caller that asks any other entry right afterwards would hold on to
 /// the leaving one for the answer's whole lifetime and fail there; so it is no longer named.
 #[test]
-fn a_draining_entry_is_soon_not_named_anywhere() {
+fn a_draining_entry_is_soon_named_by_nobody() {
     let mut fleet = eight();
     fleet.feed(3, Event::Drain);
     let others: Vec<usize> = (0..8).filter(|index| *index != 3).collect();
@@ -57,7 +57,7 @@
     fleet.run(Span::from_seconds(3));
     assert!(
         fleet.nodes[3]
-            .told
+            .effects
             .iter()
             .any(|(_, effect)| *effect == Effect::Left)
     );
@@ -91,7 +91,7 @@
 /// taken for gone, callers are still told all addresses, and an entry that dies in that time is no
 /// longer named, because its heartbeat stands still.
 #[test]
-fn an_outage_of_an_hour_takes_nobody_out_of_the_answers() {
+fn an_outage_of_an_hour_removes_no_live_entry() {
     let mut fleet = eight();
     fleet.table.set_down(true);
     fleet.run(Span::from_seconds(3_600));
@@ -143,16 +143,16 @@
 /// Two regions lose each other for an hour while both reach the table service. Neither names the
 /// other's entries, which its callers may not reach either; after the hour they find each other.
 #[test]
-fn regions_that_lose_each_other_find_each_other_again() {
+fn partitioned_regions_rejoin() {
     let mut fleet = eight();
     for index in 0..4 {
-        fleet.nodes[index].part = 1;
+        fleet.nodes[index].partition = 1;
     }
     fleet.run(Span::from_seconds(3_600));
     assert_eq!(named(&mut fleet, 0), [0, 1, 2, 3]);
     assert_eq!(named(&mut fleet, 7), [4, 5, 6, 7]);
     for index in 0..4 {
-        fleet.nodes[index].part = 0;
+        fleet.nodes[index].partition = 0;
     }
     fleet.run(Span::from_seconds(30));
     assert_eq!(named(&mut fleet, 0).len(), 8);
@@ -162,7 +162,7 @@
 /// A backend server is leaving, and one entry alone hears of it while a third of the entries are
 /// frozen. The others know within seconds; the frozen ones know soon after they are continued.
 #[test]
-fn news_reaches_all_while_a_third_is_frozen() {
+fn items_reach_all_while_a_third_is_frozen() {
     let mut fleet = eight();
     for index in [1, 4, 7] {
         fleet.set_frozen(index, true);
@@ -196,7 +196,7 @@
 /// within milliseconds. Every entry must know by then, and what a crash makes suspect is more than a
 /// round may carry, so it would not get there by rounds at all.
 #[test]
-fn a_killer_request_is_told_to_all_past_the_rounds() {
+fn a_quarantined_request_is_announced_at_once() {
     let mut fleet = eight();
     let item = Item {
         topic: Topic::Quarantine,
@@ -208,19 +208,19 @@
     fleet.feed(0, Event::Publish(item.clone()));
     fleet.run(Span::from_millis(20));
     for index in 1..8 {
-        let told = &fleet.nodes[index].told;
-        let heard = told.iter().any(|(_, effect)| match effect {
+        let effects = &fleet.nodes[index].effects;
+        let received = effects.iter().any(|(_, effect)| match effect {
             Effect::Item(news) => news.topic == item.topic && news.payload == item.payload,
             _ => false,
         });
-        assert!(heard, "at {index}");
+        assert!(received, "at {index}");
     }
 }
 
 /// Answers to renewals get lost after their effect, twice in a row. The entry finds its own row in
 /// the service, takes it for its own and keeps its lease.
 #[test]
-fn a_lost_answer_to_a_renewal_does_not_cost_the_lease() {
+fn a_lost_renewal_answer_keeps_the_lease() {
     let mut fleet = Fleet::default();
     fleet.start("a", Settings::default());
     fleet.run(Span::from_seconds(5));
@@ -259,7 +259,7 @@
 /// An entry is frozen past its lease and called gone; then the table service goes down and the entry is
 /// continued. It can't renew its row, but it runs: it tells the others so, and callers are sent to it.
 #[test]
-fn an_entry_called_gone_comes_back_without_the_service() {
+fn an_entry_marked_gone_returns_during_an_outage() {
     let mut fleet = eight();
     fleet.set_frozen(2, true);
     fleet.run(Span::from_seconds(30));
--- a/crates/role/src/roster.rs
+++ b/crates/role/src/roster.rs
@@ -12,12 +12,12 @@
 /// Hubs: with one, its loss would silence all until everyone has noticed.
 pub const HUB_COUNT: usize = 2;
 /// Most readers: each that stands by costs calls of the table service, and one of five is nearly always fit.
-const READERS: usize = 5;
+const MAX_READERS: usize = 5;
 /// Entries that can take less than this part of the most able one decide on no account: a busy account's home is asked
 /// some hundred times a second.
-const HOME_CAPACITY: f64 = 0.5;
+const MIN_HOME_CAPACITY_RATIO: f64 = 0.5;
 /// With fewer able entries than that, any entry may decide: the accounts would all hang on one or two.
-const HOMES_LEAST: usize = 4;
+const MIN_HOMES: usize = 4;
 /// What ranks are drawn from.
 const HUB_KEY: &str = "hub";
 const READER_KEY: &str = "reader";
@@ -35,7 +35,8 @@
     /// Assigns the roles among these entries.
     pub fn new(candidates: &[Candidate]) -> Roster {
         let hubs = hubs(candidates);
-        let mut entries: Vec<holder::Id> = candidates.iter().map(|one| one.id).collect();
+        let mut entries: Vec<holder::Id> =
+            candidates.iter().map(|candidate| candidate.id).collect();
         entries.sort_unstable();
         Roster {
             readers: readers(candidates, &hubs),
@@ -74,45 +75,55 @@
 /// callers' answers it lost the table service and connections to replicas.
 fn hubs(candidates: &[Candidate]) -> Vec<holder::Id> {
     let mut ranked: Vec<&Candidate> = candidates.iter().collect();
-    ranked.sort_by_key(|one| Reverse(rank(one, HUB_KEY)));
+    ranked.sort_by_key(|candidate| Reverse(rank(candidate, HUB_KEY)));
     ranked.truncate(HUB_COUNT);
-    ranked.into_iter().map(|one| one.id).collect()
+    ranked.into_iter().map(|candidate| candidate.id).collect()
 }
 
 /// Guards against one fate for all: hubs are large entries of any zone, and a cut took both from the table service for
 /// ten seconds while others could reach it.
 fn readers(candidates: &[Candidate], hubs: &[holder::Id]) -> Vec<holder::Id> {
-    let order = |one: &Candidate| (!one.store_lost, rank(one, READER_KEY));
+    let priority = |candidate: &Candidate| (!candidate.store_lost, rank(candidate, READER_KEY));
     let mut best: BTreeMap<&SmolStr, &Candidate> = BTreeMap::new();
-    for one in candidates {
-        let first = best.entry(&one.zone).or_insert(one);
-        if order(one) > order(first) {
-            *first = one;
+    for candidate in candidates {
+        let first = best.entry(&candidate.zone).or_insert(candidate);
+        if priority(candidate) > priority(first) {
+            *first = candidate;
         }
     }
     let mut others: Vec<&Candidate> = best.into_values().collect();
-    others.retain(|one| !hubs.contains(&one.id));
-    others.sort_by_key(|one| Reverse(order(one)));
-    others.truncate(READERS - HUB_COUNT);
-    let find = |id: &holder::Id| candidates.iter().find(|one| one.id == *id);
+    others.retain(|candidate| !hubs.contains(&candidate.id));
+    others.sort_by_key(|candidate| Reverse(priority(candidate)));
+    others.truncate(MAX_READERS - HUB_COUNT);
+    let find = |id: &holder::Id| candidates.iter().find(|candidate| candidate.id == *id);
     let mut readers: Vec<&Candidate> = hubs.iter().filter_map(find).chain(others).collect();
-    readers.sort_by_key(|one| one.store_lost);
-    readers.into_iter().map(|one| one.id).collect()
+    readers.sort_by_key(|candidate| candidate.store_lost);
+    readers.into_iter().map(|candidate| candidate.id).collect()
 }
 
 fn homes(candidates: &[Candidate], hubs: &[holder::Id]) -> Vec<holder::Id> {
-    let most = candidates.iter().map(|one| one.capacity).max().unwrap_or(0);
-    let least = f64::from(most) * HOME_CAPACITY;
-    let able = |one: &&Candidate| f64::from(one.capacity) >= least;
-    let enough = candidates.iter().filter(able).count() >= HOMES_LEAST;
-    let homes = candidates.iter().filter(|one| !enough || able(one));
-    let homes = homes.map(|one| one.id);
+    let max_capacity = candidates
+        .iter()
+        .map(|candidate| candidate.capacity)
+        .max()
+        .unwrap_or(0);
+    let min_capacity = f64::from(max_capacity) * MIN_HOME_CAPACITY_RATIO;
+    let is_able = |candidate: &&Candidate| f64::from(candidate.capacity) >= min_capacity;
+    let enough = candidates.iter().filter(is_able).count() >= MIN_HOMES;
+    let homes = candidates
+        .iter()
+        .filter(|candidate| !enough || is_able(candidate));
+    let homes = homes.map(|candidate| candidate.id);
     let mut homes: Vec<holder::Id> = homes.filter(|id| !hubs.contains(id)).collect();
     homes.sort_unstable();
     homes
 }
 
-fn rank(one: &Candidate, key: &str) -> (u8, u64, holder::Id) {
+fn rank(candidate: &Candidate, key: &str) -> (u8, u64, holder::Id) {
     let key = rendezvous::identity(key);
-    (one.capacity, rendezvous::weight(key, one.id.0), one.id)
+    (
+        candidate.capacity,
+        rendezvous::weight(key, candidate.id.0),
+        candidate.id,
+    )
 }
--- a/crates/role/tests/roster.rs
+++ b/crates/role/tests/roster.rs
@@ -25,8 +25,8 @@
 
 /// A half that the table service doesn't answer.
 fn cut_half(candidates: &mut [Candidate], seed: u64) {
-    for one in candidates {
-        one.store_lost = rendezvous::weight(seed, one.id.0).is_multiple_of(2);
+    for candidate in candidates {
+        candidate.store_lost = rendezvous::weight(seed, candidate.id.0).is_multiple_of(2);
     }
 }
 
@@ -45,15 +45,15 @@
 /// Both hubs were cut off from the table service, and nobody else tried for the lease of the duties: an entry that is
 /// answered comes first wherever there is one in any zone.
 #[test]
-fn those_that_the_table_service_answers_read_first() {
+fn entries_with_the_table_service_read_first() {
     for count in SIZES {
         for seed in 0..50 {
             let mut known = candidates(count);
             cut_half(&mut known, seed);
             let lost: BTreeSet<holder::Id> = known
                 .iter()
-                .filter(|one| one.store_lost)
-                .map(|one| one.id)
+                .filter(|candidate| candidate.store_lost)
+                .map(|candidate| candidate.id)
                 .collect();
             let roster = Roster::new(&known);
             let readers = roster.readers();
@@ -69,7 +69,7 @@
 
 /// Were hubs to change with each outage of the table service, all counts would have to be handed over in the middle of it.
 #[test]
-fn hubs_stay_while_the_table_service_is_away() {
+fn hubs_do_not_change_during_an_outage() {
     let mut known = candidates(62);
     let before = Roster::new(&known);
     cut_half(&mut known, 3);
@@ -80,13 +80,13 @@
 
 /// Small entries on narrow links were hubs, and lost the table service and their connections to what hubs send.
 #[test]
-fn hubs_and_homes_are_able_and_apart() {
+fn hubs_and_homes_are_able_and_disjoint() {
     for count in [62, 295, 840] {
         let known = candidates(count);
         let able: BTreeSet<holder::Id> = known
             .iter()
-            .filter(|one| one.capacity == 255)
-            .map(|one| one.id)
+            .filter(|candidate| candidate.capacity == 255)
+            .map(|candidate| candidate.id)
             .collect();
         let roster = Roster::new(&known);
         assert_eq!(roster.hubs().len(), HUB_COUNT);
@@ -98,13 +98,13 @@
 
 /// One zone's readers would be lost with it.
 #[test]
-fn readers_stand_in_every_zone() {
+fn every_zone_has_a_reader() {
     let known = candidates(62);
     let roster = Roster::new(&known);
     let zones: BTreeSet<&SmolStr> = known
         .iter()
-        .filter(|one| roster.readers().contains(&one.id))
-        .map(|one| &one.zone)
+        .filter(|candidate| roster.readers().contains(&candidate.id))
+        .map(|candidate| &candidate.zone)
         .collect();
     assert_eq!(zones.len(), ZONES.len());
 }
--- a/crates/rollout/src/configs/judge.rs
+++ b/crates/rollout/src/configs/judge.rs
@@ -12,7 +12,7 @@
     /// Share of bad answers, beyond the old version's, that is to be found.
     pub effect: f64,
     /// Share of bad answers that the old version is taken to have at least.
-    pub least_share: f64,
+    pub min_share: f64,
     /// How much higher the new version's share may be by chance of its few and other replicas, as a ratio.
     pub tolerance: f64,
 }
@@ -24,7 +24,7 @@
             wrong_acceptance: 0.05,
             wrong_acceptance_over_all: 1e-3,
             effect: 0.2,
-            least_share: 0.02,
+            min_share: 0.02,
             tolerance: 1.3,
         }
     }
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -39,7 +39,7 @@
         if rejects(config, *pair) {
             return bad(config, Some(route.clone()), *pair);
         }
-        likely &= evidence(config, *pair) < 0.0;
+        likely &= log_likelihood_ratio(config, *pair) < 0.0;
         good &= accepts(config, *pair, config.wrong_acceptance);
     }
     match accepts(config, total, config.wrong_acceptance_over_all) {
@@ -52,20 +52,20 @@
 fn bad(config: &Config, route: Option<smol_str::SmolStr>, pair: Pair) -> Finding {
     Finding::Bad {
         route,
-        usual: usual(config, pair.old),
+        usual: expected_share(config, pair.old),
         found: pair.new.bad as f64 / pair.new.answers.max(1) as f64,
     }
 }
 
 /// Share of bad answers that a version like the one in use may show.
-fn usual(config: &Config, old: Count) -> f64 {
+fn expected_share(config: &Config, old: Count) -> f64 {
     let share = old.bad as f64 / old.answers.max(1) as f64;
-    (share * config.tolerance).max(config.least_share)
+    (share * config.tolerance).max(config.min_share)
 }
 
 /// Logarithm of the likelihood that the version spoils `effect` more, against that it doesn't.
-fn evidence(config: &Config, pair: Pair) -> f64 {
-    let same = usual(config, pair.old).min(1.0 - 2.0 * config.effect);
+fn log_likelihood_ratio(config: &Config, pair: Pair) -> f64 {
+    let same = expected_share(config, pair.old).min(1.0 - 2.0 * config.effect);
     let worse = same + config.effect;
     let bad = pair.new.bad as f64;
     let whole = pair.new.answers as f64 - bad;
@@ -74,9 +74,9 @@
 
 fn rejects(config: &Config, pair: Pair) -> bool {
     let bound = ((1.0 - config.wrong_acceptance) / config.wrong_rejection).ln();
-    evidence(config, pair) >= bound
+    log_likelihood_ratio(config, pair) >= bound
 }
 
-fn accepts(config: &Config, pair: Pair, wrongly: f64) -> bool {
-    evidence(config, pair) <= (wrongly / (1.0 - config.wrong_rejection)).ln()
+fn accepts(config: &Config, pair: Pair, wrong_acceptance: f64) -> bool {
+    log_likelihood_ratio(config, pair) <= (wrong_acceptance / (1.0 - config.wrong_rejection)).ln()
 }
--- a/crates/rollout/src/leader.rs
+++ b/crates/rollout/src/leader.rs
@@ -32,7 +32,7 @@
     judge: configs::judge::Config,
     order: Order,
     /// When the order was given, by our clock.
-    begun: Time,
+    started: Time,
     phase: Phase,
     /// What was found, for the log.
     finding: Finding,
@@ -44,15 +44,15 @@
         config: configs::leader::Config,
         judge: configs::judge::Config,
         order: Order,
-        begun: Time,
-        before: Option<&Stage>,
+        started: Time,
+        previous: Option<&Stage>,
     ) -> Leader {
-        let before = before.filter(|stage| stage.order == order.revision);
+        let previous = previous.filter(|stage| stage.order == order.revision);
         Leader {
             config,
             judge,
-            begun,
-            phase: before.map_or(Phase::Canary, |stage| stage.phase),
+            started,
+            phase: previous.map_or(Phase::Canary, |stage| stage.phase),
             finding: Finding::Open,
             order,
         }
@@ -87,12 +87,14 @@
         if matches!(self.finding, Finding::Bad { .. }) {
             return Phase::RolledBack;
         }
-        let left = self.order.within - now.since(self.begun);
+        let left = self.order.within - now.since(self.started);
         match self.phase {
             Phase::Canary if left > self.config.move_reserve => Phase::Canary,
-            Phase::Canary if self.finding == Finding::Good && self.has_room(fleet) => Phase::Moving,
+            Phase::Canary if self.finding == Finding::Good && self.has_capacity(fleet) => {
+                Phase::Moving
+            }
             Phase::Canary if left > self.config.decision_reserve => Phase::Canary,
-            Phase::Canary if self.finding == Finding::Likely && self.has_room(fleet) => {
+            Phase::Canary if self.finding == Finding::Likely && self.has_capacity(fleet) => {
                 Phase::Moving
             }
             // What isn't known to be good isn't used.
@@ -103,7 +105,7 @@
         }
     }
 
-    fn has_room(&self, fleet: Fleet) -> bool {
+    fn has_capacity(&self, fleet: Fleet) -> bool {
         f64::from(fleet.slots_new) >= f64::from(fleet.slots_old) * self.config.min_capacity_ratio
     }
 
@@ -124,7 +126,7 @@
                 Phase::Canary => self.shares(tally),
                 _ => BTreeMap::new(),
             },
-            elapsed_ms: now.since(self.begun).as_millis(),
+            elapsed_ms: now.since(self.started).as_millis(),
         }
     }
 
@@ -138,25 +140,25 @@
     /// Guards against a version that is bad on a route with little traffic: by one share for all routes it would be seen
     /// too seldom to be found.
     fn shares(&self, tally: &Tally) -> BTreeMap<SmolStr, f64> {
-        let asked = |route: &SmolStr| {
+        let requests = |route: &SmolStr| {
             let pair = tally.routes[route];
             (pair.old.answers + pair.new.answers) as f64
         };
-        let total: f64 = tally.routes.keys().map(asked).sum();
-        let tried = tally.total().new.answers as f64;
-        let most = total * self.config.max_exposure + self.config.exposure_allowance as f64;
-        if total == 0.0 || tried >= most {
+        let total: f64 = tally.routes.keys().map(requests).sum();
+        let tested = tally.total().new.answers as f64;
+        let limit = total * self.config.max_exposure + self.config.exposure_allowance as f64;
+        if total == 0.0 || tested >= limit {
             return BTreeMap::new();
         }
         let mut left = total * self.config.canary_share;
         let mut routes: Vec<&SmolStr> = tally.routes.keys().collect();
-        routes.sort_by(|one, other| asked(one).total_cmp(&asked(other)));
+        routes.sort_by(|one, other| requests(one).total_cmp(&requests(other)));
         let mut shares = BTreeMap::new();
-        for (place, route) in routes.iter().enumerate() {
-            let part = left / (routes.len() - place) as f64;
-            let given = part.min(asked(route) * self.config.max_route_share);
-            left -= given;
-            shares.insert((*route).clone(), given / asked(route).max(1.0));
+        for (index, route) in routes.iter().enumerate() {
+            let part = left / (routes.len() - index) as f64;
+            let allotted = part.min(requests(route) * self.config.max_route_share);
+            left -= allotted;
+            shares.insert((*route).clone(), allotted / requests(route).max(1.0));
         }
         shares
     }
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -9,7 +9,7 @@
 use crate::stage::Stage;
 
 /// An older announcement counts as none: the version may have been found bad since.
-const FRESH: Span = Span::from_millis(2_500);
+const MAX_ANNOUNCEMENT_AGE: Span = Span::from_millis(2_500);
 
 /// What one entry knows of one service's roll-out.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     /// Number of the leader's newest announcement.
     announcement: u64,
     /// When it was made, by our clock.
-    announced: Option<Time>,
+    announced_at: Option<Time>,
 }
 
 /// Where a new request goes.
@@ -43,7 +43,7 @@
             order,
             stage,
             announcement: 0,
-            announced: None,
+            announced_at: None,
         }
     }
 
@@ -59,13 +59,13 @@
 
     /// Takes in an announcement of the leader, which is `age` old; whether the phase changed.
     pub fn apply_stage(&mut self, now: Time, number: u64, age: Span, stage: &Stage) -> bool {
-        let other = stage.order != self.order.revision || stage.to != self.order.to;
-        if other || number <= self.announcement {
+        let is_other_order = stage.order != self.order.revision || stage.to != self.order.to;
+        if is_other_order || number <= self.announcement {
             return false;
         }
         let changed = stage.phase != self.stage.phase;
         self.announcement = number;
-        self.announced = Some(Time::from_millis(
+        self.announced_at = Some(Time::from_millis(
             now.as_millis().saturating_sub(age.as_millis()),
         ));
         self.stage = stage.clone();
@@ -76,10 +76,12 @@
     ///
     /// Guards against an entry that is cut off from the leader: it would go on sending requests to a version that has been
     /// rolled back.
-    pub fn side(&self, now: Time, route: &SmolStr, drawn: f64) -> Side {
-        let fresh = self.announced.is_some_and(|at| now.since(at) <= FRESH);
+    pub fn side(&self, now: Time, route: &SmolStr, draw: f64) -> Side {
+        let fresh = self
+            .announced_at
+            .is_some_and(|at| now.since(at) <= MAX_ANNOUNCEMENT_AGE);
         let new = match self.stage.phase {
-            Phase::Canary => fresh && drawn < self.stage.shares.get(route).copied().unwrap_or(0.0),
+            Phase::Canary => fresh && draw < self.stage.shares.get(route).copied().unwrap_or(0.0),
             Phase::Moving | Phase::Completed => true,
             Phase::RolledBack => false,
         };
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -76,9 +76,9 @@
             return;
         }
         for (route, pair) in &other.routes {
-            let into = self.routes.entry(route.clone()).or_default();
-            into.old.add(pair.old);
-            into.new.add(pair.new);
+            let sum = self.routes.entry(route.clone()).or_default();
+            sum.old.add(pair.old);
+            sum.new.add(pair.new);
         }
     }
 
@@ -88,9 +88,9 @@
             return;
         }
         for (route, pair) in &other.routes {
-            if let Some(into) = self.routes.get_mut(route) {
-                into.old.subtract(pair.old);
-                into.new.subtract(pair.new);
+            if let Some(sum) = self.routes.get_mut(route) {
+                sum.old.subtract(pair.old);
+                sum.new.subtract(pair.new);
             }
         }
     }
--- a/crates/rollout/tests/trials.rs
+++ b/crates/rollout/tests/trials.rs
@@ -21,17 +21,17 @@
 
 const ENTRIES: usize = 62;
 const STEP_MILLIS: u64 = 20;
-const WITHIN: Span = Span::from_seconds(12);
+const DEADLINE: Span = Span::from_seconds(12);
 /// Of a service's requests a bad version may get this share, and so many besides.
-const EXPOSURE: f64 = 0.1;
+const MAX_EXPOSURE: f64 = 0.1;
 const EXPOSURE_ALLOWANCE: u64 = 50;
 /// Bad answers of a version after which it must soon get nothing more, and how soon.
-const KNOWN_BAD: u64 = 50;
-const ROLLED_BACK_WITHIN: u64 = 5_000;
+const BAD_LIMIT: u64 = 50;
+const ROLLBACK_MILLIS: u64 = 5_000;
 /// Routes and their requests a second.
 const ROUTES: [(&str, f64); 3] = [("summary", 119.0), ("draft", 249.0), ("chat", 71.0)];
 /// Share of answers of any good version that are bad.
-const USUAL: f64 = 0.04;
+const BASELINE_BAD_SHARE: f64 = 0.04;
 const SEEDS: u64 = 100;
 
 /// How a version goes wrong.
@@ -47,12 +47,12 @@
 }
 
 impl Version {
-    fn spoils(self, route: usize, since: u64) -> f64 {
+    fn bad_share(self, route: usize, since: u64) -> f64 {
         match self {
             Version::Bad(share) => share,
             Version::LateBad(share, from) if since >= from => share,
             Version::OneRoute(share, only) if route == only => share,
-            _ => USUAL,
+            _ => BASELINE_BAD_SHARE,
         }
     }
 }
@@ -63,11 +63,11 @@
     phase: Phase,
     ended_at: u64,
     requests: u64,
-    tried: u64,
+    exposed: u64,
     bad: u64,
     /// Requests sent to the version, by time.
     sent: Vec<u64>,
-    known_bad_at: Option<u64>,
+    limit_reached_at: Option<u64>,
 }
 
 /// Entries, one of which leads, and what news take between them.
@@ -76,9 +76,9 @@
     splits: Vec<Split>,
     tallies: Vec<Tally>,
     /// Counts as the leader knows them, with the time at which they come.
-    counts_under_way: VecDeque<(u64, Tally)>,
+    counts_in_flight: VecDeque<(u64, Tally)>,
     known: Tally,
-    words: Vec<(u64, usize, u64, u64, Stage)>,
+    announcements: Vec<(u64, usize, u64, u64, Stage)>,
     lead: Option<Leader>,
     /// Both versions' answers are bad that much more.
     burst: f64,
@@ -88,18 +88,18 @@
     Order {
         service: SmolStr::new_static("drafts"),
         to: SmolStr::new_static("v2"),
-        within: WITHIN,
+        within: DEADLINE,
         revision: 7,
     }
 }
 
-fn lead(begun: u64, before: Option<&Stage>) -> Leader {
+fn lead(started: u64, previous: Option<&Stage>) -> Leader {
     Leader::new(
         configs::leader::Config::default(),
         configs::judge::Config::default(),
         order(),
-        Time::from_millis(begun),
-        before,
+        Time::from_millis(started),
+        previous,
     )
 }
 
@@ -109,20 +109,20 @@
             random: Pcg64Mcg::seed_from_u64(seed),
             splits: (0..ENTRIES).map(|_| Split::new(order())).collect(),
             tallies: vec![Tally::new(7); ENTRIES],
-            counts_under_way: VecDeque::new(),
+            counts_in_flight: VecDeque::new(),
             known: Tally::new(7),
-            words: Vec::new(),
+            announcements: Vec::new(),
             lead: Some(lead(0, None)),
             burst: 0.0,
         }
     }
 
     /// Plays an order; `leaderless` is a time without a leader, after which another one goes on from `written`.
-    fn play(&mut self, version: Version, leaderless: Option<(u64, u64)>) -> Outcome {
+    fn run(&mut self, version: Version, leaderless: Option<(u64, u64)>) -> Outcome {
         let mut outcome = Outcome::default();
         let mut written: Option<Stage> = None;
-        let mut word = 0;
-        let end = WITHIN.as_millis() + 2_000;
+        let mut number = 0;
+        let end = DEADLINE.as_millis() + 2_000;
         for now in (0..end).step_by(STEP_MILLIS as usize) {
             self.requests(now, version, &mut outcome);
             if let Some((from, to)) = leaderless {
@@ -133,7 +133,7 @@
                     self.lead = Some(lead(0, written.as_ref()));
                 }
             }
-            self.tell_counts(now);
+            self.deliver_counts(now);
             let time = Time::from_millis(now);
             let Some(lead) = &mut self.lead else {
                 continue;
@@ -152,13 +152,13 @@
                 outcome.phase = lead.phase();
             }
             if changed || now.is_multiple_of(700) {
-                word += 1;
+                number += 1;
                 let stage = lead.stage(time, &self.known);
                 written = Some(stage.clone());
                 for entry in 0..ENTRIES {
-                    let takes = self.random.random_range(50..1_000);
-                    self.words
-                        .push((now + takes, entry, word, takes, stage.clone()));
+                    let latency = self.random.random_range(50..1_000);
+                    self.announcements
+                        .push((now + latency, entry, number, latency, stage.clone()));
                 }
             }
         }
@@ -167,9 +167,12 @@
 
     fn requests(&mut self, now: u64, version: Version, outcome: &mut Outcome) {
         let time = Time::from_millis(now);
-        let due: Vec<_> = self.words.extract_if(.., |word| word.0 <= now).collect();
-        for (_, entry, word, age, stage) in due {
-            self.splits[entry].apply_stage(time, word, Span::from_millis(age), &stage);
+        let due: Vec<_> = self
+            .announcements
+            .extract_if(.., |announcement| announcement.0 <= now)
+            .collect();
+        for (_, entry, number, age, stage) in due {
+            self.splits[entry].apply_stage(time, number, Span::from_millis(age), &stage);
         }
         for (route, (name, per_second)) in ROUTES.iter().enumerate() {
             let name = SmolStr::new_static(name);
@@ -179,39 +182,39 @@
                 let entry = self.random.random_range(0..ENTRIES);
                 let drawn = self.random.random::<f64>();
                 let side = self.splits[entry].side(time, &name, drawn);
-                let trial = side == Side::New;
-                let spoils = match trial {
-                    true => version.spoils(route, now),
-                    false => USUAL,
+                let canary = side == Side::New;
+                let bad_share = match canary {
+                    true => version.bad_share(route, now),
+                    false => BASELINE_BAD_SHARE,
                 };
-                let bad = self.random.random::<f64>() < spoils.max(self.burst);
-                outcome.requests += u64::from(now < WITHIN.as_millis());
-                if trial {
-                    outcome.tried += u64::from(now < WITHIN.as_millis());
+                let bad = self.random.random::<f64>() < bad_share.max(self.burst);
+                outcome.requests += u64::from(now < DEADLINE.as_millis());
+                if canary {
+                    outcome.exposed += u64::from(now < DEADLINE.as_millis());
                     outcome.bad += u64::from(bad);
                     outcome.sent.push(now);
-                    if outcome.bad == KNOWN_BAD {
-                        outcome.known_bad_at.get_or_insert(now);
+                    if outcome.bad == BAD_LIMIT {
+                        outcome.limit_reached_at.get_or_insert(now);
                     }
                 }
-                self.tallies[entry].record(&name, trial, bad);
+                self.tallies[entry].record(&name, canary, bad);
             }
         }
     }
 
     /// Counts come to the leader twice a second, some tenths of a second old.
-    fn tell_counts(&mut self, now: u64) {
+    fn deliver_counts(&mut self, now: u64) {
         if now.is_multiple_of(500) {
             let mut sum = Tally::new(7);
             self.tallies.iter().for_each(|tally| sum.add(tally));
-            self.counts_under_way.push_back((now + 600, sum));
+            self.counts_in_flight.push_back((now + 600, sum));
         }
         while self
-            .counts_under_way
+            .counts_in_flight
             .front()
             .is_some_and(|(at, _)| *at <= now)
         {
-            if let Some((_, sum)) = self.counts_under_way.pop_front() {
+            if let Some((_, sum)) = self.counts_in_flight.pop_front() {
                 self.known = sum;
             }
         }
@@ -220,20 +223,20 @@
 
 /// A version that spoils answers gets few requests, whatever is wrong with it, and soon none.
 fn assert_contained(version: Version, outcome: &Outcome) {
-    let most = (outcome.requests as f64 * EXPOSURE) as u64 + EXPOSURE_ALLOWANCE;
+    let limit = (outcome.requests as f64 * MAX_EXPOSURE) as u64 + EXPOSURE_ALLOWANCE;
     assert_eq!(outcome.phase, Phase::RolledBack, "{version:?}: {outcome:?}");
     assert!(
-        outcome.tried <= most,
+        outcome.exposed <= limit,
         "{version:?}: {} of {} requests",
-        outcome.tried,
+        outcome.exposed,
         outcome.requests
     );
-    if let Some(known) = outcome.known_bad_at {
+    if let Some(reached_at) = outcome.limit_reached_at {
         let last = outcome.sent.last().copied().unwrap_or(0);
         assert!(
-            last <= known + ROLLED_BACK_WITHIN,
-            "{version:?}: {} ms after the {KNOWN_BAD}th",
-            last - known
+            last <= reached_at + ROLLBACK_MILLIS,
+            "{version:?}: {} ms after the {BAD_LIMIT}th",
+            last - reached_at
         );
     }
 }
@@ -253,7 +256,7 @@
     for version in versions {
         let mut bad = Vec::new();
         for seed in 0..SEEDS {
-            let outcome = World::new(seed).play(version, None);
+            let outcome = World::new(seed).run(version, None);
             assert_contained(version, &outcome);
             bad.push(outcome.bad);
         }
@@ -271,8 +274,8 @@
 fn good_versions_are_completed_in_time() {
     let mut wrong = 0;
     for seed in 0..SEEDS {
-        let outcome = World::new(seed).play(Version::Good, None);
-        let in_time = outcome.ended_at <= WITHIN.as_millis();
+        let outcome = World::new(seed).run(Version::Good, None);
+        let in_time = outcome.ended_at <= DEADLINE.as_millis();
         wrong += u64::from(outcome.phase != Phase::Completed || !in_time);
     }
     assert_eq!(wrong, 0, "of {SEEDS}");
@@ -280,12 +283,12 @@
 
 /// A burst spoils a third of all answers, whichever version gives them: that is no reason to reject one.
 #[test]
-fn a_burst_on_both_versions_rejects_none() {
+fn a_burst_on_both_versions_rejects_neither() {
     let mut completed = 0;
     for seed in 0..SEEDS {
         let mut world = World::new(seed);
         world.burst = 0.33;
-        let outcome = world.play(Version::Good, None);
+        let outcome = world.run(Version::Good, None);
         completed += u64::from(outcome.phase == Phase::Completed);
     }
     assert!(completed >= SEEDS * 95 / 100, "{completed} of {SEEDS}");
@@ -293,18 +296,18 @@
 
 /// The leader ends in the middle of a trial. Nobody may go on trying without one, and the next goes on from there.
 #[test]
-fn a_trial_outlasts_its_leader() {
+fn a_rollout_survives_its_leader() {
     let mut completed = 0;
     for seed in 0..SEEDS {
-        let outcome = World::new(seed).play(Version::Good, Some((3_000, 6_000)));
+        let outcome = World::new(seed).run(Version::Good, Some((3_000, 6_000)));
         completed += u64::from(outcome.phase == Phase::Completed);
-        let silent = outcome
+        let leaderless = outcome
             .sent
             .iter()
             .filter(|at| (5_600..6_000).contains(*at));
-        assert_eq!(silent.count(), 0, "seed {seed}: tried without a leader");
+        assert_eq!(leaderless.count(), 0, "seed {seed}: tried without a leader");
         let version = Version::Bad(0.5);
-        let outcome = World::new(seed).play(version, Some((1_000, 5_000)));
+        let outcome = World::new(seed).run(version, Some((1_000, 5_000)));
         assert_contained(version, &outcome);
     }
     assert!(completed >= SEEDS * 95 / 100, "{completed} of {SEEDS}");
--- a/crates/watch/src/list.rs
+++ b/crates/watch/src/list.rs
@@ -47,14 +47,14 @@
     /// Takes in what the table service says; what of it is new.
     pub fn apply_reading(&mut self, reading: &Reading) -> Vec<Change> {
         let changes = self.apply(self.changes_of(reading));
-        self.complete_to(reading.revision);
+        self.mark_complete(reading.revision);
         changes
     }
 
     /// What an answer says, row by row.
     fn changes_of(&self, reading: &Reading) -> Vec<Change> {
         match &reading.update {
-            Update::All(servers) if self.is_restored(reading) => self.still_leaving(servers),
+            Update::All(servers) if self.is_restored(reading) => self.known_leaving(servers),
             Update::All(servers) => {
                 let absent = self.absent(servers);
                 let ended = absent.map(|id| Change::ended(id.clone(), reading.revision));
@@ -79,7 +79,7 @@
     ///
     /// Guards against servers that are gone or have said that they leave since the copy was made: they would be handed
     /// requests again. Live ones write their rows again with the next heartbeat.
-    fn still_leaving(&self, servers: &[Server]) -> Vec<Change> {
+    fn known_leaving(&self, servers: &[Server]) -> Vec<Change> {
         let leaving = servers.iter().filter(|server| server.leaving);
         let known = leaving.filter(|server| {
             let row = self.get(&server.id);
@@ -120,7 +120,7 @@
     }
 
     /// Notes that every change up to a revision is taken in.
-    pub fn complete_to(&mut self, revision: u64) {
+    pub fn mark_complete(&mut self, revision: u64) {
         self.complete_revision = self.complete_revision.max(revision);
         let complete = self.complete_revision;
         self.ended.retain(|_, ended| *ended > complete);
--- a/crates/watch/src/watch.rs
+++ b/crates/watch/src/watch.rs
@@ -58,7 +58,7 @@
 
 /// A change that is passed on.
 #[derive(Debug)]
-struct Passing {
+struct Outgoing {
     since: Time,
     change: Change,
     /// Whether a report had it.
@@ -72,36 +72,36 @@
     list: List,
     position: Option<Position>,
     /// Since when reports say that something is missing here.
-    unequal: Option<Time>,
+    mismatch_since: Option<Time>,
     /// Whether the last report came from one that can't say whether missing rows are those of live servers.
-    doubted: bool,
+    reader_unsure: bool,
     /// What was learned and is still passed on.
-    passing: Vec<Passing>,
+    outgoing: Vec<Outgoing>,
     /// Whether the table service was read since the last report.
-    read: bool,
+    read_since_report: bool,
     /// When it was read here last.
-    read_at: Option<Time>,
+    last_read: Option<Time>,
     /// When it reported last.
-    reported: Time,
+    last_report: Time,
     /// This entry's moment within the spread.
-    delay: Span,
+    jitter: Span,
 }
 
 impl Watch {
     /// An entry that knows nothing; `seed` sets its moment among those that read for themselves.
     pub fn new(config: Config, seed: u64) -> Watch {
-        let moment = rendezvous::weight(seed, 0) % config.follower_jitter.as_millis().max(1);
+        let jitter = rendezvous::weight(seed, 0) % config.follower_jitter.as_millis().max(1);
         Watch {
             config,
             list: List::default(),
             position: None,
-            unequal: None,
-            doubted: false,
-            passing: Vec::new(),
-            read: false,
-            read_at: None,
-            reported: Time::ZERO,
-            delay: Span::from_millis(moment),
+            mismatch_since: None,
+            reader_unsure: false,
+            outgoing: Vec::new(),
+            read_since_report: false,
+            last_read: None,
+            last_report: Time::ZERO,
+            jitter: Span::from_millis(jitter),
         }
     }
 
@@ -109,20 +109,20 @@
     ///
     /// Guards against an answer that was under way while reports brought newer changes: it names servers that are gone.
     pub fn apply_reading(&mut self, now: Time, reading: &Reading) -> Reading {
-        let first = self.position.is_none();
+        let is_first = self.position.is_none();
         let changes = self.list.apply_reading(reading);
         // What an entry finds as it starts is known to all others.
-        if !first {
-            self.pass_on(now, changes);
+        if !is_first {
+            self.relay(now, changes);
         }
-        self.know(Position {
+        self.advance_position(Position {
             as_of: now,
             revision: reading.revision,
         });
-        self.unequal = None;
-        self.doubted = false;
-        self.read = true;
-        self.read_at = Some(now);
+        self.mismatch_since = None;
+        self.reader_unsure = false;
+        self.read_since_report = true;
+        self.last_read = Some(now);
         Reading {
             revision: reading.revision,
             update: self.list.up_to_date(&reading.update),
@@ -130,12 +130,12 @@
     }
 
     /// Takes in a report; with `pass_on`, what is new in it goes into this entry's own reports.
-    pub fn receive(&mut self, now: Time, report: &Report, pass_on: bool) -> Learned {
+    pub fn receive(&mut self, now: Time, report: &Report, relay: bool) -> Learned {
         // Without a reading of its own an entry can't tell what is missing.
         if self.position.is_none() {
             return Learned::default();
         }
-        self.doubted = report.lapsed_ms > 0;
+        self.reader_unsure = report.lapsed_ms > 0;
         let mut learned = Learned::default();
         let changes = self.list.apply(report.changes.clone());
         for change in &changes {
@@ -147,18 +147,18 @@
                 }),
             }
         }
-        if pass_on {
-            self.pass_on(now, changes);
+        if relay {
+            self.relay(now, changes);
         }
-        learned.position = self.compare(now, report);
+        learned.position = self.compare_digest(now, report);
         learned
     }
 
     /// Compares the list with a report's digest.
-    fn compare(&mut self, now: Time, report: &Report) -> Option<Position> {
+    fn compare_digest(&mut self, now: Time, report: &Report) -> Option<Position> {
         if report.digest == self.list.digest() {
-            self.unequal = None;
-            self.know(Position {
+            self.mismatch_since = None;
+            self.advance_position(Position {
                 as_of: before(now, Span::from_millis(report.age_ms)),
                 revision: report.revision,
             });
@@ -166,14 +166,14 @@
         }
         // A report of before our newest change says nothing of what is missing here.
         if report.revision >= self.list.changed_revision() {
-            self.unequal.get_or_insert(now);
+            self.mismatch_since.get_or_insert(now);
         }
         None
     }
 
     /// Notes how far the list is known without a gap.
-    fn know(&mut self, position: Position) {
-        self.list.complete_to(position.revision);
+    fn advance_position(&mut self, position: Position) {
+        self.list.mark_complete(position.revision);
         let known = self.position.unwrap_or(position);
         self.position = Some(Position {
             as_of: known.as_of.max(position.as_of),
@@ -181,53 +181,53 @@
         });
     }
 
-    fn pass_on(&mut self, now: Time, changes: Vec<Change>) {
-        let passing = changes.into_iter().map(|change| Passing {
+    fn relay(&mut self, now: Time, changes: Vec<Change>) {
+        let outgoing = changes.into_iter().map(|change| Outgoing {
             since: now,
             change,
             reported: false,
         });
-        self.passing.extend(passing);
+        self.outgoing.extend(outgoing);
     }
 
     /// Whether there is something to pass on before the next regular report.
     pub fn is_report_due(&self, now: Time) -> bool {
-        self.is_urgent() && now >= self.reported + self.config.min_report_interval
+        self.has_unreported() && now >= self.last_report + self.config.min_report_interval
     }
 
     /// When [`Watch::is_report_due`] holds next.
     pub fn next_report_due(&self) -> Option<Time> {
-        self.is_urgent()
-            .then_some(self.reported + self.config.min_report_interval)
+        self.has_unreported()
+            .then_some(self.last_report + self.config.min_report_interval)
     }
 
     /// Whether something was not passed on yet.
-    fn is_urgent(&self) -> bool {
-        self.passing.iter().any(|one| !one.reported)
+    fn has_unreported(&self) -> bool {
+        self.outgoing.iter().any(|one| !one.reported)
     }
 
     /// Whether the table service was read since the last report.
     pub fn has_read(&self) -> bool {
-        self.read
+        self.read_since_report
     }
 
     /// Whether this entry reads by itself at present, and needs nobody's word on which rows may have lapsed.
     pub fn is_reading(&self, now: Time) -> bool {
         let standby = self.config.reader_timeout;
-        self.read_at.is_some_and(|at| now.since(at) < standby)
+        self.last_read.is_some_and(|at| now.since(at) < standby)
     }
 
     /// A report for other entries; `lapsed` is how long missing rows may be those of live servers.
     pub fn report(&mut self, now: Time, lapsed: Span, extent: Extent) -> Option<Report> {
         let position = self.position?;
-        self.read = false;
-        self.reported = now;
+        self.read_since_report = false;
+        self.last_report = now;
         let repeat = self.config.retransmission_time;
-        self.passing
+        self.outgoing
             .retain(|one| !one.reported || now.since(one.since) < repeat);
-        let passing = self.passing.iter_mut();
-        let told = passing.filter(|one| extent == Extent::Recent || !one.reported);
-        let changes = told.map(|one| {
+        let outgoing = self.outgoing.iter_mut();
+        let selected = outgoing.filter(|one| extent == Extent::Recent || !one.reported);
+        let changes = selected.map(|one| {
             one.reported = true;
             one.change.clone()
         });
@@ -258,18 +258,20 @@
         let Some(position) = self.position else {
             return Time::ZERO;
         };
-        let patience = match role {
+        let timeout = match role {
             Role::Alone | Role::Reader { rank: 0 } => return Time::ZERO,
             // Those that stand by have followed the list without a gap, where the reader has not.
-            Role::Reader { rank } if self.doubted => self.config.reader_interval.times(rank as u64),
+            Role::Reader { rank } if self.reader_unsure => {
+                self.config.reader_interval.times(rank as u64)
+            }
             Role::Reader { rank } => {
                 self.config.reader_timeout + self.config.reader_interval.times(rank as u64)
             }
-            Role::Follower => self.config.follower_timeout + self.delay,
+            Role::Follower => self.config.follower_timeout + self.jitter,
         };
-        let stale = position.as_of + patience;
-        match self.unequal {
-            Some(since) => stale.min(since + self.config.mismatch_timeout + self.delay),
+        let stale = position.as_of + timeout;
+        match self.mismatch_since {
+            Some(since) => stale.min(since + self.config.mismatch_timeout + self.jitter),
             None => stale,
         }
     }
--- a/crates/watch/tests/order.rs
+++ b/crates/watch/tests/order.rs
@@ -119,7 +119,7 @@
     /// A leave or an end that stood beside an older state of its row, or came before it, was dropped, and all entries
     /// went on with a server that had left.
     #[test]
-    fn the_list_depends_on_no_order(
+    fn the_list_does_not_depend_on_the_order(
         steps in prop::collection::vec(step(), 1..40),
         cuts in prop::collection::vec(1..130_u64, 0..8),
         late in prop::collection::vec((0..130_u64, 0..130_u64, any::<bool>()), 0..6),
--- a/crates/watch/tests/spread.rs
+++ b/crates/watch/tests/spread.rs
@@ -31,11 +31,11 @@
 /// Time between two regular reports.
 const REPORT_MILLIS: u64 = 500;
 /// A way between two entries, at most.
-const WAY_MILLIS: u64 = 20;
+const MAX_LATENCY_MILLIS: u64 = 20;
 /// From an entry's end or freeze until the others choose without it.
-const NOTICE_MILLIS: u64 = 2_500;
+const DETECTION_MILLIS: u64 = 2_500;
 /// A change must be known everywhere after this.
-const BOUND_MILLIS: u64 = 4_000;
+const MAX_AGE_MILLIS: u64 = 4_000;
 
 /// A row of the table service.
 struct Row {
@@ -54,19 +54,19 @@
     entries: Vec<Watch>,
     next_read: Vec<u64>,
     /// As of when each entry knows the list.
-    known: Vec<u64>,
+    known_as_of: Vec<u64>,
     /// Messages by the time of their arrival.
-    under_way: BTreeMap<u64, Vec<(usize, usize, Report)>>,
+    in_flight: BTreeMap<u64, Vec<(usize, usize, Report)>>,
     reads: u64,
     draws: u64,
     /// Messages lost of a thousand.
-    lost: u64,
+    loss_per_mille: u64,
     /// Entries that can't reach the table service.
-    blind: BTreeSet<usize>,
+    cut_off: BTreeSet<usize>,
     /// Entries that do nothing, and since when.
     frozen: BTreeMap<usize, u64>,
     /// Entries whose messages don't reach one in three others.
-    muffled: BTreeSet<usize>,
+    one_way: BTreeSet<usize>,
 }
 
 impl World {
@@ -81,14 +81,14 @@
                 .map(|entry| Watch::new(Config::default(), entry as u64))
                 .collect(),
             next_read: vec![0; entries],
-            known: vec![0; entries],
-            under_way: BTreeMap::new(),
+            known_as_of: vec![0; entries],
+            in_flight: BTreeMap::new(),
             reads: 0,
             draws: 0,
-            lost: 0,
-            blind: BTreeSet::new(),
+            loss_per_mille: 0,
+            cut_off: BTreeSet::new(),
             frozen: BTreeMap::new(),
-            muffled: BTreeSet::new(),
+            one_way: BTreeSet::new(),
         };
         for number in 0..SERVERS {
             world.write(number, false);
@@ -144,7 +144,7 @@
     }
 
     /// A list that holds this row alone.
-    fn only(&self, id: &str) -> List {
+    fn single_row(&self, id: &str) -> List {
         let row = &self.rows[id];
         let update = Update::All(row.server.clone().into_iter().collect());
         let mut list = List::default();
@@ -165,7 +165,7 @@
         }
     }
 
-    fn beat(&mut self) {
+    fn send_heartbeats(&mut self) {
         for row in self.rows.values_mut().filter(|row| row.server.is_some()) {
             self.revision += 1;
             row.revision = self.revision;
@@ -179,7 +179,7 @@
     fn present(&self) -> Vec<usize> {
         let known = |entry: &usize| {
             let frozen = self.frozen.get(entry);
-            frozen.is_none_or(|since| self.now < since + NOTICE_MILLIS)
+            frozen.is_none_or(|since| self.now < since + DETECTION_MILLIS)
         };
         (0..self.entries.len()).filter(known).collect()
     }
@@ -210,7 +210,7 @@
                 self.change(self.now / CHANGE_MILLIS);
             }
             if self.now.is_multiple_of(HEARTBEAT_MILLIS) {
-                self.beat();
+                self.send_heartbeats();
             }
             self.history.insert(self.truth.digest(), self.now);
             self.deliver();
@@ -253,7 +253,7 @@
 
     fn read(&mut self, entry: usize) {
         self.reads += 1;
-        if self.blind.contains(&entry) {
+        if self.cut_off.contains(&entry) {
             return;
         }
         let rows = self.rows.iter();
@@ -284,18 +284,18 @@
     }
 
     fn send(&mut self, from: usize, to: usize, report: &Report) {
-        let muffled = self.muffled.contains(&from) && to % 3 == 2;
-        if from == to || muffled || self.draw(1_000) < self.lost {
+        let one_way = self.one_way.contains(&from) && to % 3 == 2;
+        if from == to || one_way || self.draw(1_000) < self.loss_per_mille {
             return;
         }
-        let at = self.now + 1 + self.draw(WAY_MILLIS);
+        let at = self.now + 1 + self.draw(MAX_LATENCY_MILLIS);
         let message = (from, to, report.clone());
-        self.under_way.entry(at).or_default().push(message);
+        self.in_flight.entry(at).or_default().push(message);
     }
 
     fn deliver(&mut self) {
-        let later = self.under_way.split_off(&(self.now + 1));
-        let due = std::mem::replace(&mut self.under_way, later);
+        let later = self.in_flight.split_off(&(self.now + 1));
+        let due = std::mem::replace(&mut self.in_flight, later);
         let hubs = self.hubs();
         for (from, to, report) in due.into_values().flatten() {
             if !self.frozen.contains_key(&to) {
@@ -307,7 +307,7 @@
         for entry in 0..self.entries.len() {
             let digest = self.entries[entry].digest();
             if let Some(at) = self.history.get(&digest) {
-                self.known[entry] = self.known[entry].max(*at);
+                self.known_as_of[entry] = self.known_as_of[entry].max(*at);
             }
         }
     }
@@ -318,10 +318,10 @@
         while self.now < end {
             self.run(100);
             for entry in 0..self.entries.len() {
-                let age = self.now - self.known[entry];
-                let excused = self.frozen.contains_key(&entry) || self.blind.contains(&entry);
+                let age = self.now - self.known_as_of[entry];
+                let excused = self.frozen.contains_key(&entry) || self.cut_off.contains(&entry);
                 assert!(
-                    excused || age <= BOUND_MILLIS,
+                    excused || age <= MAX_AGE_MILLIS,
                     "{case}: entry {entry} of {} knows the list of {age} ms ago",
                     self.entries.len()
                 );
@@ -352,19 +352,19 @@
     for entries in SIZES {
         let mut world = World::new(entries);
         world.run(5_000);
-        world.lost = 100;
+        world.loss_per_mille = 100;
         world.assert_known(15_000, "a tenth lost");
     }
 }
 
 /// Nobody who reads for the others reaches the table service; the others do, and must not wait for them.
 #[test]
-fn readers_that_reach_nothing_are_noticed() {
+fn readers_without_the_table_service_are_replaced() {
     for entries in SIZES {
         let mut world = World::new(entries);
         world.run(5_000);
-        world.blind = world.readers().into_iter().collect();
-        world.assert_known(10_000, "readers blind");
+        world.cut_off = world.readers().into_iter().collect();
+        world.assert_known(10_000, "readers without the table service");
     }
 }
 
@@ -385,12 +385,12 @@
 
 /// Messages of both hubs reach two thirds of the others only, while all answer them.
 #[test]
-fn a_cut_in_one_direction_is_noticed() {
+fn a_one_way_cut_is_detected() {
     for entries in SIZES {
         let mut world = World::new(entries);
         world.run(5_000);
-        world.muffled = world.hubs().into_iter().collect();
-        world.assert_known(10_000, "hubs muffled");
+        world.one_way = world.hubs().into_iter().collect();
+        world.assert_known(10_000, "hubs cut off one way");
     }
 }
 
@@ -426,12 +426,12 @@
 /// The reader lost an answer and can't tell whether a missing row is that of a live server: who stands by has followed
 /// the list all the while and must read, or everyone would go on with servers that left.
 #[test]
-fn a_reader_that_doubts_is_stood_in_for() {
+fn a_standby_reads_while_the_reader_is_unsure() {
     let mut world = World::new(3);
     world.run(1_000);
     let now = world.time();
     let lapsed = Span::from_millis(2_500);
-    let doubtful = world.entries[0]
+    let unsure = world.entries[0]
         .report(now, lapsed, Extent::Recent)
         .expect("a report");
     let sure = world.entries[0]
@@ -441,14 +441,14 @@
     world.entries[1].receive(now, &sure, true);
     let soon = now + Config::default().reader_interval;
     assert_eq!(world.entries[1].read_interval(soon, standby), None);
-    world.entries[1].receive(now, &doubtful, true);
+    world.entries[1].receive(now, &unsure, true);
     assert!(world.entries[1].read_interval(soon, standby).is_some());
 }
 
 /// A report that a server started comes after its receiver has read that the server is gone again: an older report
 /// must not bring it back.
 #[test]
-fn an_older_report_brings_no_server_back() {
+fn an_older_report_revives_no_server() {
     let mut world = World::new(3);
     world.write(900, false);
     world.read(0);
@@ -469,7 +469,7 @@
 /// One answer named a row twice, as ready and as leaving. The leave was dropped as no newer than the row before it, and
 /// all entries handed requests to the server until its row ended.
 #[test]
-fn a_leave_beside_the_row_before_it_is_kept() {
+fn a_leave_is_kept_beside_its_older_row() {
     let mut world = World::new(3);
     world.read(0);
     world.write(900, false);
@@ -486,14 +486,14 @@
             },
         };
         entry.apply_reading(world.time(), &reading);
-        assert_eq!(entry.digest(), world.only("s900").digest());
+        assert_eq!(entry.digest(), world.single_row("s900").digest());
     }
 }
 
 /// The table service came back from a copy some seconds old: a server that had ended since was handed requests again, and
 /// one that had started since was given up.
 #[test]
-fn a_restored_list_brings_no_server_back() {
+fn a_restored_list_revives_no_server() {
     let mut world = World::new(1);
     world.write(900, false);
     world.write(901, false);
@@ -543,10 +543,10 @@
 /// Sixty servers that came within a second stood in up to seven reports to everyone each, which is more than a narrow
 /// link carries.
 #[test]
-fn a_wave_of_changes_is_reported_at_once_only_once() {
+fn each_change_is_reported_at_once_only_once() {
     let mut world = World::new(3);
     world.read(0);
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     for server in 0..60 {
         world.now += 2 * STEP_MILLIS;
         world.write(900 + server, false);
@@ -554,15 +554,15 @@
         let now = world.time();
         if world.entries[0].is_report_due(now) {
             let report = world.entries[0].report(now, Span::ZERO, Extent::New);
-            told.extend(report.expect("a report").changes);
+            reported.extend(report.expect("a report").changes);
         }
     }
     world.now += REPORT_MILLIS;
     let now = world.time();
     let rest = world.entries[0].report(now, Span::ZERO, Extent::New);
-    told.extend(rest.expect("a report").changes);
-    let servers: BTreeSet<&SmolStr> = told.iter().map(|change| &change.id).collect();
-    assert_eq!((servers.len(), told.len()), (60, 60));
+    reported.extend(rest.expect("a report").changes);
+    let servers: BTreeSet<&SmolStr> = reported.iter().map(|change| &change.id).collect();
+    assert_eq!((servers.len(), reported.len()), (60, 60));
     let regular = world.entries[0].report(now, Span::ZERO, Extent::Recent);
     assert!(regular.expect("a report").changes.len() >= 8);
 }
