--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -32,7 +32,7 @@
             self.attend(now, MemberEvent::Wake, effects);
         }
         let due = now >= self.next_demand;
-        if due || self.scheduler.urgent() {
+        if due || self.scheduler.take_urgent() {
             self.next_demand = now + DEMAND_INTERVAL;
             self.publish_news(now, effects);
         }
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -84,8 +84,13 @@
             return;
         };
         for event in events {
-            self.scheduler
-                .replica_cached(now, key, event.sequence, event.prefix, event.stored);
+            self.scheduler.replica_cache_event(
+                now,
+                key,
+                event.sequence,
+                event.prefix,
+                event.stored,
+            );
         }
     }
 
--- a/crates/gateway/src/charging.rs
+++ b/crates/gateway/src/charging.rs
@@ -76,7 +76,7 @@
         let Charge { name, cost } = charge;
         let result = match step {
             Step::Ask(home) => return self.ask_home(now, serial, charge, home, effects),
-            Step::Home => self.quotas.charge_for_all(now, name, cost),
+            Step::Home => self.quotas.charge_as_home(now, name, cost),
             Step::Alone => self.quotas.charge(now, name, cost),
         };
         self.decide(now, serial, charge, result.into(), None, effects);
@@ -170,8 +170,11 @@
                     .with("account", charge.name)
                     .with("cost", charge.cost)
                     .with("home", by.map_or_else(String::new, |by| by.to_string()))
-                    .with("left", format!("{:.0}", self.quotas.left(now, charge.name)))
-                    .with("part", format!("{:.0}", self.quotas.part(charge.name)));
+                    .with(
+                        "left",
+                        format!("{:.0}", self.quotas.remaining(now, charge.name)),
+                    )
+                    .with("part", format!("{:.0}", self.quotas.share(charge.name)));
                 effects.push(Effect::Log(line));
                 let refusal = Refusal::not_run(Reason::OverLimit, self.short_of(now, charge, by));
                 self.refuse(now, serial, refusal.with_retry_after(after), effects);
@@ -182,7 +185,7 @@
     /// Why a charge was turned down.
     fn short_of(&self, now: Time, charge: Charge, by: Option<holder::Id>) -> &'static str {
         // An entry that decides alone gives no more than its part while the account is short.
-        match by.is_none() && self.quotas.left(now, charge.name) >= charge.cost as f64 {
+        match by.is_none() && self.quotas.remaining(now, charge.name) >= charge.cost as f64 {
             true => "the account is near its quota, and this entry's part is used up",
             false => "the account is over its quota",
         }
@@ -199,7 +202,7 @@
         let known = self.book.is_some();
         let result = known.then(|| {
             self.quotas
-                .charge_for_all(now, charge.name, charge.cost)
+                .charge_as_home(now, charge.name, charge.cost)
                 .into()
         });
         effects.push(Effect::ChargeAnswer {
--- a/crates/gateway/src/configs/gateway.rs
+++ b/crates/gateway/src/configs/gateway.rs
@@ -100,7 +100,7 @@
     // Quotas are kept by counts over all entries instead.
     settings.limit.enabled = false;
     // Loads of all entries are told several times a second and need no reports of the replicas.
-    settings.concurrency.stale = Span::from_seconds(1);
+    settings.concurrency.report_decay = Span::from_seconds(1);
     settings.concurrency.herd = 0.0;
     // Parts of a replica's slots say nothing among many entries: 64 slots are less than one for each of 79, and
     // an entry with many callers refused them beside idle replicas. The sums of what all run there do.
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -46,7 +46,7 @@
         }
         let engines = book.services.iter().filter_map(|one| one.engine.as_ref());
         let speeds = engines.filter_map(|engine| engine.moved_per_milli);
-        self.scheduler.set_transfers(speeds.reduce(f64::min));
+        self.scheduler.set_transfer_speed(speeds.reduce(f64::min));
         self.document = document;
         self.book_since = now;
         self.book = Some(Rc::clone(&book));
@@ -66,7 +66,8 @@
             let key = *self.accounts.entry(account.name.clone()).or_insert(next);
             self.scheduler.set_account(key, spec_of(account));
             let name = rendezvous::identity(&account.name);
-            self.quotas.set(now, name, account.rate, account.burst);
+            self.quotas
+                .set_quota(now, name, account.rate, account.burst);
         }
         let names: Vec<Name> = book
             .accounts
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -6,7 +6,7 @@
 use policy::decision::Transfer;
 use policy::job;
 use policy::replica;
-use policy::scheduler::Glance;
+use policy::scheduler::Snapshot;
 use verdict::Refusal;
 use verdict::Verdict;
 
@@ -71,7 +71,7 @@
         let Some(open) = self.open.get_mut(&job.0) else {
             return;
         };
-        let keeper = self.scheduler.keeper(job, replica);
+        let keeper = self.scheduler.cache_source(job, replica);
         let Some(place) = self.servers.place(replica) else {
             // The server went in the same step: the request is placed anew.
             return self.with_scheduler(now, effects, |scheduler, out| {
@@ -118,7 +118,7 @@
         // there was to choose from.
         let line = match first {
             true => line.routine(),
-            false => with_pool(line, &self.scheduler.glance(now, pool)),
+            false => with_pool(line, &self.scheduler.snapshot(now, pool)),
         };
         effects.push(Effect::Log(line));
         effects.push(Effect::Flight {
@@ -156,13 +156,13 @@
             None => String::from("own"),
         };
         let line = line.with("service", &open.service).with("answer", answer);
-        let line = with_pool(line, &self.scheduler.glance(now, open.job.pool));
+        let line = with_pool(line, &self.scheduler.snapshot(now, open.job.pool));
         self.send_refusal(serial, refusal, line, effects);
     }
 }
 
 /// A line with what there was to choose from.
-fn with_pool(line: Line, pool: &Glance) -> Line {
+fn with_pool(line: Line, pool: &Snapshot) -> Line {
     line.with("members", pool.members)
         .with("open", pool.open)
         .with("ejected", pool.ejected)
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -279,7 +279,7 @@
     pub fn vitals(&self, now: Time) -> Vitals {
         let pools = || self.pools.values();
         let waiting: usize = pools().map(|pool| self.scheduler.waiting(*pool)).sum();
-        let repeats: f64 = pools().map(|pool| self.scheduler.repeats_left(*pool)).sum();
+        let repeats: f64 = pools().map(|pool| self.scheduler.retries_left(*pool)).sum();
         Vitals {
             version_age_ms: now.since(self.book_since).as_millis(),
             leaving: self.servers.leaving_count() as u64,
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -126,7 +126,7 @@
         self.hub.on = true;
         self.hub.since = now;
         for peer in std::mem::take(&mut self.peer_work).into_keys() {
-            self.quotas.forget(now, peer.0);
+            self.quotas.remove_peer(now, peer.0);
         }
         self.peer_loads.clear();
         self.rollouts.peer_tallies.clear();
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -245,7 +245,7 @@
             terms: job::Terms {
                 rank: route.rank,
                 attempts: route.attempts.max(1),
-                patience: left,
+                queue_timeout: left,
             },
         })
     }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -160,7 +160,7 @@
         let rate = named.rate;
         let line = Line::info("server_limit")
             .with("replica", incarnation)
-            .with("per_second", rate.map_or(0.0, Rate::in_seconds))
+            .with("per_second", rate.map_or(0.0, Rate::requests_per_second))
             .with("limited", rate.is_some())
             .with("here", named.here);
         effects.push(Effect::Log(line));
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -68,7 +68,7 @@
             self.note_lagging(now);
         }
         // Only when there is something new, or from time to time: each piece travels to all entries.
-        if now >= self.next_quarantine || self.scheduler.urgent() {
+        if now >= self.next_quarantine || self.scheduler.take_urgent() {
             self.next_quarantine = now + QUARANTINE_TIME;
             self.publish_quarantine(now, effects);
         }
@@ -306,7 +306,7 @@
         self.usage.absorb_sum(SUM, &sum.begun);
         let first = self.roster.hubs().first() == Some(&hub);
         let (listened, heard) = self.hub.listened.unwrap_or((hub, now));
-        let silent = now.since(heard) >= self.settings.quota.silence;
+        let silent = now.since(heard) >= self.settings.quota.peer_timeout;
         if listened != hub && !first && !silent {
             return;
         }
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -304,7 +304,7 @@
     /// table service. Where only this entry's way was cut, the row of a server that left is missing just the same.
     fn doubt(&mut self, now: Time, key: replica::Key, doubted: bool, effects: &mut Vec<Effect>) {
         self.with_scheduler(now, effects, |scheduler, out| {
-            scheduler.replica_doubted(now, key, doubted, out);
+            scheduler.replica_unconfirmed(now, key, doubted, out);
         });
     }
 
--- a/crates/policy/src/concurrency/mod.rs
+++ b/crates/policy/src/concurrency/mod.rs
@@ -149,7 +149,7 @@
         let added = f64::from(self.own.jobs().saturating_sub(reported.own));
         let known = reported.others + added * peers * self.config.herd;
         let age = now.since(reported.at).as_millis() as f64;
-        let weight = (-age / self.config.stale.as_millis().max(1) as f64).exp();
+        let weight = (-age / self.config.report_decay.as_millis().max(1) as f64).exp();
         weight * known + (1.0 - weight) * guess
     }
 }
--- a/crates/policy/src/configs/concurrency.rs
+++ b/crates/policy/src/configs/concurrency.rs
@@ -11,7 +11,7 @@
     /// the table "Stale reports" in docs/MEASUREMENTS.md load is about equally even from a half on.
     pub herd: f64,
     /// Age at which a report has lost about two thirds of its weight.
-    pub stale: Span,
+    pub report_decay: Span,
     /// Weight of one new latency sample in the average.
     pub sample: f64,
     /// What remains of the limit after latency above the target. With +1 for each full round below
@@ -28,7 +28,7 @@
         Config {
             entries: 8,
             herd: 0.75,
-            stale: Span::from_seconds(5),
+            report_decay: Span::from_seconds(5),
             sample: 0.1,
             cut: 0.8,
             pause: Span::from_seconds(1),
--- a/crates/policy/src/configs/quota.rs
+++ b/crates/policy/src/configs/quota.rs
@@ -7,7 +7,7 @@
 pub struct Config {
     /// A peer not heard for so long is taken to use its equal part: several times the interval at which
     /// entries tell their counts, so that one lost message changes nothing.
-    pub silence: Span,
+    pub peer_timeout: Span,
     /// A peer not heard for so long doesn't come back under its name: longer than cuts usually last.
     pub forget: Span,
     /// Weight of the newest count in a peer's rate: about its last four messages.
@@ -28,9 +28,9 @@
     pub unused: f64,
     /// What an account may have at once beyond its quota, in the quota's unit: half of what the platform lets pass,
     /// the other half being left to what entries don't know of each other yet.
-    pub grace: u64,
+    pub overrun_burst: u64,
     /// Part of an account's rate that comes in beyond it, half of what the platform lets pass.
-    pub overrun: f64,
+    pub overrun_fraction: f64,
     /// Most entries that hear of each other directly; among more, counts come by way of hubs and take a second.
     pub few: u32,
     /// Shortest time to come back after, and the shortest that a peer's counts are spread over: one exchange of
@@ -41,7 +41,7 @@
 impl Default for Config {
     fn default() -> Config {
         Config {
-            silence: Span::from_millis(1_500),
+            peer_timeout: Span::from_millis(1_500),
             forget: Span::from_seconds(60),
             smoothing: 0.25,
             start: 0.3,
@@ -49,8 +49,8 @@
             plenty: 0.6,
             short: Span::from_seconds(2),
             unused: 4.0,
-            grace: 0,
-            overrun: 0.0,
+            overrun_burst: 0,
+            overrun_fraction: 0.0,
             few: 16,
             shortest: Span::from_millis(250),
         }
--- a/crates/policy/src/job.rs
+++ b/crates/policy/src/job.rs
@@ -46,7 +46,7 @@
     /// Most replicas it may be handed to.
     pub attempts: u32,
     /// It is given up so long after its arrival, whatever else would allow.
-    pub patience: Span,
+    pub queue_timeout: Span,
 }
 
 impl Default for Terms {
@@ -54,7 +54,7 @@
         Terms {
             rank: 0,
             attempts: u32::MAX,
-            patience: Span::from_millis(u64::MAX),
+            queue_timeout: Span::from_millis(u64::MAX),
         }
     }
 }
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -29,12 +29,12 @@
     }
 
     /// Requests a second.
-    pub fn in_seconds(self) -> f64 {
+    pub fn requests_per_second(self) -> f64 {
         f64::from(self.0) / 1_000.0
     }
 
     fn per_milli(self) -> f64 {
-        self.in_seconds() / 1_000.0
+        self.requests_per_second() / 1_000.0
     }
 }
 
@@ -114,7 +114,7 @@
         match self {
             Gate::Free => None,
             Gate::Closed => Some(0.0),
-            Gate::Paced(pace) => Some(pace.rate.in_seconds()),
+            Gate::Paced(pace) => Some(pace.rate.requests_per_second()),
         }
     }
 
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -100,7 +100,7 @@
     }
 
     /// Sets an account's quota; a rate of zero lifts it.
-    pub fn set(&mut self, now: Time, name: Name, rate: u64, burst: u64) {
+    pub fn set_quota(&mut self, now: Time, name: Name, rate: u64, burst: u64) {
         self.fill(now);
         if rate == 0 {
             self.buckets.remove(&name);
@@ -108,9 +108,9 @@
             return;
         }
         self.set_bucket(name, rate as f64, burst as f64);
-        if self.config.grace > 0 {
-            let spare = rate as f64 * self.config.overrun;
-            self.set_bucket(beyond(name), spare, self.config.grace as f64);
+        if self.config.overrun_burst > 0 {
+            let spare = rate as f64 * self.config.overrun_fraction;
+            self.set_bucket(beyond(name), spare, self.config.overrun_burst as f64);
         }
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// The same for a request of any entry, as the one that decides on the account: other entries give nothing.
-    pub fn charge_for_all(&mut self, now: Time, name: Name, cost: Cost) -> Result<Name, Span> {
+    pub fn charge_as_home(&mut self, now: Time, name: Name, cost: Cost) -> Result<Name, Span> {
         self.charge_from(now, name, cost, false)
     }
 
@@ -194,13 +194,13 @@
     }
 
     /// What is left of a quota, by what is known here; below zero while a debt is paid off.
-    pub fn left(&self, now: Time, name: Name) -> f64 {
+    pub fn remaining(&self, now: Time, name: Name) -> f64 {
         let level = self.buckets.get(&name).map_or(0.0, |bucket| bucket.level);
         level - self.unseen(now, name)
     }
 
     /// What this entry may give of the account while it is short.
-    pub fn part(&self, name: Name) -> f64 {
+    pub fn share(&self, name: Name) -> f64 {
         let bucket = self.buckets.get(&name);
         bucket.and_then(|bucket| bucket.part).unwrap_or(0.0)
     }
@@ -276,7 +276,7 @@
     }
 
     /// The other entry is gone: nothing is held back for it any more.
-    pub fn forget(&mut self, now: Time, peer: u64) {
+    pub fn remove_peer(&mut self, now: Time, peer: u64) {
         self.fill(now);
         self.peers.remove(&peer);
     }
@@ -300,7 +300,7 @@
     /// cut off in a flood gave it away a second time.
     fn settle(&mut self, now: Time) {
         let config = self.config;
-        let seconds = config.silence.as_millis() as f64 / 1_000.0;
+        let seconds = config.peer_timeout.as_millis() as f64 / 1_000.0;
         let fallen = self
             .peers
             .values_mut()
@@ -420,6 +420,6 @@
     }
 
     fn is_fresh(&self, now: Time, config: &Config) -> bool {
-        now.since(self.heard) < config.silence
+        now.since(self.heard) < config.peer_timeout
     }
 }
--- a/crates/policy/src/scheduler/intake.rs
+++ b/crates/policy/src/scheduler/intake.rs
@@ -121,7 +121,7 @@
                 claim: None,
                 tried: Vec::new(),
                 sent: 0,
-                patience: now + job.terms.patience,
+                patience: now + job.terms.queue_timeout,
                 predicted,
             },
         );
--- a/crates/policy/src/scheduler/mod.rs
+++ b/crates/policy/src/scheduler/mod.rs
@@ -38,7 +38,7 @@
 use crate::scheduler::state::Replica;
 use crate::wave;
 
-pub use crate::scheduler::state::Explain;
+pub use crate::scheduler::state::Explanation;
 
 /// The decisions of one entry.
 #[derive(Debug)]
@@ -82,7 +82,7 @@
 
 /// How a pool stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Glance {
+pub struct Snapshot {
     /// Replicas that neither leave nor are lost.
     pub members: usize,
     /// Those of them that may take one more job.
@@ -166,7 +166,7 @@
 
     /// Notes a cache event of the replica: that it holds a prefix, or no longer does. Events may come
     /// late and with gaps, which the rising sequence number shows.
-    pub fn replica_cached(
+    pub fn replica_cache_event(
         &mut self,
         now: Time,
         key: replica::Key,
@@ -182,7 +182,7 @@
     ///
     /// Gains the time to read it again: half of the shared tokens that were read twice, 0.013 of what served requests
     /// are worth, mean of 15 days with faults.
-    pub fn keeper(&self, id: job::Id, chosen: replica::Key) -> Option<replica::Key> {
+    pub fn cache_source(&self, id: job::Id, chosen: replica::Key) -> Option<replica::Key> {
         match self.settings.placement.wave {
             true => self.other_home(id, chosen),
             false => None,
@@ -190,7 +190,7 @@
     }
 
     /// Tokens of memory that move between replicas in a millisecond; none if runs can't be moved.
-    pub fn set_transfers(&mut self, tokens_per_milli: Option<f64>) {
+    pub fn set_transfer_speed(&mut self, tokens_per_milli: Option<f64>) {
         self.settings.placement.wave = tokens_per_milli.is_some();
         if let Some(speed) = tokens_per_milli {
             self.settings.wave.tokens_per_milli = speed;
@@ -211,7 +211,7 @@
 
     /// The replica may be gone, or is known again to be there: while it is doubted it gets work only if no other of
     /// its pool has room.
-    pub fn replica_doubted(
+    pub fn replica_unconfirmed(
         &mut self,
         now: Time,
         key: replica::Key,
@@ -337,12 +337,12 @@
     }
 
     /// Whether the digest holds news that shouldn't wait for the period; asking resets it.
-    pub fn urgent(&mut self) -> bool {
+    pub fn take_urgent(&mut self) -> bool {
         self.quarantine.urgent()
     }
 
     /// Why an open job is where it is.
-    pub fn explain(&self, id: job::Id) -> Option<Explain> {
+    pub fn explain(&self, id: job::Id) -> Option<Explanation> {
         self.open.get(&id).map(Open::explain)
     }
 
@@ -352,18 +352,18 @@
     }
 
     /// Repeats that may still be made in a pool.
-    pub fn repeats_left(&self, pool: pool::Key) -> f64 {
+    pub fn retries_left(&self, pool: pool::Key) -> f64 {
         self.pools.get(&pool).map_or(0.0, |pool| pool.budget.left())
     }
 
     /// How a pool stands, for the log's line on a refusal.
-    pub fn glance(&self, now: Time, key: pool::Key) -> Glance {
+    pub fn snapshot(&self, now: Time, key: pool::Key) -> Snapshot {
         let Some(pool) = self.pools.get(&key) else {
-            return Glance::default();
+            return Snapshot::default();
         };
         let candidates = self.candidates(now, pool);
         let allowed = pool.members.iter().map(|key| pool.monitor.allowance(*key));
-        Glance {
+        Snapshot {
             members: pool.members.len(),
             open: candidates.iter().filter(|one| one.open).count(),
             ejected: allowed.filter(|one| *one == Allowance::None).count(),
--- a/crates/policy/src/scheduler/state.rs
+++ b/crates/policy/src/scheduler/state.rs
@@ -201,8 +201,8 @@
 }
 
 impl Open {
-    pub fn explain(&self) -> Explain {
-        Explain {
+    pub fn explain(&self) -> Explanation {
+        Explanation {
             class: self.class,
             cost: self.cost,
             predicted_wait: self.predicted,
@@ -215,7 +215,7 @@
 
 /// Why a job is where it is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Explain {
+pub struct Explanation {
     /// Its size class.
     pub class: Class,
     /// Its estimated cost.
--- a/crates/policy/tests/charge.rs
+++ b/crates/policy/tests/charge.rs
@@ -68,14 +68,14 @@
 impl World {
     fn new(entries: usize, burst: u64) -> World {
         let config = quota::Config {
-            grace: ALLOWANCE,
+            overrun_burst: ALLOWANCE,
             ..quota::Config::default()
         };
         let mut quotas = Vec::new();
         for _ in 0..entries {
             let mut one = Quotas::new(config);
             one.set_entries(Time::ZERO, entries as u32);
-            one.set(Time::ZERO, ACCOUNT, RATE, burst);
+            one.set_quota(Time::ZERO, ACCOUNT, RATE, burst);
             quotas.push(one);
         }
         let charges = (0..entries).map(|me| Charges::new(charge::Config::default(), me as Entry));
@@ -154,7 +154,7 @@
                 };
                 return self.send(entry, home as usize, ask);
             }
-            Step::Home => self.quotas[entry].charge_for_all(now, ACCOUNT, charge.cost),
+            Step::Home => self.quotas[entry].charge_as_home(now, ACCOUNT, charge.cost),
             Step::Alone => self.quotas[entry].charge(now, ACCOUNT, charge.cost),
         };
         self.count(charge.cost, result.is_ok());
@@ -184,7 +184,7 @@
             match message {
                 Message::Ask { from, serial, cost } => {
                     let now = self.time();
-                    let result = self.quotas[to].charge_for_all(now, ACCOUNT, cost);
+                    let result = self.quotas[to].charge_as_home(now, ACCOUNT, cost);
                     let answer = Message::Answer {
                         by: to,
                         serial,
--- a/crates/policy/tests/pace.rs
+++ b/crates/policy/tests/pace.rs
@@ -31,7 +31,7 @@
         .iter()
         .map(|me| share(&config, 99, limit, &all, *me))
         .filter_map(|share| match share {
-            Share::Part(rate) => Some(rate.in_seconds()),
+            Share::Part(rate) => Some(rate.requests_per_second()),
             _ => None,
         });
     let shares: Vec<f64> = shares.collect();
@@ -101,7 +101,7 @@
         terms: job::Terms {
             rank: 0,
             attempts: 2,
-            patience,
+            queue_timeout: patience,
         },
     }
 }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -29,7 +29,7 @@
         for _ in 0..ENTRIES {
             let mut quotas = Quotas::new(Config::default());
             quotas.set_entries(Time::ZERO, ENTRIES as u32);
-            quotas.set(Time::ZERO, ACCOUNT, RATE, BURST);
+            quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
             entries.push(quotas);
         }
         World {
@@ -120,7 +120,7 @@
 #[test]
 fn the_time_to_come_back_holds() {
     let mut quotas = Quotas::new(Config::default());
-    quotas.set(Time::ZERO, ACCOUNT, RATE, BURST);
+    quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
     let now = Time::from_millis(5_000);
     assert!(quotas.charge(now, ACCOUNT, BURST).is_ok());
     let after = quotas.charge(now, ACCOUNT, 4 * COST).expect_err("is empty");
@@ -131,7 +131,7 @@
 #[test]
 fn a_refund_gives_the_tokens_back() {
     let mut quotas = Quotas::new(Config::default());
-    quotas.set(Time::ZERO, ACCOUNT, RATE, BURST);
+    quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
     let now = Time::from_millis(5_000);
     assert!(quotas.charge(now, ACCOUNT, BURST).is_ok());
     quotas.refund(ACCOUNT, BURST);
@@ -144,7 +144,7 @@
 fn replaced_entries_take_no_part_of_the_quota() {
     let mut quotas = Quotas::new(Config::default());
     quotas.set_entries(Time::ZERO, ENTRIES as u32);
-    quotas.set(Time::ZERO, ACCOUNT, RATE, BURST);
+    quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
     let others = ENTRIES as u64 - 1;
     let mut now = 0;
     let mut served = 0;
@@ -171,7 +171,7 @@
 fn a_sum_that_falls_and_rises_is_charged_once() {
     let mut quotas = Quotas::new(Config::default());
     quotas.set_entries(Time::ZERO, 3);
-    quotas.set(Time::ZERO, ACCOUNT, RATE, BURST);
+    quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
     let sum = |tokens| BTreeMap::from([(ACCOUNT, tokens)]);
     let mut now = 2_000;
     quotas.rebase(Time::from_millis(now), 1, &sum(900_000), 2);
@@ -181,7 +181,7 @@
     }
     now += 500;
     quotas.absorb_sum(Time::from_millis(now), 1, &sum(399_000), 2);
-    let left = quotas.left(Time::from_millis(now), ACCOUNT);
+    let left = quotas.remaining(Time::from_millis(now), ACCOUNT);
     assert!((left - BURST as f64).abs() < 1.0, "{left}");
 }
 
@@ -192,7 +192,7 @@
     // charge of one millisecond, and so much was held back for what the neighbour would charge until it spoke.
     let mut quotas = Quotas::new(Config::default());
     quotas.set_entries(Time::ZERO, 2);
-    quotas.set(Time::ZERO, ACCOUNT, RATE, BURST);
+    quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
     quotas.absorb(Time::ZERO, 1, &BTreeMap::from([(ACCOUNT, 0)]));
     quotas.absorb(Time::from_millis(999), 1, &BTreeMap::from([(ACCOUNT, 900)]));
     quotas.absorb(
@@ -275,14 +275,14 @@
     fn entries(now: u64, burst: u64) -> Vec<Quotas> {
         let now = Time::from_millis(now);
         let config = Config {
-            grace: Large::GRACE,
+            overrun_burst: Large::GRACE,
             ..Config::default()
         };
         let mut entries = Vec::new();
         for _ in 0..Large::ENTRIES {
             let mut quotas = Quotas::new(config);
             quotas.set_entries(now, Large::ENTRIES as u32);
-            quotas.set(now, ACCOUNT, Large::RATE, burst);
+            quotas.set_quota(now, ACCOUNT, Large::RATE, burst);
             entries.push(quotas);
         }
         entries
@@ -401,7 +401,7 @@
 fn a_refund_gives_the_part_back() {
     let mut quotas = Quotas::new(Config::default());
     quotas.set_entries(Time::ZERO, 20);
-    quotas.set(Time::ZERO, ACCOUNT, RATE, BURST);
+    quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
     let now = Time::from_millis(250);
     let part = BURST / 20;
     let charged = quotas.charge(now, ACCOUNT, part).expect("its first part");
@@ -416,11 +416,11 @@
 fn requests_beyond_the_quota_take_nothing_from_those_within() {
     let grace = 5_000;
     let config = Config {
-        grace,
+        overrun_burst: grace,
         ..Config::default()
     };
     let mut quotas = Quotas::new(config);
-    quotas.set(Time::ZERO, ACCOUNT, RATE, BURST);
+    quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
     let mut now = Time::from_millis(2_000);
     let mut beyond = 0;
     while quotas.charge(now, ACCOUNT, COST).is_ok() {
--- a/crates/policy/tests/support/policy.rs
+++ b/crates/policy/tests/support/policy.rs
@@ -58,7 +58,7 @@
     }
 
     fn cached(&mut self, now: Time, key: replica::Key, event: &CacheEvent) {
-        self.replica_cached(now, key, event.sequence, event.prefix, event.stored);
+        self.replica_cache_event(now, key, event.sequence, event.prefix, event.stored);
     }
 
     fn leaving(&mut self, now: Time, key: replica::Key, deadline: Time, out: &mut Vec<Decision>) {
--- a/crates/policy/tests/support/world/mod.rs
+++ b/crates/policy/tests/support/world/mod.rs
@@ -231,7 +231,7 @@
         }
         self.arm(entry);
         let scheduler = self.entries[entry].scheduler();
-        if scheduler.is_some_and(|scheduler| scheduler.urgent()) {
+        if scheduler.is_some_and(|scheduler| scheduler.take_urgent()) {
             self.tell(entry);
         }
     }
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -24,8 +24,10 @@
         repeat_allowance: f64::from(options.repeats_allowed),
         quota: policy::configs::quota::Config {
             // The other half is left to what entries don't know of each other yet.
-            grace: options.quota_allowance / 2,
-            overrun: decimal("gateway.quota_overrun", &options.quota_overrun).unwrap_or(0.0) / 2.0,
+            overrun_burst: options.quota_allowance / 2,
+            overrun_fraction: decimal("gateway.quota_overrun", &options.quota_overrun)
+                .unwrap_or(0.0)
+                / 2.0,
             ..defaults.quota
         },
         zero_unix_ms: unix_ms(),
