--- a/crates/gateway/src/configs/gateway.rs
+++ b/crates/gateway/src/configs/gateway.rs
@@ -88,7 +88,7 @@
     pub fn shared_out(mut self) -> Settings {
         let entries = f64::from(self.entries.max(1));
         self.scheduler.retry.fraction = self.repeat_ratio;
-        self.scheduler.retry.saved = (self.repeat_allowance / entries).max(1.0);
+        self.scheduler.retry.max_saved = (self.repeat_allowance / entries).max(1.0);
         self.scheduler.concurrency.entries = self.entries;
         self
     }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -188,8 +188,8 @@
         for (target, count) in wanted {
             let state = orders.targets.entry(target.clone()).or_default();
             let linger = match target.market {
-                Market::OnDemand => config.linger,
-                Market::Reclaimable => config.cheap_linger,
+                Market::OnDemand => config.on_demand_hold,
+                Market::Reclaimable => config.reclaimable_hold,
             };
             if let Some(count) = state.due(now, count, scaling.boot, linger) {
                 due.push((target, count, state.have));
@@ -241,7 +241,7 @@
     /// The platform answered an order.
     pub(crate) fn order_answered(&mut self, now: Time, id: u64, outcome: duty::Outcome) {
         let fleet = &mut self.duties.fleet;
-        let refusal = now + fleet.config.refusal;
+        let refusal = now + fleet.config.refusal_hold;
         let targets = fleet.services.values_mut();
         let mut states = targets.flat_map(|orders| orders.targets.values_mut());
         let answered = states.find(|state| state.given.is_some_and(|one| one.call == Some(id)));
@@ -336,8 +336,8 @@
             });
         }
         let bounds = cover::Bounds {
-            least: scaling.least,
-            most: scaling.most,
+            min: scaling.least,
+            max: scaling.most,
             reclaimable: scaling.reclaimable_price.is_some(),
         };
         let wanted = cover::plan(config, busy, &zones, bounds);
--- a/crates/policy/benches/routing/main.rs
+++ b/crates/policy/benches/routing/main.rs
@@ -75,7 +75,7 @@
     for seconds in [0, 2, 5, 10, 30, 60] {
         let mut settings = Settings::default();
         settings.placement.warmup = seconds > 0;
-        settings.warmup.span = Span::from_seconds(seconds);
+        settings.warmup.duration = Span::from_seconds(seconds);
         let pattern = returning_zone();
         let tallies = run(settings, &pattern, SEEDS);
         let mean =
--- a/crates/policy/examples/health.rs
+++ b/crates/policy/examples/health.rs
@@ -31,8 +31,8 @@
     for slow in [2.0, 2.5, 3.0, 4.0] {
         for sample in [0.025, 0.05, 0.1, 1.0] {
             let config = Config {
-                slow,
-                sample,
+                slow_factor: slow,
+                gap_smoothing: sample,
                 ..Config::default()
             };
             let wrong: u32 = (0..SEEDS).map(|seed| wrong_ejections(config, seed)).sum();
@@ -101,8 +101,8 @@
     fn new(config: Config, seed: u64) -> Pool {
         let mut monitor = Monitor::new(config);
         for key in 0..REPLICAS {
-            monitor.joined(Time::ZERO, Key(key));
-            monitor.started(Time::ZERO, Key(key));
+            monitor.add(Time::ZERO, Key(key));
+            monitor.record_start(Time::ZERO, Key(key));
         }
         Pool {
             monitor,
@@ -141,10 +141,10 @@
             end = self.millis as f64 + takes;
             streams = (streams + self.random.random_range(-1.0..1.0)).clamp(1.0, 16.0);
             if !self.is_out(key) {
-                self.monitor.progressed(now, Key(key), Some(takes));
+                self.monitor.record_progress(now, Key(key), Some(takes));
                 if self.random.random_bool(0.1) {
-                    self.monitor.ended(now, Key(key), End::Finished);
-                    self.monitor.started(now, Key(key));
+                    self.monitor.record_end(now, Key(key), End::Finished);
+                    self.monitor.record_start(now, Key(key));
                 }
             }
         }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -81,7 +81,7 @@
 
 impl Service {
     /// Notes an attempt's time from start to first token.
-    pub fn note_first(&mut self, settings: &Config, class: Class, prompt: u32, took: Span) {
+    pub fn record_first_token(&mut self, settings: &Config, class: Class, prompt: u32, took: Span) {
         let prompt = f64::from(prompt);
         let took = took.as_millis() as f64;
         self.lines[class as usize].note(prompt, took, settings.smoothing);
@@ -95,14 +95,14 @@
     }
 
     /// Notes an attempt's whole duration and cost.
-    pub fn note_end(&mut self, settings: &Config, cost: Cost, took: Span) {
+    pub fn record_end(&mut self, settings: &Config, cost: Cost, took: Span) {
         self.duration
             .note(took.as_millis() as f64, settings.smoothing);
         self.cost.note(cost as f64, settings.smoothing);
     }
 
     /// Time from start to first token to expect; at least that of an idle replica.
-    pub fn first(&self, class: Class, prompt: u32) -> Span {
+    pub fn first_token_time(&self, class: Class, prompt: u32) -> Span {
         let idle = self.idle(prompt);
         let line = self.lines[class as usize].at(f64::from(prompt));
         millis(line.unwrap_or(idle).max(idle))
@@ -115,7 +115,7 @@
 
     /// The time that a job has for its first token: its target, or more if even an idle replica
     /// takes longer (else it would be refused for ever).
-    pub fn allowed(&self, settings: &Config, target: Span, prompt: u32) -> Span {
+    pub fn allowed_time(&self, settings: &Config, target: Span, prompt: u32) -> Span {
         let idle = self.idle(prompt);
         if idle <= target.as_millis() as f64 {
             return target;
@@ -124,7 +124,7 @@
     }
 
     /// Cost that ends in a second while so many attempts run; none before anything has ended.
-    pub fn rate(&self, running: u32) -> Option<f64> {
+    pub fn drain_rate(&self, running: u32) -> Option<f64> {
         if self.duration.seen == 0.0 || self.duration.value <= 0.0 {
             return None;
         }
@@ -134,7 +134,7 @@
 }
 
 /// Time until so much has been served at that rate.
-pub fn wait(ahead: Cost, rate: Option<f64>) -> Span {
+pub fn wait_time(ahead: Cost, rate: Option<f64>) -> Span {
     match rate {
         Some(rate) if rate > 0.0 => millis(ahead as f64 / rate * 1_000.0),
         _ => Span::ZERO,
--- a/crates/policy/src/affinity/mod.rs
+++ b/crates/policy/src/affinity/mod.rs
@@ -89,7 +89,7 @@
         let bound = self.bound(candidates);
         let fits = |candidate: &Candidate| candidate.open && candidate.load <= bound;
         let nodes = || candidates.iter().map(|node| (node, node.identity));
-        let (home, second) = rendezvous::two(prefix, nodes());
+        let (home, second) = rendezvous::top_two(prefix, nodes());
         if let Some(home) = home.filter(|node| fits(node)) {
             return Some(Choice::Home(home.key));
         }
@@ -102,7 +102,7 @@
             return Some(Choice::Hinted(hinted.key));
         }
         let fitting = nodes().filter(|(node, _)| fits(node));
-        let spilled = match rendezvous::two(prefix, fitting).0 {
+        let spilled = match rendezvous::top_two(prefix, fitting).0 {
             Some(next) => next.key,
             None => self.balance(candidates)?,
         };
--- a/crates/policy/src/brownout.rs
+++ b/crates/policy/src/brownout.rs
@@ -77,7 +77,7 @@
     ///
     /// An idle account passes unless most of its work is shed: rates measured over a short time would
     /// thin out a small account for two requests that happen to come together.
-    pub fn passes(&mut self, key: account::Key, idle: bool) -> bool {
+    pub fn admits(&mut self, key: account::Key, idle: bool) -> bool {
         let Some(offer) = self.offers.get_mut(&key) else {
             return true;
         };
@@ -93,7 +93,7 @@
     }
 
     /// Cost a second offered over all accounts.
-    pub fn total(&self) -> f64 {
+    pub fn offered_rate(&self) -> f64 {
         self.total
     }
 
--- a/crates/policy/src/configs/admission.rs
+++ b/crates/policy/src/configs/admission.rs
@@ -7,7 +7,7 @@
     pub enabled: bool,
     /// Most jobs waiting in one pool, whatever the prediction: 46 MB by the table "Slopes of a decision"
     /// of docs/MEASUREMENTS.md.
-    pub most_waiting: usize,
+    pub max_waiting: usize,
     /// Weight of the newest observation in the running means: about the last twenty, which the slots of
     /// an entry end in two to three seconds.
     pub smoothing: f64,
@@ -23,7 +23,7 @@
     fn default() -> Config {
         Config {
             enabled: true,
-            most_waiting: 100_000,
+            max_waiting: 100_000,
             smoothing: 0.05,
             wait_share: 0.8,
             stretch: 3.0,
--- a/crates/policy/src/configs/limit.rs
+++ b/crates/policy/src/configs/limit.rs
@@ -12,9 +12,9 @@
     /// How often a digest is told.
     pub period: Span,
     /// A peer not heard for so long is silent: it may use its equal part and no more.
-    pub silence: Span,
+    pub peer_timeout: Span,
     /// Most claims in one digest.
-    pub most_claims: usize,
+    pub max_claims: usize,
     /// Part of an equal share that an entry keeps without demand.
     pub floor: f64,
     /// Unused tokens may be saved for this long.
@@ -29,8 +29,8 @@
             enabled: true,
             entries: 8,
             period: Span::from_millis(500),
-            silence: Span::from_seconds(3),
-            most_claims: 64,
+            peer_timeout: Span::from_seconds(3),
+            max_claims: 64,
             floor: 0.25,
             burst: Span::from_seconds(2),
             smoothing: 0.5,
--- a/crates/policy/src/configs/placement.rs
+++ b/crates/policy/src/configs/placement.rs
@@ -22,17 +22,17 @@
     pub wave: bool,
     /// Queue heads looked at when the first can't be placed: enough that one account's suspects or
     /// retried jobs don't block the others, few enough that a decision stays short.
-    pub heads: usize,
+    pub max_heads: usize,
     /// How long a job whose caller already has its first token waits for a place after a crash.
-    pub patience: Span,
+    pub resume_timeout: Span,
     /// The notices of one wave come within this time: moves are planned after it, so that nothing is
     /// moved to a replica that is named next.
-    pub gather: Span,
+    pub gather_window: Span,
     /// Moves are planned anew this often while jobs are left on leaving replicas.
-    pub review: Span,
+    pub replan_interval: Span,
     /// This long before a deadline, after the plan's own margin, full replicas are overbooked: a place
     /// in a replica's own queue is better than a lost answer.
-    pub last_call: Span,
+    pub overbook_window: Span,
 }
 
 impl Default for Config {
@@ -45,11 +45,11 @@
             blame_streams: true,
             warmup: true,
             wave: true,
-            heads: 8,
-            patience: Span::from_seconds(30),
-            gather: Span::from_millis(50),
-            review: Span::from_millis(250),
-            last_call: Span::from_millis(1_500),
+            max_heads: 8,
+            resume_timeout: Span::from_seconds(30),
+            gather_window: Span::from_millis(50),
+            replan_interval: Span::from_millis(250),
+            overbook_window: Span::from_millis(1_500),
         }
     }
 }
--- a/crates/policy/src/configs/quarantine.rs
+++ b/crates/policy/src/configs/quarantine.rs
@@ -8,7 +8,7 @@
     /// Crashes of different incarnations after which a fingerprint is quarantined.
     ///
     /// One could be chance; two are the fewest that show a pattern, and each costs a replica.
-    pub crashes: usize,
+    pub crash_threshold: usize,
     /// How long a suspect is held before it runs alone, and how far apart crashes of one zone may
     /// lie to count as one event.
     ///
@@ -16,50 +16,50 @@
     /// batching) by far, so that crashes seen elsewhere are known before the next replica is risked.
     pub settle: Span,
     /// Spread added to `settle`, so that fewer claims meet.
-    pub spread: Span,
+    pub settle_jitter: Span,
     /// How long a claim on a replica must stand before the suspect starts: more than two ways of a
     /// digest (36 ms at most each over the entries of the fault matrix), so that of two entries that
     /// claim at once one knows in time to yield.
-    pub dispute: Span,
+    pub claim_delay: Span,
     /// Replicas of one zone lost within `settle` that count as the loss of the zone, not of a
     /// killer: one more than the replicas a killer may take.
-    pub zone_loss: usize,
+    pub zone_loss_threshold: usize,
     /// Replicas of any zones lost within `settle` that count as an event from outside: more than a killer
     /// takes that is sent through all entries in the same moment. Without it everything that ran on a
     /// quarter of a pool is held and tried one by one.
-    pub mass_loss: usize,
+    pub mass_loss_threshold: usize,
     /// How long suspicion and quarantine last.
     ///
     /// An ordinary replica fails every 52 days (230 of 12,000 a day), so an innocent suspect that
     /// runs alone for 10 s is blamed for a chance crash 2 times in a million: the term needn't be
     /// short for its sake. It bounds what a standing killer costs: one replica a term.
-    pub term: Span,
+    pub duration: Span,
     /// How long a peer's word that a suspect runs at a replica holds without being repeated: three
     /// digests at one a second.
-    pub claim: Span,
+    pub claim_ttl: Span,
     /// A digest leaves out what expires sooner than this, so that two entries can't teach each
     /// other an expired record over and over; longer than any digest's way.
-    pub margin: Span,
+    pub min_remaining: Span,
     /// Most records kept.
-    pub records: usize,
+    pub max_records: usize,
     /// Most records and crashes in one digest.
-    pub digest: usize,
+    pub max_digest_items: usize,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            crashes: 2,
+            crash_threshold: 2,
             settle: Span::from_millis(300),
-            spread: Span::from_millis(100),
-            dispute: Span::from_millis(100),
-            zone_loss: 3,
-            mass_loss: 5,
-            term: Span::from_seconds(3_600),
-            claim: Span::from_seconds(3),
-            margin: Span::from_seconds(5),
-            records: 1_024,
-            digest: 64,
+            settle_jitter: Span::from_millis(100),
+            claim_delay: Span::from_millis(100),
+            zone_loss_threshold: 3,
+            mass_loss_threshold: 5,
+            duration: Span::from_seconds(3_600),
+            claim_ttl: Span::from_seconds(3),
+            min_remaining: Span::from_seconds(5),
+            max_records: 1_024,
+            max_digest_items: 64,
         }
     }
 }
--- a/crates/policy/src/configs/retry.rs
+++ b/crates/policy/src/configs/retry.rs
@@ -10,13 +10,13 @@
     /// Retries earned by one whole answer.
     pub fraction: f64,
     /// Retries that may be saved up; also what a new pool begins with.
-    pub saved: f64,
+    pub max_saved: f64,
     /// Most attempts of one job.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// Shortest time to come back after.
-    pub shortest: Span,
+    pub min_delay: Span,
     /// Longest time to come back after.
-    pub longest: Span,
+    pub max_delay: Span,
     /// Share of the drain rate that returning callers are spread over: half, the whole and twice were
     /// measured, docs/design/policy-queues.md.
     pub return_share: f64,
@@ -27,10 +27,10 @@
         Config {
             enabled: true,
             fraction: 0.1,
-            saved: 20.0,
-            attempts: 3,
-            shortest: Span::from_millis(200),
-            longest: Span::from_seconds(30),
+            max_saved: 20.0,
+            max_attempts: 3,
+            min_delay: Span::from_millis(200),
+            max_delay: Span::from_seconds(30),
             return_share: 1.0,
         }
     }
--- a/crates/policy/src/configs/size.rs
+++ b/crates/policy/src/configs/size.rs
@@ -9,7 +9,7 @@
     pub long_factor: f64,
     /// Part of the work that long jobs must make up before replicas are set apart for them: one in a
     /// hundred is less than a replica of the smallest pool that has spare ones.
-    pub least_part: f64,
+    pub min_share: f64,
     /// Weight of the newest job in the means: about the last hundred arrivals.
     pub smoothing: f64,
 }
@@ -19,7 +19,7 @@
         Config {
             enabled: true,
             long_factor: 4.0,
-            least_part: 0.01,
+            min_share: 0.01,
             smoothing: 0.01,
         }
     }
--- a/crates/policy/src/configs/slots.rs
+++ b/crates/policy/src/configs/slots.rs
@@ -7,14 +7,14 @@
     pub enabled: bool,
     /// Equal parts of the slots reported free that an entry takes on top of its own a report: a half, one
     /// and two were measured, docs/design/policy-queues.md.
-    pub borrowed_parts: f64,
+    pub borrowed_shares: f64,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
             enabled: true,
-            borrowed_parts: 0.5,
+            borrowed_shares: 0.5,
         }
     }
 }
--- a/crates/policy/src/configs/warmup.rs
+++ b/crates/policy/src/configs/warmup.rs
@@ -6,18 +6,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Share of its slots that a new replica may use at once.
-    pub start: f64,
+    pub initial_share: f64,
     /// Time until it may use all of them: about twice what a replica takes to compute as many
     /// prefixes as its cache holds (2.4 s for the engine of the table "Warm-up" in
     /// docs/MEASUREMENTS.md, where 5 s is best). Longer wastes capacity, shorter warms nothing.
-    pub span: Span,
+    pub duration: Span,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            start: 0.1,
-            span: Span::from_seconds(5),
+            initial_share: 0.1,
+            duration: Span::from_seconds(5),
         }
     }
 }
--- a/crates/policy/src/configs/wave.rs
+++ b/crates/policy/src/configs/wave.rs
@@ -25,7 +25,7 @@
     pub reruns: bool,
     /// Times its expected rest that a job must have left to be let finish: a job that doesn't end
     /// in time after all is run again in full.
-    pub patience: f64,
+    pub finish_factor: f64,
 }
 
 impl Default for Config {
@@ -37,7 +37,7 @@
             margin: Span::from_seconds(1),
             margin_share: 0.25,
             reruns: true,
-            patience: 1.25,
+            finish_factor: 1.25,
         }
     }
 }
--- a/crates/policy/src/cover.rs
+++ b/crates/policy/src/cover.rs
@@ -42,9 +42,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Fewest replicas.
-    pub least: u32,
+    pub min: u32,
     /// Most replicas.
-    pub most: u32,
+    pub max: u32,
     /// Whether there are reclaimable ones at all.
     pub reclaimable: bool,
 }
@@ -64,14 +64,16 @@
     if zones.is_empty() {
         return wanted;
     }
-    let comfort = needed(busy, config.comfort);
+    let comfort = needed(busy, config.target_utilization);
     if !bounds.reclaimable {
         spread(&mut wanted, zones, bounds, comfort);
         return wanted;
     }
     let missing = |reclaimable: &[u32]| {
-        let now = needed(busy, config.stress).saturating_sub(reclaimable.iter().sum());
-        let next = needed(busy, config.bridge).saturating_sub(without_largest(reclaimable));
+        let now =
+            needed(busy, config.shortage_utilization).saturating_sub(reclaimable.iter().sum());
+        let next =
+            needed(busy, config.failover_utilization).saturating_sub(without_largest(reclaimable));
         now.max(next)
     };
     // On-demand replicas that serve are given back only once those that replace them serve too.
@@ -79,9 +81,9 @@
     let standing: u32 = zones.iter().map(|zone| zone.on_demand.live).sum();
     let kept = missing(&serving).min(standing);
     spread(&mut wanted, zones, bounds, kept);
-    let each = comfort.div_ceil(zones.len() as u32).max(bounds.least);
+    let each = comfort.div_ceil(zones.len() as u32).max(bounds.min);
     for (zone, wanted) in zones.iter().zip(&mut wanted) {
-        let room = bounds.most.saturating_sub(wanted.on_demand);
+        let room = bounds.max.saturating_sub(wanted.on_demand);
         wanted.reclaimable = match zone.open {
             true => each.min(room),
             // Nothing can be added, and what is there must not be given back now.
@@ -124,7 +126,7 @@
                 2 + taken(at)
             }
         };
-        let free = (0..zones.len()).filter(|at| taken(*at) < bounds.most);
+        let free = (0..zones.len()).filter(|at| taken(*at) < bounds.max);
         let best = free.min_by(|one, other| {
             let by_rank = rank(*one).cmp(&rank(*other));
             by_rank.then(zones[*one].price.total_cmp(&zones[*other].price))
--- a/crates/policy/src/fair/estimate.rs
+++ b/crates/policy/src/fair/estimate.rs
@@ -14,7 +14,7 @@
     }
 
     /// Notes a whole answer.
-    pub fn note(&mut self, tokens: u32, smoothing: f64) {
+    pub fn record(&mut self, tokens: u32, smoothing: f64) {
         let tokens = f64::from(tokens);
         let mean = self.mean.get_or_insert(tokens);
         *mean += smoothing * (tokens - *mean);
--- a/crates/policy/src/fair/level.rs
+++ b/crates/policy/src/fair/level.rs
@@ -124,7 +124,7 @@
     }
 
     /// How many jobs the account has waiting.
-    pub fn waiting_of(&self, account: account::Key) -> usize {
+    pub fn waiting_jobs(&self, account: account::Key) -> usize {
         self.lanes.get(&account).map_or(0, Lane::len)
     }
 
@@ -132,7 +132,7 @@
     ///
     /// The account's own queue, and what it has had in advance, drain at its share of the rate; but
     /// nothing waits for more than the whole queue.
-    pub fn ahead(&self, account: account::Key, weight: u32) -> Cost {
+    pub fn cost_ahead(&self, account: account::Key, weight: u32) -> Cost {
         if !self.enabled {
             return self.cost;
         }
--- a/crates/policy/src/fair/mod.rs
+++ b/crates/policy/src/fair/mod.rs
@@ -123,22 +123,22 @@
     }
 
     /// How many jobs the account has waiting.
-    pub fn waiting_of(&self, priority: u8, account: account::Key) -> usize {
+    pub fn waiting_jobs(&self, priority: u8, account: account::Key) -> usize {
         self.levels
             .get(&priority)
-            .map_or(0, |level| level.waiting_of(account))
+            .map_or(0, |level| level.waiting_jobs(account))
     }
 
     /// Cost that will be served before a new job of the account, as far as its share tells.
     ///
     /// All that waits in front of its priority; of its own, the account's queue and what it has had
     /// in advance, which drain at its share of the rate, but never more than all of it.
-    pub fn ahead(&self, priority: u8, account: account::Key, weight: u32) -> Cost {
+    pub fn cost_ahead(&self, priority: u8, account: account::Key, weight: u32) -> Cost {
         let before = self.levels.range(..priority).map(|(_, level)| level.cost());
         let own = self
             .levels
             .get(&priority)
-            .map_or(0, |level| level.ahead(account, weight));
+            .map_or(0, |level| level.cost_ahead(account, weight));
         before.sum::<Cost>() + own
     }
 
--- a/crates/policy/src/health/mod.rs
+++ b/crates/policy/src/health/mod.rs
@@ -64,41 +64,41 @@
     }
 
     /// A replica joined the pool.
-    pub fn joined(&mut self, now: Time, key: replica::Key) {
+    pub fn add(&mut self, now: Time, key: replica::Key) {
         self.peers.insert(key, Peer::new(now, &self.config));
     }
 
     /// A replica left the pool or is lost.
-    pub fn left(&mut self, key: replica::Key) {
+    pub fn remove(&mut self, key: replica::Key) {
         self.peers.remove(&key);
     }
 
     /// An attempt was started there.
-    pub fn started(&mut self, now: Time, key: replica::Key) {
+    pub fn record_start(&mut self, now: Time, key: replica::Key) {
         if let Some(peer) = self.peers.get_mut(&key) {
-            peer.started(now);
+            peer.record_start(now);
         }
     }
 
     /// A stream said something; `gap` is the time for each of its tokens in ms, where known. A plain
     /// call's whole time counts as its gap.
-    pub fn progressed(&mut self, now: Time, key: replica::Key, gap: Option<f64>) {
+    pub fn record_progress(&mut self, now: Time, key: replica::Key, gap: Option<f64>) {
         if let Some(peer) = self.peers.get_mut(&key) {
-            peer.spoke(now, gap);
+            peer.record_progress(now, gap);
         }
     }
 
     /// A load report came, which a frozen process doesn't send.
-    pub fn reported(&mut self, now: Time, key: replica::Key) {
+    pub fn record_report(&mut self, now: Time, key: replica::Key) {
         if let Some(peer) = self.peers.get_mut(&key) {
-            peer.reported(now);
+            peer.record_report(now);
         }
     }
 
     /// An attempt ended there.
-    pub fn ended(&mut self, now: Time, key: replica::Key, end: End) {
+    pub fn record_end(&mut self, now: Time, key: replica::Key, end: End) {
         if let Some(peer) = self.peers.get_mut(&key) {
-            peer.ended(now, end, &self.config);
+            peer.record_end(now, end, &self.config);
         }
     }
 
@@ -208,7 +208,7 @@
     }
 
     fn most_out(&self) -> usize {
-        self.peers.len() / self.config.share
+        self.peers.len() / self.config.ejection_divisor
     }
 }
 
@@ -227,11 +227,11 @@
         .failures(config)
         .zip(failures)
         .and_then(|(own, peers)| {
-            let stands_out = own >= config.failing && peers < own / 2.0;
-            stands_out.then_some(own / config.failing)
+            let stands_out = own >= config.failure_threshold && peers < own / 2.0;
+            stands_out.then_some(own / config.failure_threshold)
         });
     let slow = peer.judged_gap(config).zip(gap).and_then(|(own, peers)| {
-        let factor = own / (peers * config.slow).max(f64::MIN_POSITIVE);
+        let factor = own / (peers * config.slow_factor).max(f64::MIN_POSITIVE);
         (factor >= 1.0).then_some(factor)
     });
     failing.into_iter().chain(slow).max_by(f64::total_cmp)
--- a/crates/policy/src/health/peer.rs
+++ b/crates/policy/src/health/peer.rs
@@ -57,12 +57,12 @@
             in_flight: 0,
             spoke: now,
             heard: now,
-            term: config.term,
+            term: config.base_ejection,
         }
     }
 
     /// Work was given to it.
-    pub fn started(&mut self, now: Time) {
+    pub fn record_start(&mut self, now: Time) {
         if self.in_flight == 0 {
             self.spoke = now;
             self.heard = now;
@@ -71,7 +71,7 @@
     }
 
     /// A stream said something; `gap` is the time for each token.
-    pub fn spoke(&mut self, now: Time, gap: Option<f64>) {
+    pub fn record_progress(&mut self, now: Time, gap: Option<f64>) {
         self.spoke = now;
         self.heard = now;
         if let Some(gap) = gap {
@@ -89,17 +89,17 @@
         };
         self.samples += 1;
         // A plain mean until there are enough samples, so that the first one doesn't dominate.
-        let weight = config.sample.max(1.0 / f64::from(self.samples));
+        let weight = config.gap_smoothing.max(1.0 / f64::from(self.samples));
         self.gap += weight * (gap - self.gap);
     }
 
     /// It sent a load report.
-    pub fn reported(&mut self, now: Time) {
+    pub fn record_report(&mut self, now: Time) {
         self.heard = now;
     }
 
     /// An attempt ended.
-    pub fn ended(&mut self, now: Time, end: End, config: &Config) {
+    pub fn record_end(&mut self, now: Time, end: End, config: &Config) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.spoke = now;
         let failed = match end {
@@ -109,7 +109,7 @@
         };
         self.heard = now;
         self.attempts += 1;
-        let weight = config.failure.max(1.0 / f64::from(self.attempts));
+        let weight = config.failure_smoothing.max(1.0 / f64::from(self.attempts));
         self.failures += weight * (failed - self.failures);
         if failed == 0.0 {
             self.good += 1;
@@ -118,26 +118,27 @@
 
     /// Share of failures, once it can be judged.
     pub fn failures(&self, config: &Config) -> Option<f64> {
-        (self.attempts >= config.attempts).then_some(self.failures)
+        (self.attempts >= config.min_attempts).then_some(self.failures)
     }
 
     /// The average gap, once it can be judged.
     pub fn judged_gap(&self, config: &Config) -> Option<f64> {
-        (self.samples >= config.samples).then_some(self.gap)
+        (self.samples >= config.min_samples).then_some(self.gap)
     }
 
     /// Whether it keeps work without a word for longer than `usual` explains.
     pub fn is_silent(&self, now: Time, usual: f64, config: &Config) -> bool {
-        let usual = Span::from_millis((usual * config.silence) as u64);
+        let usual = Span::from_millis((usual * config.silence_factor) as u64);
         let silent = |since: Time, limit: Span| now.since(since) > limit.max(usual);
-        let frozen = silent(self.heard, config.frozen) && silent(self.spoke, config.frozen);
-        self.in_flight > 0 && (frozen || silent(self.spoke, config.stalled))
+        let frozen =
+            silent(self.heard, config.frozen_after) && silent(self.spoke, config.frozen_after);
+        self.in_flight > 0 && (frozen || silent(self.spoke, config.stalled_after))
     }
 
     /// Takes it out; the next term is twice as long.
     pub fn eject(&mut self, now: Time, config: &Config) {
         self.enter(now, State::Ejected(now + self.term));
-        self.term = self.term.times(2).min(config.longest);
+        self.term = self.term.times(2).min(config.max_ejection);
     }
 
     /// Lets it be tried with one job.
@@ -148,12 +149,12 @@
     /// Doubles what a probed replica may run once it has done that much well, and was watched for
     /// long enough to be found slow if it were.
     pub fn advance(&mut self, now: Time, allowed: u32, config: &Config) {
-        if self.good < allowed || self.samples < config.samples {
+        if self.good < allowed || self.samples < config.min_samples {
             return;
         }
-        if allowed >= config.back {
+        if allowed >= config.recovered_jobs {
             self.enter(now, State::Healthy);
-            self.term = config.term;
+            self.term = config.base_ejection;
             return;
         }
         self.state = State::Probing(allowed * 2);
--- a/crates/policy/src/limit/mod.rs
+++ b/crates/policy/src/limit/mod.rs
@@ -8,7 +8,7 @@
 //! - A share is lowered at once, but raised only one period after the raise was told, and only as far as
 //!   the claims heard meanwhile leave room. Two entries that raise at the same time have by then heard of
 //!   each other, if news takes less than half a period.
-//! - A peer that isn't heard for [`Config::silence`] is counted with at least its equal part; an entry
+//! - A peer that isn't heard for [`Config::peer_timeout`] is counted with at least its equal part; an entry
 //!   that hears nobody for so long falls back to just that.
 //! - An entry that claims nothing keeps a floor, so that an account's first request is not refused.
 //!   A limit on open requests that is smaller than the number of entries leaves no floor: there the
@@ -149,19 +149,19 @@
             account.review(&self.settings, self.entries, &others[name], told);
             claims.extend(account.claim(*name));
         }
-        self.told = Digest::bounded(claims, self.settings.most_claims);
+        self.told = Digest::bounded(claims, self.settings.max_claims);
         self.told.clone()
     }
 
     /// Takes in what a peer told.
-    pub fn absorb(&mut self, now: Time, peer: u64, digest: &Digest) {
+    pub fn merge(&mut self, now: Time, peer: u64, digest: &Digest) {
         let claims = digest
             .claims
             .iter()
             .map(|claim| (claim.name, *claim))
             .collect();
         self.peers.insert(peer, Peer { heard: now, claims });
-        let forget = self.settings.silence.times(2);
+        let forget = self.settings.peer_timeout.times(2);
         self.peers.retain(|_, peer| now.since(peer.heard) < forget);
     }
 
@@ -186,7 +186,7 @@
         for peer in self.peers.values() {
             let claim = peer.claims.get(&name);
             let mut least = floor;
-            if now.since(peer.heard) < self.settings.silence {
+            if now.since(peer.heard) < self.settings.peer_timeout {
                 others.fresh += 1;
                 others.demand += claim.map_or(0.0, |claim| claim.demand);
                 others.wanted += claim.map_or(0.0, |claim| claim.wanted);
--- a/crates/policy/src/quarantine/digest.rs
+++ b/crates/policy/src/quarantine/digest.rs
@@ -3,7 +3,7 @@
 use clock::Span;
 
 /// Bounded news; an entry sends it about once a second, and at once when
-/// [`super::Quarantine::urgent`] says so.
+/// [`super::Quarantine::take_urgent`] says so.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Digest {
     /// Suspects and quarantined requests.
@@ -19,7 +19,7 @@
     /// its sender meant, and crashes at different times would look like the loss of a zone.
     pub fn aged(mut self, by: Span) -> Digest {
         for item in &mut self.items {
-            item.left = item.left - by;
+            item.remaining = item.remaining - by;
         }
         for crash in &mut self.crashes {
             crash.age = crash.age + by;
@@ -40,7 +40,7 @@
     /// Whether the sender quarantines it already, so that no more news need be awaited.
     pub judged: bool,
     /// How long this holds, counted from the sending: clocks aren't compared.
-    pub left: Span,
+    pub remaining: Span,
 }
 
 /// A replica that crashed.
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -8,10 +8,10 @@
 //! answer is given at once, here and, by [`Digest`], at every entry. A run to the end acquits it.
 //!
 //! *To compose*: ask [`Quarantine::standing`] before a start; [`Quarantine::reserve`] the
-//! [`Quarantine::place`] of a [`Standing::Trial`] unless another suspect is there, and start it if the
-//! claim [`Quarantine::holds`] after its time; keep
+//! [`Quarantine::choose_replica`] of a [`Standing::Trial`] unless another suspect is there, and start it if the
+//! claim [`Quarantine::holds_claim`] after its time; keep
 //! other work off a [`Quarantine::is_reserved`] replica while there is room elsewhere; stop copies
-//! of what [`Quarantine::take_accused`] names. Report crashes of replicas that were not announced
+//! of what [`Quarantine::take_suspects`] names. Report crashes of replicas that were not announced
 //! as leaving. A crash is counted by incarnation, so that entries which report the same one don't
 //! count it twice.
 //!
@@ -116,12 +116,12 @@
 
     /// Where a suspect runs, of the replicas where no other one does: the same place at every entry
     /// that knows the same.
-    pub fn place<T: Copy>(
+    pub fn choose_replica<T: Copy>(
         &self,
         fingerprint: u64,
         replicas: impl Iterator<Item = (T, u64)>,
     ) -> Option<T> {
-        rendezvous::two(fingerprint, replicas).0
+        rendezvous::top_two(fingerprint, replicas).0
     }
 
     /// Whether a suspect runs alone at that replica, here or at a peer.
@@ -130,7 +130,7 @@
     }
 
     /// How many replicas are kept free for suspects, here and at peers.
-    pub fn reserved(&self, now: Time) -> usize {
+    pub fn reserved_count(&self, now: Time) -> usize {
         self.claims.count(now)
     }
 
@@ -143,26 +143,26 @@
 
     /// Whether the claim still stands. It falls if another entry claimed the replica in the same
     /// moment for another suspect: two of them at one replica would both be blamed for its crash.
-    pub fn holds(&self, fingerprint: u64, replica: u64) -> bool {
+    pub fn holds_claim(&self, fingerprint: u64, replica: u64) -> bool {
         self.claims.holds(fingerprint, replica)
     }
 
     /// The suspect starts at the replica that was claimed for it.
-    pub fn trial_started(&mut self, replica: u64) {
+    pub fn start_trial(&mut self, replica: u64) {
         self.claims.start(replica);
     }
 
     /// The attempt of a suspect ended, however it did.
-    pub fn trial_ended(&mut self, fingerprint: u64) {
+    pub fn end_trial(&mut self, fingerprint: u64) {
         self.claims.end_own(fingerprint);
     }
 
     /// A replica crashed while these fingerprints ran there.
-    pub fn crashed(&mut self, now: Time, replica: u64, zone: u64, running: &[u64]) {
+    pub fn record_crash(&mut self, now: Time, replica: u64, zone: u64, running: &[u64]) {
         self.note_crash(now, replica, zone);
         for fingerprint in running {
             let settled = self.settled(now, *fingerprint);
-            self.accuse(now, *fingerprint, &[replica], self.config.term, settled);
+            self.accuse(now, *fingerprint, &[replica], self.config.duration, settled);
         }
         self.forgive_zone(zone);
         self.urgent = true;
@@ -173,7 +173,7 @@
     /// A crash of the replica within `settle` is held against it. Guards against a killer whose second
     /// crash came while its cancellation travelled: nobody was blamed for it, and the killer's trial cost a
     /// third replica.
-    pub fn stopped(&mut self, now: Time, fingerprint: u64, replica: u64, zone: u64) {
+    pub fn record_cancellation(&mut self, now: Time, fingerprint: u64, replica: u64, zone: u64) {
         self.drop_stopped(now);
         self.stopped.push_back(Stopped {
             at: now,
@@ -184,16 +184,16 @@
     }
 
     /// A stopped copy ended with a crash after all; its replica may be known no more.
-    pub fn stopped_crashed(&mut self, now: Time, fingerprint: u64) {
+    pub fn record_crash_after_cancel(&mut self, now: Time, fingerprint: u64) {
         let of_it = |copy: &&Stopped| copy.fingerprint == fingerprint;
         let Some(copy) = self.stopped.iter().rfind(of_it).copied() else {
             return;
         };
-        self.crashed(now, copy.replica, copy.zone, &[fingerprint]);
+        self.record_crash(now, copy.replica, copy.zone, &[fingerprint]);
     }
 
     /// A request ran to its end: it is no killer, unless it was found to be one already.
-    pub fn finished(&mut self, now: Time, fingerprint: u64) {
+    pub fn record_completion(&mut self, now: Time, fingerprint: u64) {
         self.claims.end_own(fingerprint);
         let Some(record) = self.records.get(fingerprint) else {
             return;
@@ -208,13 +208,13 @@
     }
 
     /// Whether there is news that peers should hear at once; asking resets it.
-    pub fn urgent(&mut self) -> bool {
+    pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.urgent)
     }
 
     /// Fingerprints that came under suspicion since the last call: copies of them that run are to be
     /// stopped, where that is safe, before they crash one replica each.
-    pub fn take_accused(&mut self) -> Vec<u64> {
+    pub fn take_suspects(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.accused)
     }
 
@@ -243,14 +243,20 @@
                 true => now,
                 false => self.settled(now, item.fingerprint),
             };
-            self.accuse(now, item.fingerprint, &item.crashes, item.left, settled);
+            self.accuse(
+                now,
+                item.fingerprint,
+                &item.crashes,
+                item.remaining,
+                settled,
+            );
             self.acquit(item.fingerprint, &item.acquitted);
         }
         for crash in &digest.crashes {
             self.forgive_zone(crash.zone);
         }
         for claim in &digest.claims {
-            self.claims.heard(claim, now + self.config.claim);
+            self.claims.heard(claim, now + self.config.claim_ttl);
         }
     }
 
@@ -265,12 +271,12 @@
 
     /// Whether the evidence is enough, be it settled or not.
     fn is_judged(&self, now: Time, record: &Record) -> bool {
-        record.blame() >= self.config.crashes && now < record.expires
+        record.blame() >= self.config.crash_threshold && now < record.expires
     }
 
     /// When a fingerprint accused now is judged.
     fn settled(&self, now: Time, fingerprint: u64) -> Time {
-        let most = self.config.spread.as_millis().max(1);
+        let most = self.config.settle_jitter.as_millis().max(1);
         let spread = rendezvous::weight(fingerprint, self.seed) % most;
         now + self.config.settle + Span::from_millis(spread)
     }
@@ -292,16 +298,16 @@
         if by.is_empty() {
             return false;
         }
-        let expires = now + left.min(self.config.term);
+        let expires = now + left.min(self.config.duration);
         let new = Record::new(settled, expires);
-        let most = self.config.records;
+        let most = self.config.max_records;
         let Some(record) = self.records.accuse(fingerprint, &by, new, most) else {
             return false;
         };
         self.accused.push(fingerprint);
         record.expires = record.expires.max(expires);
         // A suspect that waited its time has run alone since: its second crash needs no more news.
-        let was_settled = now >= record.settled && record.blame() >= self.config.crashes;
+        let was_settled = now >= record.settled && record.blame() >= self.config.crash_threshold;
         if !was_settled {
             record.settled = settled;
         }
@@ -319,11 +325,11 @@
 
     /// Crashes of one zone at once are the loss of the zone: they blame nobody.
     fn forgive_zone(&mut self, zone: u64) {
-        if let Some(lost) = self.crashes.forgive(zone, self.config.zone_loss) {
+        if let Some(lost) = self.crashes.forgive(zone, self.config.zone_loss_threshold) {
             self.records.forgive(&lost);
         }
         // So many at once, wherever they are, are no killer's work: its copies take two or three.
-        if let Some(lost) = self.crashes.forgive_all(self.config.mass_loss) {
+        if let Some(lost) = self.crashes.forgive_all(self.config.mass_loss_threshold) {
             self.records.forgive(&lost);
         }
     }
@@ -332,7 +338,7 @@
         let config = &self.config;
         self.claims.drop_replica(replica);
         self.crashes
-            .note(now, replica, zone, config.settle, config.digest);
+            .note(now, replica, zone, config.settle, config.max_digest_items);
         self.drop_stopped(now);
         let here = |copy: &&Stopped| copy.replica == replica;
         let blamed: Vec<u64> = self
@@ -344,7 +350,7 @@
         for fingerprint in blamed {
             let settled = self.settled(now, fingerprint);
             // Only what is new is urgent: peers that tell each other of one crash would never end.
-            self.urgent |= self.accuse(now, fingerprint, &[replica], self.config.term, settled);
+            self.urgent |= self.accuse(now, fingerprint, &[replica], self.config.duration, settled);
         }
     }
 
@@ -360,7 +366,7 @@
             crashes: record.crashes.clone(),
             acquitted: record.acquitted.clone(),
             judged: now >= record.settled && self.is_judged(now, record),
-            left: record.expires.since(now),
+            remaining: record.expires.since(now),
         })
     }
 }
--- a/crates/policy/src/quarantine/records.rs
+++ b/crates/policy/src/quarantine/records.rs
@@ -69,9 +69,9 @@
             if now < record.expires {
                 return true;
             }
-            let parole = record.blame() >= config.crashes;
+            let parole = record.blame() >= config.crash_threshold;
             record.keep_last();
-            record.expires = now + config.term;
+            record.expires = now + config.duration;
             parole
         });
     }
@@ -81,17 +81,17 @@
         let mut keys: Vec<(u64, u64)> = self
             .by_fingerprint
             .iter()
-            .filter(|(_, record)| record.expires.since(now) > config.margin)
+            .filter(|(_, record)| record.expires.since(now) > config.min_remaining)
             .map(|(key, record)| (record.changed, *key))
             .collect();
         keys.sort_unstable_by(|one, other| other.cmp(one));
         let mut chosen: Vec<u64> = keys.iter().map(|(_, key)| *key).collect();
-        if chosen.len() <= config.digest {
+        if chosen.len() <= config.max_digest_items {
             return chosen;
         }
-        let mut rest = chosen.split_off(config.digest / 2);
+        let mut rest = chosen.split_off(config.max_digest_items / 2);
         rest.sort_unstable_by_key(|key| (*key <= self.cursor, *key));
-        rest.truncate(config.digest - chosen.len());
+        rest.truncate(config.max_digest_items - chosen.len());
         self.cursor = rest.last().copied().unwrap_or(0);
         chosen.extend(rest);
         chosen
--- a/crates/policy/src/rendezvous.rs
+++ b/crates/policy/src/rendezvous.rs
@@ -18,7 +18,7 @@
 }
 
 /// The first and the second choice of `key` among `nodes`, each given with its identity.
-pub fn two<T: Copy>(key: u64, nodes: impl Iterator<Item = (T, u64)>) -> (Option<T>, Option<T>) {
+pub fn top_two<T: Copy>(key: u64, nodes: impl Iterator<Item = (T, u64)>) -> (Option<T>, Option<T>) {
     let mut first: Option<(u64, T)> = None;
     let mut second: Option<(u64, T)> = None;
     for (node, identity) in nodes {
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -32,18 +32,18 @@
     /// A full budget.
     pub fn new(settings: &Config) -> Budget {
         Budget {
-            left: settings.saved,
+            left: settings.max_saved,
         }
     }
 
     /// Retries that may still be made.
-    pub fn left(&self) -> f64 {
+    pub fn remaining(&self) -> f64 {
         self.left
     }
 
     /// A whole answer was given.
     pub fn earn(&mut self, settings: &Config) {
-        self.left = (self.left + settings.fraction).min(settings.saved);
+        self.left = (self.left + settings.fraction).min(settings.max_saved);
     }
 
     /// Takes one retry, if there is one.
@@ -95,7 +95,7 @@
 
 impl Calendar {
     /// When the caller should come back.
-    pub fn appoint(
+    pub fn book(
         &mut self,
         settings: &Config,
         now: Time,
@@ -107,8 +107,8 @@
         }
         self.drop_past(now);
         let now = now.as_millis() as f64;
-        let shortest = settings.shortest.as_millis() as f64;
-        let longest = settings.longest.as_millis() as f64;
+        let shortest = settings.min_delay.as_millis() as f64;
+        let longest = settings.max_delay.as_millis() as f64;
         let earliest = now + shortest.max(refused.wait.as_millis() as f64);
         let weight = f64::from(refused.weight.max(1));
         let page = self.take_page(refused.account);
--- a/crates/policy/src/scheduler/ends.rs
+++ b/crates/policy/src/scheduler/ends.rs
@@ -24,7 +24,7 @@
             return;
         }
         if let Some(pool) = self.pools.get_mut(&open.job.pool) {
-            pool.service.note_first(
+            pool.service.record_first_token(
                 &self.settings.admission,
                 open.class,
                 open.job.prompt_tokens,
@@ -58,7 +58,7 @@
             }
         }
         if let Some(pool) = self.pools.get_mut(&open.job.pool) {
-            pool.monitor.progressed(now, key, gap);
+            pool.monitor.record_progress(now, key, gap);
         }
     }
 
@@ -120,7 +120,7 @@
         let tried_everywhere = pool.members.iter().all(|key| open.tried.contains(key));
         let within = !reached || pool.budget.spend(&settings);
         let allowed =
-            repeatable && left && attempts < settings.attempts && !tried_everywhere && within;
+            repeatable && left && attempts < settings.max_attempts && !tried_everywhere && within;
         if owed && tried_everywhere {
             self.forget_tried(id);
         }
@@ -152,15 +152,15 @@
         let (job, estimated, moved) = (open.job, open.cost, open.moved);
         let actual = self.cost(job.prompt_tokens, tokens);
         let settings = self.settings;
-        self.quarantine.finished(now, job.fingerprint);
+        self.quarantine.record_completion(now, job.fingerprint);
         let mut priority = 0;
         if let Some(account) = self.accounts.get_mut(&job.account) {
             priority = level(&account.spec, &job);
-            account.estimate.note(tokens, settings.fair.smoothing);
+            account.estimate.record(tokens, settings.fair.smoothing);
         }
         if let Some(pool) = self.pools.get_mut(&job.pool) {
             if !moved {
-                pool.service.note_end(&settings.admission, actual, took);
+                pool.service.record_end(&settings.admission, actual, took);
             }
             pool.budget.earn(&settings.retry);
             pool.queue.settle(priority, job.account, estimated, actual);
@@ -181,7 +181,7 @@
             replica.load.sample(now, took / target);
         }
         if let Some(pool) = self.pools.get_mut(&open.job.pool) {
-            pool.monitor.progressed(now, key, Some(took));
+            pool.monitor.record_progress(now, key, Some(took));
         }
     }
 
--- a/crates/policy/src/scheduler/fleet.rs
+++ b/crates/policy/src/scheduler/fleet.rs
@@ -19,8 +19,8 @@
         let replica = Replica::new(spec, &self.settings);
         let pool = self.pool_mut(replica.spec.pool);
         pool.members.insert(key);
-        pool.monitor.joined(now, key);
-        pool.warmup.joined(now, key);
+        pool.monitor.add(now, key);
+        pool.warmup.add(now, key);
         self.stir(replica.spec.pool);
         self.replicas.insert(key, replica);
         key
@@ -35,8 +35,8 @@
             return;
         };
         if pool.members.remove(&key) {
-            pool.monitor.left(key);
-            pool.warmup.left(key);
+            pool.monitor.remove(key);
+            pool.warmup.remove(key);
             pool.affinity.left(key);
         }
         self.stir(replica.spec.pool);
@@ -49,7 +49,7 @@
             return;
         };
         replica.load.reported(now, &report);
-        replica.share.reported(
+        replica.share.record_report(
             &settings.slots,
             replica.spec.slots,
             settings.concurrency.entries,
@@ -59,7 +59,7 @@
         );
         let pool = replica.spec.pool;
         if let Some(pool) = self.pools.get_mut(&pool) {
-            pool.monitor.reported(now, key);
+            pool.monitor.record_report(now, key);
         }
         self.stir(pool);
     }
@@ -150,7 +150,7 @@
     /// Keeps other work off replicas where suspects run, as long as there is room elsewhere: work
     /// that is refused for want of it would suffer more surely than work that shares a crash.
     fn spare_reserved(&self, now: Time, candidates: &mut [Candidate]) {
-        if !self.settings.placement.quarantine || self.quarantine.reserved(now) == 0 {
+        if !self.settings.placement.quarantine || self.quarantine.reserved_count(now) == 0 {
             return;
         }
         spare(candidates, |candidate| {
@@ -171,7 +171,7 @@
             false => f64::from(replica.running()),
         };
         match self.settings.placement.warmup {
-            true => pool.warmup.load(now, key, load),
+            true => pool.warmup.scaled_load(now, key, load),
             false => load,
         }
     }
@@ -195,7 +195,7 @@
         let warm = !settings.warmup
             || replica.running() == 0
             || replica.load.jobs(now, usual)
-                < f64::from(pool.warmup.jobs(now, key, replica.spec.slots));
+                < f64::from(pool.warmup.max_jobs(now, key, replica.spec.slots));
         healthy && has_slots && warm && replica.gate.is_open(now)
     }
 
@@ -212,7 +212,7 @@
         if !settings.placement.concurrency {
             return running < slots;
         }
-        let is_own = shared && replica.share.is_own(slots, entries, running);
+        let is_own = shared && replica.share.is_within_share(slots, entries, running);
         let kept_up = running < replica.load.limit();
         is_own && kept_up || replica.load.is_open(now, usual)
     }
--- a/crates/policy/src/scheduler/intake.rs
+++ b/crates/policy/src/scheduler/intake.rs
@@ -165,7 +165,7 @@
         if pool.members.is_empty() {
             return Err((Reason::NoBackend, "no backend server"));
         }
-        let rate = pool.service.rate(pool.running);
+        let rate = pool.service.drain_rate(pool.running);
         pool.gate.offer(
             &settings.brownout,
             now,
@@ -177,18 +177,18 @@
         if predicted == Span::ZERO {
             return Ok(());
         }
-        if settings.admission.enabled && pool.queue.len() >= settings.admission.most_waiting {
+        if settings.admission.enabled && pool.queue.len() >= settings.admission.max_waiting {
             return Err((Reason::Overloaded, "the queue is full"));
         }
-        let slack = allowed - pool.service.first(class, job.prompt_tokens);
-        let backlog = admission::wait(pool.queue.cost(), rate);
+        let slack = allowed - pool.service.first_token_time(class, job.prompt_tokens);
+        let backlog = admission::wait_time(pool.queue.cost(), rate);
         let idle = pool
             .queue
-            .waiting_of(level(&account.spec, job), job.account)
+            .waiting_jobs(level(&account.spec, job), job.account)
             == 0;
         if settings.brownout.enabled
             && backlog > slack.scaled(settings.brownout.pressure)
-            && !pool.gate.passes(job.account, idle)
+            && !pool.gate.admits(job.account, idle)
         {
             return Err((Reason::Overloaded, "shed under overload"));
         }
@@ -202,7 +202,7 @@
     fn allowed(&self, job: &Job) -> Span {
         let service = self.pools.get(&job.pool).map(|pool| &pool.service);
         service.map_or(job.first_token, |service| {
-            service.allowed(&self.settings.admission, job.first_token, job.prompt_tokens)
+            service.allowed_time(&self.settings.admission, job.first_token, job.prompt_tokens)
         })
     }
 
@@ -217,12 +217,12 @@
         let Some(account) = self.accounts.get(&job.account) else {
             return Span::ZERO;
         };
-        let ahead = pool
-            .queue
-            .ahead(level(&account.spec, job), job.account, account.spec.weight);
-        let rate = pool.service.rate(pool.running);
+        let ahead =
+            pool.queue
+                .cost_ahead(level(&account.spec, job), job.account, account.spec.weight);
+        let rate = pool.service.drain_rate(pool.running);
         // Even the next in line waits until something ends.
-        let wait = admission::wait(ahead, rate).max(self.paced_wait(pool));
+        let wait = admission::wait_time(ahead, rate).max(self.paced_wait(pool));
         wait.max(Span::from_millis(1))
     }
 
@@ -278,11 +278,12 @@
         self.expiry.remove(&(open.until, id));
         open.until = match (open.streaming, settings.admission.enabled) {
             // Its caller already reads the answer: the target for the first token is behind it.
-            (true, _) => now + settings.placement.patience,
+            (true, _) => now + settings.placement.resume_timeout,
             (false, true) => last_start(
                 now,
                 open.due,
-                pool.service.first(open.class, open.job.prompt_tokens),
+                pool.service
+                    .first_token_time(open.class, open.job.prompt_tokens),
             ),
             (false, false) => now + UNBOUNDED,
         };
--- a/crates/policy/src/scheduler/mod.rs
+++ b/crates/policy/src/scheduler/mod.rs
@@ -329,7 +329,7 @@
 
     /// Takes in what the entry `peer` told.
     pub fn absorb(&mut self, now: Time, peer: u64, digest: &Digest, out: &mut Vec<Decision>) {
-        self.limits.absorb(now, peer, &digest.limit);
+        self.limits.merge(now, peer, &digest.limit);
         self.quarantine.merge(now, &digest.quarantine);
         self.review_held();
         self.stir_all();
@@ -338,7 +338,7 @@
 
     /// Whether the digest holds news that shouldn't wait for the period; asking resets it.
     pub fn urgent(&mut self) -> bool {
-        self.quarantine.urgent()
+        self.quarantine.take_urgent()
     }
 
     /// Why an open job is where it is.
@@ -353,7 +353,9 @@
 
     /// Repeats that may still be made in a pool.
     pub fn repeats_left(&self, pool: pool::Key) -> f64 {
-        self.pools.get(&pool).map_or(0.0, |pool| pool.budget.left())
+        self.pools
+            .get(&pool)
+            .map_or(0.0, |pool| pool.budget.remaining())
     }
 
     /// How a pool stands, for the log's line on a refusal.
--- a/crates/policy/src/scheduler/moves.rs
+++ b/crates/policy/src/scheduler/moves.rs
@@ -11,7 +11,7 @@
 use crate::scheduler::state::Pool;
 use crate::scheduler::state::Round;
 use crate::wave;
-use crate::wave::Fate;
+use crate::wave::Action;
 
 impl Scheduler {
     /// Gives the replica no more work; what becomes of its jobs is planned when the wave is gathered.
@@ -40,7 +40,7 @@
         if self.settings.placement.wave && !replica.jobs.is_empty() {
             self.leaving.insert(key);
             self.review
-                .get_or_insert(now + self.settings.placement.gather);
+                .get_or_insert(now + self.settings.placement.gather_window);
         }
     }
 
@@ -87,7 +87,7 @@
                 .get(key)
                 .is_some_and(|replica| !replica.jobs.is_empty())
         });
-        let again = now + self.settings.placement.review;
+        let again = now + self.settings.placement.replan_interval;
         self.review = (!self.leaving.is_empty()).then_some(again);
         let mut planned = Vec::new();
         for pool in self.pools.values() {
@@ -151,7 +151,7 @@
             from: open.replica?,
             kind: open.job.kind,
             tokens: open.job.prompt_tokens.saturating_add(open.made),
-            rest: gap(open).times(u64::from(left)),
+            remaining: gap(open).times(u64::from(left)),
             idempotent: open.job.idempotent,
         })
     }
@@ -168,7 +168,7 @@
             .iter()
             .map(|source| source.deadline.since(now))
             .min();
-        let call = settings.wave.margin + settings.placement.last_call;
+        let call = settings.wave.margin + settings.placement.overbook_window;
         let last_call = soonest.is_some_and(|left| left <= call);
         let (mut outside, mut inside) = (Vec::new(), Vec::new());
         for candidate in self.candidates(now, pool) {
@@ -196,7 +196,10 @@
     }
 
     fn make_move(&mut self, now: Time, step: wave::Step, out: &mut Vec<Decision>) {
-        let Fate::Move { to, how, .. } = step.fate else {
+        let Action::Move {
+            to, transfer: how, ..
+        } = step.action
+        else {
             return;
         };
         let stays =
@@ -226,9 +229,9 @@
 
 /// When a planned move begins.
 fn start_of(step: &wave::Step) -> Option<Time> {
-    match step.fate {
-        Fate::Move { at, .. } => Some(at),
-        Fate::Finish | Fate::Stay => None,
+    match step.action {
+        Action::Move { start: at, .. } => Some(at),
+        Action::Finish | Action::Wait => None,
     }
 }
 
--- a/crates/policy/src/scheduler/placement.rs
+++ b/crates/policy/src/scheduler/placement.rs
@@ -30,7 +30,7 @@
         while let Some(pool) = self.pools.get(&key).filter(|pool| !pool.queue.is_empty()) {
             let candidates = self.candidates(now, pool);
             let lanes = self.lanes(pool);
-            let heads = pool.queue.heads(self.settings.placement.heads);
+            let heads = pool.queue.heads(self.settings.placement.max_heads);
             let start = heads
                 .iter()
                 .find_map(|head| Some((*head, self.choose(now, head.id, &candidates, &lanes)?)));
@@ -116,7 +116,7 @@
             let sound = pool.monitor.allowance(*key) == Allowance::Full && !replica.doubted;
             (sound && *key != chosen).then_some((*key, replica.identity))
         });
-        rendezvous::two(job.prefix, usable).0
+        rendezvous::top_two(job.prefix, usable).0
     }
 
     /// The replicas on which long jobs run: none that is doubted, or long jobs would wait for it beside others.
@@ -128,11 +128,11 @@
             .filter_map(known)
             .partition(|(_, replica)| !replica.doubted);
         let members = if sound.is_empty() { doubted } else { sound };
-        let count = pool.classes.lanes(&self.settings.size, members.len());
+        let count = pool.classes.lane_count(&self.settings.size, members.len());
         let ranked = members
             .into_iter()
             .map(|(key, replica)| (key, replica.identity));
-        size::rank(count, ranked)
+        size::select_lanes(count, ranked)
     }
 
     pub(super) fn start(&mut self, now: Time, id: job::Id, replica: replica::Key) {
@@ -162,7 +162,7 @@
         open.replica = Some(key);
         if let Some(pool) = self.pools.get_mut(&open.job.pool) {
             pool.running += 1;
-            pool.monitor.started(now, key);
+            pool.monitor.record_start(now, key);
         }
         if let Some(replica) = self.replicas.get_mut(&key) {
             replica.load.started(now, open.outstanding);
@@ -181,7 +181,7 @@
         let key = open.replica.take()?;
         if let Some(pool) = self.pools.get_mut(&open.job.pool) {
             pool.running -= 1;
-            pool.monitor.ended(now, key, end);
+            pool.monitor.record_end(now, key, end);
         }
         if let Some(replica) = self.replicas.get_mut(&key) {
             replica.load.ended(now, open.outstanding);
--- a/crates/policy/src/scheduler/refusals.rs
+++ b/crates/policy/src/scheduler/refusals.rs
@@ -69,19 +69,19 @@
         let spec = self.accounts.get(&job.account).map(|account| &account.spec);
         let (weight, priority) = spec.map_or((1, 0), |spec| (spec.weight, level(spec, job)));
         let Some(pool) = self.pools.get_mut(&job.pool) else {
-            return settings.shortest;
+            return settings.min_delay;
         };
-        let rate = pool.service.rate(pool.running);
-        let ahead = pool.queue.ahead(priority, job.account, weight);
+        let rate = pool.service.drain_rate(pool.running);
+        let ahead = pool.queue.cost_ahead(priority, job.account, weight);
         let refused = Refused {
             account: job.account,
             weight,
             cost,
-            wait: admission::wait(ahead, rate),
+            wait: admission::wait_time(ahead, rate),
             rate,
         };
         pool.calendar
-            .appoint(&settings, now, &refused, &mut self.random)
+            .book(&settings, now, &refused, &mut self.random)
     }
 
     pub(super) fn jittered(&mut self, span: Span) -> Span {
--- a/crates/policy/src/scheduler/suspects.rs
+++ b/crates/policy/src/scheduler/suspects.rs
@@ -32,7 +32,8 @@
             return;
         }
         if open.replica.is_none() {
-            self.quarantine.stopped_crashed(now, open.job.fingerprint);
+            self.quarantine
+                .record_crash_after_cancel(now, open.job.fingerprint);
             return;
         }
         let replica = open.replica.and_then(|key| self.replicas.get(&key));
@@ -41,14 +42,14 @@
         };
         let (identity, zone) = (replica.identity, replica.zone);
         self.quarantine
-            .crashed(now, identity, zone, &[open.job.fingerprint]);
+            .record_crash(now, identity, zone, &[open.job.fingerprint]);
     }
 
     /// Stops copies of new suspects that run here, if they may run again: sent through several
     /// entries at once, each would take a replica of its own along before the first crash is known.
     /// Plain calls can't be stopped once they are handed on.
     pub(super) fn recall_suspects(&mut self, now: Time, out: &mut Vec<Decision>) {
-        let accused = self.quarantine.take_accused();
+        let accused = self.quarantine.take_suspects();
         if accused.is_empty() || !self.settings.placement.quarantine {
             return;
         }
@@ -84,7 +85,7 @@
         if let Some(replica) = replica {
             let (identity, zone) = (replica.identity, replica.zone);
             self.quarantine
-                .stopped(now, open.job.fingerprint, identity, zone);
+                .record_cancellation(now, open.job.fingerprint, identity, zone);
         }
     }
 
@@ -156,7 +157,7 @@
     /// killer crashes what begins to run it, so one that made tokens is hardly one; should it be, what it
     /// costs is bounded by its trials.
     fn is_owed_a_trial(&self, id: job::Id) -> bool {
-        let most = self.settings.retry.attempts as u32 + STREAM_TRIALS;
+        let most = self.settings.retry.max_attempts as u32 + STREAM_TRIALS;
         self.open
             .get(&id)
             .is_some_and(|open| open.streaming && open.made > 0 && open.sent < most)
@@ -173,7 +174,7 @@
         replica.trial = None;
         self.review_held();
         if let Some(open) = self.open.get(&id) {
-            self.quarantine.trial_ended(open.job.fingerprint);
+            self.quarantine.end_trial(open.job.fingerprint);
         }
     }
 
@@ -190,14 +191,14 @@
             return;
         };
         if let Some(open) = self.open.get(&id) {
-            self.quarantine.trial_ended(open.job.fingerprint);
+            self.quarantine.end_trial(open.job.fingerprint);
         }
         self.end_trial(id, claim.replica);
     }
 
     fn first_suspect(&self, now: Time, key: pool::Key) -> Option<(job::Id, Standing)> {
         let pool = self.pools.get(&key)?;
-        let heads = pool.queue.heads(self.settings.placement.heads);
+        let heads = pool.queue.heads(self.settings.placement.max_heads);
         heads.into_iter().find_map(|head| {
             let open = self.open.get(&head.id)?;
             let standing = self.quarantine.standing(now, open.job.fingerprint);
@@ -213,7 +214,7 @@
         if let Some(claim) = self.open.get(&id).and_then(|open| open.claim) {
             return self.use_claim(now, id, claim, out);
         }
-        let stands = now + self.settings.quarantine.dispute;
+        let stands = now + self.settings.quarantine.claim_delay;
         let again = now + self.settings.health.period;
         let place = self.place_for(now, id);
         let replica = place.and_then(|key| self.replicas.get_mut(&key));
@@ -244,7 +245,7 @@
             return;
         }
         if let Some(replica) = self.replicas.get(&claim.replica) {
-            self.quarantine.trial_started(replica.identity);
+            self.quarantine.start_trial(replica.identity);
         }
         if let Some(open) = self.open.get_mut(&id) {
             open.claim = None;
@@ -263,7 +264,7 @@
         open.zip(replica).is_some_and(|(open, replica)| {
             let gone = replica.lost || replica.leaving.is_some();
             let fingerprint = open.job.fingerprint;
-            !gone && self.quarantine.holds(fingerprint, replica.identity)
+            !gone && self.quarantine.holds_claim(fingerprint, replica.identity)
         })
     }
 
@@ -284,6 +285,6 @@
                 || open.tried.contains(key);
             (usable && !taken).then_some((*key, replica.identity))
         });
-        self.quarantine.place(open.job.fingerprint, free)
+        self.quarantine.choose_replica(open.job.fingerprint, free)
     }
 }
--- a/crates/policy/src/size.rs
+++ b/crates/policy/src/size.rs
@@ -49,13 +49,13 @@
     }
 
     /// How many of so many replicas are long lanes.
-    pub fn lanes(&self, settings: &Config, replicas: usize) -> usize {
+    pub fn lane_count(&self, settings: &Config, replicas: usize) -> usize {
         let part = if self.all > 0.0 {
             self.long / self.all
         } else {
             0.0
         };
-        if !settings.enabled || part < settings.least_part {
+        if !settings.enabled || part < settings.min_share {
             return 0;
         }
         let others = (replicas as f64 * (1.0 - part)).ceil() as usize;
@@ -64,7 +64,7 @@
 }
 
 /// The first `count` replicas in the order in which they become lanes.
-pub fn rank<T: Copy>(count: usize, replicas: impl Iterator<Item = (T, u64)>) -> Vec<T> {
+pub fn select_lanes<T: Copy>(count: usize, replicas: impl Iterator<Item = (T, u64)>) -> Vec<T> {
     if count == 0 {
         return Vec::new();
     }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -31,12 +31,12 @@
     }
 
     /// Whether one more stays within this entry's own part, whatever the others do.
-    pub fn is_own(&self, slots: u32, entries: u32, running: u32) -> bool {
+    pub fn is_within_share(&self, slots: u32, entries: u32, running: u32) -> bool {
         running < part(slots, entries)
     }
 
     /// Takes in a report, while `running` attempts are ours; `drawn`, from 0 to 1, rounds.
-    pub fn reported(
+    pub fn record_report(
         &mut self,
         config: &Config,
         slots: u32,
@@ -51,7 +51,7 @@
             return;
         }
         let free = slots.saturating_sub(report.running);
-        let borrowed = f64::from(free) * config.borrowed_parts / f64::from(entries.max(1));
+        let borrowed = f64::from(free) * config.borrowed_shares / f64::from(entries.max(1));
         self.limit = part.max(running + (borrowed + drawn) as u32).min(slots);
     }
 }
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -39,7 +39,7 @@
         Subset {
             config,
             own,
-            wanted: config.entries.max(1),
+            wanted: config.entries_per_replica.max(1),
             entries: BTreeSet::from([own]),
             replicas: BTreeMap::new(),
         }
@@ -103,12 +103,14 @@
 
     /// Adapts how many entries serve each replica to the numbers of both.
     fn adapt(&mut self) {
-        let size = self.config.size * self.entries.len() / self.replicas.len().max(1);
+        let size = self.config.target_size * self.entries.len() / self.replicas.len().max(1);
         let before = self.wanted;
         while self.wanted < size.min(self.entries.len()) {
             self.wanted *= 2;
         }
-        while self.wanted / 4 >= size.max(1) && self.wanted / 2 >= self.config.entries.max(1) {
+        while self.wanted / 4 >= size.max(1)
+            && self.wanted / 2 >= self.config.entries_per_replica.max(1)
+        {
             self.wanted /= 2;
         }
         if self.wanted == before {
--- a/crates/policy/src/warmup.rs
+++ b/crates/policy/src/warmup.rs
@@ -36,14 +36,14 @@
     }
 
     /// A replica joined that is cold.
-    pub fn joined(&mut self, now: Time, key: replica::Key) {
-        self.left(key);
+    pub fn add(&mut self, now: Time, key: replica::Key) {
+        self.remove(key);
         self.joined.insert(key, now);
         self.order.insert((now, key));
     }
 
     /// A replica left.
-    pub fn left(&mut self, key: replica::Key) {
+    pub fn remove(&mut self, key: replica::Key) {
         if let Some(at) = self.joined.remove(&key) {
             self.order.remove(&(at, key));
         }
@@ -51,7 +51,7 @@
 
     /// The part of its capacity that the replica may use, above 0 and at most 1, measured against
     /// the warmest of its pool.
-    pub fn share(&self, now: Time, key: replica::Key) -> f64 {
+    pub fn capacity_share(&self, now: Time, key: replica::Key) -> f64 {
         let oldest = self.order.first().map(|(at, _)| *at);
         let (Some(joined), Some(oldest)) = (self.joined.get(&key), oldest) else {
             return 1.0;
@@ -60,20 +60,20 @@
     }
 
     /// Jobs the replica may run at once out of `slots`; at least one.
-    pub fn jobs(&self, now: Time, key: replica::Key, slots: u32) -> u32 {
-        let jobs = self.share(now, key) * f64::from(slots);
+    pub fn max_jobs(&self, now: Time, key: replica::Key, slots: u32) -> u32 {
+        let jobs = self.capacity_share(now, key) * f64::from(slots);
         (jobs.ceil() as u32).clamp(1, slots.max(1))
     }
 
     /// The load to compare with other replicas': that of a full-sized replica as busy as this one.
-    pub fn load(&self, now: Time, key: replica::Key, load: f64) -> f64 {
-        load / self.share(now, key)
+    pub fn scaled_load(&self, now: Time, key: replica::Key, load: f64) -> f64 {
+        load / self.capacity_share(now, key)
     }
 
     fn ramp(&self, now: Time, joined: Time) -> f64 {
         let age = now.since(joined).as_millis() as f64;
-        let whole = self.config.span.as_millis().max(1) as f64;
-        let start = self.config.start.clamp(f64::EPSILON, 1.0);
+        let whole = self.config.duration.as_millis().max(1) as f64;
+        let start = self.config.initial_share.clamp(f64::EPSILON, 1.0);
         (start + (1.0 - start) * age / whole).min(1.0)
     }
 }
--- a/crates/policy/src/wave/mod.rs
+++ b/crates/policy/src/wave/mod.rs
@@ -50,7 +50,7 @@
     /// Tokens in its KV cache: prompt and generated.
     pub tokens: u32,
     /// How long it goes on, as expected.
-    pub rest: Span,
+    pub remaining: Span,
     /// Whether it may be run again.
     pub idempotent: bool,
 }
@@ -74,12 +74,12 @@
     /// Where it runs.
     pub from: replica::Key,
     /// What to do.
-    pub fate: Fate,
+    pub action: Action,
 }
 
 /// What to do with a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Action {
     /// Let it end where it is.
     Finish,
     /// Move it there at that time.
@@ -87,12 +87,12 @@
         /// To here.
         to: replica::Key,
         /// By which means.
-        how: Transfer,
+        transfer: Transfer,
         /// When its turn comes.
-        at: Time,
+        start: Time,
     },
     /// There is no room anywhere yet: let it run, plan again.
-    Stay,
+    Wait,
 }
 
 /// Plans the wave; the steps come in the order in which they are due.
@@ -107,9 +107,9 @@
     let mut moving = Vec::new();
     for job in jobs {
         if plan.can_finish(job) {
-            plan.add(job, Fate::Finish);
+            plan.add(job, Action::Finish);
         } else if job.kind == job::Kind::Plain {
-            plan.add(job, Fate::Stay);
+            plan.add(job, Action::Wait);
         } else {
             moving.push(*job);
         }
@@ -119,9 +119,9 @@
     for job in left {
         plan.rerun(&job);
     }
-    plan.steps.sort_by_key(|step| match step.fate {
-        Fate::Move { at, .. } => at,
-        Fate::Finish | Fate::Stay => now,
+    plan.steps.sort_by_key(|step| match step.action {
+        Action::Move { start: at, .. } => at,
+        Action::Finish | Action::Wait => now,
     });
     plan.steps
 }
@@ -188,9 +188,9 @@
     }
 
     fn can_finish(&self, job: &Running) -> bool {
-        self.links
-            .get(&job.from)
-            .is_some_and(|link| self.now + job.rest.scaled(self.config.patience) <= link.deadline)
+        self.links.get(&job.from).is_some_and(|link| {
+            self.now + job.remaining.scaled(self.config.finish_factor) <= link.deadline
+        })
     }
 
     /// The jobs in the order in which they get their chance to be transferred.
@@ -252,16 +252,23 @@
         let Some(lane) = link.lanes.iter_mut().min() else {
             return false;
         };
-        let at = *lane;
-        if at + takes > link.deadline {
+        let start = *lane;
+        if start + takes > link.deadline {
             return false;
         }
         let Some(to) = take(&mut self.targets, job.tokens) else {
             return false;
         };
-        *lane = at + takes;
-        let how = Transfer::Kv;
-        self.add(job, Fate::Move { to, how, at });
+        *lane = start + takes;
+        let transfer = Transfer::Kv;
+        self.add(
+            job,
+            Action::Move {
+                to,
+                transfer,
+                start,
+            },
+        );
         true
     }
 
@@ -270,16 +277,23 @@
             true => take(&mut self.targets, job.tokens),
             false => None,
         };
-        let how = Transfer::Rerun;
-        let at = self.now;
-        self.add(job, to.map_or(Fate::Stay, |to| Fate::Move { to, how, at }));
+        let transfer = Transfer::Rerun;
+        let start = self.now;
+        self.add(
+            job,
+            to.map_or(Action::Wait, |to| Action::Move {
+                to,
+                transfer,
+                start,
+            }),
+        );
     }
 
-    fn add(&mut self, job: &Running, fate: Fate) {
+    fn add(&mut self, job: &Running, fate: Action) {
         self.steps.push(Step {
             job: job.id,
             from: job.from,
-            fate,
+            action: fate,
         });
     }
 }
--- a/crates/policy/tests/affinity.rs
+++ b/crates/policy/tests/affinity.rs
@@ -80,7 +80,7 @@
     let home = affinity.choose(Time::ZERO, 7, &candidates).expect("room");
     let mut loaded = candidates.clone();
     let (first, second) =
-        rendezvous::two(7, candidates.iter().map(|node| (node.key, node.identity)));
+        rendezvous::top_two(7, candidates.iter().map(|node| (node.key, node.identity)));
     for key in [first, second].into_iter().flatten() {
         loaded[key.0 as usize].load = 20.0;
     }
--- a/crates/policy/tests/cover.rs
+++ b/crates/policy/tests/cover.rs
@@ -8,8 +8,8 @@
 use policy::cover::plan;
 
 const BOUNDS: Bounds = Bounds {
-    least: 1,
-    most: 6,
+    min: 1,
+    max: 6,
     reclaimable: true,
 };
 
@@ -105,7 +105,7 @@
         for open in [true, false] {
             let zones = [zone(2, 0, open), zone(6, 0, open), zone(0, 6, true)];
             for wanted in plan(&Config::default(), busy, &zones, BOUNDS) {
-                assert!(wanted.reclaimable + wanted.on_demand <= BOUNDS.most);
+                assert!(wanted.reclaimable + wanted.on_demand <= BOUNDS.max);
             }
         }
     }
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -24,8 +24,8 @@
     fn new(replicas: u32) -> Pool {
         let mut monitor = Monitor::new(Config::default());
         for key in 0..replicas {
-            monitor.joined(Time::ZERO, Key(key));
-            monitor.started(Time::ZERO, Key(key));
+            monitor.add(Time::ZERO, Key(key));
+            monitor.record_start(Time::ZERO, Key(key));
         }
         Pool {
             now: Time::ZERO,
@@ -51,14 +51,14 @@
     fn work(&mut self, key: Key, work: Work) {
         let end = match work {
             Work::Gap(gap) => {
-                self.monitor.progressed(self.now, key, Some(gap));
+                self.monitor.record_progress(self.now, key, Some(gap));
                 End::Finished
             }
             Work::Fail => End::Failed,
             Work::Silence => return,
         };
-        self.monitor.ended(self.now, key, end);
-        self.monitor.started(self.now, key);
+        self.monitor.record_end(self.now, key, end);
+        self.monitor.record_start(self.now, key);
     }
 
     fn out(&self) -> Vec<u32> {
@@ -104,7 +104,7 @@
 fn long_prefill_is_not_frozen() {
     let mut pool = Pool::new(3);
     for _ in 0..10 {
-        pool.monitor.reported(pool.now, Key(0));
+        pool.monitor.record_report(pool.now, Key(0));
         pool.run(Span::from_seconds(1), |key| match key {
             0 => Work::Silence,
             _ => Work::Gap(30.0),
@@ -207,7 +207,7 @@
             });
             prop_assert!(pool.out().len() as u32 <= replicas / 3);
             if round == 10 && leaves < replicas {
-                pool.monitor.left(Key(leaves));
+                pool.monitor.remove(Key(leaves));
                 break;
             }
         }
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -61,7 +61,7 @@
             };
             for (to, entry) in self.entries.iter_mut().enumerate() {
                 if to != from && !cut.contains(&to) {
-                    entry.absorb(now, from as u64, &digest);
+                    entry.merge(now, from as u64, &digest);
                 }
             }
         }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -80,7 +80,7 @@
 
     fn place(&self, entry: usize) -> u64 {
         let alive = self.alive.iter().map(|replica| (*replica, *replica));
-        let place = self.entries[entry].place(KILLER, alive);
+        let place = self.entries[entry].choose_replica(KILLER, alive);
         place.expect("a replica")
     }
 
@@ -91,7 +91,7 @@
     fn reserve(&mut self, entry: usize) {
         let replica = self.place(entry);
         self.entries[entry].reserve(KILLER, replica);
-        let stands = self.now + Config::default().dispute;
+        let stands = self.now + Config::default().claim_delay;
         self.claimed.push((entry, replica, stands));
     }
 
@@ -99,8 +99,8 @@
         for (entry, replica, stands) in std::mem::take(&mut self.claimed) {
             if self.now < stands {
                 self.claimed.push((entry, replica, stands));
-            } else if self.entries[entry].holds(KILLER, replica) {
-                self.entries[entry].trial_started(replica);
+            } else if self.entries[entry].holds_claim(KILLER, replica) {
+                self.entries[entry].start_trial(replica);
                 self.start(entry, replica);
             } else {
                 self.waiting.push(entry);
@@ -118,7 +118,7 @@
         self.alive.retain(|alive| *alive != replica);
         for (entry, at, crash) in std::mem::take(&mut self.running) {
             if at == replica {
-                self.entries[entry].crashed(now, replica, replica % 3, &[KILLER]);
+                self.entries[entry].record_crash(now, replica, replica % 3, &[KILLER]);
                 self.waiting.push(entry);
             } else {
                 self.running.push((entry, at, crash));
@@ -128,7 +128,7 @@
 
     fn tell(&mut self) {
         for from in 0..ENTRIES {
-            if !self.entries[from].urgent() {
+            if !self.entries[from].take_urgent() {
                 continue;
             }
             let digest = self.entries[from].digest(self.now);
@@ -171,17 +171,17 @@
 fn innocent_is_acquitted_everywhere() {
     let mut here = Quarantine::new(Config::default(), 1);
     let mut peer = Quarantine::new(Config::default(), 2);
-    here.crashed(Time::ZERO, 1, 0, &[7, KILLER]);
+    here.record_crash(Time::ZERO, 1, 0, &[7, KILLER]);
     peer.merge(Time::ZERO, &here.digest(Time::ZERO));
     let later = Time::from_millis(1_000);
     assert_eq!(peer.standing(later, 7), Standing::Trial);
     assert_eq!(here.standing(later, 7), Standing::Trial);
     here.reserve(7, 3);
-    here.trial_started(3);
+    here.start_trial(3);
     peer.merge(later, &here.digest(later));
     assert!(peer.is_reserved(later, 3));
     assert!(matches!(peer.standing(later, 7), Standing::Held(_)));
-    here.finished(later, 7);
+    here.record_completion(later, 7);
     peer.merge(later, &here.digest(later));
     assert_eq!(here.standing(later, 7), Standing::Clear);
     assert_eq!(peer.standing(later, 7), Standing::Clear);
@@ -195,18 +195,18 @@
 fn two_suspects_never_share_a_place() {
     let mut one = Quarantine::new(Config::default(), 1);
     let mut other = Quarantine::new(Config::default(), 2);
-    one.crashed(Time::ZERO, 1, 0, &[7]);
-    other.crashed(Time::ZERO, 1, 0, &[8]);
+    one.record_crash(Time::ZERO, 1, 0, &[7]);
+    other.record_crash(Time::ZERO, 1, 0, &[8]);
     let at = Time::from_millis(1_000);
     one.reserve(7, 3);
     other.reserve(8, 3);
     let (first, second) = (one.digest(at), other.digest(at));
     one.merge(at + FLIGHT, &second);
     other.merge(at + FLIGHT, &first);
-    assert!(one.holds(7, 3));
-    assert!(!other.holds(8, 3));
-    one.trial_started(3);
-    other.trial_ended(8);
+    assert!(one.holds_claim(7, 3));
+    assert!(!other.holds_claim(8, 3));
+    one.start_trial(3);
+    other.end_trial(8);
     assert!(other.is_reserved(at + FLIGHT, 3));
 }
 
@@ -217,9 +217,9 @@
     let mut here = Quarantine::new(Config::default(), 1);
     let mut peer = Quarantine::new(Config::default(), 2);
     let at = Time::from_millis(5);
-    here.crashed(Time::ZERO, 1, 0, &[10, 11, 12]);
-    here.crashed(at, 2, 0, &[12, 13]);
-    peer.crashed(at, 3, 0, &[12, 14]);
+    here.record_crash(Time::ZERO, 1, 0, &[10, 11, 12]);
+    here.record_crash(at, 2, 0, &[12, 13]);
+    peer.record_crash(at, 3, 0, &[12, 14]);
     let late = peer.digest(at);
     here.merge(at + FLIGHT, &late);
     for fingerprint in 10..15 {
@@ -237,8 +237,8 @@
     let config = Config::default();
     let mut here = Quarantine::new(config, 1);
     let mut peer = Quarantine::new(config, 2);
-    here.crashed(Time::ZERO, 1, 0, &[KILLER]);
-    here.crashed(Time::from_millis(900), 2, 1, &[KILLER]);
+    here.record_crash(Time::ZERO, 1, 0, &[KILLER]);
+    here.record_crash(Time::from_millis(900), 2, 1, &[KILLER]);
     let told = Time::from_millis(950);
     assert!(matches!(
         here.standing(told, KILLER),
@@ -250,12 +250,12 @@
         Standing::Quarantined(_)
     ));
 
-    let over = Time::from_millis(900) + config.term;
+    let over = Time::from_millis(900) + config.duration;
     here.tick(over);
     assert_eq!(here.standing(over, KILLER), Standing::Trial);
     here.merge(over, &peer.digest(over));
     assert_eq!(here.standing(over, KILLER), Standing::Trial);
-    here.crashed(over, 3, 0, &[KILLER]);
+    here.record_crash(over, 3, 0, &[KILLER]);
     assert!(matches!(
         here.standing(over, KILLER),
         Standing::Quarantined(_)
@@ -276,14 +276,14 @@
     fn digests_are_bounded_and_converge(
         crashes in proptest::collection::vec((0_u64..400, 0_u64..5, 0_u64..300, any::<bool>()), 1..300)
     ) {
-        let config = Config { digest: 16, ..Config::default() };
+        let config = Config { max_digest_items: 16, ..Config::default() };
         let mut one = Quarantine::new(config, 1);
         let mut other = Quarantine::new(config, 2);
         let mut now = Time::ZERO;
         for (replica, zone, fingerprint, at_one) in crashes {
             now = now + Span::from_millis(400);
             let entry = if at_one { &mut one } else { &mut other };
-            entry.crashed(now, replica, zone, &[fingerprint]);
+            entry.record_crash(now, replica, zone, &[fingerprint]);
         }
         for _ in 0..60 {
             now = now + Span::from_millis(1_000);
@@ -305,8 +305,8 @@
     #[test]
     fn rendezvous_moves_only_what_it_must(key in any::<u64>(), gone in 0_u64..9) {
         let nodes = |without| (0..9_u64).filter(move |node| Some(*node) != without).map(|node| (node, node));
-        let (first, second) = rendezvous::two(key, nodes(None));
-        let (after, _) = rendezvous::two(key, nodes(Some(gone)));
+        let (first, second) = rendezvous::top_two(key, nodes(None));
+        let (after, _) = rendezvous::top_two(key, nodes(Some(gone)));
         prop_assert_eq!(after, if first == Some(gone) { second } else { first });
     }
 }
@@ -318,7 +318,7 @@
     let mut quarantine = Quarantine::new(Config::default(), 1);
     let now = Time::from_millis(10_000);
     for replica in 0..6 {
-        quarantine.crashed(now, replica, replica % 3, &[100 + replica]);
+        quarantine.record_crash(now, replica, replica % 3, &[100 + replica]);
     }
     let later = now + Span::from_seconds(2);
     for replica in 0..6 {
@@ -334,18 +334,19 @@
 fn a_copy_that_was_stopped_too_late_is_still_blamed() {
     let heard_from_a_peer = |entry: &mut Quarantine, now: Time| {
         let mut peer = Quarantine::new(Config::default(), 2);
-        peer.crashed(now, 7, 1, &[5]);
+        peer.record_crash(now, 7, 1, &[5]);
         entry.merge(now, &peer.digest(now));
     };
-    let seen_here = |entry: &mut Quarantine, now: Time| entry.crashed(now, 7, 1, &[5]);
-    let told_by_the_copy = |entry: &mut Quarantine, now: Time| entry.stopped_crashed(now, KILLER);
+    let seen_here = |entry: &mut Quarantine, now: Time| entry.record_crash(now, 7, 1, &[5]);
+    let told_by_the_copy =
+        |entry: &mut Quarantine, now: Time| entry.record_crash_after_cancel(now, KILLER);
     let ways: [&Event; 3] = [&heard_from_a_peer, &seen_here, &told_by_the_copy];
     for crash_of_the_second in ways {
         let mut entry = Quarantine::new(Config::default(), 1);
         let start = Time::ZERO + Span::from_seconds(1);
-        entry.crashed(start, 3, 0, &[KILLER]);
-        assert_eq!(entry.take_accused(), [KILLER]);
-        entry.stopped(start, KILLER, 7, 1);
+        entry.record_crash(start, 3, 0, &[KILLER]);
+        assert_eq!(entry.take_suspects(), [KILLER]);
+        entry.record_cancellation(start, KILLER, 7, 1);
         crash_of_the_second(&mut entry, start + FLIGHT);
         let later = start + Span::from_seconds(1);
         let standing = entry.standing(later, KILLER);
@@ -358,10 +359,10 @@
 fn a_stopped_copy_is_not_blamed_for_a_later_crash() {
     let mut entry = Quarantine::new(Config::default(), 1);
     let start = Time::ZERO + Span::from_seconds(1);
-    entry.crashed(start, 3, 0, &[9]);
-    entry.stopped(start, 9, 7, 1);
+    entry.record_crash(start, 3, 0, &[9]);
+    entry.record_cancellation(start, 9, 7, 1);
     let later = start + Config::default().settle + Span::from_millis(1);
-    entry.crashed(later, 7, 1, &[5]);
+    entry.record_crash(later, 7, 1, &[5]);
     let standing = entry.standing(later + Span::from_seconds(1), 9);
     assert!(
         !matches!(standing, Standing::Quarantined(_)),
@@ -377,11 +378,11 @@
     let mut peer = Quarantine::new(Config::default(), 2);
     let now = Time::ZERO + Span::from_seconds(1);
     for one in [&mut entry, &mut peer] {
-        one.stopped(now, KILLER, 7, 1);
+        one.record_cancellation(now, KILLER, 7, 1);
     }
-    entry.crashed(now, 7, 1, &[KILLER]);
+    entry.record_crash(now, 7, 1, &[KILLER]);
     let mut told = 0;
-    while entry.urgent() || peer.urgent() {
+    while entry.take_urgent() || peer.take_urgent() {
         told += 1;
         assert!(told < 10, "the two never fall silent");
         peer.merge(now, &entry.digest(now));
--- a/crates/policy/tests/subset.rs
+++ b/crates/policy/tests/subset.rs
@@ -52,7 +52,7 @@
         counts in (1_usize..12, 0_usize..40),
         changes in proptest::collection::vec((any::<bool>(), any::<bool>(), 0_usize..40), 0..30),
     ) {
-        let config = Config { entries: wanted, size };
+        let config = Config { entries_per_replica: wanted, target_size: size };
         let (all_entries, all_replicas) = (names("entry", 12), names("replica", 40));
         let mut entries = all_entries[..counts.0].to_vec();
         let mut replicas = all_replicas[..counts.1].to_vec();
@@ -89,7 +89,7 @@
     fn leaving_entry_moves_only_its_own(gone in 1_usize..20) {
         let (entries, replicas) = (names("entry", 20), names("replica", 100));
         for own in entries.iter().filter(|entry| **entry != entries[gone]) {
-            let mut subset = subset(Config { entries: 3, size: 0 }, *own, &entries, &replicas);
+            let mut subset = subset(Config { entries_per_replica: 3, target_size: 0 }, *own, &entries, &replicas);
             let before: Vec<u64> = subset.iter().collect();
             subset.entry_left(entries[gone]);
             prop_assert!(before.iter().all(|replica| subset.contains(*replica)));
--- a/crates/policy/tests/warmup.rs
+++ b/crates/policy/tests/warmup.rs
@@ -11,17 +11,17 @@
 fn new_replica_gets_its_part_step_by_step() {
     let config = Config::default();
     let mut warmup = Warmup::new(config);
-    warmup.joined(Time::ZERO, Key(0));
+    warmup.add(Time::ZERO, Key(0));
     let late = Time::from_millis(600_000);
-    warmup.joined(late, Key(1));
-    assert_eq!(warmup.jobs(late, Key(0), 32), 32);
-    assert_eq!(warmup.jobs(late, Key(1), 32), 4);
-    assert_eq!(warmup.load(late, Key(1), 1.0), 10.0);
+    warmup.add(late, Key(1));
+    assert_eq!(warmup.max_jobs(late, Key(0), 32), 32);
+    assert_eq!(warmup.max_jobs(late, Key(1), 32), 4);
+    assert_eq!(warmup.scaled_load(late, Key(1), 1.0), 10.0);
     let mut last = 4;
-    let span = config.span.as_millis();
+    let span = config.duration.as_millis();
     for step in 0..=30 {
         let now = Time::from_millis(600_000 + span * step / 30);
-        let jobs = warmup.jobs(now, Key(1), 32);
+        let jobs = warmup.max_jobs(now, Key(1), 32);
         assert!(jobs >= last && jobs - last <= 2);
         last = jobs;
     }
@@ -34,10 +34,10 @@
 fn pool_of_new_replicas_is_not_held_back() {
     let mut warmup = Warmup::new(Config::default());
     for key in 0..9 {
-        warmup.joined(Time::ZERO, Key(key));
+        warmup.add(Time::ZERO, Key(key));
     }
-    assert_eq!(warmup.jobs(Time::ZERO, Key(4), 16), 16);
-    warmup.left(Key(0));
-    assert_eq!(warmup.share(Time::ZERO, Key(4)), 1.0);
-    assert_eq!(warmup.jobs(Time::ZERO, Key(4), 0), 1);
+    assert_eq!(warmup.max_jobs(Time::ZERO, Key(4), 16), 16);
+    warmup.remove(Key(0));
+    assert_eq!(warmup.capacity_share(Time::ZERO, Key(4)), 1.0);
+    assert_eq!(warmup.max_jobs(Time::ZERO, Key(4), 0), 1);
 }
--- a/crates/policy/tests/wave.rs
+++ b/crates/policy/tests/wave.rs
@@ -7,7 +7,7 @@
 use policy::job;
 use policy::replica::Key;
 use policy::wave;
-use policy::wave::Fate;
+use policy::wave::Action;
 use policy::wave::Running;
 use policy::wave::Source;
 use policy::wave::Step;
@@ -24,7 +24,7 @@
         from: Key(0),
         kind: job::Kind::Model,
         tokens,
-        rest: Span::from_seconds(60),
+        remaining: Span::from_seconds(60),
         idempotent: true,
     }
 }
@@ -44,15 +44,15 @@
     }
 }
 
-fn fate(steps: &[Step], id: u64) -> Fate {
+fn fate(steps: &[Step], id: u64) -> Action {
     let step = steps.iter().find(|step| step.job == job::Id(id));
-    step.expect("each job has a fate").fate
+    step.expect("each job has a fate").action
 }
 
 fn how(steps: &[Step], id: u64) -> Option<Transfer> {
     match fate(steps, id) {
-        Fate::Move { how, .. } => Some(how),
-        Fate::Finish | Fate::Stay => None,
+        Action::Move { transfer: how, .. } => Some(how),
+        Action::Finish | Action::Wait => None,
     }
 }
 
@@ -86,7 +86,7 @@
 #[test]
 fn each_job_gets_the_fate_it_can_bear() {
     let ending = Running {
-        rest: Span::from_seconds(5),
+        remaining: Span::from_seconds(5),
         ..running(1, 9_000)
     };
     let plain = Running {
@@ -106,19 +106,19 @@
         &jobs,
         &[target(1, 9)],
     );
-    assert_eq!(fate(&steps, 1), Fate::Finish);
-    assert_eq!(fate(&steps, 2), Fate::Stay);
+    assert_eq!(fate(&steps, 1), Action::Finish);
+    assert_eq!(fate(&steps, 2), Action::Wait);
     assert!(matches!(
         fate(&steps, 3),
-        Fate::Move {
-            how: Transfer::Kv,
-            at: Time::ZERO,
+        Action::Move {
+            transfer: Transfer::Kv,
+            start: Time::ZERO,
             ..
         }
     ));
     assert_eq!(how(&steps, 4), Some(Transfer::Kv));
     let full = wave::plan(&Config::default(), Time::ZERO, &[source(0)], &jobs, &[]);
-    assert_eq!(fate(&full, 3), Fate::Stay);
+    assert_eq!(fate(&full, 3), Action::Wait);
 }
 
 /// A zone goes at once: three replicas leave, six stay, and all moves together must not overfill
@@ -159,7 +159,7 @@
         let config = Config::default();
         let jobs: Vec<Running> = jobs.iter().enumerate().map(|(id, (from, tokens, rest, idempotent))| Running {
             from: Key(*from),
-            rest: Span::from_millis(*rest),
+            remaining: Span::from_millis(*rest),
             idempotent: *idempotent,
             ..running(id as u64, *tokens)
         }).collect();
@@ -174,7 +174,7 @@
         let mut left = targets.clone();
         for step in &steps {
             let job = jobs[step.job.0 as usize];
-            let Fate::Move { to, how, at } = step.fate else { continue };
+            let Action::Move { to, transfer: how, start: at } = step.action else { continue };
             let target = left.iter_mut().find(|target| target.key == to).expect("a target");
             prop_assert!(target.slots >= 1 && target.tokens >= u64::from(job.tokens));
             target.slots -= 1;
--- a/crates/wire/src/news.rs
+++ b/crates/wire/src/news.rs
@@ -86,7 +86,7 @@
 fn write_suspect(item: &quarantine::Item, mut to: suspect::Builder<'_>) {
     to.set_fingerprint(item.fingerprint);
     to.set_judged(item.judged);
-    to.set_left_ms(item.left.as_millis());
+    to.set_left_ms(item.remaining.as_millis());
     let mut crashes = to.reborrow().init_crashes(count(item.crashes.len()));
     for (at, replica) in item.crashes.iter().enumerate() {
         crashes.set(count(at), *replica);
@@ -113,7 +113,7 @@
         crashes: from.get_crashes()?.iter().collect(),
         acquitted: from.get_acquitted()?.iter().collect(),
         judged: from.get_judged(),
-        left: Span::from_millis(from.get_left_ms()),
+        remaining: Span::from_millis(from.get_left_ms()),
     })
 }
 
