--- a/crates/gateway/src/book.rs
+++ b/crates/gateway/src/catalog.rs
@@ -7,7 +7,7 @@
 
 /// One version of the configuration. Immutable once made.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Book {
+pub struct Catalog {
     /// Rises with each change, in uneven steps.
     pub version: u64,
     /// All services.
@@ -171,7 +171,7 @@
     }
 }
 
-impl Book {
+impl Catalog {
     /// A version with its look-ups.
     pub fn new(
         version: u64,
@@ -179,7 +179,7 @@
         services: Vec<Service>,
         accounts: Vec<Account>,
         limits: Limits,
-    ) -> Book {
+    ) -> Catalog {
         let mut by_host: HashMap<SmolStr, Vec<Route>> = HashMap::new();
         for route in routes {
             by_host.entry(route.host.clone()).or_default().push(route);
@@ -191,7 +191,7 @@
         let by_key = keys
             .flat_map(|(at, account)| account.keys.iter().map(move |key| (key.clone(), at)))
             .collect();
-        Book {
+        Catalog {
             version,
             services,
             accounts,
--- a/crates/gateway/src/charging.rs
+++ b/crates/gateway/src/charging.rs
@@ -196,7 +196,7 @@
         charge: Charge,
         effects: &mut Vec<Effect>,
     ) {
-        let known = self.book.is_some();
+        let known = self.catalog.is_some();
         let result = known.then(|| {
             self.quotas
                 .charge_for_all(now, charge.name, charge.cost)
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -11,8 +11,8 @@
 use policy::rendezvous;
 use smol_str::SmolStr;
 
-use crate::book::Account;
-use crate::book::Book;
+use crate::catalog::Account;
+use crate::catalog::Catalog;
 use crate::effect::Effect;
 use crate::event::Source;
 use crate::gateway::Gateway;
@@ -25,32 +25,35 @@
     pub(crate) fn configured(
         &mut self,
         now: Time,
-        book: Rc<Book>,
+        catalog: Rc<Catalog>,
         document: Bytes,
         source: Source,
         effects: &mut Vec<Effect>,
     ) {
-        let version = self.book.as_ref().map_or(0, |book| book.version);
-        if self.book.is_some() && book.version <= version {
+        let version = self.catalog.as_ref().map_or(0, |catalog| catalog.version);
+        if self.catalog.is_some() && catalog.version <= version {
             return;
         }
         let line = Line::info("configuration_applied")
-            .with("version", book.version)
+            .with("version", catalog.version)
             .with("before", version)
-            .with("accounts", book.accounts.len())
+            .with("accounts", catalog.accounts.len())
             .with("source", source_name(source));
         effects.push(Effect::Log(line));
-        self.take_accounts(now, &book);
-        for service in &book.services {
+        self.take_accounts(now, &catalog);
+        for service in &catalog.services {
             self.pool_key(&service.name);
         }
-        let engines = book.services.iter().filter_map(|one| one.engine.as_ref());
+        let engines = catalog
+            .services
+            .iter()
+            .filter_map(|one| one.engine.as_ref());
         let speeds = engines.filter_map(|engine| engine.moved_per_milli);
         self.scheduler.set_transfers(speeds.reduce(f64::min));
         self.document = document;
-        self.book_since = now;
-        self.book = Some(Rc::clone(&book));
-        self.attend(now, member::event::Event::Applied(book.version), effects);
+        self.catalog_since = now;
+        self.catalog = Some(Rc::clone(&catalog));
+        self.attend(now, member::event::Event::Applied(catalog.version), effects);
     }
 
     /// The scheduler's key of a service.
@@ -59,16 +62,16 @@
         *self.pools.entry(service.clone()).or_insert(next)
     }
 
-    fn take_accounts(&mut self, now: Time, book: &Book) {
+    fn take_accounts(&mut self, now: Time, catalog: &Catalog) {
         let public = Account::default();
-        for account in book.accounts.iter().chain([&public]) {
+        for account in catalog.accounts.iter().chain([&public]) {
             let next = account::Key(self.accounts.len() as u32);
             let key = *self.accounts.entry(account.name.clone()).or_insert(next);
             self.scheduler.set_account(key, spec_of(account));
             let name = rendezvous::identity(&account.name);
             self.quotas.set(now, name, account.rate, account.burst);
         }
-        let names: Vec<Name> = book
+        let names: Vec<Name> = catalog
             .accounts
             .iter()
             .map(|account| rendezvous::identity(&account.name))
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -16,7 +16,7 @@
 
 use crate::arrival::Arrival;
 use crate::attempt::Report;
-use crate::book::Book;
+use crate::catalog::Catalog;
 use crate::charging::Answer;
 use crate::configs::gateway::Settings;
 use crate::duty;
@@ -63,7 +63,7 @@
     /// A version of the configuration was read.
     Configured {
         /// The version.
-        book: Rc<Book>,
+        catalog: Rc<Catalog>,
         /// The document as it was written, for peers that can't read it.
         document: Bytes,
         /// Who told it.
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -14,8 +14,8 @@
 use policy::mix::Market;
 use smol_str::SmolStr;
 
-use crate::book::Scaling;
-use crate::book::Service;
+use crate::catalog::Scaling;
+use crate::catalog::Service;
 use crate::duty;
 use crate::duty::Warrant;
 use crate::effect::Effect;
@@ -154,10 +154,10 @@
             return;
         }
         self.duties.fleet.next = now + REVIEW;
-        let Some(book) = self.book.clone() else {
+        let Some(catalog) = self.catalog.clone() else {
             return;
         };
-        for service in &book.services {
+        for service in &catalog.services {
             if let Some(scaling) = &service.scaling {
                 self.plan_service(now, service, scaling, warrant, effects);
             }
@@ -285,10 +285,10 @@
 
     /// Notes how much work has arrived at all entries; every entry does, so that one that gains the duty knows.
     pub(crate) fn note_demand(&mut self, now: Time) {
-        let Some(book) = self.book.clone() else {
+        let Some(catalog) = self.catalog.clone() else {
             return;
         };
-        for service in book.services.iter().filter(|one| one.scaling.is_some()) {
+        for service in catalog.services.iter().filter(|one| one.scaling.is_some()) {
             let own = self.work.get(&service.name).map_or(0, Work::fresh);
             self.demand.note(now, &service.name, own);
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -24,7 +24,7 @@
 use store::throttle::Throttle;
 use watch::watch::Watch;
 
-use crate::book::Book;
+use crate::catalog::Catalog;
 use crate::configs::gateway::Settings;
 use crate::duties;
 use crate::duties::Duties;
@@ -51,12 +51,12 @@
     pub(crate) settings: Settings,
     pub(crate) random: Pcg64Mcg,
     /// The newest configuration seen in this life; its version never falls.
-    pub(crate) book: Option<Rc<Book>>,
+    pub(crate) catalog: Option<Rc<Catalog>>,
     /// When the list of servers was read first.
     pub(crate) servers_since: Time,
-    /// When `book` came in force.
-    pub(crate) book_since: Time,
-    /// The document that `book` was read from.
+    /// When `catalog` came in force.
+    pub(crate) catalog_since: Time,
+    /// The document that `catalog` was read from.
     pub(crate) document: Bytes,
     pub(crate) scheduler: Scheduler,
     pub(crate) quotas: Quotas,
@@ -175,9 +175,9 @@
             watch: Watch::new(settings.watch, identity.incarnation.0),
             following: Following::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
-            book: None,
+            catalog: None,
             servers_since: Time::ZERO,
-            book_since: Time::ZERO,
+            catalog_since: Time::ZERO,
             document: Bytes::new(),
             scheduler,
             open: BTreeMap::new(),
@@ -234,10 +234,10 @@
                 self.addresses_asked(now, asker, zone.as_deref(), effects);
             }
             Event::Configured {
-                book,
+                catalog,
                 document,
                 source,
-            } => self.configured(now, book, document, source, effects),
+            } => self.configured(now, catalog, document, source, effects),
             Event::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
             Event::RolloutWithdrawn(service) => self.rollout_withdrawn(now, &service, effects),
             Event::RolloutsKnown(services) => self.rollouts_known(now, &services, effects),
@@ -266,13 +266,13 @@
 
     /// Whether callers may be sent here.
     pub fn is_ready(&self) -> bool {
-        self.book.is_some() && self.stopping.is_none()
+        self.catalog.is_some() && self.stopping.is_none()
     }
 
     /// The limits on what callers may send.
-    pub fn limits(&self) -> crate::book::Limits {
-        let book = self.book.as_ref();
-        book.map_or_else(Default::default, |book| book.limits.clone())
+    pub fn limits(&self) -> crate::catalog::Limits {
+        let catalog = self.catalog.as_ref();
+        catalog.map_or_else(Default::default, |catalog| catalog.limits.clone())
     }
 
     /// How this entry stands, for metrics.
@@ -281,14 +281,14 @@
         let waiting: usize = pools().map(|pool| self.scheduler.waiting(*pool)).sum();
         let repeats: f64 = pools().map(|pool| self.scheduler.repeats_left(*pool)).sum();
         Vitals {
-            version_age_ms: now.since(self.book_since).as_millis(),
+            version_age_ms: now.since(self.catalog_since).as_millis(),
             leaving: self.servers.leaving_count() as u64,
             missing: self.servers.missing().len() as u64,
             waiting: waiting as u64,
             repeats_left: repeats.max(0.0) as u64,
             fence: self.warrant(now).map_or(0, |warrant| warrant.fence),
             open_requests: self.open.len() as u64,
-            version: self.book.as_ref().map_or(0, |book| book.version),
+            version: self.catalog.as_ref().map_or(0, |catalog| catalog.version),
             members: self.membership.directory().count() as u64,
             servers: self.servers.count() as u64,
             list_revision: self.servers.position().revision,
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -13,10 +13,10 @@
 use verdict::Refusal;
 
 use crate::arrival::Arrival;
-use crate::book::Account;
-use crate::book::Book;
-use crate::book::Repeat;
-use crate::book::Route;
+use crate::catalog::Account;
+use crate::catalog::Catalog;
+use crate::catalog::Repeat;
+use crate::catalog::Route;
 use crate::charging::Grant;
 use crate::effect::Command;
 use crate::effect::Effect;
@@ -85,12 +85,12 @@
 
     /// The line on a request that is refused before it is queued, with what decided that.
     fn early_line(&self, now: Time, arrival: &Arrival) -> Line {
-        let version = self.book.as_ref().map_or(0, |book| book.version);
+        let version = self.catalog.as_ref().map_or(0, |catalog| catalog.version);
         Line::info("request_refused")
             .with("request", &arrival.id)
             .with("path", &arrival.path)
             .with("version", version)
-            .with("version_age_ms", now.since(self.book_since).as_millis())
+            .with("version_age_ms", now.since(self.catalog_since).as_millis())
     }
 
     /// The caller is gone: nothing is owed to it any more.
@@ -142,26 +142,26 @@
 
     /// Checks route and key, and makes the open request.
     fn check_in(&mut self, now: Time, serial: u64, arrival: &Arrival) -> Result<Open, Refusal> {
-        let Some(book) = self.book.clone() else {
+        let Some(catalog) = self.catalog.clone() else {
             let refusal = Refusal::not_run(Reason::NotReady, "no configuration is known here yet");
             return Err(refusal.with_retry_after(NOT_READY_RETRY));
         };
-        let route = book.route(&arrival.host, &arrival.path);
+        let route = catalog.route(&arrival.host, &arrival.path);
         let route = route.ok_or_else(|| Refusal::not_run(Reason::Unknown, "no route"))?;
         if self.is_ending(now, route.repeat.is_stream()) {
             let refusal = Refusal::not_run(Reason::Leaving, "this entry is about to end");
             return Err(refusal.with_retry_after(LEAVING_RETRY));
         }
-        let account = account_of(&book, route, arrival)?;
+        let account = account_of(&catalog, route, arrival)?;
         let service = self.draw_service(route);
         let (pool, canary) = self.draw_pool(now, &service, &route.name);
-        book.service(&service).ok_or_else(not_configured)?;
+        catalog.service(&service).ok_or_else(not_configured)?;
         let job = self.job_of(serial, route, account, &pool, arrival)?;
         let due = account.map(|account| Charge {
             name: rendezvous::identity(&account.name),
             cost: quota_cost(account, arrival),
         });
-        let engine = book
+        let engine = catalog
             .service(&service)
             .and_then(|service| service.engine.as_ref());
         let arrived = before(now, arrival.reading);
@@ -257,14 +257,14 @@
 
 /// The account that sent the request; none on public routes.
 fn account_of<'a>(
-    book: &'a Book,
+    catalog: &'a Catalog,
     route: &Route,
     arrival: &Arrival,
 ) -> Result<Option<&'a Account>, Refusal> {
-    if route.public || book.accounts.is_empty() {
+    if route.public || catalog.accounts.is_empty() {
         return Ok(None);
     }
-    let account = arrival.key.as_deref().and_then(|key| book.account(key));
+    let account = arrival.key.as_deref().and_then(|key| catalog.account(key));
     let refusal = || Refusal::not_run(Reason::Unauthorized, "the key belongs to no account");
     account.map(Some).ok_or_else(refusal)
 }
--- a/crates/gateway/src/lagging.rs
+++ b/crates/gateway/src/lagging.rs
@@ -47,7 +47,7 @@
     /// the entry that took their place: after all entries of a large system were killed, each sent its configuration
     /// to thirty others, and a link of 10 Mbit/s was full for 13 s.
     pub(crate) fn note_lagging(&mut self, now: Time) {
-        let Some(ours) = self.book.as_ref().map(|book| book.version) else {
+        let Some(ours) = self.catalog.as_ref().map(|catalog| catalog.version) else {
             return;
         };
         let me = self.identity.incarnation;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,8 +8,8 @@
 
 pub mod arrival;
 pub mod attempt;
-pub mod book;
 pub mod bulletin;
+pub mod catalog;
 pub mod charging;
 pub mod configs;
 pub mod duty;
--- a/crates/gateway/src/open.rs
+++ b/crates/gateway/src/open.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 
 use crate::arrival::Prompt;
-use crate::book::Repeat;
+use crate::catalog::Repeat;
 use crate::charging::Grant;
 
 /// A request between its arrival and its final answer.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -166,7 +166,7 @@
             MemberEffect::News(item) => self.news_came(now, &item, effects),
             MemberEffect::Peers(peers) => self.peers_changed(now, &peers, effects),
             MemberEffect::Heard { version, .. } => {
-                let ours = self.book.as_ref().map_or(0, |book| book.version);
+                let ours = self.catalog.as_ref().map_or(0, |catalog| catalog.version);
                 if version > ours {
                     effects.push(Effect::ReadConfiguration);
                 }
--- a/crates/gateway/src/reports.rs
+++ b/crates/gateway/src/reports.rs
@@ -148,8 +148,8 @@
     /// Writes the counts of a window, unless there are some.
     fn fix(&mut self, window: u64) {
         let mut counts = self.usage.total(window);
-        if let Some(book) = &self.book {
-            for account in &book.accounts {
+        if let Some(catalog) = &self.catalog {
+            for account in &catalog.accounts {
                 counts.entry(account.name.clone()).or_default();
             }
         }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -14,16 +14,16 @@
 use gateway::arrival::Prompt;
 use gateway::attempt::End;
 use gateway::attempt::Report;
-use gateway::book::Account;
-use gateway::book::Book;
-use gateway::book::Engine;
-use gateway::book::Limits;
-use gateway::book::Repeat;
-use gateway::book::Route;
-use gateway::book::Scaling;
-use gateway::book::Service;
-use gateway::book::Share;
 use gateway::bulletin::Bulletin;
+use gateway::catalog::Account;
+use gateway::catalog::Catalog;
+use gateway::catalog::Engine;
+use gateway::catalog::Limits;
+use gateway::catalog::Repeat;
+use gateway::catalog::Route;
+use gateway::catalog::Scaling;
+use gateway::catalog::Service;
+use gateway::catalog::Share;
 use gateway::configs::gateway::Settings;
 use gateway::duty;
 use gateway::effect::Command;
@@ -265,12 +265,12 @@
 
     /// Gives an entry a version of the configuration.
     pub fn configure(&mut self, entry: usize, version: u64, source: Source) {
-        let book = Rc::new(book(version));
+        let catalog = Rc::new(catalog(version));
         let document = Bytes::from(version.to_string());
         self.step(
             entry,
             Event::Configured {
-                book,
+                catalog,
                 document,
                 source,
             },
@@ -797,7 +797,7 @@
     all.collect()
 }
 
-fn book(version: u64) -> Book {
+fn catalog(version: u64) -> Catalog {
     let route = Route {
         name: SmolStr::new_static("drafts"),
         host: SmolStr::new_static("models.test"),
@@ -857,7 +857,7 @@
         in_tokens: false,
     };
     let (routes, services, accounts) = (vec![route, talks, open], vec![service], vec![account]);
-    Book::new(version, routes, services, accounts, Limits::default())
+    Catalog::new(version, routes, services, accounts, Limits::default())
 }
 
 /// An order for replicas.
--- a/crates/relay/src/adapter.rs
+++ b/crates/relay/src/adapter.rs
@@ -7,7 +7,7 @@
 use clock::Span;
 use gateway::arrival::Arrival;
 use gateway::attempt::Place;
-use gateway::book::Book;
+use gateway::catalog::Catalog;
 use gateway::duty;
 use gateway::effect::Addresses;
 use gateway::effect::Start;
@@ -84,7 +84,7 @@
     fn server(&self, row: &Row) -> anyhow::Result<Server>;
 
     /// A version of the configuration, from the document that an operator wrote.
-    fn book(&self, document: &[u8]) -> anyhow::Result<Book>;
+    fn catalog(&self, document: &[u8]) -> anyhow::Result<Catalog>;
 }
 
 /// Where a stream goes on.
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -272,9 +272,9 @@
     }
 
     fn configure(&self, from: u64, message: Vec<u8>) {
-        match self.shared.codec.book(&message) {
-            Ok(book) => self.shared.link.event(Event::Configured {
-                book: Rc::new(book),
+        match self.shared.codec.catalog(&message) {
+            Ok(catalog) => self.shared.link.event(Event::Configured {
+                catalog: Rc::new(catalog),
                 document: Bytes::from(message),
                 source: Source::Peer(holder::Id(from)),
             }),
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -91,9 +91,9 @@
             if !self.shared.codec.is_configuration(row) {
                 continue;
             }
-            match self.shared.codec.book(&row.data) {
-                Ok(book) => self.shared.link.event(Event::Configured {
-                    book: Rc::new(book),
+            match self.shared.codec.catalog(&row.data) {
+                Ok(catalog) => self.shared.link.event(Event::Configured {
+                    catalog: Rc::new(catalog),
                     document: row.data.clone(),
                     source: Source::Store,
                 }),
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -13,7 +13,7 @@
 use clock::Clock;
 use clock::Span;
 use clock::Time;
-use gateway::book::Limits;
+use gateway::catalog::Limits;
 use gateway::event::Event;
 use gateway::gateway::Gateway;
 use gateway::gateway::Vitals;
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -7,7 +7,7 @@
 use clock::Clock;
 use clock::Span;
 use clock::Time;
-use gateway::book::Limits;
+use gateway::catalog::Limits;
 use gateway::gateway::Vitals;
 use tokio::sync::watch;
 
