--- a/crates/gateway/src/addresses.rs
+++ b/crates/gateway/src/addresses.rs
@@ -19,7 +19,7 @@
     pub(crate) fn addresses_asked(
         &mut self,
         now: Time,
-        asker: u64,
+        requester: u64,
         zone: Option<&str>,
         effects: &mut Vec<Effect>,
     ) {
@@ -31,9 +31,9 @@
         };
         let mut entries = self.draw(&named);
         entries.truncate(MOST);
-        let keep = self.settings.address_keep;
-        let answer = (!entries.is_empty()).then_some(Addresses { entries, keep });
-        effects.push(Effect::Addresses { asker, answer });
+        let ttl = self.settings.address_ttl;
+        let answer = (!entries.is_empty()).then_some(Addresses { entries, ttl });
+        effects.push(Effect::Addresses { requester, answer });
     }
 
     /// Names entries as often as they can take callers: callers choose among the named ones at random, so a
--- a/crates/gateway/src/arrival.rs
+++ b/crates/gateway/src/arrival.rs
@@ -17,7 +17,7 @@
     /// How long the caller waits, counted from when it sent the request; none if it didn't say.
     pub deadline: Option<Span>,
     /// How long it took to read the request.
-    pub reading: Span,
+    pub read_time: Span,
     /// Hash of method, target and body: a repeat of the same request has an equal one.
     pub fingerprint: u64,
     /// What a model call says of its prompt.
@@ -49,7 +49,7 @@
 impl Prompt {
     /// What requests must have in common to profit from each other's cached memory: the longest
     /// beginning that is not the request's own.
-    pub fn shared(&self) -> u64 {
+    pub fn shared_prefix(&self) -> u64 {
         match self.parts.as_slice() {
             [] => 0,
             [only] => only.id,
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -5,7 +5,7 @@
 
 /// Where an attempt goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Endpoint {
     /// `host:port`.
     pub address: SmolStr,
     /// The name that the replica must have, so that another one at a reused address refuses.
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
     /// The answer began: the head of a whole answer, or a stream's first event.
-    First,
+    ResponseStarted,
     /// More tokens of a stream came.
     Progress {
         /// Since the last report.
@@ -57,7 +57,7 @@
         alive: bool,
     },
     /// Nothing came for too long.
-    Silent {
+    TimedOut {
         /// How long.
         waited: Span,
     },
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -29,7 +29,7 @@
         }
         let id = job::Id(serial);
         match report {
-            Report::First => {
+            Report::ResponseStarted => {
                 let alone = open.attempt == 1 && open.first.is_none();
                 open.first.get_or_insert(now);
                 let (own, service) = (open.own_tokens, open.service.clone());
@@ -93,7 +93,7 @@
             End::NotSent => (job::End::NotSent, 0),
             End::NotStarted => (job::End::NotStarted, 0),
             End::Broken { alive: false } if !moving => (job::End::Crashed, 0),
-            End::Failed { .. } | End::Broken { .. } | End::Silent { .. } => (job::End::Failed, 0),
+            End::Failed { .. } | End::Broken { .. } | End::TimedOut { .. } => (job::End::Failed, 0),
         };
         self.with_scheduler(now, effects, |scheduler, out| {
             scheduler.attempt_ended(now, job::Id(serial), how, tokens, out);
@@ -160,6 +160,6 @@
         End::NotStarted => info("not_started"),
         End::Failed { status } => info("failed").with("status", status),
         End::Broken { alive } => info("broken").with("alive", alive),
-        End::Silent { waited } => info("silent").with("waited_ms", waited.as_millis()),
+        End::TimedOut { waited } => info("silent").with("waited_ms", waited.as_millis()),
     }
 }
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -108,7 +108,7 @@
     /// Tokens that its memory holds.
     pub memory_tokens: u64,
     /// Tokens of memory that move to another replica in a millisecond; none if they can't be moved.
-    pub moved_per_milli: Option<f64>,
+    pub transfer_tokens_per_ms: Option<f64>,
     /// Tokens in one event of a stream.
     pub tokens_per_event: u32,
 }
@@ -155,9 +155,9 @@
     /// Most bytes of a body.
     pub body_bytes: usize,
     /// Longest time for a head.
-    pub head_time: Span,
+    pub head_timeout: Span,
     /// How long a connection may be idle.
-    pub idle_time: Span,
+    pub idle_timeout: Span,
 }
 
 impl Default for Limits {
@@ -165,8 +165,8 @@
         Limits {
             head_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            head_time: Span::from_seconds(3),
-            idle_time: Span::from_seconds(15),
+            head_timeout: Span::from_seconds(3),
+            idle_timeout: Span::from_seconds(15),
         }
     }
 }
--- a/crates/gateway/src/charging.rs
+++ b/crates/gateway/src/charging.rs
@@ -35,9 +35,9 @@
         bucket: Name,
     },
     /// It has not.
-    Short {
+    Exceeded {
         /// When to come back.
-        after: Span,
+        retry_after: Span,
     },
 }
 
@@ -45,7 +45,7 @@
     fn from(result: Result<Name, Span>) -> Answer {
         match result {
             Ok(bucket) => Answer::Granted { bucket },
-            Err(after) => Answer::Short { after },
+            Err(after) => Answer::Exceeded { retry_after: after },
         }
     }
 }
@@ -92,7 +92,7 @@
     ) {
         let by = holder::Id(home);
         match self.membership.peer_address(by).cloned() {
-            Some(address) => effects.push(Effect::AskCharge {
+            Some(address) => effects.push(Effect::RequestCharge {
                 serial,
                 by,
                 address,
@@ -165,7 +165,7 @@
                 let grant = Grant { bucket, cost, by };
                 self.admit(now, serial, Some(grant), effects);
             }
-            Answer::Short { after } => {
+            Answer::Exceeded { retry_after: after } => {
                 let line = Line::info("quota_short")
                     .with("account", charge.name)
                     .with("cost", charge.cost)
@@ -192,7 +192,7 @@
     pub(crate) fn charge_asked(
         &mut self,
         now: Time,
-        asker: u64,
+        requester: u64,
         charge: Charge,
         effects: &mut Vec<Effect>,
     ) {
@@ -203,7 +203,7 @@
                 .into()
         });
         effects.push(Effect::ChargeAnswer {
-            asker,
+            requester,
             answer: result,
         });
     }
--- a/crates/gateway/src/configs/gateway.rs
+++ b/crates/gateway/src/configs/gateway.rs
@@ -14,14 +14,14 @@
     /// How much this entry can take against others, 1 to 255.
     pub capacity: u8,
     /// How long callers may keep an address answer: short enough that they leave a stopped entry soon.
-    pub address_keep: Span,
+    pub address_ttl: Span,
     /// From the request to stop until the process must be gone.
     pub grace: Span,
     /// How long rows of servers may be missing after the table service is back: servers whose leases
     /// lapsed meanwhile need a heartbeat to return.
     pub return_time: Span,
     /// Time between two bulletins.
-    pub bulletin: Span,
+    pub bulletin_interval: Span,
     /// Repeats allowed for each first attempt, over all entries.
     pub repeat_ratio: f64,
     /// Repeats allowed besides, over all entries and in one window.
@@ -60,10 +60,10 @@
             seeds: Vec::new(),
             entries: 8,
             capacity: u8::MAX,
-            address_keep: Span::from_seconds(2),
+            address_ttl: Span::from_seconds(2),
             grace: Span::from_seconds(8),
             return_time: Span::from_millis(2_500),
-            bulletin: Span::from_millis(250),
+            bulletin_interval: Span::from_millis(250),
             repeat_ratio: 0.15,
             repeat_allowance: 40.0,
             zero_unix_ms: 0,
@@ -85,7 +85,7 @@
 
 impl Settings {
     /// Gives this entry its part of what is allowed over all.
-    pub fn shared_out(mut self) -> Settings {
+    pub fn per_entry(mut self) -> Settings {
         let entries = f64::from(self.entries.max(1));
         self.scheduler.retry.fraction = self.repeat_ratio;
         self.scheduler.retry.saved = (self.repeat_allowance / entries).max(1.0);
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -48,7 +48,7 @@
             .services
             .iter()
             .filter_map(|one| one.engine.as_ref());
-        let speeds = engines.filter_map(|engine| engine.moved_per_milli);
+        let speeds = engines.filter_map(|engine| engine.transfer_tokens_per_ms);
         self.scheduler.set_transfers(speeds.reduce(f64::min));
         self.document = document;
         self.catalog_since = now;
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -89,15 +89,15 @@
         let start = Start {
             attempt: open.attempt,
             account: open.account.clone(),
-            left: open.ends.since(now),
-            patience: open.patience,
+            time_left: open.ends.since(now),
+            silence_timeout: open.patience,
             stream: open.repeat.is_stream(),
             repeatable: open.repeat.is_repeatable(),
             urgency: model.then_some(urgency),
             tokens_per_event: open.tokens_per_event,
             fetch: keeper.map(|place| place.address),
             limited: self.limits.is_limited(&place.incarnation),
-            place,
+            endpoint: place,
         };
         let (first, pool) = (open.attempt == 1, open.job.pool);
         let list_age = now.since(self.servers.position().at);
@@ -105,12 +105,12 @@
             .with("request", &open.id)
             .with("service", &open.service)
             .with("attempt", open.attempt)
-            .with("replica", &start.place.incarnation)
+            .with("replica", &start.endpoint.incarnation)
             .with("fetch", start.fetch.as_deref().unwrap_or_default())
             .with("waited_ms", now.since(open.arrived).as_millis())
-            .with("left_ms", start.left.as_millis())
+            .with("left_ms", start.time_left.as_millis())
             .with("list_age_ms", list_age.as_millis());
-        let line = match self.servers.missing_since(&start.place.incarnation) {
+        let line = match self.servers.missing_since(&start.endpoint.incarnation) {
             Some(since) => line.with("missing_ms", now.since(since).as_millis()),
             None => line,
         };
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -16,7 +16,7 @@
 use store::call;
 
 use crate::duty;
-use crate::duty::Warrant;
+use crate::duty::Lease;
 use crate::effect::Effect;
 use crate::effect::Lane;
 use crate::fleet::Fleet;
@@ -92,11 +92,11 @@
         }
         self.usage.expire(now);
         self.note_demand(now);
-        if let Some(warrant) = self.warrant(now) {
+        if let Some(lease) = self.lease(now) {
             self.progress_tick(now);
-            self.reports_tick(now, warrant, effects);
-            self.fleet_tick(now, warrant, effects);
-            self.rollouts_tick(now, warrant, effects);
+            self.reports_tick(now, lease, effects);
+            self.fleet_tick(now, lease, effects);
+            self.rollouts_tick(now, lease, effects);
         }
     }
 
@@ -112,22 +112,22 @@
     }
 
     /// In whose name calls are made, if the lease is held.
-    pub(crate) fn warrant(&self, now: Time) -> Option<Warrant> {
+    pub(crate) fn lease(&self, now: Time) -> Option<Lease> {
         let fence = self.duties.claim.fence(now)?;
         let until = self.duties.claim.valid_until();
-        Some(Warrant { fence, until })
+        Some(Lease { fence, until })
     }
 
     /// Makes a call of the platform; its outcome comes back under the number given.
     pub(crate) fn call_platform(
         &mut self,
         call: duty::Call,
-        warrant: Warrant,
+        lease: Lease,
         effects: &mut Vec<Effect>,
     ) -> u64 {
         self.duties.next_call += 1;
         let id = self.duties.next_call;
-        effects.push(Effect::Duty { id, call, warrant });
+        effects.push(Effect::Duty { id, call, lease });
         id
     }
 
@@ -213,7 +213,7 @@
                 effects.push(Effect::SendDigest {
                     address,
                     digest,
-                    lane: Lane::News,
+                    lane: Lane::Immediate,
                 });
             }
         }
--- a/crates/gateway/src/duty.rs
+++ b/crates/gateway/src/duty.rs
@@ -31,7 +31,7 @@
 
 /// In whose name a call is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Warrant {
+pub struct Lease {
     /// The lease's fencing number.
     pub fence: u64,
     /// When the lease ends by our clock: a call that leaves later could meet those of a new holder.
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -11,7 +11,7 @@
 use store::call::Call;
 use verdict::Refusal;
 
-use crate::attempt::Place;
+use crate::attempt::Endpoint;
 use crate::charging::Answer;
 use crate::charging::Grant;
 use crate::duty;
@@ -29,7 +29,7 @@
     /// The answer to a question for addresses.
     Addresses {
         /// Who asked.
-        asker: u64,
+        requester: u64,
         /// The answer; none while no entry can be named.
         answer: Option<Addresses>,
     },
@@ -47,7 +47,7 @@
         /// The call.
         call: duty::Call,
         /// In whose name.
-        warrant: duty::Warrant,
+        lease: duty::Lease,
     },
     /// Send a digest to a peer; it may get lost.
     SendDigest {
@@ -66,7 +66,7 @@
         document: Bytes,
     },
     /// Ask another entry to charge a request, for all entries.
-    AskCharge {
+    RequestCharge {
         /// Of which request.
         serial: u64,
         /// Who is asked.
@@ -79,7 +79,7 @@
     /// The answer to another entry that asked for a charge.
     ChargeAnswer {
         /// Who asked.
-        asker: u64,
+        requester: u64,
         /// The answer; none while the quotas aren't known here.
         answer: Option<Answer>,
     },
@@ -119,9 +119,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
     /// At once.
-    News,
+    Immediate,
     /// As the entry's link has room: a newer one to the same peer says all that this one does, and takes its place.
-    Counts,
+    Coalesced,
 }
 
 /// What the task that holds a request is to do.
@@ -132,7 +132,7 @@
     /// Give the caller its final answer now: that of a replica if one is kept, or this.
     Refuse(Refusal),
     /// Move the run with its memory to another replica, if it has begun; the attempt goes on.
-    Move(Place),
+    Move(Endpoint),
     /// Stop the attempt that runs; the request stays open.
     Stop,
 }
@@ -143,13 +143,13 @@
     /// Its number.
     pub attempt: u32,
     /// Where.
-    pub place: Place,
+    pub endpoint: Endpoint,
     /// Whose request it is; none on public routes.
     pub account: Option<SmolStr>,
     /// What is left until its final answer is due.
-    pub left: Span,
+    pub time_left: Span,
     /// The replica's silence after which the attempt is given up for another; none to wait on.
-    pub patience: Option<Span>,
+    pub silence_timeout: Option<Span>,
     /// Whether the answer is a stream of events.
     pub stream: bool,
     /// Whether another replica may do it again, or go on where a stream broke off.
@@ -170,5 +170,5 @@
     /// `host:port` of each.
     pub entries: Vec<SmolStr>,
     /// How long the answer may be kept.
-    pub keep: Span,
+    pub ttl: Span,
 }
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -33,7 +33,7 @@
         arrival: Box<Arrival>,
     },
     /// The caller's connection is gone.
-    CallerGone {
+    CallerDisconnected {
         /// Whose.
         serial: u64,
     },
@@ -47,16 +47,16 @@
         report: Report,
     },
     /// A backend server said in an answer how many requests it takes from all entries together.
-    LimitNamed {
+    LimitReported {
         /// The life of the server.
         incarnation: SmolStr,
         /// The limit; none if the answer names none.
         rate: Option<Rate>,
     },
     /// Someone asks which entries to use.
-    AddressesAsked {
+    AddressesRequested {
         /// Who asks.
-        asker: u64,
+        requester: u64,
         /// In which availability zone the caller is, if it said so.
         zone: Option<SmolStr>,
     },
@@ -94,9 +94,9 @@
         outcome: duty::Outcome,
     },
     /// Another entry asks for a charge.
-    ChargeAsked {
+    ChargeRequested {
         /// Who asks.
-        asker: u64,
+        requester: u64,
         /// What is to be charged.
         charge: Charge,
     },
@@ -125,7 +125,7 @@
     /// The settings were read again.
     SettingsRead(Box<Settings>),
     /// The process is asked to stop.
-    StopAsked,
+    StopRequested,
 }
 
 /// Where a version of the configuration came from.
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -17,7 +17,7 @@
 use crate::catalog::Scaling;
 use crate::catalog::Service;
 use crate::duty;
-use crate::duty::Warrant;
+use crate::duty::Lease;
 use crate::effect::Effect;
 use crate::gateway::Gateway;
 use crate::work::Work;
@@ -149,7 +149,7 @@
 
 impl Gateway {
     /// Plans all services and gives the orders that follow.
-    pub(crate) fn fleet_tick(&mut self, now: Time, warrant: Warrant, effects: &mut Vec<Effect>) {
+    pub(crate) fn fleet_tick(&mut self, now: Time, lease: Lease, effects: &mut Vec<Effect>) {
         if !self.settings.order_replicas || now < self.duties.fleet.next {
             return;
         }
@@ -159,7 +159,7 @@
         };
         for service in &catalog.services {
             if let Some(scaling) = &service.scaling {
-                self.plan_service(now, service, scaling, warrant, effects);
+                self.plan_service(now, service, scaling, lease, effects);
             }
         }
     }
@@ -169,7 +169,7 @@
         now: Time,
         service: &Service,
         scaling: &Scaling,
-        warrant: Warrant,
+        lease: Lease,
         effects: &mut Vec<Effect>,
     ) {
         let counts = self.standing(service);
@@ -203,9 +203,9 @@
                 .with("count", count)
                 .with("have", have)
                 .with("busy", format!("{busy:.2}"))
-                .with("fence", warrant.fence);
+                .with("fence", lease.fence);
             effects.push(Effect::Log(line));
-            self.order(now, &service.name, target, count, warrant, effects);
+            self.order(now, &service.name, target, count, lease, effects);
         }
     }
 
@@ -215,7 +215,7 @@
         service: &SmolStr,
         target: Target,
         count: u32,
-        warrant: Warrant,
+        lease: Lease,
         effects: &mut Vec<Effect>,
     ) {
         let call = duty::Call::Replicas {
@@ -224,7 +224,7 @@
             market: target.market,
             count,
         };
-        let id = self.call_platform(call, warrant, effects);
+        let id = self.call_platform(call, lease, effects);
         let orders = self.duties.fleet.services.get_mut(service);
         if let Some(state) = orders.and_then(|orders| orders.targets.get_mut(&target)) {
             state.given = Some(Given {
--- a/crates/gateway/src/following.rs
+++ b/crates/gateway/src/following.rs
@@ -217,7 +217,7 @@
                 effects.push(Effect::SendDigest {
                     address,
                     digest,
-                    lane: Lane::News,
+                    lane: Lane::Immediate,
                 });
             }
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -221,17 +221,17 @@
     fn take(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Arrived { serial, arrival } => self.arrived(now, serial, &arrival, effects),
-            Event::CallerGone { serial } => self.caller_gone(now, serial, effects),
+            Event::CallerDisconnected { serial } => self.caller_gone(now, serial, effects),
             Event::Attempt {
                 serial,
                 attempt,
                 report,
             } => self.attempt_reported(now, serial, attempt, report, effects),
-            Event::LimitNamed { incarnation, rate } => {
+            Event::LimitReported { incarnation, rate } => {
                 self.limit_named(now, &incarnation, rate, effects);
             }
-            Event::AddressesAsked { asker, zone } => {
-                self.addresses_asked(now, asker, zone.as_deref(), effects);
+            Event::AddressesRequested { requester, zone } => {
+                self.addresses_asked(now, requester, zone.as_deref(), effects);
             }
             Event::Configured {
                 catalog,
@@ -245,8 +245,8 @@
             Event::ServersLost => self.servers_lost(now, effects),
             Event::Store { id, outcome } => self.store_answered(now, id, outcome, effects),
             Event::DutyAnswered { id, outcome } => self.duty_answered(now, id, outcome, effects),
-            Event::ChargeAsked { asker, charge } => {
-                self.charge_asked(now, asker, charge, effects);
+            Event::ChargeRequested { requester, charge } => {
+                self.charge_asked(now, requester, charge, effects);
             }
             Event::ChargeAnswered {
                 serial,
@@ -260,7 +260,7 @@
             }
             Event::Tick => self.tick(now, effects),
             Event::SettingsRead(settings) => self.settings_read(now, *settings, effects),
-            Event::StopAsked => self.stop_asked(now, effects),
+            Event::StopRequested => self.stop_asked(now, effects),
         }
     }
 
@@ -286,7 +286,7 @@
             missing: self.servers.missing().len() as u64,
             waiting: waiting as u64,
             repeats_left: repeats.max(0.0) as u64,
-            fence: self.warrant(now).map_or(0, |warrant| warrant.fence),
+            fence: self.lease(now).map_or(0, |lease| lease.fence),
             open_requests: self.open.len() as u64,
             version: self.catalog.as_ref().map_or(0, |catalog| catalog.version),
             members: self.membership.directory().count() as u64,
@@ -331,7 +331,7 @@
         self.quotas.set_entries(now, settings.entries.max(known));
         self.settings.seeds = settings.seeds;
         self.settings.entries = settings.entries;
-        self.settings.address_keep = settings.address_keep;
+        self.settings.address_ttl = settings.address_ttl;
         self.settings.grace = settings.grace;
     }
 
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -305,8 +305,8 @@
         let bytes = digest.size();
         let past = bulletins.iter().any(|(_, bulletin)| bulletin.past);
         let lane = match past {
-            true => Lane::News,
-            false => Lane::Counts,
+            true => Lane::Immediate,
+            false => Lane::Coalesced,
         };
         effects.push(Effect::SendDigest {
             address,
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -164,7 +164,7 @@
         let engine = catalog
             .service(&service)
             .and_then(|service| service.engine.as_ref());
-        let arrived = before(now, arrival.reading);
+        let arrived = before(now, arrival.read_time);
         let ends = arrived + route.timeout.min(arrival.deadline.unwrap_or(route.timeout));
         Ok(Open {
             id: arrival.id.clone(),
@@ -220,7 +220,7 @@
         let account = self.accounts.get(name).ok_or_else(not_configured)?;
         let pool = self.pools.get(pool).ok_or_else(not_configured)?;
         let prompt = arrival.prompt.as_ref();
-        let reading = arrival.reading;
+        let reading = arrival.read_time;
         let limit = route.timeout.min(arrival.deadline.unwrap_or(route.timeout));
         let left = limit - reading;
         if left == Span::ZERO {
@@ -237,7 +237,7 @@
             kind,
             prompt_tokens: prompt.map_or(PLAIN_TOKENS, |prompt| prompt.tokens),
             max_new_tokens: prompt.map_or(0, |prompt| prompt.max_new_tokens),
-            prefix: prompt.map_or(0, |prompt| prompt.shared()),
+            prefix: prompt.map_or(0, |prompt| prompt.shared_prefix()),
             fingerprint: arrival.fingerprint,
             idempotent: route.repeat.is_repeatable(),
             first_token: route.target - reading,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -78,8 +78,8 @@
     /// Time to the next bulletin: longer by hubs, whose messages go to everyone.
     fn bulletin_time(&self) -> Span {
         match self.by_hubs() {
-            true => self.settings.bulletin.times(HUB_PACE),
-            false => self.settings.bulletin,
+            true => self.settings.bulletin_interval.times(HUB_PACE),
+            false => self.settings.bulletin_interval,
         }
     }
 
@@ -152,7 +152,7 @@
                     effects.push(Effect::SendDigest {
                         address,
                         digest,
-                        lane: Lane::News,
+                        lane: Lane::Immediate,
                     });
                 }
             }
@@ -160,7 +160,7 @@
                 effects.push(Effect::SendDigest {
                     address,
                     digest,
-                    lane: Lane::News,
+                    lane: Lane::Immediate,
                 });
             }
             MemberEffect::News(item) => self.news_came(now, &item, effects),
--- a/crates/gateway/src/reports.rs
+++ b/crates/gateway/src/reports.rs
@@ -21,7 +21,7 @@
 use store::call::Write;
 
 use crate::duty;
-use crate::duty::Warrant;
+use crate::duty::Lease;
 use crate::effect::Effect;
 use crate::gateway::Gateway;
 use crate::store_calls::Waiter;
@@ -71,7 +71,7 @@
 
 impl Gateway {
     /// Fixes and sends what is due.
-    pub(crate) fn reports_tick(&mut self, now: Time, warrant: Warrant, effects: &mut Vec<Effect>) {
+    pub(crate) fn reports_tick(&mut self, now: Time, lease: Lease, effects: &mut Vec<Effect>) {
         // A window fixed before a former holder's counts were read would miss all that only it knew.
         let ready = self.duties.progress.read && self.has_listened(now);
         if !self.settings.report_usage || !ready {
@@ -91,17 +91,11 @@
             if since < settle.as_millis() as i64 || since > delay {
                 continue;
             }
-            self.report_window(now, window, warrant, effects);
+            self.report_window(now, window, lease, effects);
         }
     }
 
-    fn report_window(
-        &mut self,
-        now: Time,
-        window: u64,
-        warrant: Warrant,
-        effects: &mut Vec<Effect>,
-    ) {
+    fn report_window(&mut self, now: Time, window: u64, lease: Lease, effects: &mut Vec<Effect>) {
         let report = self.duties.reports.windows.entry(window).or_insert(Report {
             stage: Stage::Open,
             next: now,
@@ -113,7 +107,7 @@
         match report.stage.clone() {
             Stage::Open if self.may_have_been_lost(now, window) => self.give_up(window, effects),
             Stage::Open => self.fix(window),
-            Stage::Fixed(counts) => self.send_report(window, counts, warrant, effects),
+            Stage::Fixed(counts) => self.send_report(window, counts, lease, effects),
             Stage::Writing(_) | Stage::Sending(..) | Stage::Done => {}
         }
     }
@@ -200,8 +194,8 @@
         };
         if matches!(report.stage, Stage::Fixed(_)) {
             report.next = now;
-            if let Some(warrant) = self.warrant(now) {
-                self.report_window(now, window, warrant, effects);
+            if let Some(lease) = self.lease(now) {
+                self.report_window(now, window, lease, effects);
             }
         }
     }
@@ -210,7 +204,7 @@
         &mut self,
         window: u64,
         counts: Counts,
-        warrant: Warrant,
+        lease: Lease,
         effects: &mut Vec<Effect>,
     ) {
         let call = duty::Call::Usage {
@@ -221,9 +215,9 @@
         let line = Line::info("usage_reported")
             .with("window", window)
             .with("requests", total)
-            .with("fence", warrant.fence);
+            .with("fence", lease.fence);
         effects.push(Effect::Log(line));
-        let id = self.call_platform(call, warrant, effects);
+        let id = self.call_platform(call, lease, effects);
         if let Some(report) = self.duties.reports.windows.get_mut(&window) {
             report.stage = Stage::Sending(id, counts);
         }
--- a/crates/gateway/src/rollout_lead.rs
+++ b/crates/gateway/src/rollout_lead.rs
@@ -24,7 +24,7 @@
 use store::call::Transaction;
 use store::call::Write;
 
-use crate::duty::Warrant;
+use crate::duty::Lease;
 use crate::effect::Effect;
 use crate::gateway::Gateway;
 use crate::rollouts::Part;
@@ -79,11 +79,11 @@
 
 impl Gateway {
     /// Leads the roll-outs, as the holder of the duties.
-    pub(crate) fn rollouts_tick(&mut self, now: Time, warrant: Warrant, effects: &mut Vec<Effect>) {
+    pub(crate) fn rollouts_tick(&mut self, now: Time, lease: Lease, effects: &mut Vec<Effect>) {
         self.follow_orders(now);
         let services: Vec<SmolStr> = self.rollouts.leads.keys().cloned().collect();
         for service in services {
-            self.lead_rollout(now, &service, warrant, effects);
+            self.lead_rollout(now, &service, lease, effects);
         }
     }
 
@@ -112,7 +112,7 @@
         &mut self,
         now: Time,
         service: &SmolStr,
-        warrant: Warrant,
+        lease: Lease,
         effects: &mut Vec<Effect>,
     ) {
         let fleet = self.fleet_of(service);
@@ -146,7 +146,7 @@
         if changed || now >= led.next_announcement {
             led.next_announcement = now + pause;
             led.announcements += 1;
-            let number = warrant.fence << NUMBER_BITS | led.announcements;
+            let number = lease.fence << NUMBER_BITS | led.announcements;
             self.publish_stage(now, service, number, &stage, effects);
         }
         if let Some(call) = call {
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -281,7 +281,7 @@
         let (status, tokens) = match end {
             End::NotSent | End::NotStarted => return,
             End::Finished { status, tokens, .. } => (Some(*status), *tokens),
-            End::Failed { .. } | End::Broken { .. } | End::Silent { .. } => (None, 0),
+            End::Failed { .. } | End::Broken { .. } | End::TimedOut { .. } => (None, 0),
         };
         let first = open.first.unwrap_or(now);
         let took = first.since(started).as_millis() as f64;
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -15,7 +15,7 @@
 use smol_str::SmolStr;
 use store::revision::Revision;
 
-use crate::attempt::Place;
+use crate::attempt::Endpoint;
 use watch::server::Server;
 
 /// Most incarnations that are remembered as leaving; the oldest go first. A day of a large deployment
@@ -207,9 +207,9 @@
     }
 
     /// Where the shell finds a server.
-    pub fn place(&self, key: replica::Key) -> Option<Place> {
+    pub fn place(&self, key: replica::Key) -> Option<Endpoint> {
         let known = self.known.get(self.by_key.get(&key)?)?;
-        Some(Place {
+        Some(Endpoint {
             address: known.server.address.clone(),
             id: known.server.id.clone(),
             incarnation: known.server.incarnation.clone(),
--- a/crates/gateway/src/silence.rs
+++ b/crates/gateway/src/silence.rs
@@ -96,7 +96,7 @@
             effects.push(Effect::SendDigest {
                 address,
                 digest: digest.clone(),
-                lane: Lane::News,
+                lane: Lane::Immediate,
             });
         }
     }
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -70,7 +70,7 @@
 
     /// How long callers may still come with an address that they were told before the stop.
     fn linger(&self) -> Span {
-        let held = self.settings.address_keep.times(HELD_ANSWERS);
+        let held = self.settings.address_ttl.times(HELD_ANSWERS);
         held.min(self.settings.grace - LAST_WORD)
     }
 
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -394,7 +394,7 @@
 
     /// Asks an entry to stop.
     pub fn stop(&mut self, entry: usize) {
-        self.step(entry, Event::StopAsked);
+        self.step(entry, Event::StopRequested);
     }
 
     /// Lets time pass.
@@ -415,8 +415,8 @@
 
     /// Asks an entry which ones to use.
     pub fn ask_addresses(&mut self, entry: usize) -> Vec<SmolStr> {
-        let (asker, zone) = (1, None);
-        self.step(entry, Event::AddressesAsked { asker, zone });
+        let (requester, zone) = (1, None);
+        self.step(entry, Event::AddressesRequested { requester, zone });
         std::mem::take(&mut self.named)
     }
 
@@ -427,7 +427,7 @@
 
     /// A request that was handed over is answered; with its server's limit in requests a second, if that names one.
     pub fn answer_naming(&mut self, handed: &Handed, limit: Option<f64>) {
-        let event = Event::LimitNamed {
+        let event = Event::LimitReported {
             incarnation: handed.server.clone(),
             rate: limit.and_then(Rate::per_second),
         };
@@ -437,7 +437,7 @@
             tokens: 1,
             pause: Span::ZERO,
         });
-        for report in [Report::First, ended] {
+        for report in [Report::ResponseStarted, ended] {
             let event = Event::Attempt {
                 serial: handed.serial,
                 attempt: handed.attempt,
@@ -454,7 +454,7 @@
 
     /// The caller of a request leaves.
     pub fn leave(&mut self, entry: usize, serial: u64) {
-        self.step(entry, Event::CallerGone { serial });
+        self.step(entry, Event::CallerDisconnected { serial });
     }
 
     /// Lets charges that are under way arrive.
@@ -492,7 +492,7 @@
             ..Prompt::default()
         };
         let serial = self.arrive(entry, "/talks/1", Some(prompt));
-        self.report(entry, serial, Report::First);
+        self.report(entry, serial, Report::ResponseStarted);
         serial
     }
 
@@ -528,7 +528,7 @@
             tokens: 1,
             pause: Span::ZERO,
         });
-        for report in [Report::First, ended] {
+        for report in [Report::ResponseStarted, ended] {
             self.report(entry, serial, report);
         }
     }
@@ -635,7 +635,7 @@
                 *self.sent.entry(entry).or_default() += sums;
                 Some((to, Event::DigestReceived(digest)))
             }
-            Effect::AskCharge {
+            Effect::RequestCharge {
                 serial,
                 by,
                 address,
@@ -658,24 +658,24 @@
                     charge,
                     by,
                 });
-                let asker = self.askers.len() as u64 - 1;
-                let event = Event::ChargeAsked { asker, charge };
+                let requester = self.askers.len() as u64 - 1;
+                let event = Event::ChargeRequested { requester, charge };
                 if self.delay_charges {
                     self.delayed.push((to, event));
                     return None;
                 }
                 Some((to, event))
             }
-            Effect::ChargeAnswer { asker, answer } => {
+            Effect::ChargeAnswer { requester, answer } => {
                 *self.asked.entry(entry).or_default() += 1;
-                let asker = self.askers[asker as usize];
+                let requester = self.askers[requester as usize];
                 let event = Event::ChargeAnswered {
-                    serial: asker.serial,
-                    charge: asker.charge,
-                    by: asker.by,
+                    serial: requester.serial,
+                    charge: requester.charge,
+                    by: requester.by,
                     answer,
                 };
-                Some((asker.entry, event))
+                Some((requester.entry, event))
             }
             Effect::Refund { address, grant } => {
                 let to = self.reach(entry, &address)?;
@@ -701,9 +701,9 @@
                             entry,
                             serial,
                             attempt: start.attempt,
-                            server: start.place.incarnation.clone(),
+                            server: start.endpoint.incarnation.clone(),
                         });
-                        self.places.insert(serial, start.place.incarnation);
+                        self.places.insert(serial, start.endpoint.incarnation);
                     }
                     Command::Refuse(refusal) => {
                         let reason = format_smolstr!("{:?}", refusal.reason);
@@ -833,7 +833,7 @@
         engine: Some(Engine {
             slots: 64,
             memory_tokens: 600_000,
-            moved_per_milli: Some(1_000.0),
+            transfer_tokens_per_ms: Some(1_000.0),
             tokens_per_event: 1,
         }),
         scaling: Some(Scaling {
--- a/crates/relay/src/adapter.rs
+++ b/crates/relay/src/adapter.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use clock::Span;
 use gateway::arrival::Arrival;
-use gateway::attempt::Place;
+use gateway::attempt::Endpoint;
 use gateway::catalog::Catalog;
 use gateway::duty;
 use gateway::effect::Addresses;
@@ -42,10 +42,10 @@
     fn forward(&self, head: &request::Parts, start: &Start, resume: Option<&Resume>) -> HeaderMap;
 
     /// The request that stops the run of `id` and moves its memory to another server, from its own server.
-    fn move_request(&self, id: &str, to: &Place) -> Request<Bytes>;
+    fn move_request(&self, id: &str, to: &Endpoint) -> Request<Bytes>;
 
     /// The memory that the other server has now, by the answer to [`Codec::move_request`]; none if it was not moved.
-    fn moved(&self, source: &Place, status: StatusCode, body: &[u8]) -> Option<Memory>;
+    fn moved(&self, source: &Endpoint, status: StatusCode, body: &[u8]) -> Option<Memory>;
 
     /// What the head of a backend server's answer means to the request `id`.
     fn judge(&self, head: &response::Parts, id: &str) -> Judgement;
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -104,7 +104,7 @@
         let status = head.status.as_u16();
         self.shared
             .pool
-            .keep(&start.place, connection, &head.headers)
+            .keep(&start.endpoint, connection, &head.headers)
             .await;
         if self.caller.is_reading() {
             // The stream began at another replica; this one can't go on.
@@ -137,7 +137,7 @@
                 frame = reading_on => frame,
                 () = self.caller.gone() => return None,
             };
-            self.shared.pool.hear(&start.place);
+            self.shared.pool.hear(&start.endpoint);
             let frame = match frame {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(_))) => return Some(broken(&self.shared, start).await),
@@ -165,7 +165,7 @@
         let headers = answer.head.headers;
         self.shared
             .pool
-            .keep(&start.place, answer.connection, &headers)
+            .keep(&start.endpoint, answer.connection, &headers)
             .await;
         Some(End::Finished {
             status: answer.head.status.as_u16(),
@@ -191,7 +191,7 @@
         }
         let first = !std::mem::replace(&mut reading.begun, true);
         if first {
-            self.report(start, Report::First);
+            self.report(start, Report::ResponseStarted);
         }
         if event.id.is_some() {
             self.last_event = event.id;
@@ -215,33 +215,33 @@
 /// Sends the request and waits for the head of its answer.
 async fn ask(shared: &Shared, question: &Question, start: &Start, resume: Option<&Resume>) -> Head {
     let asked = shared.clock.now();
-    let mut kept = shared.pool.take(&start.place);
+    let mut kept = shared.pool.take(&start.endpoint);
     loop {
         let connection = match kept.take() {
             Some(connection) => Ok(connection),
-            None => shared.pool.connect(&start.place).await,
+            None => shared.pool.connect(&start.endpoint).await,
         };
         let mut connection = match connection {
             Ok(connection) => connection,
             Err(error) => {
-                let address = start.place.address.as_str();
+                let address = start.endpoint.address.as_str();
                 log::debug!(event = "not_connected", address = address, error = error.to_string().as_str(); "");
                 return Head::Ended(End::NotSent);
             }
         };
-        let left = start.left - shared.clock.now().since(asked);
-        if left == Span::ZERO || !shared.pool.takes_requests(&start.place) {
+        let left = start.time_left - shared.clock.now().since(asked);
+        if left == Span::ZERO || !shared.pool.takes_requests(&start.endpoint) {
             return Head::Ended(End::NotSent);
         }
         let start = Start {
-            left,
+            time_left: left,
             ..start.clone()
         };
         let request = request_of(shared, question, &start, resume);
         let sending = connection.sender.try_send_request(request);
         let mut error = match unless_silent(shared, &start, sending).await {
             Ok(Ok(response)) => {
-                shared.pool.hear(&start.place);
+                shared.pool.hear(&start.endpoint);
                 return judged(shared, question, &start, connection, response).await;
             }
             Ok(Err(error)) => error,
@@ -291,7 +291,7 @@
         Judgement::NotStarted => {
             let rest = Limited::new(body, WHOLE_BYTES).collect();
             if let Ok(Ok(_)) = tokio::time::timeout(REST_TIME, rest).await {
-                let keeping = shared.pool.keep(&start.place, connection, &head.headers);
+                let keeping = shared.pool.keep(&start.endpoint, connection, &head.headers);
                 keeping.await;
             }
             Head::Ended(End::NotStarted)
@@ -304,8 +304,8 @@
 fn note_limit(shared: &Shared, start: &Start, headers: &HeaderMap) {
     let rate = shared.codec.limit(headers);
     if rate.is_some() || start.limited {
-        shared.link.event(event::Event::LimitNamed {
-            incarnation: start.place.incarnation.clone(),
+        shared.link.event(event::Event::LimitReported {
+            incarnation: start.endpoint.incarnation.clone(),
             rate,
         });
     }
@@ -314,10 +314,13 @@
 /// A connection broke while the request was at the replica. Whether the replica still takes connections
 /// tells a lost answer from a crash: requests that run where servers crash are suspected.
 async fn broken(shared: &Shared, start: &Start) -> End {
-    match shared.pool.connect(&start.place).await {
+    match shared.pool.connect(&start.endpoint).await {
         Ok(connection) => {
             let headers = HeaderMap::new();
-            shared.pool.keep(&start.place, connection, &headers).await;
+            shared
+                .pool
+                .keep(&start.endpoint, connection, &headers)
+                .await;
             End::Broken { alive: true }
         }
         Err(_) => End::Broken { alive: false },
@@ -334,15 +337,15 @@
     start: &Start,
     awaited: impl Future<Output = T>,
 ) -> Result<T, End> {
-    let Some(patience) = start.patience else {
+    let Some(patience) = start.silence_timeout else {
         return Ok(awaited.await);
     };
     let mut awaited = std::pin::pin!(awaited);
     loop {
         match tokio::time::timeout(patience.as_duration(), awaited.as_mut()).await {
             Ok(value) => return Ok(value),
-            Err(_) if start.stream && shared.pool.was_heard(&start.place, patience) => {}
-            Err(_) => return Err(End::Silent { waited: patience }),
+            Err(_) if start.stream && shared.pool.was_heard(&start.endpoint, patience) => {}
+            Err(_) => return Err(End::TimedOut { waited: patience }),
         }
     }
 }
--- a/crates/relay/src/flight.rs
+++ b/crates/relay/src/flight.rs
@@ -140,7 +140,7 @@
                     command = commands.recv() => match command {
                         Some(Command::Move(to)) => {
                             ordered.set(true);
-                            moving.get_or_insert_with(|| Moving::new(&shared, &id, &start.place, to));
+                            moving.get_or_insert_with(|| Moving::new(&shared, &id, &start.endpoint, to));
                         }
                         command => return command.map_or(Next::CallerGone, Next::Ordered),
                     },
@@ -173,7 +173,7 @@
     }
 
     fn caller_gone(&self) {
-        self.shared.link.event(Event::CallerGone {
+        self.shared.link.event(Event::CallerDisconnected {
             serial: self.question.serial,
         });
     }
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -79,7 +79,7 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout((limits.idle_time + IDLE_MARGIN).as_duration())
+        .header_read_timeout((limits.idle_timeout + IDLE_MARGIN).as_duration())
         .max_buf_size(limits.head_bytes.max(LEAST_BUFFER));
     let mut connection = pin!(builder.serve_connection(TokioIo::new(socket), service));
     let served = tokio::select! {
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/link.rs
@@ -131,14 +131,14 @@
             | Event::DutyAnswered { .. }
             | Event::DigestReceived(_)
             | Event::SettingsRead(_)
-            | Event::StopAsked
+            | Event::StopRequested
             | Event::Tick => true,
             Event::Arrived { .. }
-            | Event::CallerGone { .. }
-            | Event::LimitNamed { .. }
+            | Event::CallerDisconnected { .. }
+            | Event::LimitReported { .. }
             | Event::Attempt { .. }
-            | Event::AddressesAsked { .. }
-            | Event::ChargeAsked { .. }
+            | Event::AddressesRequested { .. }
+            | Event::ChargeRequested { .. }
             | Event::ChargeAnswered { .. }
             | Event::Refunded { .. } => false,
         }
--- a/crates/relay/src/moving.rs
+++ b/crates/relay/src/moving.rs
@@ -11,7 +11,7 @@
 use clock::Span;
 use clock::Time;
 use gateway::attempt::End;
-use gateway::attempt::Place;
+use gateway::attempt::Endpoint;
 use gateway::attempt::Report;
 use gateway::effect::Start;
 use http_body_util::BodyExt;
@@ -31,7 +31,7 @@
 
 /// A run on its way to another server.
 pub struct Moving {
-    to: Place,
+    to: Endpoint,
     memory: Pin<Box<dyn Future<Output = Option<Memory>>>>,
     /// What came of the order, once it was answered.
     answered: Option<Option<Memory>>,
@@ -39,7 +39,7 @@
 
 impl Moving {
     /// Orders the run's server to stop it and hand it over.
-    pub fn new(shared: &Rc<Shared>, id: &SmolStr, from: &Place, to: Place) -> Moving {
+    pub fn new(shared: &Rc<Shared>, id: &SmolStr, from: &Endpoint, to: Endpoint) -> Moving {
         let ordering = order(Rc::clone(shared), id.clone(), from.clone(), to.clone());
         Moving {
             to,
@@ -57,7 +57,7 @@
     }
 
     /// What the run goes on from, if its server has stopped it.
-    async fn memory(mut self) -> Option<(Place, Memory)> {
+    async fn memory(mut self) -> Option<(Endpoint, Memory)> {
         if self.answered.is_none() {
             self.progress().await;
         }
@@ -82,9 +82,9 @@
             return end;
         };
         let next = Start {
-            place: to,
+            endpoint: to,
             fetch: None,
-            left: start.left - self.shared.clock.now().since(begun),
+            time_left: start.time_left - self.shared.clock.now().since(begun),
             ..start.clone()
         };
         self.report(start, Report::Moved);
@@ -122,7 +122,7 @@
 }
 
 /// Gives the order and logs why nothing came of it.
-async fn order(shared: Rc<Shared>, id: SmolStr, from: Place, to: Place) -> Option<Memory> {
+async fn order(shared: Rc<Shared>, id: SmolStr, from: Endpoint, to: Endpoint) -> Option<Memory> {
     let ordering = hand_over(&shared, &id, &from, &to);
     let cause = match tokio::time::timeout(MOVE_TIME.as_duration(), ordering).await {
         Ok(Ok(memory)) => return Some(memory),
@@ -141,7 +141,12 @@
 }
 
 /// Has the run's server stop it and hand its memory over.
-async fn hand_over(shared: &Shared, id: &str, from: &Place, to: &Place) -> Result<Memory, Cause> {
+async fn hand_over(
+    shared: &Shared,
+    id: &str,
+    from: &Endpoint,
+    to: &Endpoint,
+) -> Result<Memory, Cause> {
     let connecting = shared.pool.connect(from).await;
     let mut connection = connecting.map_err(|_| Cause::Unreached)?;
     let request = shared.codec.move_request(id, to).map(Full::new);
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -18,7 +18,7 @@
         seeds: seeds.map(|one| one.to_smolstr()).collect(),
         entries: options.entries,
         capacity: capacity_of(&options.processor),
-        address_keep: Span::from_millis(settings.callers.address_ttl_ms),
+        address_ttl: Span::from_millis(settings.callers.address_ttl_ms),
         grace: Span::from_millis(settings.shutdown.grace_ms),
         repeat_ratio: f64::from(options.repeats_percent) / 100.0,
         repeat_allowance: f64::from(options.repeats_allowed),
@@ -48,7 +48,7 @@
         },
         ..defaults
     }
-    .shared_out()
+    .per_entry()
 }
 
 /// What counts may fill of this entry's link.
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -163,8 +163,8 @@
     /// Sends a digest; its loss does no harm.
     pub fn send_digest(&self, address: SmolStr, digest: Digest, lane: Lane) {
         let news = match lane {
-            Lane::News => Some(digest),
-            Lane::Counts => {
+            Lane::Immediate => Some(digest),
+            Lane::Coalesced => {
                 let now = self.shared.clock.now();
                 let mut outbox = self.digests.outbox.borrow_mut();
                 outbox.offer(now, address.clone(), digest)
@@ -174,7 +174,7 @@
             let digests = Rc::clone(&self.digests);
             tokio::task::spawn_local(async move { digests.send(&address, &digest).await });
         }
-        if lane == Lane::Counts {
+        if lane == Lane::Coalesced {
             self.digests.pump();
         }
     }
@@ -225,7 +225,7 @@
 fn answer_of(charge: receiver::Charge) -> Answer {
     match charge {
         receiver::Charge::Granted { bucket } => Answer::Granted { bucket },
-        receiver::Charge::Short { after } => Answer::Short { after },
+        receiver::Charge::Short { after } => Answer::Exceeded { retry_after: after },
     }
 }
 
@@ -233,7 +233,7 @@
 fn charge_of(answer: Answer) -> receiver::Charge {
     match answer {
         Answer::Granted { bucket } => receiver::Charge::Granted { bucket },
-        Answer::Short { after } => receiver::Charge::Short { after },
+        Answer::Exceeded { retry_after: after } => receiver::Charge::Short { after },
     }
 }
 
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -14,7 +14,7 @@
 use clock::Clock;
 use clock::Span;
 use clock::Time;
-use gateway::attempt::Place;
+use gateway::attempt::Endpoint;
 use http::HeaderMap;
 use http::header::CONNECTION;
 use http_body_util::Full;
@@ -86,7 +86,7 @@
     }
 
     /// Notes that a server said something.
-    pub fn hear(&self, place: &Place) {
+    pub fn hear(&self, place: &Endpoint) {
         let now = self.clock.now();
         let mut heard = self.heard.borrow_mut();
         match heard.get_mut(&place.incarnation) {
@@ -98,7 +98,7 @@
     }
 
     /// Whether a server said something, on any connection, within this time.
-    pub fn was_heard(&self, place: &Place, within: Span) -> bool {
+    pub fn was_heard(&self, place: &Endpoint, within: Span) -> bool {
         let heard = self.heard.borrow();
         let at = heard.get(&place.incarnation);
         at.is_some_and(|at| self.clock.now().since(*at) <= within)
@@ -120,12 +120,12 @@
     }
 
     /// Whether a server may be handed a request now.
-    pub fn takes_requests(&self, place: &Place) -> bool {
+    pub fn takes_requests(&self, place: &Endpoint) -> bool {
         !self.closed.borrow().contains_key(&place.incarnation)
     }
 
     /// An unused connection to a server, if there is one.
-    pub fn take(&self, place: &Place) -> Option<Connection> {
+    pub fn take(&self, place: &Endpoint) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         let waiting = idle.get_mut(&place.incarnation)?;
@@ -138,7 +138,7 @@
     }
 
     /// A new connection to a server.
-    pub async fn connect(&self, place: &Place) -> std::io::Result<Connection> {
+    pub async fn connect(&self, place: &Endpoint) -> std::io::Result<Connection> {
         let connecting = TcpStream::connect(place.address.as_str());
         let socket = match tokio::time::timeout(CONNECT_TIME, connecting).await {
             Ok(socket) => socket?,
@@ -170,7 +170,7 @@
     }
 
     /// Keeps a connection whose answer was read whole, if it may be used again.
-    pub async fn keep(&self, place: &Place, mut connection: Connection, headers: &HeaderMap) {
+    pub async fn keep(&self, place: &Endpoint, mut connection: Connection, headers: &HeaderMap) {
         let Some(idle_time) = idle_time(headers) else {
             return;
         };
--- a/crates/relay/src/shell.rs
+++ b/crates/relay/src/shell.rs
@@ -64,7 +64,7 @@
             let sleep = wake.due().since(now).as_duration();
             let (due, event) = tokio::select! {
                 biased;
-                Some(()) = stops.recv() => (wake.due(), Some(Event::StopAsked)),
+                Some(()) = stops.recv() => (wake.due(), Some(Event::StopRequested)),
                 () = std::future::ready(()), if now >= wake.due() => (wake.due(), Some(Event::Tick)),
                 Some(sent) = inbox.next() => (sent.at, self.event_of(sent.message)),
                 () = tokio::time::sleep(sleep) => (wake.due(), Some(Event::Tick)),
@@ -99,7 +99,7 @@
         let now = self.shared.clock.now();
         let changed = !matches!(
             event,
-            Event::Attempt { .. } | Event::Arrived { .. } | Event::ChargeAsked { .. }
+            Event::Attempt { .. } | Event::Arrived { .. } | Event::ChargeRequested { .. }
         );
         let begun = Instant::now();
         self.gateway.step(now, event, &mut effects);
@@ -145,15 +145,15 @@
             }
             Message::Charge { charge, reply } => {
                 self.next_asker += 1;
-                let asker = self.next_asker;
-                self.chargers.insert(asker, reply);
-                Some(Event::ChargeAsked { asker, charge })
+                let requester = self.next_asker;
+                self.chargers.insert(requester, reply);
+                Some(Event::ChargeRequested { requester, charge })
             }
             Message::Addresses { zone, reply } => {
                 self.next_asker += 1;
-                let asker = self.next_asker;
-                self.askers.insert(asker, reply);
-                Some(Event::AddressesAsked { asker, zone })
+                let requester = self.next_asker;
+                self.askers.insert(requester, reply);
+                Some(Event::AddressesRequested { requester, zone })
             }
         }
     }
@@ -166,21 +166,21 @@
                     let _ = flight.send(command);
                 }
             }
-            Effect::Addresses { asker, answer } => {
-                if let Some(reply) = self.askers.remove(&asker) {
+            Effect::Addresses { requester, answer } => {
+                if let Some(reply) = self.askers.remove(&requester) {
                     let _ = reply.send(answer);
                 }
             }
             Effect::Store { id, call } => self.call_store(id, call),
-            Effect::Duty { id, call, warrant } => self.call_cloud(id, call, warrant),
-            Effect::AskCharge {
+            Effect::Duty { id, call, lease } => self.call_cloud(id, call, lease),
+            Effect::RequestCharge {
                 serial,
                 by,
                 address,
                 charge,
             } => self.peers.ask_charge(serial, charge, by, address),
-            Effect::ChargeAnswer { asker, answer } => {
-                if let Some(reply) = self.chargers.remove(&asker) {
+            Effect::ChargeAnswer { requester, answer } => {
+                if let Some(reply) = self.chargers.remove(&requester) {
                     let _ = reply.send(answer);
                 }
             }
@@ -223,13 +223,13 @@
     ///
     /// Guards against a pause between the decision and the call: the lease may have gone to another entry
     /// meanwhile, and two would act.
-    fn call_cloud(&self, id: u64, call: duty::Call, warrant: duty::Warrant) {
+    fn call_cloud(&self, id: u64, call: duty::Call, lease: duty::Lease) {
         let shared = Rc::clone(&self.shared);
         let cloud = self.cloud.clone();
         tokio::task::spawn_local(async move {
             let outcome = match cloud {
-                Some(cloud) if shared.clock.now() < warrant.until => {
-                    cloud.call(call, warrant.fence).await
+                Some(cloud) if shared.clock.now() < lease.until => {
+                    cloud.call(call, lease.fence).await
                 }
                 _ => duty::Outcome::Refused,
             };
--- a/crates/relay/tests/link.rs
+++ b/crates/relay/tests/link.rs
@@ -12,14 +12,14 @@
 async fn news_is_taken_in_before_requests() {
     let (link, mut inbox) = Link::new(Clock::start());
     for serial in 0..3 {
-        link.event(Event::CallerGone { serial });
+        link.event(Event::CallerDisconnected { serial });
     }
     link.event(Event::ServersLost);
     let first = inbox.next().await.unwrap().message;
     assert!(matches!(first, Message::Event(Event::ServersLost)));
     for expected in 0..3 {
         let next = inbox.next().await.unwrap().message;
-        let Message::Event(Event::CallerGone { serial }) = next else {
+        let Message::Event(Event::CallerDisconnected { serial }) = next else {
             panic!("not in the order in which they were sent");
         };
         assert_eq!(serial, expected);
--- a/crates/relay/tests/pool.rs
+++ b/crates/relay/tests/pool.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use clock::Clock;
-use gateway::attempt::Place;
+use gateway::attempt::Endpoint;
 use http::HeaderMap;
 use http::Request;
 use http_body_util::Full;
@@ -16,9 +16,9 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-async fn listener() -> (TcpListener, Place) {
+async fn listener() -> (TcpListener, Endpoint) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let place = Place {
+    let place = Endpoint {
         address: listener.local_addr().unwrap().to_string().into(),
         id: "s1".into(),
         incarnation: "s1#1".into(),
@@ -55,7 +55,7 @@
     let (_listener, place) = listener().await;
     let pool = Pool::new(Clock::start());
     pool.close(place.incarnation.clone());
-    let next = Place {
+    let next = Endpoint {
         incarnation: "s1#2".into(),
         ..place
     };
