--- a/crates/gateway/src/addresses.rs
+++ b/crates/gateway/src/addresses.rs
@@ -16,7 +16,7 @@
 
 impl Gateway {
     /// Answers a question for addresses.
-    pub(crate) fn addresses_asked(
+    pub(crate) fn answer_addresses(
         &mut self,
         now: Time,
         requester: u64,
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -13,7 +13,7 @@
 
 impl Gateway {
     /// An attempt made progress or ended.
-    pub(crate) fn attempt_reported(
+    pub(crate) fn handle_attempt_report(
         &mut self,
         now: Time,
         serial: u64,
--- a/crates/gateway/src/charging.rs
+++ b/crates/gateway/src/charging.rs
@@ -103,7 +103,7 @@
     }
 
     /// A home answered, or gave no answer.
-    pub(crate) fn charge_answered(
+    pub(crate) fn handle_charge_answer(
         &mut self,
         now: Time,
         serial: u64,
@@ -125,7 +125,7 @@
                 cost: charge.cost,
                 by: Some(by),
             };
-            self.give_back(grant, effects);
+            self.refund_grant(grant, effects);
         }
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Decides on a charge for another entry; not before this one knows the quotas.
-    pub(crate) fn charge_asked(
+    pub(crate) fn handle_charge_request(
         &mut self,
         now: Time,
         requester: u64,
@@ -209,7 +209,7 @@
     }
 
     /// Gives back what a request took that didn't run.
-    pub(crate) fn give_back(&mut self, grant: Grant, effects: &mut Vec<Effect>) {
+    pub(crate) fn refund_grant(&mut self, grant: Grant, effects: &mut Vec<Effect>) {
         let Some(by) = grant.by else {
             return self.quotas.refund(grant.bucket, grant.cost);
         };
--- a/crates/gateway/src/configs/gateway.rs
+++ b/crates/gateway/src/configs/gateway.rs
@@ -19,7 +19,7 @@
     pub grace: Span,
     /// How long rows of servers may be missing after the table service is back: servers whose leases
     /// lapsed meanwhile need a heartbeat to return.
-    pub return_time: Span,
+    pub missing_row_grace: Span,
     /// Time between two bulletins.
     pub bulletin_interval: Span,
     /// Repeats allowed for each first attempt, over all entries.
@@ -62,7 +62,7 @@
             capacity: u8::MAX,
             address_ttl: Span::from_seconds(2),
             grace: Span::from_seconds(8),
-            return_time: Span::from_millis(2_500),
+            missing_row_grace: Span::from_millis(2_500),
             bulletin_interval: Span::from_millis(250),
             repeat_ratio: 0.15,
             repeat_allowance: 40.0,
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -22,7 +22,7 @@
     ///
     /// Guards against going back: a read that was slow, or a peer that lags, brings an older version,
     /// and callers would be served by rules that were withdrawn.
-    pub(crate) fn configured(
+    pub(crate) fn apply_configuration(
         &mut self,
         now: Time,
         catalog: Rc<Catalog>,
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -23,7 +23,12 @@
 
 impl Gateway {
     /// Carries one decision out.
-    pub(crate) fn decided(&mut self, now: Time, decision: Decision, effects: &mut Vec<Effect>) {
+    pub(crate) fn apply_decision(
+        &mut self,
+        now: Time,
+        decision: Decision,
+        effects: &mut Vec<Effect>,
+    ) {
         match decision {
             Decision::Start { job, replica } => self.start(now, job, replica, effects),
             Decision::Refuse { job, refusal } => self.refuse(now, job.0, refusal, effects),
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -69,7 +69,11 @@
 }
 
 /// A new claim on the lease.
-pub(crate) fn claim(me: lease::holder::Id, settings: claim_settings::Settings, seed: u64) -> Claim {
+pub(crate) fn new_claim(
+    me: lease::holder::Id,
+    settings: claim_settings::Settings,
+    seed: u64,
+) -> Claim {
     Claim::new(me, LEASE, settings, seed)
 }
 
@@ -91,7 +95,7 @@
             self.claim_step(now, claim::Event::Wake, effects);
         }
         self.usage.expire(now);
-        self.note_demand(now);
+        self.record_demand(now);
         if let Some(lease) = self.lease(now) {
             self.progress_tick(now);
             self.reports_tick(now, lease, effects);
@@ -101,7 +105,7 @@
     }
 
     /// An answer of the table service to the claim.
-    pub(crate) fn claim_answered(
+    pub(crate) fn handle_claim_answer(
         &mut self,
         now: Time,
         id: call::Id,
@@ -132,7 +136,7 @@
     }
 
     /// A call of the platform ended.
-    pub(crate) fn duty_answered(
+    pub(crate) fn handle_duty_answer(
         &mut self,
         now: Time,
         id: u64,
@@ -144,7 +148,7 @@
             .with("outcome", format!("{outcome:?}"));
         effects.push(Effect::Log(line));
         self.report_answered(now, id, outcome);
-        self.order_answered(now, id, outcome);
+        self.handle_order_answer(now, id, outcome);
     }
 
     /// Whether this entry should try to get or keep the lease: the holder as long as it may, else the hubs, which know
@@ -170,14 +174,14 @@
     }
 
     /// The holder of the lease announced that it gave up.
-    pub(crate) fn holder_resigned(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_resignation(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         if item.key == LEASE {
             self.claim_step(now, claim::Event::Ended(item.version), effects);
         }
     }
 
     /// The holder of the lease announced a renewal.
-    pub(crate) fn holder_renewed(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_renewal(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let value = match serde_json::from_slice(&item.payload) {
             Ok(value) => value,
             Err(error) => {
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -239,7 +239,7 @@
     }
 
     /// The platform answered an order.
-    pub(crate) fn order_answered(&mut self, now: Time, id: u64, outcome: duty::Outcome) {
+    pub(crate) fn handle_order_answer(&mut self, now: Time, id: u64, outcome: duty::Outcome) {
         let fleet = &mut self.duties.fleet;
         let refusal = now + fleet.config.refusal;
         let targets = fleet.services.values_mut();
@@ -284,7 +284,7 @@
     }
 
     /// Notes how much work has arrived at all entries; every entry does, so that one that gains the duty knows.
-    pub(crate) fn note_demand(&mut self, now: Time) {
+    pub(crate) fn record_demand(&mut self, now: Time) {
         let Some(catalog) = self.catalog.clone() else {
             return;
         };
--- a/crates/gateway/src/following.rs
+++ b/crates/gateway/src/following.rs
@@ -50,10 +50,15 @@
 
 impl Gateway {
     /// The list was read here.
-    pub(crate) fn list_read(&mut self, now: Time, reading: Reading, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_list_read(
+        &mut self,
+        now: Time,
+        reading: Reading,
+        effects: &mut Vec<Effect>,
+    ) {
         let known = self.servers.position().revision;
         if known > 0 && Revision::is_of_older_era(known, reading.revision) {
-            self.following.read_again = Some(now + self.settings.return_time);
+            self.following.read_again = Some(now + self.settings.missing_row_grace);
         }
         let reading = self.watch.read(now, &reading);
         // From here on only gaps of our own matter.
@@ -62,7 +67,7 @@
     }
 
     /// A report on the list came from another entry.
-    pub(crate) fn list_reported(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_list_report(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let Some(from) = holder::Id::parse(&item.key) else {
             return;
         };
@@ -143,7 +148,7 @@
     }
 
     /// When [`Gateway::following_tick`] is wanted next.
-    pub(crate) fn next_following(&self) -> Option<Time> {
+    pub(crate) fn next_following_tick(&self) -> Option<Time> {
         let reads = self.following.pause.is_none();
         let reads = reads.then(|| self.watch.reads_at(self.role()));
         let due = self.watch.next_due().filter(|_| self.by_hubs());
@@ -166,7 +171,7 @@
     }
 
     /// The report that goes with the regular counts: by a hub always, else if this entry has read the list since.
-    pub(crate) fn regular_list_item(&mut self, now: Time, hub: bool) -> Option<Item> {
+    pub(crate) fn periodic_list_report(&mut self, now: Time, hub: bool) -> Option<Item> {
         match hub || self.watch.has_read() {
             true => self.list_item(now, Extent::Recent),
             false => None,
@@ -175,7 +180,7 @@
 
     fn list_item(&mut self, now: Time, extent: Extent) -> Option<Item> {
         let lapsed = match self.list_lost {
-            true => self.settings.return_time,
+            true => self.settings.missing_row_grace,
             false => self.servers.trusted_in(now),
         };
         let report = self.watch.report(now, lapsed, extent)?;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -192,7 +192,7 @@
             hub: Hub::default(),
             demand: Demand::default(),
             duties: Duties::new(
-                duties::claim(identity.incarnation, settings.lease, seed),
+                duties::new_claim(identity.incarnation, settings.lease, seed),
                 Fleet::new(settings.cover),
             ),
             peer_loads: BTreeMap::new(),
@@ -226,34 +226,36 @@
                 serial,
                 attempt,
                 report,
-            } => self.attempt_reported(now, serial, attempt, report, effects),
+            } => self.handle_attempt_report(now, serial, attempt, report, effects),
             Event::LimitReported { incarnation, rate } => {
                 self.limit_named(now, &incarnation, rate, effects);
             }
             Event::AddressesRequested { requester, zone } => {
-                self.addresses_asked(now, requester, zone.as_deref(), effects);
+                self.answer_addresses(now, requester, zone.as_deref(), effects);
             }
             Event::Configured {
                 catalog,
                 document,
                 source,
-            } => self.configured(now, catalog, document, source, effects),
+            } => self.apply_configuration(now, catalog, document, source, effects),
             Event::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
             Event::RolloutWithdrawn(service) => self.rollout_withdrawn(now, &service, effects),
             Event::RolloutsKnown(services) => self.rollouts_known(now, &services, effects),
-            Event::Servers(reading) => self.list_read(now, reading, effects),
+            Event::Servers(reading) => self.handle_list_read(now, reading, effects),
             Event::ServersLost => self.servers_lost(now, effects),
             Event::Store { id, outcome } => self.store_answered(now, id, outcome, effects),
-            Event::DutyAnswered { id, outcome } => self.duty_answered(now, id, outcome, effects),
+            Event::DutyAnswered { id, outcome } => {
+                self.handle_duty_answer(now, id, outcome, effects)
+            }
             Event::ChargeRequested { requester, charge } => {
-                self.charge_asked(now, requester, charge, effects);
+                self.handle_charge_request(now, requester, charge, effects);
             }
             Event::ChargeAnswered {
                 serial,
                 charge,
                 by,
                 answer,
-            } => self.charge_answered(now, serial, charge, by, answer, effects),
+            } => self.handle_charge_answer(now, serial, charge, by, answer, effects),
             Event::Refunded { bucket, cost } => self.quotas.refund(bucket, cost),
             Event::DigestReceived(digest) => {
                 self.attend(now, member::event::Event::Digest(digest), effects);
@@ -310,7 +312,7 @@
             timeout,
             self.lagging.next_wake(),
             self.servers.next_wake(),
-            self.next_following(),
+            self.next_following_tick(),
             self.throttle.next_wake(now),
             self.next_stop_wake(),
         ];
@@ -357,7 +359,7 @@
         let mut decisions = Vec::new();
         let result = call(&mut self.scheduler, &mut decisions);
         for decision in decisions {
-            self.decided(now, decision, effects);
+            self.apply_decision(now, decision, effects);
         }
         result
     }
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -149,7 +149,7 @@
                 self.hub.since = now;
             }
         }
-        let list = self.regular_list_item(now, hubs.contains(&me));
+        let list = self.periodic_list_report(now, hubs.contains(&me));
         for hub in hubs.iter().filter(|hub| **hub != me) {
             self.send_bulletin(*hub, &own, list.as_ref(), effects);
         }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -114,7 +114,7 @@
         self.timeouts.remove(&(open.ends, serial));
         self.charges.cancel(serial);
         if let Some(grant) = open.grant.filter(|_| !open.began) {
-            self.give_back(grant, effects);
+            self.refund_grant(grant, effects);
         }
         Some(open)
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -197,10 +197,10 @@
             Topic::Ended => self.told_ended(now, &item.key, item.version, effects),
             Topic::Count => self.bulletin_came(now, item, effects),
             Topic::Quarantine => self.quarantine_came(now, item, effects),
-            Topic::List => self.list_reported(now, item, effects),
+            Topic::List => self.handle_list_report(now, item, effects),
             Topic::Rollout => self.rollout_announced(now, item, effects),
-            Topic::Renewed => self.holder_renewed(now, item, effects),
-            Topic::Resigned => self.holder_resigned(now, item, effects),
+            Topic::Renewed => self.handle_renewal(now, item, effects),
+            Topic::Resigned => self.handle_resignation(now, item, effects),
             Topic::Silent => self.silence_reported(now, item, effects),
             Topic::Heir | Topic::Demand => {}
         }
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -38,7 +38,8 @@
         self.doubt_after_failure();
         // Leases that lapsed are back within two seconds of the table service's return, not of our last failed call.
         if std::mem::take(&mut self.list_lost) {
-            self.servers.trust_from(now + self.settings.return_time);
+            self.servers
+                .trust_from(now + self.settings.missing_row_grace);
         }
         if self.servers_since == Time::ZERO {
             self.servers_since = now;
@@ -60,7 +61,8 @@
         let restored = self.servers.restored();
         self.servers.note_reading(at, revision);
         if self.servers.restored() != restored {
-            self.servers.trust_from(at + self.settings.return_time);
+            self.servers
+                .trust_from(at + self.settings.missing_row_grace);
         }
     }
 
@@ -81,7 +83,8 @@
     /// Missing rows aren't believed for a time after the table service failed: leases of live servers lapse then.
     fn doubt_after_failure(&mut self) {
         if let Some(failed) = self.store_failed {
-            self.servers.trust_from(failed + self.settings.return_time);
+            self.servers
+                .trust_from(failed + self.settings.missing_row_grace);
         }
     }
 
@@ -245,7 +248,7 @@
         // Waiting requests may be placed there at once: their place must be known first.
         self.servers.add(key, server);
         for decision in decisions {
-            self.decided(now, decision, effects);
+            self.apply_decision(now, decision, effects);
         }
     }
 
--- a/crates/gateway/src/store_calls.rs
+++ b/crates/gateway/src/store_calls.rs
@@ -112,7 +112,7 @@
             Some(Waiter::Membership(id)) => {
                 self.attend(now, member::event::Event::Store { id, outcome }, effects);
             }
-            Some(Waiter::Claim(id)) => self.claim_answered(now, id, outcome, effects),
+            Some(Waiter::Claim(id)) => self.handle_claim_answer(now, id, outcome, effects),
             Some(Waiter::Report(window)) => self.report_fixed(now, window, outcome, effects),
             Some(Waiter::Stage(service)) => self.stage_answered(now, &service, outcome),
             Some(Waiter::Progress) => self.progress_answered(outcome, effects),
