--- a/crates/gateway/src/charging.rs
+++ b/crates/gateway/src/charging.rs
@@ -23,7 +23,7 @@
     /// How much, in the quota's unit.
     pub cost: Cost,
     /// The entry that granted it; none if it was this one.
-    pub by: Option<holder::Id>,
+    pub home: Option<holder::Id>,
 }
 
 /// Whether a quota has room for a request.
@@ -90,15 +90,15 @@
         home: Entry,
         effects: &mut Vec<Effect>,
     ) {
-        let by = holder::Id(home);
-        match self.membership.peer_address(by).cloned() {
+        let home = holder::Id(home);
+        match self.membership.peer_address(home).cloned() {
             Some(address) => effects.push(Effect::RequestCharge {
                 serial,
-                by,
+                home,
                 address,
                 charge,
             }),
-            None => self.home_silent(now, serial, by, effects),
+            None => self.home_silent(now, serial, home, effects),
         }
     }
 
@@ -108,22 +108,22 @@
         now: Time,
         serial: u64,
         charge: Charge,
-        by: holder::Id,
+        home: holder::Id,
         answer: Option<Answer>,
         effects: &mut Vec<Effect>,
     ) {
         let Some(answer) = answer else {
-            return self.home_silent(now, serial, by, effects);
+            return self.home_silent(now, serial, home, effects);
         };
-        if self.charges.answered(serial, by.0).is_some() {
-            return self.decide(now, serial, charge, answer, Some(by), effects);
+        if self.charges.answered(serial, home.0).is_some() {
+            return self.decide(now, serial, charge, answer, Some(home), effects);
         }
         // Somebody else has decided, or the caller is gone.
         if let Answer::Granted { bucket } = answer {
             let grant = Grant {
                 bucket,
                 cost: charge.cost,
-                by: Some(by),
+                home: Some(home),
             };
             self.refund_grant(grant, effects);
         }
@@ -131,18 +131,18 @@
 
     /// Passes over homes that let requests wait.
     pub(crate) fn charges_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        for (serial, by) in self.charges.overdue(now) {
-            self.home_silent(now, serial, holder::Id(by), effects);
+        for (serial, home) in self.charges.overdue(now) {
+            self.home_silent(now, serial, holder::Id(home), effects);
         }
     }
 
     /// Goes on to whoever decides in a home's place.
-    fn home_silent(&mut self, now: Time, serial: u64, by: holder::Id, effects: &mut Vec<Effect>) {
-        let Some((charge, step)) = self.charges.unanswered(now, serial, by.0) else {
+    fn home_silent(&mut self, now: Time, serial: u64, home: holder::Id, effects: &mut Vec<Effect>) {
+        let Some((charge, step)) = self.charges.unanswered(now, serial, home.0) else {
             return;
         };
         let line = Line::info("quota_home_silent")
-            .with("home", by)
+            .with("home", home)
             .with("account", charge.name)
             .with("next", format!("{step:?}"));
         effects.push(Effect::Log(line));
@@ -156,33 +156,36 @@
         serial: u64,
         charge: Charge,
         answer: Answer,
-        by: Option<holder::Id>,
+        home: Option<holder::Id>,
         effects: &mut Vec<Effect>,
     ) {
         match answer {
             Answer::Granted { bucket } => {
                 let cost = charge.cost;
-                let grant = Grant { bucket, cost, by };
+                let grant = Grant { bucket, cost, home };
                 self.admit(now, serial, Some(grant), effects);
             }
             Answer::Exceeded { retry_after: after } => {
                 let line = Line::info("quota_short")
                     .with("account", charge.name)
                     .with("cost", charge.cost)
-                    .with("home", by.map_or_else(String::new, |by| by.to_string()))
+                    .with(
+                        "home",
+                        home.map_or_else(String::new, |home| home.to_string()),
+                    )
                     .with("left", format!("{:.0}", self.quotas.left(now, charge.name)))
                     .with("part", format!("{:.0}", self.quotas.part(charge.name)));
                 effects.push(Effect::Log(line));
-                let refusal = Refusal::not_run(Reason::OverLimit, self.short_of(now, charge, by));
+                let refusal = Refusal::not_run(Reason::OverLimit, self.short_of(now, charge, home));
                 self.refuse(now, serial, refusal.with_retry_after(after), effects);
             }
         }
     }
 
     /// Why a charge was turned down.
-    fn short_of(&self, now: Time, charge: Charge, by: Option<holder::Id>) -> &'static str {
+    fn short_of(&self, now: Time, charge: Charge, home: Option<holder::Id>) -> &'static str {
         // An entry that decides alone gives no more than its part while the account is short.
-        match by.is_none() && self.quotas.left(now, charge.name) >= charge.cost as f64 {
+        match home.is_none() && self.quotas.left(now, charge.name) >= charge.cost as f64 {
             true => "the account is near its quota, and this entry's part is used up",
             false => "the account is over its quota",
         }
@@ -210,11 +213,11 @@
 
     /// Gives back what a request took that didn't run.
     pub(crate) fn refund_grant(&mut self, grant: Grant, effects: &mut Vec<Effect>) {
-        let Some(by) = grant.by else {
+        let Some(home) = grant.home else {
             return self.quotas.refund(grant.bucket, grant.cost);
         };
         // A home that ended took its bucket with it.
-        if let Some(address) = self.membership.peer_address(by).cloned() {
+        if let Some(address) = self.membership.peer_address(home).cloned() {
             effects.push(Effect::Refund { address, grant });
         }
     }
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -100,7 +100,7 @@
             repeatable: open.repeat.is_repeatable(),
             urgency: model.then_some(urgency),
             tokens_per_event: open.tokens_per_event,
-            fetch: keeper.map(|place| place.address),
+            fetch_from: keeper.map(|place| place.address),
             limited: self.limits.is_limited(&place.incarnation),
             endpoint: place,
         };
@@ -111,7 +111,7 @@
             .with("service", &open.service)
             .with("attempt", open.attempt)
             .with("replica", &start.endpoint.incarnation)
-            .with("fetch", start.fetch.as_deref().unwrap_or_default())
+            .with("fetch", start.fetch_from.as_deref().unwrap_or_default())
             .with("waited_ms", now.since(open.arrived).as_millis())
             .with("left_ms", start.time_left.as_millis())
             .with("list_age_ms", list_age.as_millis());
--- a/crates/gateway/src/effect.rs
+++ b/crates/gateway/src/effect.rs
@@ -70,7 +70,7 @@
         /// Of which request.
         serial: u64,
         /// Who is asked.
-        by: holder::Id,
+        home: holder::Id,
         /// Its `host:port`.
         address: SmolStr,
         /// What is to be charged.
@@ -157,7 +157,7 @@
     /// Tokens in one event of a stream.
     pub tokens_per_event: u32,
     /// `host:port` of a replica that may keep what the prompt shares with others, to be fetched from there.
-    pub fetch: Option<SmolStr>,
+    pub fetch_from: Option<SmolStr>,
     /// Whether a limit of the replica is in force: an answer without one lifts it.
     pub limited: bool,
     /// Priority for the engine: 0 goes first, 9 last; none for plain services.
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -107,7 +107,7 @@
         /// What was to be charged.
         charge: Charge,
         /// Who was asked.
-        by: holder::Id,
+        home: holder::Id,
         /// Its answer, if one came.
         answer: Option<Answer>,
     },
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -253,9 +253,9 @@
             Event::ChargeAnswered {
                 serial,
                 charge,
-                by,
+                home,
                 answer,
-            } => self.handle_charge_answer(now, serial, charge, by, answer, effects),
+            } => self.handle_charge_answer(now, serial, charge, home, answer, effects),
             Event::Refunded { bucket, cost } => self.quotas.refund(bucket, cost),
             Event::DigestReceived(digest) => {
                 self.attend(now, member::event::Event::Digest(digest), effects);
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -85,7 +85,7 @@
     entry: usize,
     serial: u64,
     charge: Charge,
-    by: holder::Id,
+    home: holder::Id,
 }
 
 /// One entry's process.
@@ -637,7 +637,7 @@
             }
             Effect::RequestCharge {
                 serial,
-                by,
+                home,
                 address,
                 charge,
             } => {
@@ -647,7 +647,7 @@
                         Event::ChargeAnswered {
                             serial,
                             charge,
-                            by,
+                            home,
                             answer: None,
                         },
                     ));
@@ -656,7 +656,7 @@
                     entry,
                     serial,
                     charge,
-                    by,
+                    home,
                 });
                 let requester = self.askers.len() as u64 - 1;
                 let event = Event::ChargeRequested { requester, charge };
@@ -672,7 +672,7 @@
                 let event = Event::ChargeAnswered {
                     serial: requester.serial,
                     charge: requester.charge,
-                    by: requester.by,
+                    home: requester.home,
                     answer,
                 };
                 Some((requester.entry, event))
--- a/crates/relay/src/moving.rs
+++ b/crates/relay/src/moving.rs
@@ -83,7 +83,7 @@
         };
         let next = Start {
             endpoint: to,
-            fetch: None,
+            fetch_from: None,
             time_left: start.time_left - self.shared.clock.now().since(begun),
             ..start.clone()
         };
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -193,7 +193,7 @@
 
 impl Peers {
     /// Asks another entry for a charge; its answer comes back as an event, also that none came.
-    pub fn ask_charge(&self, serial: u64, charge: Charge, by: holder::Id, address: SmolStr) {
+    pub fn ask_charge(&self, serial: u64, charge: Charge, home: holder::Id, address: SmolStr) {
         let client = self.client.clone();
         let link = self.shared.link.clone();
         tokio::task::spawn_local(async move {
@@ -204,7 +204,7 @@
             link.event(Event::ChargeAnswered {
                 serial,
                 charge,
-                by,
+                home,
                 answer: answered.ok().map(answer_of),
             });
         });
--- a/crates/relay/src/shell.rs
+++ b/crates/relay/src/shell.rs
@@ -175,10 +175,10 @@
             Effect::Duty { id, call, lease } => self.call_cloud(id, call, lease),
             Effect::RequestCharge {
                 serial,
-                by,
+                home,
                 address,
                 charge,
-            } => self.peers.ask_charge(serial, charge, by, address),
+            } => self.peers.ask_charge(serial, charge, home, address),
             Effect::ChargeAnswer { requester, answer } => {
                 if let Some(reply) = self.chargers.remove(&requester) {
                     let _ = reply.send(answer);
