--- a/crates/gateway/src/addresses.rs
+++ b/crates/gateway/src/addresses.rs
@@ -10,9 +10,9 @@
 
 /// Entries of the caller's own zone from which on only these are named: with one alone, its loss would
 /// leave its callers nothing to go to, and its load would not be shared.
-const ENOUGH: usize = 2;
+const MIN_ENTRIES: usize = 2;
 /// Most entries in one answer.
-const MOST: usize = 64;
+const MAX_ENTRIES: usize = 64;
 
 impl Gateway {
     /// Answers a question for addresses.
@@ -24,13 +24,13 @@
         effects: &mut Vec<Effect>,
     ) {
         let usable = self.usable(now);
-        let near = |one: &&Usable| Some(one.zone.as_str()) == zone;
-        let named: Vec<&Usable> = match usable.iter().filter(near).count() >= ENOUGH {
-            true => usable.iter().filter(near).collect(),
+        let in_zone = |entry: &&Usable| Some(entry.zone.as_str()) == zone;
+        let candidates: Vec<&Usable> = match usable.iter().filter(in_zone).count() >= MIN_ENTRIES {
+            true => usable.iter().filter(in_zone).collect(),
             false => usable.iter().collect(),
         };
-        let mut entries = self.draw(&named);
-        entries.truncate(MOST);
+        let mut entries = self.sample(&candidates);
+        entries.truncate(MAX_ENTRIES);
         let ttl = self.settings.address_ttl;
         let answer = (!entries.is_empty()).then_some(Addresses { entries, ttl });
         effects.push(Effect::Addresses { requester, answer });
@@ -38,21 +38,21 @@
 
     /// Names entries as often as they can take callers: callers choose among the named ones at random, so a
     /// small entry that is always named gets as many of them as a large one.
-    fn draw(&mut self, usable: &[&Usable]) -> Vec<SmolStr> {
-        let most = usable.iter().map(|one| one.capacity).max().unwrap_or(1);
-        let mut drawn = Vec::new();
-        let mut passed = Vec::new();
-        for one in usable {
-            let part = f64::from(one.capacity) / f64::from(most.max(1));
-            match self.random.random::<f64>() < part {
-                true => drawn.push(one.address.clone()),
-                false => passed.push(one.address.clone()),
+    fn sample(&mut self, usable: &[&Usable]) -> Vec<SmolStr> {
+        let largest = usable.iter().map(|entry| entry.capacity).max().unwrap_or(1);
+        let mut sampled = Vec::new();
+        let mut skipped = Vec::new();
+        for entry in usable {
+            let probability = f64::from(entry.capacity) / f64::from(largest.max(1));
+            match self.random.random::<f64>() < probability {
+                true => sampled.push(entry.address.clone()),
+                false => skipped.push(entry.address.clone()),
             }
         }
-        while drawn.len() < ENOUGH && !passed.is_empty() {
-            drawn.push(passed.swap_remove(0));
+        while sampled.len() < MIN_ENTRIES && !skipped.is_empty() {
+            sampled.push(skipped.swap_remove(0));
         }
-        drawn
+        sampled
     }
 
     /// Entries that callers may be sent to.
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -30,24 +30,27 @@
         let id = job::Id(serial);
         match report {
             Report::ResponseStarted => {
-                let alone = open.attempt == 1 && open.first.is_none();
+                let first_attempt = open.attempt == 1 && open.first.is_none();
                 open.first.get_or_insert(now);
-                let (own, service) = (open.own_tokens, open.service.clone());
-                let took = open.started.map(|started| now.since(started));
-                self.note_begun(now, serial);
-                if let Some(took) = took.filter(|_| alone) {
-                    self.work.entry(service).or_default().first_token(own, took);
+                let (prompt_tokens, service) = (open.own_tokens, open.service.clone());
+                let elapsed = open.started.map(|started| now.since(started));
+                self.record_start(now, serial);
+                if let Some(elapsed) = elapsed.filter(|_| first_attempt) {
+                    self.work
+                        .entry(service)
+                        .or_default()
+                        .first_token(prompt_tokens, elapsed);
                 }
                 self.scheduler.first_token(now, id);
             }
             Report::Progress { tokens } => self.scheduler.progressed(now, id, tokens),
-            Report::Moved => self.run_moved(serial, effects),
+            Report::Moved => self.complete_move(serial, effects),
             Report::Ended(end) => self.attempt_ended(now, serial, end, effects),
         }
     }
 
     /// The run goes on at its new place.
-    fn run_moved(&mut self, serial: u64, effects: &mut Vec<Effect>) {
+    fn complete_move(&mut self, serial: u64, effects: &mut Vec<Effect>) {
         let Some(open) = self.open.get_mut(&serial) else {
             return;
         };
@@ -74,20 +77,20 @@
         let replica = open.replica.take();
         // Its server left; that isn't a crash of the one that it was to be moved to.
         let moving = open.moving.take().is_some();
-        let place = replica.and_then(|key| self.servers.id_of(key));
+        let server = replica.and_then(|key| self.servers.id_of(key));
         let line = end_line(&end)
             .with("request", &open.id)
             .with("attempt", open.attempt)
-            .with("replica", place.unwrap_or_default())
+            .with("replica", server.unwrap_or_default())
             .with("age_ms", now.since(open.arrived).as_millis());
         effects.push(Effect::Log(line));
         if !matches!(end, End::NotSent | End::NotStarted) {
-            self.note_begun(now, serial);
+            self.record_start(now, serial);
         }
-        let mut longest = Span::ZERO;
-        let (how, tokens) = match end {
+        let mut longest_pause = Span::ZERO;
+        let (outcome, tokens) = match end {
             End::Finished { tokens, pause, .. } => {
-                longest = pause;
+                longest_pause = pause;
                 (job::End::Finished, tokens)
             }
             End::NotSent => (job::End::NotSent, 0),
@@ -96,15 +99,15 @@
             End::Failed { .. } | End::Broken { .. } | End::TimedOut { .. } => (job::End::Failed, 0),
         };
         self.with_scheduler(now, effects, |scheduler, out| {
-            scheduler.attempt_ended(now, job::Id(serial), how, tokens, out);
+            scheduler.attempt_ended(now, job::Id(serial), outcome, tokens, out);
         });
-        if how == job::End::Finished {
-            self.finished(now, serial, tokens, longest, effects);
+        if outcome == job::End::Finished {
+            self.finish_request(now, serial, tokens, longest_pause, effects);
         }
     }
 
     /// Notes that a replica has begun to work on a request; it counts once, whatever becomes of it.
-    fn note_begun(&mut self, now: Time, serial: u64) {
+    fn record_start(&mut self, now: Time, serial: u64) {
         let Some(open) = self.open.get_mut(&serial) else {
             return;
         };
@@ -112,17 +115,17 @@
             return;
         }
         // A plain call begins as it is sent; a model's with its first token.
-        let at = match open.repeat.is_stream() {
+        let began = match open.repeat.is_stream() {
             true => now,
             false => open.started.unwrap_or(now),
         };
         if let Some(account) = open.account.clone() {
-            self.usage.began(at, &account);
+            self.usage.began(began, &account);
         }
     }
 
     /// The whole answer was given.
-    fn finished(
+    fn finish_request(
         &mut self,
         now: Time,
         serial: u64,
--- a/crates/gateway/src/bulletin.rs
+++ b/crates/gateway/src/bulletin.rs
@@ -89,7 +89,7 @@
         let mut rest = self.clone();
         rest.sums = rest.sums.saturating_sub(1);
         for (account, tokens) in &one.charged {
-            take(&mut rest.charged, account, *tokens);
+            subtract(&mut rest.charged, account, *tokens);
         }
         for (replica, count) in &one.running {
             if let Some(into) = rest.running.get_mut(replica) {
@@ -99,7 +99,7 @@
         for (window, counts) in &one.begun {
             if let Some(into) = rest.begun.get_mut(window) {
                 for (account, count) in counts {
-                    take(into, account, *count);
+                    subtract(into, account, *count);
                 }
             }
         }
@@ -117,7 +117,7 @@
     }
 }
 
-fn take<K: Ord>(counts: &mut BTreeMap<K, u64>, key: &K, count: u64) {
+fn subtract<K: Ord>(counts: &mut BTreeMap<K, u64>, key: &K, count: u64) {
     if let Some(into) = counts.get_mut(key) {
         *into = into.saturating_sub(count);
     }
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -19,7 +19,7 @@
     /// By host; the longest prefix first.
     routes: HashMap<SmolStr, Vec<Route>>,
     /// Places in `accounts`.
-    by_key: HashMap<SmolStr, usize>,
+    accounts_by_key: HashMap<SmolStr, usize>,
 }
 
 /// Where requests of one prefix go and what they are promised.
@@ -188,8 +188,8 @@
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let keys = accounts.iter().enumerate();
-        let by_key = keys
-            .flat_map(|(at, account)| account.keys.iter().map(move |key| (key.clone(), at)))
+        let accounts_by_key = keys
+            .flat_map(|(index, account)| account.keys.iter().map(move |key| (key.clone(), index)))
             .collect();
         Catalog {
             version,
@@ -197,7 +197,7 @@
             accounts,
             limits,
             routes: by_host,
-            by_key,
+            accounts_by_key,
         }
     }
 
@@ -211,7 +211,7 @@
 
     /// The account that a key belongs to.
     pub fn account(&self, key: &str) -> Option<&Account> {
-        self.accounts.get(*self.by_key.get(key)?)
+        self.accounts.get(*self.accounts_by_key.get(key)?)
     }
 
     /// A service by its name.
--- a/crates/gateway/src/charging.rs
+++ b/crates/gateway/src/charging.rs
@@ -57,15 +57,15 @@
             return self.admit(now, serial, None, effects);
         };
         if !self.by_hubs() || !self.quotas.is_limited(charge.name) {
-            return self.charge_by(now, serial, charge, Step::Alone, effects);
+            return self.charge_at(now, serial, charge, Step::Alone, effects);
         }
         let homes: Vec<Entry> = self.roster.homes().iter().map(|home| home.0).collect();
         let step = self.charges.begin(now, serial, charge, &homes);
-        self.charge_by(now, serial, charge, step, effects);
+        self.charge_at(now, serial, charge, step, effects);
     }
 
     /// Lets whoever decides on a charge do so.
-    fn charge_by(
+    fn charge_at(
         &mut self,
         now: Time,
         serial: u64,
@@ -75,14 +75,14 @@
     ) {
         let Charge { name, cost } = charge;
         let result = match step {
-            Step::Ask(home) => return self.ask_home(now, serial, charge, home, effects),
+            Step::Ask(home) => return self.request_charge(now, serial, charge, home, effects),
             Step::Home => self.quotas.charge_for_all(now, name, cost),
             Step::Alone => self.quotas.charge(now, name, cost),
         };
-        self.decide(now, serial, charge, result.into(), None, effects);
+        self.settle_charge(now, serial, charge, result.into(), None, effects);
     }
 
-    fn ask_home(
+    fn request_charge(
         &mut self,
         now: Time,
         serial: u64,
@@ -98,7 +98,7 @@
                 address,
                 charge,
             }),
-            None => self.home_silent(now, serial, home, effects),
+            None => self.handle_silent_home(now, serial, home, effects),
         }
     }
 
@@ -113,10 +113,10 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(answer) = answer else {
-            return self.home_silent(now, serial, home, effects);
+            return self.handle_silent_home(now, serial, home, effects);
         };
         if self.charges.answered(serial, home.0).is_some() {
-            return self.decide(now, serial, charge, answer, Some(home), effects);
+            return self.settle_charge(now, serial, charge, answer, Some(home), effects);
         }
         // Somebody else has decided, or the caller is gone.
         if let Answer::Granted { bucket } = answer {
@@ -132,12 +132,18 @@
     /// Passes over homes that let requests wait.
     pub(crate) fn charges_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         for (serial, home) in self.charges.overdue(now) {
-            self.home_silent(now, serial, holder::Id(home), effects);
+            self.handle_silent_home(now, serial, holder::Id(home), effects);
         }
     }
 
     /// Goes on to whoever decides in a home's place.
-    fn home_silent(&mut self, now: Time, serial: u64, home: holder::Id, effects: &mut Vec<Effect>) {
+    fn handle_silent_home(
+        &mut self,
+        now: Time,
+        serial: u64,
+        home: holder::Id,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some((charge, step)) = self.charges.unanswered(now, serial, home.0) else {
             return;
         };
@@ -146,11 +152,11 @@
             .with("account", charge.name)
             .with("next", format!("{step:?}"));
         effects.push(Effect::Log(line));
-        self.charge_by(now, serial, charge, step, effects);
+        self.charge_at(now, serial, charge, step, effects);
     }
 
     /// Admits a request that was charged, or refuses it.
-    fn decide(
+    fn settle_charge(
         &mut self,
         now: Time,
         serial: u64,
@@ -176,14 +182,15 @@
                     .with("left", format!("{:.0}", self.quotas.left(now, charge.name)))
                     .with("part", format!("{:.0}", self.quotas.part(charge.name)));
                 effects.push(Effect::Log(line));
-                let refusal = Refusal::not_run(Reason::OverLimit, self.short_of(now, charge, home));
+                let refusal =
+                    Refusal::not_run(Reason::OverLimit, self.refusal_text(now, charge, home));
                 self.refuse(now, serial, refusal.with_retry_after(after), effects);
             }
         }
     }
 
     /// Why a charge was turned down.
-    fn short_of(&self, now: Time, charge: Charge, home: Option<holder::Id>) -> &'static str {
+    fn refusal_text(&self, now: Time, charge: Charge, home: Option<holder::Id>) -> &'static str {
         // An entry that decides alone gives no more than its part while the account is short.
         match home.is_none() && self.quotas.left(now, charge.name) >= charge.cost as f64 {
             true => "the account is near its quota, and this entry's part is used up",
@@ -199,8 +206,8 @@
         charge: Charge,
         effects: &mut Vec<Effect>,
     ) {
-        let known = self.catalog.is_some();
-        let result = known.then(|| {
+        let configured = self.catalog.is_some();
+        let result = configured.then(|| {
             self.quotas
                 .charge_for_all(now, charge.name, charge.cost)
                 .into()
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -40,7 +40,7 @@
             .with("accounts", catalog.accounts.len())
             .with("source", source_name(source));
         effects.push(Effect::Log(line));
-        self.take_accounts(now, &catalog);
+        self.update_accounts(now, &catalog);
         for service in &catalog.services {
             self.pool_key(&service.name);
         }
@@ -58,16 +58,19 @@
 
     /// The scheduler's key of a service.
     pub(crate) fn pool_key(&mut self, service: &SmolStr) -> pool::Key {
-        let next = pool::Key(self.pools.len() as u32);
-        *self.pools.entry(service.clone()).or_insert(next)
+        let next_key = pool::Key(self.pools.len() as u32);
+        *self.pools.entry(service.clone()).or_insert(next_key)
     }
 
-    fn take_accounts(&mut self, now: Time, catalog: &Catalog) {
+    fn update_accounts(&mut self, now: Time, catalog: &Catalog) {
         let public = Account::default();
         for account in catalog.accounts.iter().chain([&public]) {
-            let next = account::Key(self.accounts.len() as u32);
-            let key = *self.accounts.entry(account.name.clone()).or_insert(next);
-            self.scheduler.set_account(key, spec_of(account));
+            let next_key = account::Key(self.accounts.len() as u32);
+            let key = *self
+                .accounts
+                .entry(account.name.clone())
+                .or_insert(next_key);
+            self.scheduler.set_account(key, account_spec(account));
             let name = rendezvous::identity(&account.name);
             self.quotas.set(now, name, account.rate, account.burst);
         }
@@ -81,7 +84,7 @@
 }
 
 /// What the scheduler knows of an account; its quota is kept apart.
-fn spec_of(account: &Account) -> account::Spec {
+fn account_spec(account: &Account) -> account::Spec {
     account::Spec {
         name: account.name.clone(),
         weight: 1,
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -29,10 +29,10 @@
 const LEASE: &str = "duties";
 /// An entry that has followed the list of servers for so long knows all of them: while the whole system
 /// starts, they announce themselves over some seconds.
-const SETTLED: Span = Span::from_seconds(5);
+const LIST_SETTLED: Span = Span::from_seconds(5);
 /// An entry that starts in a predecessor's place tries for the lease for so long: a read of the members and
 /// one of the lease, with a retry of each.
-const SUCCESSION: Span = Span::from_seconds(4);
+const SUCCESSION_TIME: Span = Span::from_seconds(4);
 
 /// What the holder of the lease does.
 pub(crate) struct Duties {
@@ -85,7 +85,7 @@
         if !self.settings.report_usage && !self.settings.order_replicas {
             return;
         }
-        self.tell_predecessors(now, effects);
+        self.report_predecessors(now, effects);
         let wanted = self.is_candidate(now);
         if wanted != self.duties.wanted {
             self.duties.wanted = wanted;
@@ -161,16 +161,16 @@
             return true;
         }
         // Its predecessor may have been the holder: it alone needn't wait for that lease.
-        let young = now < Time::ZERO + SUCCESSION;
-        if young && !self.duties.predecessors.is_empty() {
+        let starting = now < Time::ZERO + SUCCESSION_TIME;
+        if starting && !self.duties.predecessors.is_empty() {
             return true;
         }
-        let most = match self.by_hubs() {
+        let max_claimants = match self.by_hubs() {
             true => usize::MAX,
             false => HUBS,
         };
-        let mut claimants = self.roster.readers().iter().take(most);
-        claimants.any(|one| *one == self.identity.incarnation)
+        let mut claimants = self.roster.readers().iter().take(max_claimants);
+        claimants.any(|claimant| *claimant == self.identity.incarnation)
     }
 
     /// The holder of the lease announced that it gave up.
@@ -236,7 +236,7 @@
     }
 
     /// Tells the claim of earlier lives of this entry: they are gone, since their port is ours now.
-    fn tell_predecessors(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn report_predecessors(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let me = self.identity.incarnation;
         let address = &self.identity.peer_address;
         let known = self.membership.directory().iter();
@@ -252,16 +252,16 @@
     }
 
     fn claim_step(&mut self, now: Time, event: claim::Event, effects: &mut Vec<Effect>) {
-        let mut asked = Vec::new();
-        self.duties.claim.step(now, event, &mut asked);
-        for effect in asked {
+        let mut claim_effects = Vec::new();
+        self.duties.claim.step(now, event, &mut claim_effects);
+        for effect in claim_effects {
             match effect {
                 claim::Effect::Store { id, call } => self.ask_store(Waiter::Claim(id), call),
                 claim::Effect::Gained(fence) => {
                     self.duties.reports = Reports::default();
                     self.duties.progress = Writer::default();
                     self.rollouts.gained();
-                    let settled = now.since(self.servers_since) > SETTLED;
+                    let settled = now.since(self.servers_since) > LIST_SETTLED;
                     self.duties.fleet.gained(now, settled);
                     effects.push(Effect::Log(Line::info("duty_gained").with("fence", fence)));
                 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -23,24 +23,24 @@
 use crate::work::Work;
 
 /// Time between two plans: a small part of the shortest notice of a reclaim.
-const REVIEW: Span = Span::from_millis(250);
+const PLAN_INTERVAL: Span = Span::from_millis(250);
 /// An order whose effect isn't seen after the time to start a replica and this much more is given again.
-const PATIENCE: Span = Span::from_millis(3_000);
+const START_MARGIN: Span = Span::from_millis(3_000);
 /// Time before an order that the platform refused or left unanswered is given again.
-const RETRY: Span = Span::from_millis(700);
+const RETRY_DELAY: Span = Span::from_millis(700);
 /// A new holder watches for so long before it orders: its picture of servers and work must be whole.
-const LOOK_AROUND: Span = Span::from_millis(3_000);
+const OBSERVATION: Span = Span::from_millis(3_000);
 /// The same if it has known the servers for a while: what its predecessor ordered last may be under way.
-const SHORT_LOOK: Span = Span::from_millis(300);
+const SHORT_OBSERVATION: Span = Span::from_millis(300);
 /// Work that the replicas standing at the start are taken to be made for, while none was measured.
-const USUAL_FILL: f64 = 0.3;
+const DEFAULT_UTILIZATION: f64 = 0.3;
 
 /// What the holder of the duty knows of its orders.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     config: Config,
     services: BTreeMap<SmolStr, Orders>,
-    next: Time,
+    next_plan: Time,
 }
 
 /// One service's orders.
@@ -48,7 +48,7 @@
 struct Orders {
     targets: BTreeMap<Target, State>,
     /// Most replicas that stood there while no work was measured.
-    first: u32,
+    initial_replicas: u32,
 }
 
 /// What an order is about.
@@ -62,28 +62,28 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
     /// Replicas that stand there and don't leave.
-    have: u32,
+    live: u32,
     /// The last order; none once it doesn't count any more.
-    given: Option<Given>,
+    order: Option<Order>,
     /// Since when fewer are wanted than ordered.
-    surplus: Option<Time>,
+    surplus_since: Option<Time>,
     /// None are to be had before this time.
-    refused: Time,
+    unavailable_until: Time,
 }
 
 /// The last order on a target.
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct Order {
     count: u32,
-    at: Time,
+    issued_at: Time,
     /// Number of the call, until it is answered.
     call: Option<u64>,
     /// Whether the platform took it.
-    taken: bool,
+    accepted: bool,
     /// Whether as many were seen since.
     fulfilled: bool,
     /// It isn't given again before.
-    next: Time,
+    retry_at: Time,
 }
 
 impl Fleet {
@@ -92,16 +92,16 @@
         Fleet {
             config,
             services: BTreeMap::new(),
-            next: Time::ZERO,
+            next_plan: Time::ZERO,
         }
     }
 
     /// The duty was gained: what others ordered isn't known.
     pub fn gained(&mut self, now: Time, settled: bool) {
         self.services.clear();
-        self.next = match settled {
-            true => now + SHORT_LOOK,
-            false => now + LOOK_AROUND,
+        self.next_plan = match settled {
+            true => now + SHORT_OBSERVATION,
+            false => now + OBSERVATION,
         };
     }
 }
@@ -109,40 +109,40 @@
 impl State {
     /// Replicas to count on: those that stand there, and those that were ordered and start.
     fn expected(&self, now: Time, boot: Span) -> u32 {
-        let starting = self.given.filter(|given| {
-            let young = now.since(given.at) < boot + PATIENCE;
-            given.taken && !given.fulfilled && young
+        let starting = self.order.filter(|order| {
+            let recent = now.since(order.issued_at) < boot + START_MARGIN;
+            order.accepted && !order.fulfilled && recent
         });
-        self.have.max(starting.map_or(0, |given| given.count))
+        self.live.max(starting.map_or(0, |order| order.count))
     }
 
     /// Takes in how many stand there now.
-    fn see(&mut self, have: u32) {
-        if have < self.have {
+    fn observe(&mut self, live: u32) {
+        if live < self.live {
             // Some went that weren't given back: a reclaim may have taken what was ordered as well.
-            self.given = self.given.filter(|given| given.count <= have);
+            self.order = self.order.filter(|order| order.count <= live);
         }
-        self.have = have;
-        if let Some(given) = &mut self.given {
-            given.fulfilled |= given.taken && have == given.count;
+        self.live = live;
+        if let Some(order) = &mut self.order {
+            order.fulfilled |= order.accepted && live == order.count;
         }
     }
 
     /// The number to order now, if any: fewer only once that was wanted for `linger`.
-    fn due(&mut self, now: Time, wanted: u32, boot: Span, linger: Span) -> Option<u32> {
+    fn next_order(&mut self, now: Time, wanted: u32, boot: Span, linger: Span) -> Option<u32> {
         let expected = self.expected(now, boot);
         if wanted >= expected {
-            self.surplus = None;
-        } else if now.since(*self.surplus.get_or_insert(now)) < linger {
+            self.surplus_since = None;
+        } else if now.since(*self.surplus_since.get_or_insert(now)) < linger {
             return None;
         }
-        match self.given {
-            Some(given) if given.call.is_some() || now < given.next => None,
-            Some(given) if given.taken && given.count == wanted => {
-                let late = now.since(given.at) >= boot + PATIENCE;
-                (late && self.have != wanted).then_some(wanted)
+        match self.order {
+            Some(order) if order.call.is_some() || now < order.retry_at => None,
+            Some(order) if order.accepted && order.count == wanted => {
+                let late = now.since(order.issued_at) >= boot + START_MARGIN;
+                (late && self.live != wanted).then_some(wanted)
             }
-            _ => (wanted != self.have).then_some(wanted),
+            _ => (wanted != self.live).then_some(wanted),
         }
     }
 }
@@ -150,10 +150,10 @@
 impl Gateway {
     /// Plans all services and gives the orders that follow.
     pub(crate) fn fleet_tick(&mut self, now: Time, lease: Lease, effects: &mut Vec<Effect>) {
-        if !self.settings.order_replicas || now < self.duties.fleet.next {
+        if !self.settings.order_replicas || now < self.duties.fleet.next_plan {
             return;
         }
-        self.duties.fleet.next = now + REVIEW;
+        self.duties.fleet.next_plan = now + PLAN_INTERVAL;
         let Some(catalog) = self.catalog.clone() else {
             return;
         };
@@ -172,18 +172,19 @@
         lease: Lease,
         effects: &mut Vec<Effect>,
     ) {
-        let counts = self.standing(service);
-        let standing: u32 = counts.values().sum();
-        let busy = self.busy(&service.name);
+        let counts = self.live_replicas(service);
+        let live_replicas: u32 = counts.values().sum();
+        let busy_replicas = self.busy_replicas(&service.name);
         let fleet = &mut self.duties.fleet;
         let config = fleet.config;
         let orders = fleet.services.entry(service.name.clone()).or_default();
-        let ordered = orders.targets.values().any(|state| state.given.is_some());
-        if busy.is_none() && !ordered {
-            orders.first = orders.first.max(standing);
+        let ordered = orders.targets.values().any(|state| state.order.is_some());
+        if busy_replicas.is_none() && !ordered {
+            orders.initial_replicas = orders.initial_replicas.max(live_replicas);
         }
-        let busy = busy.unwrap_or(f64::from(orders.first) * USUAL_FILL);
-        let wanted = orders.plan(now, &config, busy, &counts, scaling);
+        let busy_replicas =
+            busy_replicas.unwrap_or(f64::from(orders.initial_replicas) * DEFAULT_UTILIZATION);
+        let wanted = orders.plan(now, &config, busy_replicas, &counts, scaling);
         let mut due = Vec::new();
         for (target, count) in wanted {
             let state = orders.targets.entry(target.clone()).or_default();
@@ -191,18 +192,18 @@
                 Market::OnDemand => config.linger,
                 Market::Reclaimable => config.cheap_linger,
             };
-            if let Some(count) = state.due(now, count, scaling.boot, linger) {
-                due.push((target, count, state.have));
+            if let Some(count) = state.next_order(now, count, scaling.boot, linger) {
+                due.push((target, count, state.live));
             }
         }
-        for (target, count, have) in due {
+        for (target, count, live) in due {
             let line = Line::info("replicas_ordered")
                 .with("service", &service.name)
                 .with("zone", &target.zone)
                 .with("market", format!("{:?}", target.market))
                 .with("count", count)
-                .with("have", have)
-                .with("busy", format!("{busy:.2}"))
+                .with("have", live)
+                .with("busy", format!("{busy_replicas:.2}"))
                 .with("fence", lease.fence);
             effects.push(Effect::Log(line));
             self.order(now, &service.name, target, count, lease, effects);
@@ -227,13 +228,13 @@
         let id = self.call_platform(call, lease, effects);
         let orders = self.duties.fleet.services.get_mut(service);
         if let Some(state) = orders.and_then(|orders| orders.targets.get_mut(&target)) {
-            state.given = Some(Given {
+            state.order = Some(Order {
                 count,
-                at: now,
+                issued_at: now,
                 call: Some(id),
-                taken: false,
+                accepted: false,
                 fulfilled: false,
-                next: now,
+                retry_at: now,
             });
         }
     }
@@ -244,28 +245,28 @@
         let refusal = now + fleet.config.refusal;
         let targets = fleet.services.values_mut();
         let mut states = targets.flat_map(|orders| orders.targets.values_mut());
-        let answered = states.find(|state| state.given.is_some_and(|one| one.call == Some(id)));
+        let answered = states.find(|state| state.order.is_some_and(|one| one.call == Some(id)));
         let Some(state) = answered else {
             return;
         };
         if outcome == duty::Outcome::Unavailable {
-            state.given = None;
-            state.refused = refusal;
-            fleet.next = now;
+            state.order = None;
+            state.unavailable_until = refusal;
+            fleet.next_plan = now;
             return;
         }
-        if let Some(given) = &mut state.given {
-            given.call = None;
-            given.taken = outcome == duty::Outcome::Done;
-            given.next = match given.taken {
+        if let Some(order) = &mut state.order {
+            order.call = None;
+            order.accepted = outcome == duty::Outcome::Done;
+            order.retry_at = match order.accepted {
                 true => now,
-                false => now + RETRY,
+                false => now + RETRY_DELAY,
             };
         }
     }
 
     /// Replicas of a service that don't leave, by target.
-    fn standing(&self, service: &Service) -> BTreeMap<Target, u32> {
+    fn live_replicas(&self, service: &Service) -> BTreeMap<Target, u32> {
         let mut counts = BTreeMap::new();
         for known in self.servers.iter() {
             let server = &known.server;
@@ -295,10 +296,10 @@
     }
 
     /// Replicas that the work keeps busy, once that is known.
-    fn busy(&self, service: &SmolStr) -> Option<f64> {
+    fn busy_replicas(&self, service: &SmolStr) -> Option<f64> {
         let speed = self.speed_of(service);
-        let busy = self.demand.replicas(service, speed);
-        busy.filter(|busy| *busy > 0.0)
+        let busy_replicas = self.demand.replicas(service, speed);
+        busy_replicas.filter(|busy_replicas| *busy_replicas > 0.0)
     }
 }
 
@@ -308,7 +309,7 @@
         &mut self,
         now: Time,
         config: &Config,
-        busy: f64,
+        busy_replicas: f64,
         counts: &BTreeMap<Target, u32>,
         scaling: &Scaling,
     ) -> Vec<(Target, u32)> {
@@ -318,16 +319,19 @@
         };
         let mut zones = Vec::new();
         for (name, price) in &scaling.prices {
-            let mut look = |market: Market| {
+            let mut stock_of = |market: Market| {
                 let target = target(name, market);
                 let live = counts.get(&target).copied().unwrap_or(0);
                 let state = self.targets.entry(target).or_default();
-                state.see(live);
+                state.observe(live);
                 let expected = state.expected(now, scaling.boot);
-                (cover::Stock { live, expected }, now >= state.refused)
+                (
+                    cover::Stock { live, expected },
+                    now >= state.unavailable_until,
+                )
             };
-            let (on_demand, _) = look(Market::OnDemand);
-            let (reclaimable, open) = look(Market::Reclaimable);
+            let (on_demand, _) = stock_of(Market::OnDemand);
+            let (reclaimable, open) = stock_of(Market::Reclaimable);
             zones.push(cover::Zone {
                 price: *price,
                 reclaimable,
@@ -340,7 +344,7 @@
             most: scaling.most,
             reclaimable: scaling.reclaimable_price.is_some(),
         };
-        let wanted = cover::plan(config, busy, &zones, bounds);
+        let wanted = cover::plan(config, busy_replicas, &zones, bounds);
         let named = scaling.prices.iter().zip(wanted);
         let both = named.flat_map(|((zone, _), wanted)| {
             [
--- a/crates/gateway/src/following.rs
+++ b/crates/gateway/src/following.rs
@@ -22,7 +22,7 @@
 use crate::presence::Source;
 
 /// Until a new reader asks anew: while entries start, most of them take themselves for readers for a moment.
-const SETTLED: Span = Span::from_millis(1_500);
+const ROLE_SETTLING: Span = Span::from_millis(1_500);
 
 /// What this entry does to follow the list of servers.
 #[derive(Debug)]
@@ -31,10 +31,10 @@
     pause: Option<Span>,
     /// When an entry that became a reader asks anew: its question under way was asked as one that reads for itself, and
     /// waits for longer than the others can do without its word.
-    ask_anew: Option<Time>,
+    reread_as_reader: Option<Time>,
     /// When the whole list is read again, after the table service came back from a copy: by then live servers have
     /// written their rows again, and those that are still missing are gone.
-    read_again: Option<Time>,
+    reread_after_restore: Option<Time>,
 }
 
 impl Following {
@@ -42,8 +42,8 @@
     pub fn new() -> Following {
         Following {
             pause: Some(Span::ZERO),
-            ask_anew: None,
-            read_again: None,
+            reread_as_reader: None,
+            reread_after_restore: None,
         }
     }
 }
@@ -58,7 +58,7 @@
     ) {
         let known = self.servers.position().revision;
         if known > 0 && Revision::is_of_older_era(known, reading.revision) {
-            self.following.read_again = Some(now + self.settings.missing_row_grace);
+            self.following.reread_after_restore = Some(now + self.settings.missing_row_grace);
         }
         let reading = self.watch.read(now, &reading);
         // From here on only gaps of our own matter.
@@ -131,19 +131,20 @@
                     .with("age_ms", now.since(self.servers.position().at).as_millis());
                 effects.push(Effect::Log(line));
             }
-            let alone = self.following.pause == Some(Span::ZERO);
+            let was_alone = self.following.pause == Some(Span::ZERO);
             let reads_for_all = pause.is_some_and(|pause| pause > Span::ZERO);
-            self.following.ask_anew = (alone && reads_for_all).then_some(now + SETTLED);
+            self.following.reread_as_reader =
+                (was_alone && reads_for_all).then_some(now + ROLE_SETTLING);
             self.following.pause = pause;
             effects.push(Effect::FollowServers { pause });
         }
         let due = |at: &mut Time| *at <= now;
-        let anew = self.following.ask_anew.take_if(due).is_some();
-        if self.following.read_again.take_if(due).is_some() || anew {
+        let became_reader = self.following.reread_as_reader.take_if(due).is_some();
+        if self.following.reread_after_restore.take_if(due).is_some() || became_reader {
             effects.push(Effect::ReadServers);
         }
         if self.by_hubs() && self.watch.is_due(now) {
-            self.report_list(now, effects);
+            self.send_list_report(now, effects);
         }
     }
 
@@ -153,12 +154,12 @@
         let reads = reads.then(|| self.watch.reads_at(self.role()));
         let due = self.watch.next_due().filter(|_| self.by_hubs());
         let Following {
-            ask_anew,
-            read_again,
+            reread_as_reader,
+            reread_after_restore,
             ..
         } = self.following;
-        let all = reads.into_iter().chain(due).chain(ask_anew);
-        all.chain(read_again).min()
+        let all = reads.into_iter().chain(due).chain(reread_as_reader);
+        all.chain(reread_after_restore).min()
     }
 
     fn role(&self) -> Role {
@@ -196,7 +197,7 @@
     }
 
     /// Reports changes to the hubs, or as a hub to everyone.
-    fn report_list(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn send_list_report(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let me = self.identity.incarnation;
         let hubs = self.roster.hubs().to_vec();
         let hub = hubs.contains(&me);
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -33,46 +33,46 @@
 
 /// Every report of a window must tell the same; the counts by window.
 fn counts(world: &World) -> BTreeMap<u64, u64> {
-    let mut told = BTreeMap::new();
+    let mut reported = BTreeMap::new();
     for (window, count) in world.reports() {
-        let first = *told.entry(window).or_insert(count);
+        let first = *reported.entry(window).or_insert(count);
         assert_eq!(first, count, "two reports of window {window} differ");
     }
-    told
+    reported
 }
 
 #[test]
-fn one_entry_reports_what_all_have_served() {
+fn one_entry_reports_the_requests_of_all() {
     let mut world = World::new(4);
     settle(&mut world);
     let served = one_window(&mut world, 4);
     world.run(3 * WINDOW);
 
-    let told: u64 = counts(&world).values().sum();
+    let reported: u64 = counts(&world).values().sum();
 
-    assert_eq!(told, served);
+    assert_eq!(reported, served);
     assert_eq!(served, REQUESTS);
 }
 
 #[test]
-fn many_entries_report_by_one_clock() {
+fn many_entries_agree_on_window_times() {
     // Every window's report of a large system was wrong by a third. One entry's clock was two seconds ahead, and
     // it happened to be the hub whose time all others followed.
     // The first holds the duties, as hubs do.
-    for ahead in [0, 7, 15] {
+    for skewed in [0, 7, 15] {
         let mut world = World::new(24);
-        world.skew(ahead, 2_000);
+        world.skew(skewed, 2_000);
         settle(&mut world);
         world.run(WINDOW - world.now % WINDOW);
         let served = one_window(&mut world, 24);
         let window = (world.unix_ms() - 1) / WINDOW;
         world.run(3 * WINDOW);
 
-        let told = counts(&world).get(&window).copied().unwrap_or(0);
+        let reported = counts(&world).get(&window).copied().unwrap_or(0);
 
         assert!(
-            served.abs_diff(told) <= 1,
-            "{told} of {served}, entry {ahead} was ahead"
+            served.abs_diff(reported) <= 1,
+            "{reported} of {served}, entry {skewed} was ahead"
         );
     }
 }
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn counts_outlast_the_loss_of_all_entries() {
+fn counts_survive_the_loss_of_all_entries() {
     // A window's report missed more than half of its requests. All entries were killed in the middle of the
     // window, and what they had told each other went with them.
     let mut world = World::new(4);
@@ -114,13 +114,13 @@
     }
     world.run(3 * WINDOW);
 
-    let told: u64 = counts(&world).values().sum();
+    let reported: u64 = counts(&world).values().sum();
 
-    assert_eq!(told, served);
+    assert_eq!(reported, served);
 }
 
 #[test]
-fn a_killed_holder_started_again_takes_over_before_its_lease_ends() {
+fn a_restarted_holder_takes_over_before_its_lease_ends() {
     // Orders and reports paused for as long as the lease of a killed holder ran. It was back after half a second
     // at its old addresses and waited for its own earlier life.
     let mut world = World::new(4);
@@ -136,14 +136,14 @@
     for entry in 0..4 {
         world.start(entry);
     }
-    let back = world.now;
+    let restarted_at = world.now;
     one_window(&mut world, 4);
     world.run(2_500);
 
     let first = world.made.first().expect("someone reports again");
 
     assert_eq!(first.entry, holder);
-    assert!(first.at < back + WINDOW + 2_500);
+    assert!(first.at < restarted_at + WINDOW + 2_500);
 }
 
 #[test]
@@ -159,13 +159,13 @@
     let served = one_window(&mut world, 4);
     world.run(3 * WINDOW);
 
-    let told: u64 = counts(&world).values().sum();
+    let reported: u64 = counts(&world).values().sum();
 
-    assert_eq!(told, served);
+    assert_eq!(reported, served);
 }
 
 #[test]
-fn an_entry_started_anew_counts_its_requests_once() {
+fn a_restarted_entry_counts_its_requests_once() {
     // Reports told up to a third too many requests while entries were stopped and started in turn. Their earlier
     // lives stood among the members for some seconds, with the addresses that they have again, so each told its own
     // counts to itself, and hubs sent it sums that left out the earlier life's counts alone.
@@ -179,14 +179,14 @@
         let served = one_window(&mut world, entries);
         world.run(3 * WINDOW);
 
-        let told: u64 = counts(&world).values().sum();
+        let reported: u64 = counts(&world).values().sum();
 
-        assert_eq!(told, served, "{entries} entries");
+        assert_eq!(reported, served, "{entries} entries");
     }
 }
 
 #[test]
-fn entries_replaced_in_turn_lose_no_counts() {
+fn a_rolling_restart_loses_no_counts() {
     // While a quarter of a large system was stopped and started in turn, each window's report missed up to a third of
     // its requests. With each start other entries became the ones by way of which counts travel, and what entries that
     // had ended had told was known to their forerunners alone.
@@ -209,12 +209,15 @@
     }
     world.run(3 * WINDOW);
 
-    let told = counts(&world);
+    let reported = counts(&world);
 
     for (window, count) in served {
-        let told = told.get(&window).copied().unwrap_or(0);
-        let off = count.abs_diff(told);
-        assert!(off * 20 <= count, "window {window}: {told} of {count}");
+        let reported = reported.get(&window).copied().unwrap_or(0);
+        let difference = count.abs_diff(reported);
+        assert!(
+            difference * 20 <= count,
+            "window {window}: {reported} of {count}"
+        );
     }
 }
 
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -7,7 +7,7 @@
 use support::World;
 
 #[test]
-fn a_server_that_leaves_gets_nothing_more() {
+fn a_leaving_server_gets_no_more_requests() {
     // A request was placed on a server and waited for its connection, at an entry short of processor time. The
     // server said that it leaves; more than three seconds later the entry handed the request over, and the
     // server was gone before the answer was whole. Nothing told the request's task what its entry knew.
@@ -16,13 +16,13 @@
     world.servers[0].leaving = true;
     world.tell_servers();
 
-    let told: Vec<usize> = world.closed.iter().map(|(entry, _)| *entry).collect();
-    assert_eq!(told, [0, 1]);
+    let notified: Vec<usize> = world.closed.iter().map(|(entry, _)| *entry).collect();
+    assert_eq!(notified, [0, 1]);
     assert!(world.closed.iter().all(|(_, server)| server == "s0#1"));
 }
 
 #[test]
-fn a_server_that_is_gone_gets_nothing_more() {
+fn a_removed_server_gets_no_more_requests() {
     let mut world = World::new(1);
     world.run(1_000);
     let gone = world.servers.remove(1);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_server_whose_row_comes_back_gets_requests_again() {
+fn a_server_whose_row_returns_gets_requests_again() {
     // The row of a server that lives lapsed, and the server wrote it again. Had its name stayed closed, requests
     // placed there would come back unsent, one after the other.
     let mut world = World::new(1);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_row_that_ended_behind_a_gap_gets_nothing_more() {
+fn a_server_whose_row_ended_during_a_gap_gets_no_more_requests() {
     // A request reached a server 2.3 s after its row had ended. The server had never said that it leaves; the entry
     // that sent the request had been cut off from the table service and had read the list again, without the row.
     // Cause: for 2.5 s after a gap a missing row counted for nothing, since rows lapse in an outage of the service.
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_row_that_lapsed_has_two_seconds_from_the_first_reading() {
+fn a_lapsed_row_has_two_seconds_from_the_first_read_to_return() {
     // A live server's row lapsed in an outage and was back two seconds after the table service, as it may. The entry
     // had given the server up half a second before: it counted from its last failed call, not from the return.
     let mut world = World::new(1);
@@ -112,13 +112,13 @@
     let kept = world.servers[0].clone();
     let serials: Vec<u64> = (0..200).map(|_| world.stream(0)).collect();
     let places = serials.iter().filter_map(|one| world.places.get(one));
-    let (there, elsewhere): (Vec<_>, Vec<_>) = places.partition(|at| **at == kept.incarnation);
-    assert_eq!(there.len(), kept.slots as usize);
-    assert!(!elsewhere.is_empty());
+    let (to_listed, to_doubted): (Vec<_>, Vec<_>) = places.partition(|at| **at == kept.incarnation);
+    assert_eq!(to_listed.len(), kept.slots as usize);
+    assert!(!to_doubted.is_empty());
 }
 
 #[test]
-fn an_entry_whose_feed_is_silent_hears_of_a_row_that_ended() {
+fn an_entry_with_a_silent_feed_learns_of_ended_rows_from_peers() {
     // Requests went to servers up to 4.2 s after their rows had ended, by entries that hear the table service late.
     // All other entries knew. Of servers that say that they leave these entries learned in time, from peers.
     // Cause: entries told each other of leaves only; the end of a row was each one's own to see. Evidence: at such an
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn peers_word_of_an_ended_row_outlasts_older_readings_but_not_newer_ones() {
+fn a_peers_report_of_an_ended_row_overrides_older_reads_but_not_newer_ones() {
     // An entry whose feed lags hears from peers that a row ended, then reads the list as it was before that: the
     // server would be back for as long as the feed lags. Once the row is written again the server must be back, or
     // each lapse of a lease would cost a server for good.
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn rows_that_may_have_lapsed_are_not_told_to_peers() {
+fn rows_that_may_have_lapsed_are_not_reported_to_peers() {
     // The leases of live servers lapse in an outage of the table service. An entry that was cut off besides would
     // lose all its servers by the word of one that read the list a moment too soon.
     let mut world = World::new(2);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn the_list_is_read_anew_once_the_table_service_answers_again() {
+fn the_list_is_read_again_once_the_table_service_answers_again() {
     // Requests reached servers up to four seconds after their rows had ended, through all entries of a large system.
     // A change of the list had made them all ask for the next one just as the table service fell silent for three
     // seconds. It was back, but what it had swallowed it never answered: for 8.5 seconds more nobody knew who left.
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_list_that_was_told_since_the_table_service_failed_is_not_read_anew() {
+fn a_list_received_since_the_table_service_failed_is_not_read_again() {
     // Single calls fail for many causes. Had each made all entries read the whole list, a table service that answers
     // slowly would have been asked for more.
     let mut world = World::new(1);
@@ -202,15 +202,15 @@
 }
 
 #[test]
-fn a_run_on_a_server_that_leaves_is_moved_and_nobody_is_blamed() {
+fn a_run_on_a_leaving_server_is_moved_and_not_recorded_as_a_crash() {
     // Answers that may not be begun anew were cut off whenever a zone was reclaimed: moves were planned and dropped
     // unread. One whose server ends before it was moved is no crash, else its request would be held for a killer's.
     let mut world = World::new(1);
     world.run(1_000);
     let serial = world.stream(0);
     let place = world.places[&serial].clone();
-    let runs_there = |server: &&mut watch::server::Server| server.incarnation == place;
-    let leaving = world.servers.iter_mut().find(runs_there).expect("a server");
+    let is_source = |server: &&mut watch::server::Server| server.incarnation == place;
+    let leaving = world.servers.iter_mut().find(is_source).expect("a server");
     leaving.leaving = true;
     world.tell_servers();
     world.run(300);
