--- a/crates/gateway/src/book.rs
+++ b/crates/gateway/src/catalog.rs
@@ -7,7 +7,7 @@
 
 /// One version of the configuration. Immutable once made.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Book {
+pub struct Catalog {
     /// Rises with each change, in uneven steps.
     pub version: u64,
     /// All services.
@@ -19,7 +19,7 @@
     /// By host; the longest prefix first.
     routes: HashMap<SmolStr, Vec<Route>>,
     /// Places in `accounts`.
-    by_key: HashMap<SmolStr, usize>,
+    accounts_by_key: HashMap<SmolStr, usize>,
 }
 
 /// Where requests of one prefix go and what they are promised.
@@ -108,7 +108,7 @@
     /// Tokens that its memory holds.
     pub memory_tokens: u64,
     /// Tokens of memory that move to another replica in a millisecond; none if they can't be moved.
-    pub moved_per_milli: Option<f64>,
+    pub transfer_tokens_per_ms: Option<f64>,
     /// Tokens in one event of a stream.
     pub tokens_per_event: u32,
 }
@@ -155,9 +155,9 @@
     /// Most bytes of a body.
     pub body_bytes: usize,
     /// Longest time for a head.
-    pub head_time: Span,
+    pub head_timeout: Span,
     /// How long a connection may be idle.
-    pub idle_time: Span,
+    pub idle_timeout: Span,
 }
 
 impl Default for Limits {
@@ -165,13 +165,13 @@
         Limits {
             head_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            head_time: Span::from_seconds(3),
-            idle_time: Span::from_seconds(15),
+            head_timeout: Span::from_seconds(3),
+            idle_timeout: Span::from_seconds(15),
         }
     }
 }
 
-impl Book {
+impl Catalog {
     /// A version with its look-ups.
     pub fn new(
         version: u64,
@@ -179,7 +179,7 @@
         services: Vec<Service>,
         accounts: Vec<Account>,
         limits: Limits,
-    ) -> Book {
+    ) -> Catalog {
         let mut by_host: HashMap<SmolStr, Vec<Route>> = HashMap::new();
         for route in routes {
             by_host.entry(route.host.clone()).or_default().push(route);
@@ -188,16 +188,16 @@
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let keys = accounts.iter().enumerate();
-        let by_key = keys
-            .flat_map(|(at, account)| account.keys.iter().map(move |key| (key.clone(), at)))
+        let accounts_by_key = keys
+            .flat_map(|(index, account)| account.keys.iter().map(move |key| (key.clone(), index)))
             .collect();
-        Book {
+        Catalog {
             version,
             services,
             accounts,
             limits,
             routes: by_host,
-            by_key,
+            accounts_by_key,
         }
     }
 
@@ -211,7 +211,7 @@
 
     /// The account that a key belongs to.
     pub fn account(&self, key: &str) -> Option<&Account> {
-        self.accounts.get(*self.by_key.get(key)?)
+        self.accounts.get(*self.accounts_by_key.get(key)?)
     }
 
     /// A service by its name.
--- a/crates/gateway/src/charging.rs
+++ b/crates/gateway/src/charging.rs
@@ -23,7 +23,7 @@
     /// How much, in the quota's unit.
     pub cost: Cost,
     /// The entry that granted it; none if it was this one.
-    pub by: Option<holder::Id>,
+    pub home: Option<holder::Id>,
 }
 
 /// Whether a quota has room for a request.
@@ -35,9 +35,9 @@
         bucket: Name,
     },
     /// It has not.
-    Short {
+    Exceeded {
         /// When to come back.
-        after: Span,
+        retry_after: Span,
     },
 }
 
@@ -45,7 +45,7 @@
     fn from(result: Result<Name, Span>) -> Answer {
         match result {
             Ok(bucket) => Answer::Granted { bucket },
-            Err(after) => Answer::Short { after },
+            Err(after) => Answer::Exceeded { retry_after: after },
         }
     }
 }
@@ -57,15 +57,15 @@
             return self.admit(now, serial, None, effects);
         };
         if !self.by_hubs() || !self.quotas.is_limited(charge.name) {
-            return self.charge_by(now, serial, charge, Step::Alone, effects);
+            return self.charge_at(now, serial, charge, Step::Alone, effects);
         }
         let homes: Vec<Entry> = self.roster.homes().iter().map(|home| home.0).collect();
         let step = self.charges.begin(now, serial, charge, &homes);
-        self.charge_by(now, serial, charge, step, effects);
+        self.charge_at(now, serial, charge, step, effects);
     }
 
     /// Lets whoever decides on a charge do so.
-    fn charge_by(
+    fn charge_at(
         &mut self,
         now: Time,
         serial: u64,
@@ -75,14 +75,14 @@
     ) {
         let Charge { name, cost } = charge;
         let result = match step {
-            Step::Ask(home) => return self.ask_home(now, serial, charge, home, effects),
+            Step::Ask(home) => return self.request_charge(now, serial, charge, home, effects),
             Step::Home => self.quotas.charge_as_home(now, name, cost),
             Step::Alone => self.quotas.charge(now, name, cost),
         };
-        self.decide(now, serial, charge, result.into(), None, effects);
+        self.settle_charge(now, serial, charge, result.into(), None, effects);
     }
 
-    fn ask_home(
+    fn request_charge(
         &mut self,
         now: Time,
         serial: u64,
@@ -90,134 +90,144 @@
         home: Entry,
         effects: &mut Vec<Effect>,
     ) {
-        let by = holder::Id(home);
-        match self.membership.peer_address(by).cloned() {
-            Some(address) => effects.push(Effect::AskCharge {
+        let home = holder::Id(home);
+        match self.membership.peer_address(home).cloned() {
+            Some(address) => effects.push(Effect::RequestCharge {
                 serial,
-                by,
+                home,
                 address,
                 charge,
             }),
-            None => self.home_silent(now, serial, by, effects),
+            None => self.handle_silent_home(now, serial, home, effects),
         }
     }
 
     /// A home answered, or gave no answer.
-    pub(crate) fn charge_answered(
+    pub(crate) fn handle_charge_answer(
         &mut self,
         now: Time,
         serial: u64,
         charge: Charge,
-        by: holder::Id,
+        home: holder::Id,
         answer: Option<Answer>,
         effects: &mut Vec<Effect>,
     ) {
         let Some(answer) = answer else {
-            return self.home_silent(now, serial, by, effects);
+            return self.handle_silent_home(now, serial, home, effects);
         };
-        if self.charges.answered(serial, by.0).is_some() {
-            return self.decide(now, serial, charge, answer, Some(by), effects);
+        if self.charges.answered(serial, home.0).is_some() {
+            return self.settle_charge(now, serial, charge, answer, Some(home), effects);
         }
         // Somebody else has decided, or the caller is gone.
         if let Answer::Granted { bucket } = answer {
             let grant = Grant {
                 bucket,
                 cost: charge.cost,
-                by: Some(by),
+                home: Some(home),
             };
-            self.give_back(grant, effects);
+            self.refund_grant(grant, effects);
         }
     }
 
     /// Passes over homes that let requests wait.
     pub(crate) fn charges_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        for (serial, by) in self.charges.overdue(now) {
-            self.home_silent(now, serial, holder::Id(by), effects);
+        for (serial, home) in self.charges.overdue(now) {
+            self.handle_silent_home(now, serial, holder::Id(home), effects);
         }
     }
 
     /// Goes on to whoever decides in a home's place.
-    fn home_silent(&mut self, now: Time, serial: u64, by: holder::Id, effects: &mut Vec<Effect>) {
-        let Some((charge, step)) = self.charges.unanswered(now, serial, by.0) else {
+    fn handle_silent_home(
+        &mut self,
+        now: Time,
+        serial: u64,
+        home: holder::Id,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some((charge, step)) = self.charges.unanswered(now, serial, home.0) else {
             return;
         };
         let line = Line::info("quota_home_silent")
-            .with("home", by)
+            .with("home", home)
             .with("account", charge.name)
             .with("next", format!("{step:?}"));
         effects.push(Effect::Log(line));
-        self.charge_by(now, serial, charge, step, effects);
+        self.charge_at(now, serial, charge, step, effects);
     }
 
     /// Admits a request that was charged, or refuses it.
-    fn decide(
+    fn settle_charge(
         &mut self,
         now: Time,
         serial: u64,
         charge: Charge,
         answer: Answer,
-        by: Option<holder::Id>,
+        home: Option<holder::Id>,
         effects: &mut Vec<Effect>,
     ) {
         match answer {
             Answer::Granted { bucket } => {
                 let cost = charge.cost;
-                let grant = Grant { bucket, cost, by };
+                let grant = Grant { bucket, cost, home };
                 self.admit(now, serial, Some(grant), effects);
             }
-            Answer::Short { after } => {
+            Answer::Exceeded { retry_after: after } => {
                 let line = Line::info("quota_short")
                     .with("account", charge.name)
                     .with("cost", charge.cost)
-                    .with("home", by.map_or_else(String::new, |by| by.to_string()))
+                    .with(
+                        "home",
+                        home.map_or_else(String::new, |home| home.to_string()),
+                    )
                     .with(
                         "left",
                         format!("{:.0}", self.quotas.remaining(now, charge.name)),
                     )
                     .with("part", format!("{:.0}", self.quotas.share(charge.name)));
                 effects.push(Effect::Log(line));
-                let refusal = Refusal::not_run(Reason::OverLimit, self.short_of(now, charge, by));
+                let refusal =
+                    Refusal::not_run(Reason::OverLimit, self.refusal_text(now, charge, home));
                 self.refuse(now, serial, refusal.with_retry_after(after), effects);
             }
         }
     }
 
     /// Why a charge was turned down.
-    fn short_of(&self, now: Time, charge: Charge, by: Option<holder::Id>) -> &'static str {
+    fn refusal_text(&self, now: Time, charge: Charge, home: Option<holder::Id>) -> &'static str {
         // An entry that decides alone gives no more than its part while the account is short.
-        match by.is_none() && self.quotas.remaining(now, charge.name) >= charge.cost as f64 {
+        match home.is_none() && self.quotas.remaining(now, charge.name) >= charge.cost as f64 {
             true => "the account is near its quota, and this entry's part is used up",
             false => "the account is over its quota",
         }
     }
 
     /// Decides on a charge for another entry; not before this one knows the quotas.
-    pub(crate) fn charge_asked(
+    pub(crate) fn handle_charge_request(
         &mut self,
         now: Time,
-        asker: u64,
+        requester: u64,
         charge: Charge,
         effects: &mut Vec<Effect>,
     ) {
-        let known = self.book.is_some();
-        let result = known.then(|| {
+        let configured = self.catalog.is_some();
+        let result = configured.then(|| {
             self.quotas
                 .charge_as_home(now, charge.name, charge.cost)
                 .into()
         });
         effects.push(Effect::ChargeAnswer {
-            asker,
+            requester,
             answer: result,
         });
     }
 
     /// Gives back what a request took that didn't run.
-    pub(crate) fn give_back(&mut self, grant: Grant, effects: &mut Vec<Effect>) {
-        let Some(by) = grant.by else {
+    pub(crate) fn refund_grant(&mut self, grant: Grant, effects: &mut Vec<Effect>) {
+        let Some(home) = grant.home else {
             return self.quotas.refund(grant.bucket, grant.cost);
         };
         // A home that ended took its bucket with it.
-        if let Some(address) = self.membership.peer_address(by).cloned() {
+        if let Some(address) = self.membership.peer_address(home).cloned() {
             effects.push(Effect::Refund { address, grant });
         }
     }
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -11,8 +11,8 @@
 use policy::rendezvous;
 use smol_str::SmolStr;
 
-use crate::book::Account;
-use crate::book::Book;
+use crate::catalog::Account;
+use crate::catalog::Catalog;
 use crate::effect::Effect;
 use crate::event::Source;
 use crate::gateway::Gateway;
@@ -22,54 +22,60 @@
     ///
     /// Guards against going back: a read that was slow, or a peer that lags, brings an older version,
     /// and callers would be served by rules that were withdrawn.
-    pub(crate) fn configured(
+    pub(crate) fn apply_configuration(
         &mut self,
         now: Time,
-        book: Rc<Book>,
+        catalog: Rc<Catalog>,
         document: Bytes,
         source: Source,
         effects: &mut Vec<Effect>,
     ) {
-        let version = self.book.as_ref().map_or(0, |book| book.version);
-        if self.book.is_some() && book.version <= version {
+        let version = self.catalog.as_ref().map_or(0, |catalog| catalog.version);
+        if self.catalog.is_some() && catalog.version <= version {
             return;
         }
         let line = Line::info("configuration_applied")
-            .with("version", book.version)
+            .with("version", catalog.version)
             .with("before", version)
-            .with("accounts", book.accounts.len())
+            .with("accounts", catalog.accounts.len())
             .with("source", source_name(source));
         effects.push(Effect::Log(line));
-        self.take_accounts(now, &book);
-        for service in &book.services {
+        self.update_accounts(now, &catalog);
+        for service in &catalog.services {
             self.pool_key(&service.name);
         }
-        let engines = book.services.iter().filter_map(|one| one.engine.as_ref());
-        let speeds = engines.filter_map(|engine| engine.moved_per_milli);
+        let engines = catalog
+            .services
+            .iter()
+            .filter_map(|one| one.engine.as_ref());
+        let speeds = engines.filter_map(|engine| engine.transfer_tokens_per_ms);
         self.scheduler.set_transfer_speed(speeds.reduce(f64::min));
         self.document = document;
-        self.book_since = now;
-        self.book = Some(Rc::clone(&book));
-        self.attend(now, member::event::Event::Applied(book.version), effects);
+        self.catalog_since = now;
+        self.catalog = Some(Rc::clone(&catalog));
+        self.attend(now, member::event::Event::Applied(catalog.version), effects);
     }
 
     /// The scheduler's key of a service.
     pub(crate) fn pool_key(&mut self, service: &SmolStr) -> pool::Key {
-        let next = pool::Key(self.pools.len() as u32);
-        *self.pools.entry(service.clone()).or_insert(next)
+        let next_key = pool::Key(self.pools.len() as u32);
+        *self.pools.entry(service.clone()).or_insert(next_key)
     }
 
-    fn take_accounts(&mut self, now: Time, book: &Book) {
+    fn update_accounts(&mut self, now: Time, catalog: &Catalog) {
         let public = Account::default();
-        for account in book.accounts.iter().chain([&public]) {
-            let next = account::Key(self.accounts.len() as u32);
-            let key = *self.accounts.entry(account.name.clone()).or_insert(next);
-            self.scheduler.set_account(key, spec_of(account));
+        for account in catalog.accounts.iter().chain([&public]) {
+            let next_key = account::Key(self.accounts.len() as u32);
+            let key = *self
+                .accounts
+                .entry(account.name.clone())
+                .or_insert(next_key);
+            self.scheduler.set_account(key, account_spec(account));
             let name = rendezvous::identity(&account.name);
             self.quotas
                 .set_quota(now, name, account.rate, account.burst);
         }
-        let names: Vec<Name> = book
+        let names: Vec<Name> = catalog
             .accounts
             .iter()
             .map(|account| rendezvous::identity(&account.name))
@@ -79,7 +85,7 @@
 }
 
 /// What the scheduler knows of an account; its quota is kept apart.
-fn spec_of(account: &Account) -> account::Spec {
+fn account_spec(account: &Account) -> account::Spec {
     account::Spec {
         name: account.name.clone(),
         weight: 1,
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -16,7 +16,7 @@
 use store::call;
 
 use crate::duty;
-use crate::duty::Warrant;
+use crate::duty::Lease;
 use crate::effect::Effect;
 use crate::effect::Lane;
 use crate::fleet::Fleet;
@@ -29,10 +29,10 @@
 const LEASE: &str = "duties";
 /// An entry that has followed the list of servers for so long knows all of them: while the whole system
 /// starts, they announce themselves over some seconds.
-const SETTLED: Span = Span::from_seconds(5);
+const LIST_SETTLED: Span = Span::from_seconds(5);
 /// An entry that starts in a predecessor's place tries for the lease for so long: a read of the members and
 /// one of the lease, with a retry of each.
-const SUCCESSION: Span = Span::from_seconds(4);
+const SUCCESSION_TIME: Span = Span::from_seconds(4);
 
 /// What the holder of the lease does.
 pub(crate) struct Duties {
@@ -69,7 +69,11 @@
 }
 
 /// A new claim on the lease.
-pub(crate) fn claim(me: lease::holder::Id, settings: claim_settings::Settings, seed: u64) -> Claim {
+pub(crate) fn new_claim(
+    me: lease::holder::Id,
+    settings: claim_settings::Settings,
+    seed: u64,
+) -> Claim {
     Claim::new(me, LEASE, settings, seed)
 }
 
@@ -81,7 +85,7 @@
         if !self.settings.report_usage && !self.settings.order_replicas {
             return;
         }
-        self.tell_predecessors(now, effects);
+        self.report_predecessors(now, effects);
         let wanted = self.is_candidate(now);
         if wanted != self.duties.wanted {
             self.duties.wanted = wanted;
@@ -91,17 +95,17 @@
             self.claim_step(now, claim::Event::Wake, effects);
         }
         self.usage.expire(now);
-        self.note_demand(now);
-        if let Some(warrant) = self.warrant(now) {
+        self.record_demand(now);
+        if let Some(lease) = self.lease(now) {
             self.progress_tick(now);
-            self.reports_tick(now, warrant, effects);
-            self.fleet_tick(now, warrant, effects);
-            self.rollouts_tick(now, warrant, effects);
+            self.reports_tick(now, lease, effects);
+            self.fleet_tick(now, lease, effects);
+            self.rollouts_tick(now, lease, effects);
         }
     }
 
     /// An answer of the table service to the claim.
-    pub(crate) fn claim_answered(
+    pub(crate) fn handle_claim_answer(
         &mut self,
         now: Time,
         id: call::Id,
@@ -112,27 +116,27 @@
     }
 
     /// In whose name calls are made, if the lease is held.
-    pub(crate) fn warrant(&self, now: Time) -> Option<Warrant> {
+    pub(crate) fn lease(&self, now: Time) -> Option<Lease> {
         let fence = self.duties.claim.fence(now)?;
         let until = self.duties.claim.valid_until();
-        Some(Warrant { fence, until })
+        Some(Lease { fence, until })
     }
 
     /// Makes a call of the platform; its outcome comes back under the number given.
     pub(crate) fn call_platform(
         &mut self,
         call: duty::Call,
-        warrant: Warrant,
+        lease: Lease,
         effects: &mut Vec<Effect>,
     ) -> u64 {
         self.duties.next_call += 1;
         let id = self.duties.next_call;
-        effects.push(Effect::Duty { id, call, warrant });
+        effects.push(Effect::Duty { id, call, lease });
         id
     }
 
     /// A call of the platform ended.
-    pub(crate) fn duty_answered(
+    pub(crate) fn handle_duty_answer(
         &mut self,
         now: Time,
         id: u64,
@@ -144,7 +148,7 @@
             .with("outcome", format!("{outcome:?}"));
         effects.push(Effect::Log(line));
         self.report_answered(now, id, outcome);
-        self.order_answered(now, id, outcome);
+        self.handle_order_answer(now, id, outcome);
     }
 
     /// Whether this entry should try to get or keep the lease: the holder as long as it may, else the hubs, which know
@@ -157,27 +161,27 @@
             return true;
         }
         // Its predecessor may have been the holder: it alone needn't wait for that lease.
-        let young = now < Time::ZERO + SUCCESSION;
-        if young && !self.duties.predecessors.is_empty() {
+        let starting = now < Time::ZERO + SUCCESSION_TIME;
+        if starting && !self.duties.predecessors.is_empty() {
             return true;
         }
-        let most = match self.by_hubs() {
+        let max_claimants = match self.by_hubs() {
             true => usize::MAX,
             false => HUB_COUNT,
         };
-        let mut claimants = self.roster.readers().iter().take(most);
-        claimants.any(|one| *one == self.identity.incarnation)
+        let mut claimants = self.roster.readers().iter().take(max_claimants);
+        claimants.any(|claimant| *claimant == self.identity.incarnation)
     }
 
     /// The holder of the lease announced that it gave up.
-    pub(crate) fn holder_resigned(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_resignation(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         if item.key == LEASE {
             self.claim_step(now, claim::Event::Ended(item.version), effects);
         }
     }
 
     /// The holder of the lease announced a renewal.
-    pub(crate) fn holder_renewed(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_renewal(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let value = match serde_json::from_slice(&item.payload) {
             Ok(value) => value,
             Err(error) => {
@@ -213,7 +217,7 @@
                 effects.push(Effect::SendDigest {
                     address,
                     digest,
-                    lane: Lane::News,
+                    lane: Lane::Immediate,
                 });
             }
         }
@@ -232,7 +236,7 @@
     }
 
     /// Tells the claim of earlier lives of this entry: they are gone, since their port is ours now.
-    fn tell_predecessors(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn report_predecessors(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let me = self.identity.incarnation;
         let address = &self.identity.peer_address;
         let known = self.membership.directory().iter();
@@ -248,16 +252,16 @@
     }
 
     fn claim_step(&mut self, now: Time, event: claim::Event, effects: &mut Vec<Effect>) {
-        let mut asked = Vec::new();
-        self.duties.claim.step(now, event, &mut asked);
-        for effect in asked {
+        let mut claim_effects = Vec::new();
+        self.duties.claim.step(now, event, &mut claim_effects);
+        for effect in claim_effects {
             match effect {
                 claim::Effect::Store { id, call } => self.ask_store(Waiter::Claim(id), call),
                 claim::Effect::Gained(fence) => {
                     self.duties.reports = Reports::default();
                     self.duties.progress = Writer::default();
                     self.rollouts.gained();
-                    let settled = now.since(self.servers_since) > SETTLED;
+                    let settled = now.since(self.servers_since) > LIST_SETTLED;
                     self.duties.fleet.gained(now, settled);
                     effects.push(Effect::Log(Line::info("duty_gained").with("fence", fence)));
                 }
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -16,7 +16,7 @@
 
 use crate::arrival::Arrival;
 use crate::attempt::Report;
-use crate::book::Book;
+use crate::catalog::Catalog;
 use crate::charging::Answer;
 use crate::configs::gateway::Settings;
 use crate::duty;
@@ -33,7 +33,7 @@
         arrival: Box<Arrival>,
     },
     /// The caller's connection is gone.
-    CallerGone {
+    CallerDisconnected {
         /// Whose.
         serial: u64,
     },
@@ -47,23 +47,23 @@
         report: Report,
     },
     /// A backend server said in an answer how many requests it takes from all entries together.
-    LimitNamed {
+    LimitReported {
         /// The life of the server.
         incarnation: SmolStr,
         /// The limit; none if the answer names none.
         rate: Option<Rate>,
     },
     /// Someone asks which entries to use.
-    AddressesAsked {
+    AddressesRequested {
         /// Who asks.
-        asker: u64,
+        requester: u64,
         /// In which availability zone the caller is, if it said so.
         zone: Option<SmolStr>,
     },
     /// A version of the configuration was read.
     Configured {
         /// The version.
-        book: Rc<Book>,
+        catalog: Rc<Catalog>,
         /// The document as it was written, for peers that can't read it.
         document: Bytes,
         /// Who told it.
@@ -94,9 +94,9 @@
         outcome: duty::Outcome,
     },
     /// Another entry asks for a charge.
-    ChargeAsked {
+    ChargeRequested {
         /// Who asks.
-        asker: u64,
+        requester: u64,
         /// What is to be charged.
         charge: Charge,
     },
@@ -107,7 +107,7 @@
         /// What was to be charged.
         charge: Charge,
         /// Who was asked.
-        by: holder::Id,
+        home: holder::Id,
         /// Its answer, if one came.
         answer: Option<Answer>,
     },
@@ -125,7 +125,7 @@
     /// The settings were read again.
     SettingsRead(Box<Settings>),
     /// The process is asked to stop.
-    StopAsked,
+    StopRequested,
 }
 
 /// Where a version of the configuration came from.
--- a/crates/gateway/src/following.rs
+++ b/crates/gateway/src/following.rs
@@ -22,7 +22,7 @@
 use crate::presence::Source;
 
 /// Until a new reader asks anew: while entries start, most of them take themselves for readers for a moment.
-const SETTLED: Span = Span::from_millis(1_500);
+const ROLE_SETTLING: Span = Span::from_millis(1_500);
 
 /// What this entry does to follow the list of servers.
 #[derive(Debug)]
@@ -31,10 +31,10 @@
     pause: Option<Span>,
     /// When an entry that became a reader asks anew: its question under way was asked as one that reads for itself, and
     /// waits for longer than the others can do without its word.
-    ask_anew: Option<Time>,
+    reread_as_reader: Option<Time>,
     /// When the whole list is read again, after the table service came back from a copy: by then live servers have
     /// written their rows again, and those that are still missing are gone.
-    read_again: Option<Time>,
+    reread_after_restore: Option<Time>,
 }
 
 impl Following {
@@ -42,18 +42,23 @@
     pub fn new() -> Following {
         Following {
             pause: Some(Span::ZERO),
-            ask_anew: None,
-            read_again: None,
+            reread_as_reader: None,
+            reread_after_restore: None,
         }
     }
 }
 
 impl Gateway {
     /// The list was read here.
-    pub(crate) fn list_read(&mut self, now: Time, reading: Reading, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_list_read(
+        &mut self,
+        now: Time,
+        reading: Reading,
+        effects: &mut Vec<Effect>,
+    ) {
         let known = self.servers.position().revision;
         if known > 0 && Revision::is_of_older_era(known, reading.revision) {
-            self.following.read_again = Some(now + self.settings.return_time);
+            self.following.reread_after_restore = Some(now + self.settings.missing_row_grace);
         }
         let reading = self.watch.apply_reading(now, &reading);
         // From here on only gaps of our own matter.
@@ -62,7 +67,7 @@
     }
 
     /// A report on the list came from another entry.
-    pub(crate) fn list_reported(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_list_report(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let Some(from) = holder::Id::parse(&item.key) else {
             return;
         };
@@ -126,34 +131,35 @@
                     .with("age_ms", now.since(self.servers.position().at).as_millis());
                 effects.push(Effect::Log(line));
             }
-            let alone = self.following.pause == Some(Span::ZERO);
+            let was_alone = self.following.pause == Some(Span::ZERO);
             let reads_for_all = pause.is_some_and(|pause| pause > Span::ZERO);
-            self.following.ask_anew = (alone && reads_for_all).then_some(now + SETTLED);
+            self.following.reread_as_reader =
+                (was_alone && reads_for_all).then_some(now + ROLE_SETTLING);
             self.following.pause = pause;
             effects.push(Effect::FollowServers { pause });
         }
         let due = |at: &mut Time| *at <= now;
-        let anew = self.following.ask_anew.take_if(due).is_some();
-        if self.following.read_again.take_if(due).is_some() || anew {
+        let became_reader = self.following.reread_as_reader.take_if(due).is_some();
+        if self.following.reread_after_restore.take_if(due).is_some() || became_reader {
             effects.push(Effect::ReadServers);
         }
         if self.by_hubs() && self.watch.is_report_due(now) {
-            self.report_list(now, effects);
+            self.send_list_report(now, effects);
         }
     }
 
     /// When [`Gateway::following_tick`] is wanted next.
-    pub(crate) fn next_following(&self) -> Option<Time> {
+    pub(crate) fn next_following_tick(&self) -> Option<Time> {
         let reads = self.following.pause.is_none();
         let reads = reads.then(|| self.watch.next_read(self.role()));
         let due = self.watch.next_report_due().filter(|_| self.by_hubs());
         let Following {
-            ask_anew,
-            read_again,
+            reread_as_reader,
+            reread_after_restore,
             ..
         } = self.following;
-        let all = reads.into_iter().chain(due).chain(ask_anew);
-        all.chain(read_again).min()
+        let all = reads.into_iter().chain(due).chain(reread_as_reader);
+        all.chain(reread_after_restore).min()
     }
 
     fn role(&self) -> Role {
@@ -166,7 +172,7 @@
     }
 
     /// The report that goes with the regular counts: by a hub always, else if this entry has read the list since.
-    pub(crate) fn regular_list_item(&mut self, now: Time, hub: bool) -> Option<Item> {
+    pub(crate) fn periodic_list_report(&mut self, now: Time, hub: bool) -> Option<Item> {
         match hub || self.watch.has_read() {
             true => self.list_item(now, Extent::Recent),
             false => None,
@@ -175,7 +181,7 @@
 
     fn list_item(&mut self, now: Time, extent: Extent) -> Option<Item> {
         let lapsed = match self.list_lost {
-            true => self.settings.return_time,
+            true => self.settings.missing_row_grace,
             false => self.servers.trusted_in(now),
         };
         let report = self.watch.report(now, lapsed, extent)?;
@@ -191,7 +197,7 @@
     }
 
     /// Reports changes to the hubs, or as a hub to everyone.
-    fn report_list(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn send_list_report(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let me = self.identity.incarnation;
         let hubs = self.roster.hubs().to_vec();
         let hub = hubs.contains(&me);
@@ -217,7 +223,7 @@
                 effects.push(Effect::SendDigest {
                     address,
                     digest,
-                    lane: Lane::News,
+                    lane: Lane::Immediate,
                 });
             }
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -24,7 +24,7 @@
 use store::throttle::Throttle;
 use watch::watch::Watch;
 
-use crate::book::Book;
+use crate::catalog::Catalog;
 use crate::configs::gateway::Settings;
 use crate::duties;
 use crate::duties::Duties;
@@ -51,12 +51,12 @@
     pub(crate) settings: Settings,
     pub(crate) random: Pcg64Mcg,
     /// The newest configuration seen in this life; its version never falls.
-    pub(crate) book: Option<Rc<Book>>,
+    pub(crate) catalog: Option<Rc<Catalog>>,
     /// When the list of servers was read first.
     pub(crate) servers_since: Time,
-    /// When `book` came in force.
-    pub(crate) book_since: Time,
-    /// The document that `book` was read from.
+    /// When `catalog` came in force.
+    pub(crate) catalog_since: Time,
+    /// The document that `catalog` was read from.
     pub(crate) document: Bytes,
     pub(crate) scheduler: Scheduler,
     pub(crate) quotas: Quotas,
@@ -175,9 +175,9 @@
             watch: Watch::new(settings.watch, identity.incarnation.0),
             following: Following::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
-            book: None,
+            catalog: None,
             servers_since: Time::ZERO,
-            book_since: Time::ZERO,
+            catalog_since: Time::ZERO,
             document: Bytes::new(),
             scheduler,
             open: BTreeMap::new(),
@@ -192,7 +192,7 @@
             hub: Hub::default(),
             demand: Demand::default(),
             duties: Duties::new(
-                duties::claim(identity.incarnation, settings.lease, seed),
+                duties::new_claim(identity.incarnation, settings.lease, seed),
                 Fleet::new(settings.cover),
             ),
             peer_loads: BTreeMap::new(),
@@ -221,58 +221,60 @@
     fn take(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Arrived { serial, arrival } => self.arrived(now, serial, &arrival, effects),
-            Event::CallerGone { serial } => self.caller_gone(now, serial, effects),
+            Event::CallerDisconnected { serial } => self.caller_gone(now, serial, effects),
             Event::Attempt {
                 serial,
                 attempt,
                 report,
-            } => self.attempt_reported(now, serial, attempt, report, effects),
-            Event::LimitNamed { incarnation, rate } => {
+            } => self.handle_attempt_report(now, serial, attempt, report, effects),
+            Event::LimitReported { incarnation, rate } => {
                 self.limit_named(now, &incarnation, rate, effects);
             }
-            Event::AddressesAsked { asker, zone } => {
-                self.addresses_asked(now, asker, zone.as_deref(), effects);
+            Event::AddressesRequested { requester, zone } => {
+                self.answer_addresses(now, requester, zone.as_deref(), effects);
             }
             Event::Configured {
-                book,
+                catalog,
                 document,
                 source,
-            } => self.configured(now, book, document, source, effects),
+            } => self.apply_configuration(now, catalog, document, source, effects),
             Event::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
             Event::RolloutWithdrawn(service) => self.rollout_withdrawn(now, &service, effects),
             Event::RolloutsKnown(services) => self.rollouts_known(now, &services, effects),
-            Event::Servers(reading) => self.list_read(now, reading, effects),
+            Event::Servers(reading) => self.handle_list_read(now, reading, effects),
             Event::ServersLost => self.servers_lost(now, effects),
             Event::Store { id, outcome } => self.store_answered(now, id, outcome, effects),
-            Event::DutyAnswered { id, outcome } => self.duty_answered(now, id, outcome, effects),
-            Event::ChargeAsked { asker, charge } => {
-                self.charge_asked(now, asker, charge, effects);
+            Event::DutyAnswered { id, outcome } => {
+                self.handle_duty_answer(now, id, outcome, effects)
+            }
+            Event::ChargeRequested { requester, charge } => {
+                self.handle_charge_request(now, requester, charge, effects);
             }
             Event::ChargeAnswered {
                 serial,
                 charge,
-                by,
+                home,
                 answer,
-            } => self.charge_answered(now, serial, charge, by, answer, effects),
+            } => self.handle_charge_answer(now, serial, charge, home, answer, effects),
             Event::Refunded { bucket, cost } => self.quotas.refund(bucket, cost),
             Event::DigestReceived(digest) => {
                 self.attend(now, member::event::Event::Digest(digest), effects);
             }
             Event::Tick => self.tick(now, effects),
             Event::SettingsRead(settings) => self.settings_read(now, *settings, effects),
-            Event::StopAsked => self.stop_asked(now, effects),
+            Event::StopRequested => self.stop_asked(now, effects),
         }
     }
 
     /// Whether callers may be sent here.
     pub fn is_ready(&self) -> bool {
-        self.book.is_some() && self.stopping.is_none()
+        self.catalog.is_some() && self.stopping.is_none()
     }
 
     /// The limits on what callers may send.
-    pub fn limits(&self) -> crate::book::Limits {
-        let book = self.book.as_ref();
-        book.map_or_else(Default::default, |book| book.limits.clone())
+    pub fn limits(&self) -> crate::catalog::Limits {
+        let catalog = self.catalog.as_ref();
+        catalog.map_or_else(Default::default, |catalog| catalog.limits.clone())
     }
 
     /// How this entry stands, for metrics.
@@ -281,14 +283,14 @@
         let waiting: usize = pools().map(|pool| self.scheduler.waiting(*pool)).sum();
         let repeats: f64 = pools().map(|pool| self.scheduler.retries_left(*pool)).sum();
         Vitals {
-            version_age_ms: now.since(self.book_since).as_millis(),
+            version_age_ms: now.since(self.catalog_since).as_millis(),
             leaving: self.servers.leaving_count() as u64,
             missing: self.servers.missing().len() as u64,
             waiting: waiting as u64,
             repeats_left: repeats.max(0.0) as u64,
-            fence: self.warrant(now).map_or(0, |warrant| warrant.fence),
+            fence: self.lease(now).map_or(0, |lease| lease.fence),
             open_requests: self.open.len() as u64,
-            version: self.book.as_ref().map_or(0, |book| book.version),
+            version: self.catalog.as_ref().map_or(0, |catalog| catalog.version),
             members: self.membership.directory().present_count() as u64,
             servers: self.servers.count() as u64,
             list_revision: self.servers.position().revision,
@@ -310,7 +312,7 @@
             timeout,
             self.lagging.next_wake(),
             self.servers.next_wake(),
-            self.next_following(),
+            self.next_following_tick(),
             self.throttle.next_wake(now),
             self.next_stop_wake(),
         ];
@@ -331,7 +333,7 @@
         self.quotas.set_entries(now, settings.entries.max(known));
         self.settings.seeds = settings.seeds;
         self.settings.entries = settings.entries;
-        self.settings.address_keep = settings.address_keep;
+        self.settings.address_ttl = settings.address_ttl;
         self.settings.grace = settings.grace;
     }
 
@@ -357,7 +359,7 @@
         let mut decisions = Vec::new();
         let result = call(&mut self.scheduler, &mut decisions);
         for decision in decisions {
-            self.decided(now, decision, effects);
+            self.apply_decision(now, decision, effects);
         }
         result
     }
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -149,7 +149,7 @@
                 self.hub.since = now;
             }
         }
-        let list = self.regular_list_item(now, hubs.contains(&me));
+        let list = self.periodic_list_report(now, hubs.contains(&me));
         for hub in hubs.iter().filter(|hub| **hub != me) {
             self.send_bulletin(*hub, &own, list.as_ref(), effects);
         }
@@ -305,8 +305,8 @@
         let bytes = digest.size();
         let past = bulletins.iter().any(|(_, bulletin)| bulletin.past);
         let lane = match past {
-            true => Lane::News,
-            false => Lane::Counts,
+            true => Lane::Immediate,
+            false => Lane::Coalesced,
         };
         effects.push(Effect::SendDigest {
             address,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -78,8 +78,8 @@
     /// Time to the next bulletin: longer by hubs, whose messages go to everyone.
     fn bulletin_time(&self) -> Span {
         match self.by_hubs() {
-            true => self.settings.bulletin.times(HUB_PACE),
-            false => self.settings.bulletin,
+            true => self.settings.bulletin_interval.times(HUB_PACE),
+            false => self.settings.bulletin_interval,
         }
     }
 
@@ -152,7 +152,7 @@
                     effects.push(Effect::SendDigest {
                         address,
                         digest,
-                        lane: Lane::News,
+                        lane: Lane::Immediate,
                     });
                 }
             }
@@ -160,13 +160,13 @@
                 effects.push(Effect::SendDigest {
                     address,
                     digest,
-                    lane: Lane::News,
+                    lane: Lane::Immediate,
                 });
             }
             MemberEffect::Item(item) => self.news_came(now, &item, effects),
             MemberEffect::Peers(peers) => self.peers_changed(now, &peers, effects),
             MemberEffect::Applied { version, .. } => {
-                let ours = self.book.as_ref().map_or(0, |book| book.version);
+                let ours = self.catalog.as_ref().map_or(0, |catalog| catalog.version);
                 if version > ours {
                     effects.push(Effect::ReadConfiguration);
                 }
@@ -197,10 +197,10 @@
             Topic::Ended => self.told_ended(now, &item.key, item.version, effects),
             Topic::Count => self.bulletin_came(now, item, effects),
             Topic::Quarantine => self.quarantine_came(now, item, effects),
-            Topic::List => self.list_reported(now, item, effects),
+            Topic::List => self.handle_list_report(now, item, effects),
             Topic::Rollout => self.rollout_announced(now, item, effects),
-            Topic::Renewed => self.holder_renewed(now, item, effects),
-            Topic::Resigned => self.holder_resigned(now, item, effects),
+            Topic::Renewed => self.handle_renewal(now, item, effects),
+            Topic::Resigned => self.handle_resignation(now, item, effects),
             Topic::Silent => self.silence_reported(now, item, effects),
             Topic::Heir | Topic::Demand => {}
         }
