--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -127,7 +127,7 @@
 
 /// How an entry stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Vitals {
+pub struct Status {
     /// Requests open here.
     pub open_requests: u64,
     /// Configuration version in force here; 0 while there is none.
@@ -276,11 +276,11 @@
     }
 
     /// How this entry stands, for metrics.
-    pub fn vitals(&self, now: Time) -> Vitals {
+    pub fn status(&self, now: Time) -> Status {
         let pools = || self.pools.values();
         let waiting: usize = pools().map(|pool| self.scheduler.waiting(*pool)).sum();
         let repeats: f64 = pools().map(|pool| self.scheduler.repeats_left(*pool)).sum();
-        Vitals {
+        Status {
             version_age_ms: now.since(self.book_since).as_millis(),
             leaving: self.servers.leaving_count() as u64,
             missing: self.servers.missing().len() as u64,
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -543,7 +543,7 @@
         let live = self.processes.iter().flatten();
         live.map(|process| {
             let now = Time::from_millis(self.now - process.started);
-            process.gateway.vitals(now).version
+            process.gateway.status(now).version
         })
         .collect()
     }
@@ -553,7 +553,7 @@
         let holds = |entry: &usize| {
             self.processes[*entry].as_ref().is_some_and(|process| {
                 let now = Time::from_millis(self.now - process.started);
-                process.gateway.vitals(now).fence > 0
+                process.gateway.status(now).fence > 0
             })
         };
         (0..self.processes.len()).filter(holds).collect()
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -7,7 +7,7 @@
 
 use anyhow::Result;
 use clock::Span;
-use gateway::gateway::Vitals;
+use gateway::gateway::Status;
 use line::Line;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::Counter;
@@ -228,7 +228,7 @@
     }
 
     /// All metrics in the customary text form, as of now.
-    pub fn text(&self, vitals: &Vitals, ages: Ages, lag: Span, counts: outbox::Sight) -> Vec<u8> {
+    pub fn text(&self, vitals: &Status, ages: Ages, lag: Span, counts: outbox::Sight) -> Vec<u8> {
         self.show(vitals, ages);
         self.gauges.lag.record(lag.as_millis(), &[]);
         self.gauges.counts_bytes.record(counts.bytes as u64, &[]);
@@ -242,7 +242,7 @@
         buffer
     }
 
-    fn show(&self, vitals: &Vitals, ages: Ages) {
+    fn show(&self, vitals: &Status, ages: Ages) {
         let gauges = &self.gauges;
         gauges.open.record(vitals.open_requests, &[]);
         gauges.waiting.record(vitals.waiting, &[]);
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -16,7 +16,7 @@
 use gateway::book::Limits;
 use gateway::event::Event;
 use gateway::gateway::Gateway;
-use gateway::gateway::Vitals;
+use gateway::gateway::Status;
 use gateway::identity::Identity;
 use lease::holder;
 use peer::proof::Key;
@@ -130,7 +130,7 @@
         pool: Pool::new(clock),
         clock,
         metrics: Metrics::new()?,
-        vitals: Cell::new(Vitals::default()),
+        vitals: Cell::new(Status::default()),
         lag: Cell::default(),
         counts: Cell::default(),
         configuration_at: Cell::new(Time::ZERO),
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -8,7 +8,7 @@
 use clock::Span;
 use clock::Time;
 use gateway::book::Limits;
-use gateway::gateway::Vitals;
+use gateway::gateway::Status;
 use tokio::sync::watch;
 
 use crate::adapter::Codec;
@@ -31,7 +31,7 @@
     /// What is counted.
     pub metrics: Metrics,
     /// How the entry stands, as of the last step.
-    pub vitals: Cell<Vitals>,
+    pub vitals: Cell<Status>,
     /// How late the loop runs.
     pub lag: Cell<Span>,
     /// Counts on their way to other entries.
--- a/crates/relay/src/shell.rs
+++ b/crates/relay/src/shell.rs
@@ -117,7 +117,7 @@
 
     /// Shows tasks how the entry stands.
     fn show(&mut self, now: Time) {
-        let vitals = self.gateway.vitals(now);
+        let vitals = self.gateway.status(now);
         self.shared.vitals.set(vitals);
         self.shared.ready.set(vitals.ready);
         self.shared.stopping.set(vitals.stopping);
