--- a/crates/gateway/src/addresses.rs
+++ b/crates/gateway/src/addresses.rs
@@ -57,7 +57,7 @@
 
     /// Entries that callers may be sent to.
     fn usable(&self, now: Time) -> Vec<Usable> {
-        let quiet = self.quiet();
+        let quiet = self.failure_timeout();
         let others = self
             .membership
             .peers()
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -21,7 +21,7 @@
         report: Report,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(open) = self.open.get_mut(&serial) else {
+        let Some(open) = self.requests.get_mut(&serial) else {
             return;
         };
         if open.attempt != attempt {
@@ -30,13 +30,16 @@
         let id = job::Id(serial);
         match report {
             Report::First => {
-                let alone = open.attempt == 1 && open.first.is_none();
-                open.first.get_or_insert(now);
-                let (own, service) = (open.own_tokens, open.service.clone());
-                let took = open.started.map(|started| now.since(started));
+                let alone = open.attempt == 1 && open.first_response_at.is_none();
+                open.first_response_at.get_or_insert(now);
+                let (own, service) = (open.unshared_tokens, open.service.clone());
+                let took = open.sent_at.map(|started| now.since(started));
                 self.note_begun(now, serial);
                 if let Some(took) = took.filter(|_| alone) {
-                    self.work.entry(service).or_default().first_token(own, took);
+                    self.work
+                        .entry(service)
+                        .or_default()
+                        .observe_first_token(own, took);
                 }
                 self.scheduler.first_token(now, id);
             }
@@ -48,38 +51,38 @@
 
     /// The run goes on at its new place.
     fn run_moved(&mut self, serial: u64, effects: &mut Vec<Effect>) {
-        let Some(open) = self.open.get_mut(&serial) else {
+        let Some(open) = self.requests.get_mut(&serial) else {
             return;
         };
-        let Some(to) = open.moving.take() else {
+        let Some(to) = open.move_target.take() else {
             return;
         };
         open.replica = Some(to);
         let line = Line::info("run_moved")
             .with("request", &open.id)
             .with("attempt", open.attempt)
-            .with("to", self.servers.id_of(to).unwrap_or_default());
+            .with("to", self.servers.incarnation_of(to).unwrap_or_default());
         effects.push(Effect::Log(line));
     }
 
     /// An attempt is over: the request is done, tried elsewhere or refused.
     fn attempt_ended(&mut self, now: Time, serial: u64, end: End, effects: &mut Vec<Effect>) {
-        self.note_answer(now, serial, &end);
-        let Some(open) = self.open.get_mut(&serial) else {
+        self.record_answer(now, serial, &end);
+        let Some(open) = self.requests.get_mut(&serial) else {
             return;
         };
         if let End::Failed { status } = end {
-            open.failed = Some(status);
+            open.failure_status = Some(status);
         }
         let replica = open.replica.take();
         // Its server left; that isn't a crash of the one that it was to be moved to.
-        let moving = open.moving.take().is_some();
-        let place = replica.and_then(|key| self.servers.id_of(key));
+        let moving = open.move_target.take().is_some();
+        let place = replica.and_then(|key| self.servers.incarnation_of(key));
         let line = end_line(&end)
             .with("request", &open.id)
             .with("attempt", open.attempt)
             .with("replica", place.unwrap_or_default())
-            .with("age_ms", now.since(open.arrived).as_millis());
+            .with("age_ms", now.since(open.arrived_at).as_millis());
         effects.push(Effect::Log(line));
         if !matches!(end, End::NotSent | End::NotStarted) {
             self.note_begun(now, serial);
@@ -105,19 +108,19 @@
 
     /// Notes that a replica has begun to work on a request; it counts once, whatever becomes of it.
     fn note_begun(&mut self, now: Time, serial: u64) {
-        let Some(open) = self.open.get_mut(&serial) else {
+        let Some(open) = self.requests.get_mut(&serial) else {
             return;
         };
-        if std::mem::replace(&mut open.began, true) {
+        if std::mem::replace(&mut open.execution_started, true) {
             return;
         }
         // A plain call begins as it is sent; a model's with its first token.
         let at = match open.repeat.is_stream() {
             true => now,
-            false => open.started.unwrap_or(now),
+            false => open.sent_at.unwrap_or(now),
         };
         if let Some(account) = open.account.clone() {
-            self.usage.began(at, &account);
+            self.usage.record_start(at, &account);
         }
     }
 
@@ -130,18 +133,18 @@
         pause: Span,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(open) = self.forget(serial, effects) else {
+        let Some(open) = self.close_request(serial, effects) else {
             return;
         };
-        let first = open.first.unwrap_or(now);
+        let first = open.first_response_at.unwrap_or(now);
         let line = Line::info("request_done")
             .routine()
             .with("request", &open.id)
             .with("route", &open.route)
             .with("service", &open.service)
             .with("account", open.account.unwrap_or_default())
-            .with("first_ms", first.since(open.arrived).as_millis())
-            .with("total_ms", now.since(open.arrived).as_millis())
+            .with("first_ms", first.since(open.arrived_at).as_millis())
+            .with("total_ms", now.since(open.arrived_at).as_millis())
             .with("pause_ms", pause.as_millis())
             .with("tokens", tokens)
             .with("attempts", open.attempt);
--- a/crates/gateway/src/bulletin.rs
+++ b/crates/gateway/src/bulletin.rs
@@ -81,7 +81,7 @@
         for (service, tally) in &one.tallies {
             self.tallies.entry(service.clone()).or_default().add(tally);
         }
-        limits::take_newest(&mut self.limits, &one.limits);
+        limits::merge_newest(&mut self.limits, &one.limits);
     }
 
     /// The same sum without one entry's own counts.
--- a/crates/gateway/src/charging.rs
+++ b/crates/gateway/src/charging.rs
@@ -53,10 +53,10 @@
 impl Gateway {
     /// Charges a request that was taken in, or asks the entry that decides on it.
     pub(crate) fn begin_charge(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
-        let Some(charge) = self.open.get(&serial).and_then(|open| open.due) else {
+        let Some(charge) = self.requests.get(&serial).and_then(|open| open.charge) else {
             return self.admit(now, serial, None, effects);
         };
-        if !self.by_hubs() || !self.quotas.is_limited(charge.name) {
+        if !self.uses_hubs() || !self.quotas.is_limited(charge.name) {
             return self.charge_by(now, serial, charge, Step::Alone, effects);
         }
         let homes: Vec<Entry> = self.roster.homes().iter().map(|home| home.0).collect();
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -48,9 +48,9 @@
         let speeds = engines.filter_map(|engine| engine.moved_per_milli);
         self.scheduler.set_transfers(speeds.reduce(f64::min));
         self.document = document;
-        self.book_since = now;
+        self.configured_since = now;
         self.book = Some(Rc::clone(&book));
-        self.attend(now, member::event::Event::Applied(book.version), effects);
+        self.step_membership(now, member::event::Event::Applied(book.version), effects);
     }
 
     /// The scheduler's key of a service.
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -47,18 +47,19 @@
         how: Transfer,
         effects: &mut Vec<Effect>,
     ) {
-        let (Some(open), Some(place)) = (self.open.get_mut(&job.0), self.servers.place(to)) else {
+        let (Some(open), Some(place)) = (self.requests.get_mut(&job.0), self.servers.place(to))
+        else {
             return;
         };
         if how != Transfer::Kv || open.replica.is_none() {
             return;
         }
-        open.moving = Some(to);
+        open.move_target = Some(to);
         let line = Line::info("run_moving")
             .with("request", &open.id)
             .with("attempt", open.attempt)
             .with("to", &place.incarnation)
-            .with("age_ms", now.since(open.arrived).as_millis());
+            .with("age_ms", now.since(open.arrived_at).as_millis());
         effects.push(Effect::Log(line));
         effects.push(Effect::Flight {
             serial: job.0,
@@ -68,7 +69,7 @@
 
     /// Hands a request to a replica.
     fn start(&mut self, now: Time, job: job::Id, replica: replica::Key, effects: &mut Vec<Effect>) {
-        let Some(open) = self.open.get_mut(&job.0) else {
+        let Some(open) = self.requests.get_mut(&job.0) else {
             return;
         };
         let keeper = self.scheduler.keeper(job, replica);
@@ -80,8 +81,8 @@
         };
         open.attempt += 1;
         open.replica = Some(replica);
-        open.started = Some(now);
-        open.moving = None;
+        open.sent_at = Some(now);
+        open.move_target = None;
         let rank = open.job.terms.rank;
         let urgency = (MOST_URGENT + rank.saturating_mul(RANK_STEP)).min(LEAST_URGENT);
         let model = open.job.kind == job::Kind::Model;
@@ -89,8 +90,8 @@
         let start = Start {
             attempt: open.attempt,
             account: open.account.clone(),
-            left: open.ends.since(now),
-            patience: open.patience,
+            left: open.deadline.since(now),
+            patience: open.silence_timeout,
             stream: open.repeat.is_stream(),
             repeatable: open.repeat.is_repeatable(),
             urgency: model.then_some(urgency),
@@ -100,14 +101,14 @@
             place,
         };
         let (first, pool) = (open.attempt == 1, open.job.pool);
-        let list_age = now.since(self.servers.position().at);
+        let list_age = now.since(self.servers.position().confirmed_at);
         let line = Line::info("attempt_started")
             .with("request", &open.id)
             .with("service", &open.service)
             .with("attempt", open.attempt)
             .with("replica", &start.place.incarnation)
             .with("fetch", start.fetch.as_deref().unwrap_or_default())
-            .with("waited_ms", now.since(open.arrived).as_millis())
+            .with("waited_ms", now.since(open.arrived_at).as_millis())
             .with("left_ms", start.left.as_millis())
             .with("list_age_ms", list_age.as_millis());
         let line = match self.servers.missing_since(&start.place.incarnation) {
@@ -135,23 +136,23 @@
         mut refusal: Refusal,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(open) = self.forget(serial, effects) else {
+        let Some(open) = self.close_request(serial, effects) else {
             return;
         };
-        if open.began {
+        if open.execution_started {
             refusal.verdict = Verdict::MayHaveRun;
         }
         if refusal.verdict == Verdict::NotRun && refusal.retry_after.is_some() {
             let work = self.work.entry(open.service.clone()).or_default();
-            work.refused(open.work);
+            work.record_refused(open.work);
         }
         let line = Line::info("request_refused")
             .with("request", &open.id)
             .with("route", &open.route)
             .with("account", open.account.unwrap_or_default())
-            .with("age_ms", now.since(open.arrived).as_millis())
+            .with("age_ms", now.since(open.arrived_at).as_millis())
             .with("attempts", open.attempt);
-        let answer = match open.failed {
+        let answer = match open.failure_status {
             Some(status) => format!("replica:{status}"),
             None => String::from("own"),
         };
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -161,7 +161,7 @@
         if young && !self.duties.predecessors.is_empty() {
             return true;
         }
-        let most = match self.by_hubs() {
+        let most = match self.uses_hubs() {
             true => usize::MAX,
             false => HUBS,
         };
@@ -228,7 +228,7 @@
             age_ms: 0,
             payload: Vec::new(),
         };
-        self.attend(now, member::event::Event::Publish(item), effects);
+        self.step_membership(now, member::event::Event::Publish(item), effects);
     }
 
     /// Tells the claim of earlier lives of this entry: they are gone, since their port is ours now.
@@ -252,12 +252,12 @@
         self.duties.claim.step(now, event, &mut asked);
         for effect in asked {
             match effect {
-                claim::Effect::Store { id, call } => self.ask_store(Waiter::Claim(id), call),
+                claim::Effect::Store { id, call } => self.call_store(Waiter::Claim(id), call),
                 claim::Effect::Gained(fence) => {
                     self.duties.reports = Reports::default();
                     self.duties.progress = Writer::default();
-                    self.rollouts.gained();
-                    let settled = now.since(self.servers_since) > SETTLED;
+                    self.rollouts.reset_leads();
+                    let settled = now.since(self.servers_known_since) > SETTLED;
                     self.duties.fleet.gained(now, settled);
                     effects.push(Effect::Log(Line::info("duty_gained").with("fence", fence)));
                 }
--- a/crates/gateway/src/silence.rs
+++ b/crates/gateway/src/failure_detector.rs
@@ -49,7 +49,7 @@
 impl Gateway {
     /// Suspects entries whose direct heartbeats are missing; a hub announces it.
     pub(crate) fn silence_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let hub = self.hub.knows(self.identity.incarnation);
+        let hub = self.hub.is_hub(self.identity.incarnation);
         let since = self.hub.watching.look(now, hub);
         let peers = || self.membership.peers();
         let is_silent = |known: &Known| now.since(known.heard.max(since)) >= SILENT;
@@ -57,7 +57,7 @@
         if peers().all(|(_, known)| is_silent(known)) {
             return;
         }
-        let direct = |id: holder::Id| hub || !self.by_hubs() || self.hub.knows(id);
+        let direct = |id: holder::Id| hub || !self.uses_hubs() || self.hub.is_hub(id);
         let silent = peers().filter(|(id, known)| {
             known.is_present() && known.beat.count > 0 && direct(*id) && is_silent(known)
         });
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -270,7 +270,7 @@
         for known in self.servers.iter() {
             let server = &known.server;
             let leaves = self.servers.is_leaving(&server.incarnation);
-            if server.service != service.name || leaves || !self.rollouts.is_lasting(server) {
+            if server.service != service.name || leaves || !self.rollouts.is_permanent(server) {
                 continue;
             }
             let market = match server.reclaimable {
@@ -289,14 +289,14 @@
             return;
         };
         for service in book.services.iter().filter(|one| one.scaling.is_some()) {
-            let own = self.work.get(&service.name).map_or(0, Work::fresh);
-            self.demand.note(now, &service.name, own);
+            let own = self.work.get(&service.name).map_or(0, Work::net_tokens);
+            self.demand.sample(now, &service.name, own);
         }
     }
 
     /// Replicas that the work keeps busy, once that is known.
     fn busy(&self, service: &SmolStr) -> Option<f64> {
-        let speed = self.speed_of(service);
+        let speed = self.replica_speed(service);
         let busy = self.demand.replicas(service, speed);
         busy.filter(|busy| *busy > 0.0)
     }
--- a/crates/gateway/src/following.rs
+++ b/crates/gateway/src/following.rs
@@ -57,8 +57,8 @@
         }
         let reading = self.watch.read(now, &reading);
         // From here on only gaps of our own matter.
-        self.servers.doubt_until(Time::ZERO);
-        self.servers_read(now, reading, effects);
+        self.servers.set_peer_distrust(Time::ZERO);
+        self.apply_reading(now, reading, effects);
     }
 
     /// A report on the list came from another entry.
@@ -76,7 +76,7 @@
             }
         };
         let me = self.identity.incarnation;
-        let passes_on = self.hub.knows(me) && !self.hub.knows(from);
+        let passes_on = self.hub.is_hub(me) && !self.hub.is_hub(from);
         let learned = self.watch.receive(now, &report, passes_on);
         self.apply_report(now, learned, &report, from, effects);
     }
@@ -91,7 +91,7 @@
     ) {
         if !self.watch.is_reading(now) {
             let lapsed = Span::from_millis(report.lapsed_ms);
-            self.servers.doubt_until(now + lapsed);
+            self.servers.set_peer_distrust(now + lapsed);
         }
         if !learned.written.is_empty() || !learned.removed.is_empty() {
             let line = Line::info("list_changed")
@@ -106,10 +106,10 @@
             self.servers_reported(now, news, effects);
         }
         if let Some(position) = learned.position {
-            self.note_reading(position.at, position.revision);
+            self.advance_position(position.at, position.revision);
             // The same rows are missing to one that had no gap: their servers are gone.
             if report.lapsed_ms == 0 {
-                self.missing_gone(now, Source::Peer, effects);
+                self.remove_missing(now, Source::Peer, effects);
             }
         }
         self.servers_tick(now, effects);
@@ -123,7 +123,10 @@
             if pause.is_some() || self.following.pause == Some(Span::ZERO) {
                 let line = Line::info("list_followed")
                     .with("role", format!("{role:?}"))
-                    .with("age_ms", now.since(self.servers.position().at).as_millis());
+                    .with(
+                        "age_ms",
+                        now.since(self.servers.position().confirmed_at).as_millis(),
+                    );
                 effects.push(Effect::Log(line));
             }
             let alone = self.following.pause == Some(Span::ZERO);
@@ -137,7 +140,7 @@
         if self.following.read_again.take_if(due).is_some() || anew {
             effects.push(Effect::ReadServers);
         }
-        if self.by_hubs() && self.watch.is_due(now) {
+        if self.uses_hubs() && self.watch.is_due(now) {
             self.report_list(now, effects);
         }
     }
@@ -146,7 +149,7 @@
     pub(crate) fn next_following(&self) -> Option<Time> {
         let reads = self.following.pause.is_none();
         let reads = reads.then(|| self.watch.reads_at(self.role()));
-        let due = self.watch.next_due().filter(|_| self.by_hubs());
+        let due = self.watch.next_due().filter(|_| self.uses_hubs());
         let Following {
             ask_anew,
             read_again,
@@ -157,7 +160,7 @@
     }
 
     fn role(&self) -> Role {
-        if !self.by_hubs() || self.roster.readers().is_empty() {
+        if !self.uses_hubs() || self.roster.readers().is_empty() {
             return Role::Alone;
         }
         let mut readers = self.roster.readers().iter();
@@ -174,17 +177,17 @@
     }
 
     fn list_item(&mut self, now: Time, extent: Extent) -> Option<Item> {
-        let lapsed = match self.list_lost {
+        let lapsed = match self.list_unavailable {
             true => self.settings.return_time,
             false => self.servers.trusted_in(now),
         };
         let report = self.watch.report(now, lapsed, extent)?;
         let payload = serde_json::to_vec(&report).ok()?;
-        self.news_version += 1;
+        self.item_version += 1;
         Some(Item {
             topic: Topic::List,
             key: format_smolstr!("{}", self.identity.incarnation),
-            version: self.news_version,
+            version: self.item_version,
             age_ms: 0,
             payload,
         })
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -36,8 +36,8 @@
 use crate::identity::Identity;
 use crate::lagging::Lagging;
 use crate::limits::Limits;
-use crate::open::Open;
 use crate::peers;
+use crate::request::Request;
 use crate::rollouts::Rollouts;
 use crate::servers::Servers;
 use crate::store_calls::Waiter;
@@ -53,9 +53,9 @@
     /// The newest configuration seen in this life; its version never falls.
     pub(crate) book: Option<Rc<Book>>,
     /// When the list of servers was read first.
-    pub(crate) servers_since: Time,
+    pub(crate) servers_known_since: Time,
     /// When `book` came in force.
-    pub(crate) book_since: Time,
+    pub(crate) configured_since: Time,
     /// The document that `book` was read from.
     pub(crate) document: Bytes,
     pub(crate) scheduler: Scheduler,
@@ -74,8 +74,8 @@
     pub(crate) watch: Watch,
     /// Whether this entry reads the list, and who does.
     pub(crate) following: Following,
-    /// Open requests by serial.
-    pub(crate) open: BTreeMap<u64, Open>,
+    /// Request requests by serial.
+    pub(crate) requests: BTreeMap<u64, Request>,
     /// When the final answer of each open request is due.
     pub(crate) timeouts: BTreeSet<(Time, u64)>,
     /// Scheduler's keys of accounts by name; an account keeps its key through all versions.
@@ -106,7 +106,7 @@
     /// When what is held against requests is told next, if there is nothing new.
     pub(crate) next_quarantine: Time,
     /// Orders our pieces of news.
-    pub(crate) news_version: u64,
+    pub(crate) item_version: u64,
     /// When the process was asked to stop.
     pub(crate) stopping: Option<Time>,
     /// Whether the table service answers our calls.
@@ -114,7 +114,7 @@
     /// When the table service failed a call last.
     pub(crate) store_failed: Option<Time>,
     /// Whether the list of servers couldn't be read since it was read last.
-    pub(crate) list_lost: bool,
+    pub(crate) list_unavailable: bool,
     /// Names the next call of the table service.
     pub(crate) next_store_call: u64,
     /// Calls that wait for their turn within our share of the table service.
@@ -176,11 +176,11 @@
             following: Following::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
             book: None,
-            servers_since: Time::ZERO,
-            book_since: Time::ZERO,
+            servers_known_since: Time::ZERO,
+            configured_since: Time::ZERO,
             document: Bytes::new(),
             scheduler,
-            open: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timeouts: BTreeSet::new(),
             accounts: BTreeMap::new(),
             pools: BTreeMap::new(),
@@ -198,11 +198,11 @@
             peer_loads: BTreeMap::new(),
             next_bulletin: Time::ZERO,
             next_quarantine: Time::ZERO,
-            news_version: 0,
+            item_version: 0,
             stopping: None,
             contact: Contact::default(),
             store_failed: None,
-            list_lost: false,
+            list_unavailable: false,
             next_store_call: 0,
             store_refused: Vec::new(),
             store_calls: BTreeMap::new(),
@@ -256,7 +256,7 @@
             } => self.charge_answered(now, serial, charge, by, answer, effects),
             Event::Refunded { bucket, cost } => self.quotas.refund(bucket, cost),
             Event::DigestReceived(digest) => {
-                self.attend(now, member::event::Event::Digest(digest), effects);
+                self.step_membership(now, member::event::Event::Digest(digest), effects);
             }
             Event::Tick => self.tick(now, effects),
             Event::SettingsRead(settings) => self.settings_read(now, *settings, effects),
@@ -281,18 +281,18 @@
         let waiting: usize = pools().map(|pool| self.scheduler.waiting(*pool)).sum();
         let repeats: f64 = pools().map(|pool| self.scheduler.repeats_left(*pool)).sum();
         Status {
-            version_age_ms: now.since(self.book_since).as_millis(),
+            version_age_ms: now.since(self.configured_since).as_millis(),
             leaving: self.servers.leaving_count() as u64,
             missing: self.servers.missing().len() as u64,
             waiting: waiting as u64,
             repeats_left: repeats.max(0.0) as u64,
             fence: self.warrant(now).map_or(0, |warrant| warrant.fence),
-            open_requests: self.open.len() as u64,
+            open_requests: self.requests.len() as u64,
             version: self.book.as_ref().map_or(0, |book| book.version),
             members: self.membership.directory().count() as u64,
             servers: self.servers.count() as u64,
             list_revision: self.servers.position().revision,
-            list_age_ms: now.since(self.servers.position().at).as_millis(),
+            list_age_ms: now.since(self.servers.position().confirmed_at).as_millis(),
             ready: self.is_ready(),
             stopping: self.stopping.is_some(),
         }
@@ -327,7 +327,7 @@
             .with("grace_ms", settings.grace.as_millis());
         effects.push(Effect::Log(line));
         self.membership.set_seeds(settings.seeds.clone());
-        let known = self.entries();
+        let known = self.entry_count();
         self.quotas.set_entries(now, settings.entries.max(known));
         self.settings.seeds = settings.seeds;
         self.settings.entries = settings.entries;
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -23,8 +23,8 @@
 use crate::bulletin::Bulletin;
 use crate::effect::Effect;
 use crate::effect::Lane;
+use crate::failure_detector::Watching;
 use crate::gateway::Gateway;
-use crate::silence::Watching;
 use crate::usage;
 use crate::work;
 use crate::work::Work;
@@ -95,14 +95,14 @@
 
 impl Hub {
     /// Whether that entry was a hub when the hubs were looked up last.
-    pub(crate) fn knows(&self, entry: holder::Id) -> bool {
+    pub(crate) fn is_hub(&self, entry: holder::Id) -> bool {
         self.known.contains(&entry)
     }
 }
 
 impl Gateway {
     /// Whether counts travel by hubs.
-    pub(crate) fn by_hubs(&self) -> bool {
+    pub(crate) fn uses_hubs(&self) -> bool {
         self.hub.on
     }
 
@@ -247,7 +247,7 @@
 
     /// The sum of all that was heard; what entries run counts only while they are heard.
     fn sum_up(&self, now: Time) -> Bulletin {
-        let quiet = self.quiet();
+        let quiet = self.failure_timeout();
         let mut total = Bulletin {
             unix_ms: self.usage.unix_ms(now),
             ..Bulletin::default()
@@ -317,7 +317,7 @@
     }
 
     fn count_item(&mut self, of: holder::Id, payload: Vec<u8>, past: bool) -> Item {
-        self.news_version += 1;
+        self.item_version += 1;
         // Under a key of its own: versions of one key are its entry's.
         let key = match past {
             true => format_smolstr!("{of}{PAST_MARK}{}", self.identity.incarnation),
@@ -326,7 +326,7 @@
         Item {
             topic: Topic::Count,
             key,
-            version: self.news_version,
+            version: self.item_version,
             age_ms: 0,
             payload,
         }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -21,7 +21,7 @@
 use crate::effect::Command;
 use crate::effect::Effect;
 use crate::gateway::Gateway;
-use crate::open::Open;
+use crate::request::Request;
 use crate::work;
 
 /// When a caller may come back to an entry without a configuration: about one read of it.
@@ -49,8 +49,8 @@
     ) {
         match self.check_in(now, serial, arrival) {
             Ok(open) => {
-                self.timeouts.insert((open.ends, serial));
-                self.open.insert(serial, open);
+                self.timeouts.insert((open.deadline, serial));
+                self.requests.insert(serial, open);
                 self.begin_charge(now, serial, effects);
             }
             Err(refusal) => {
@@ -68,7 +68,7 @@
         grant: Option<Grant>,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(open) = self.open.get_mut(&serial) else {
+        let Some(open) = self.requests.get_mut(&serial) else {
             return;
         };
         open.grant = grant;
@@ -76,7 +76,7 @@
         if let Some(prompt) = open.prompt.take() {
             open.work = work::work_of(&prompt);
             let work = self.work.entry(service).or_default();
-            work.arrived(open.work);
+            work.record_arrived(open.work);
         }
         self.with_scheduler(now, effects, |scheduler, out| {
             scheduler.offer(now, job, out);
@@ -90,12 +90,15 @@
             .with("request", &arrival.id)
             .with("path", &arrival.path)
             .with("version", version)
-            .with("version_age_ms", now.since(self.book_since).as_millis())
+            .with(
+                "version_age_ms",
+                now.since(self.configured_since).as_millis(),
+            )
     }
 
     /// The caller is gone: nothing is owed to it any more.
     pub(crate) fn caller_gone(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
-        let Some(open) = self.forget(serial, effects) else {
+        let Some(open) = self.close_request(serial, effects) else {
             return;
         };
         self.with_scheduler(now, effects, |scheduler, out| {
@@ -103,17 +106,21 @@
         });
         let line = Line::info("caller_gone")
             .with("request", &open.id)
-            .with("age_ms", now.since(open.arrived).as_millis())
+            .with("age_ms", now.since(open.arrived_at).as_millis())
             .with("attempt", open.attempt);
         effects.push(Effect::Log(line));
     }
 
     /// Takes an open request off the books; a charge for what didn't run is given back.
-    pub(crate) fn forget(&mut self, serial: u64, effects: &mut Vec<Effect>) -> Option<Open> {
-        let open = self.open.remove(&serial)?;
-        self.timeouts.remove(&(open.ends, serial));
+    pub(crate) fn close_request(
+        &mut self,
+        serial: u64,
+        effects: &mut Vec<Effect>,
+    ) -> Option<Request> {
+        let open = self.requests.remove(&serial)?;
+        self.timeouts.remove(&(open.deadline, serial));
         self.charges.cancel(serial);
-        if let Some(grant) = open.grant.filter(|_| !open.began) {
+        if let Some(grant) = open.grant.filter(|_| !open.execution_started) {
             self.give_back(grant, effects);
         }
         Some(open)
@@ -141,7 +148,7 @@
     }
 
     /// Checks route and key, and makes the open request.
-    fn check_in(&mut self, now: Time, serial: u64, arrival: &Arrival) -> Result<Open, Refusal> {
+    fn check_in(&mut self, now: Time, serial: u64, arrival: &Arrival) -> Result<Request, Refusal> {
         let Some(book) = self.book.clone() else {
             let refusal = Refusal::not_run(Reason::NotReady, "no configuration is known here yet");
             return Err(refusal.with_retry_after(NOT_READY_RETRY));
@@ -157,21 +164,21 @@
         let (pool, canary) = self.draw_pool(now, &service, &route.name);
         book.service(&service).ok_or_else(not_configured)?;
         let job = self.job_of(serial, route, account, &pool, arrival)?;
-        let due = account.map(|account| Charge {
+        let charge = account.map(|account| Charge {
             name: rendezvous::identity(&account.name),
             cost: quota_cost(account, arrival),
         });
         let engine = book
             .service(&service)
             .and_then(|service| service.engine.as_ref());
-        let arrived = before(now, arrival.reading);
-        let ends = arrived + route.timeout.min(arrival.deadline.unwrap_or(route.timeout));
-        Ok(Open {
+        let arrived_at = before(now, arrival.reading);
+        let deadline = arrived_at + route.timeout.min(arrival.deadline.unwrap_or(route.timeout));
+        Ok(Request {
             id: arrival.id.clone(),
             route: route.name.clone(),
             account: account.map(|account| account.name.clone()),
             work: 0,
-            own_tokens: arrival.prompt.as_ref().map_or(0, work::own_tokens),
+            unshared_tokens: arrival.prompt.as_ref().map_or(0, work::unshared_tokens),
             service: service.clone(),
             canary,
             tokens_per_event: engine.map_or(1, |engine| engine.tokens_per_event),
@@ -179,17 +186,17 @@
             job,
             attempt: 0,
             replica: None,
-            moving: None,
-            arrived,
-            ends,
-            patience: patience_of(route, ends.since(now)),
-            due,
+            move_target: None,
+            arrived_at,
+            deadline,
+            silence_timeout: silence_timeout(route, deadline.since(now)),
+            charge,
             grant: None,
             prompt: arrival.prompt.clone(),
-            failed: None,
-            started: None,
-            first: None,
-            began: false,
+            failure_status: None,
+            sent_at: None,
+            first_response_at: None,
+            execution_started: false,
         })
     }
 
@@ -281,7 +288,7 @@
 }
 
 /// How long a replica may be silent before another one is tried; only for what may be repeated.
-fn patience_of(route: &Route, left: Span) -> Option<Span> {
+fn silence_timeout(route: &Route, left: Span) -> Option<Span> {
     let pauses = || route.pause.map(|pause| pause.times(PAUSES));
     if route.attempts < 2 {
         return None;
--- a/crates/gateway/src/lagging.rs
+++ b/crates/gateway/src/lagging.rs
@@ -68,7 +68,7 @@
 
     /// The other live entries, each of which helps some peers first.
     fn helpers(&self, now: Time) -> Vec<holder::Id> {
-        let quiet = self.quiet();
+        let quiet = self.failure_timeout();
         let peers = self.membership.peers();
         let live = peers.filter(|(_, known)| known.is_usable(now, quiet));
         live.map(|(id, _)| id).collect()
@@ -84,7 +84,7 @@
 
     /// By how much lagging peers are helped more slowly than among few entries.
     fn lag_pace(&self) -> u64 {
-        u64::from((self.entries() / LAG_FEW).max(1))
+        u64::from((self.entry_count() / LAG_FEW).max(1))
     }
 
     /// Sends our configuration to peers that lag behind.
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -52,7 +52,7 @@
 pub type Reports = BTreeMap<u64, Report>;
 
 /// Takes the newer report on each server.
-pub(crate) fn take_newest(into: &mut Reports, reports: &Reports) {
+pub(crate) fn merge_newest(into: &mut Reports, reports: &Reports) {
     for (server, report) in reports {
         let known = into.entry(*server).or_insert(*report);
         if report.age_ms < known.age_ms {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -48,15 +48,15 @@
             let line = Line::debug("members_looked_up").with("at", at);
             effects.push(Effect::Log(line));
             self.looks += 1;
-            self.attend(now, MemberEvent::Look, effects);
+            self.step_membership(now, MemberEvent::Look, effects);
         }
         if self.membership.next_wake() <= now {
-            self.attend(now, MemberEvent::Wake, effects);
+            self.step_membership(now, MemberEvent::Wake, effects);
         }
         if now >= self.next_bulletin {
             if self.next_bulletin == Time::ZERO {
                 let load = u8::MAX - self.settings.capacity;
-                self.attend(now, MemberEvent::Load(load), effects);
+                self.step_membership(now, MemberEvent::Load(load), effects);
             }
             self.membership.raise_beat(now);
             self.consider_hubs(now, effects);
@@ -77,7 +77,7 @@
 
     /// Time to the next bulletin: longer by hubs, whose messages go to everyone.
     fn bulletin_time(&self) -> Span {
-        match self.by_hubs() {
+        match self.uses_hubs() {
             true => self.settings.bulletin.times(HUB_PACE),
             false => self.settings.bulletin,
         }
@@ -85,21 +85,26 @@
 
     /// How long a member may be silent before it isn't counted on. News of many takes several rounds to
     /// come round.
-    pub(crate) fn quiet(&self) -> Span {
+    pub(crate) fn failure_timeout(&self) -> Span {
         let members = self.membership.directory().addresses();
         let quiet = self.settings.members.quiet_among(members);
-        match self.by_hubs() {
+        match self.uses_hubs() {
             true => quiet.times(HUB_PACE),
             false => quiet,
         }
     }
 
     /// Takes one event into the membership machine and carries out what it asks for.
-    pub(crate) fn attend(&mut self, now: Time, event: MemberEvent, effects: &mut Vec<Effect>) {
+    pub(crate) fn step_membership(
+        &mut self,
+        now: Time,
+        event: MemberEvent,
+        effects: &mut Vec<Effect>,
+    ) {
         let mut asked = Vec::new();
         self.membership.step(now, event, &mut asked);
         for effect in asked {
-            self.attended(now, effect, effects);
+            self.apply_membership_effect(now, effect, effects);
         }
     }
 
@@ -140,13 +145,18 @@
             age_ms: 0,
             payload: Vec::new(),
         };
-        self.attend(now, MemberEvent::Publish(item), effects);
+        self.step_membership(now, MemberEvent::Publish(item), effects);
     }
 
     /// Carries out one thing that the membership machine asks for.
-    fn attended(&mut self, now: Time, effect: MemberEffect, effects: &mut Vec<Effect>) {
+    fn apply_membership_effect(
+        &mut self,
+        now: Time,
+        effect: MemberEffect,
+        effects: &mut Vec<Effect>,
+    ) {
         match effect {
-            MemberEffect::Store { id, call } => self.ask_store(Waiter::Membership(id), call),
+            MemberEffect::Store { id, call } => self.call_store(Waiter::Membership(id), call),
             MemberEffect::Send { to, digest } => {
                 if let Some(address) = self.membership.peer_address(to).cloned() {
                     effects.push(Effect::SendDigest {
@@ -177,7 +187,7 @@
 
     fn peers_changed(&mut self, now: Time, peers: &[holder::Id], effects: &mut Vec<Effect>) {
         let members = peers.len() + 1;
-        let entries = self.entries();
+        let entries = self.entry_count();
         self.scheduler.set_entries(entries);
         self.quotas
             .set_entries(now, entries.max(self.settings.entries));
@@ -186,7 +196,7 @@
     }
 
     /// How many entries there are, those counted once that were started anew.
-    pub(crate) fn entries(&self) -> u32 {
+    pub(crate) fn entry_count(&self) -> u32 {
         u32::try_from(self.membership.directory().addresses().max(1)).unwrap_or(u32::MAX)
     }
 
@@ -209,8 +219,10 @@
     /// Tells all entries what we count.
     fn publish_bulletin(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let mut running: BTreeMap<u64, u32> = BTreeMap::new();
-        for open in self.open.values() {
-            let place = open.replica.and_then(|key| self.servers.id_of(key));
+        for open in self.requests.values() {
+            let place = open
+                .replica
+                .and_then(|key| self.servers.incarnation_of(key));
             if let Some(incarnation) = place {
                 *running
                     .entry(rendezvous::identity(&incarnation))
@@ -229,7 +241,7 @@
             tallies: self.rollouts.tallies.clone(),
             limits: self.limits.reports(now),
         };
-        if self.by_hubs() {
+        if self.uses_hubs() {
             return self.tell_by_hubs(now, bulletin, effects);
         }
         match serde_json::to_vec(&bulletin) {
@@ -252,15 +264,15 @@
     }
 
     fn publish(&mut self, now: Time, topic: Topic, payload: Vec<u8>, effects: &mut Vec<Effect>) {
-        self.news_version += 1;
+        self.item_version += 1;
         let item = Item {
             topic,
             key: format_smolstr!("{}", self.identity.incarnation),
-            version: self.news_version,
+            version: self.item_version,
             age_ms: 0,
             payload,
         };
-        self.attend(now, MemberEvent::Publish(item), effects);
+        self.step_membership(now, MemberEvent::Publish(item), effects);
     }
 
     fn bulletin_came(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
@@ -287,7 +299,7 @@
         }
         self.limits_reported(now, &bulletin.limits, effects);
         match bulletin.sums {
-            0 if self.by_hubs() => self.hub_heard(now, peer, bulletin),
+            0 if self.uses_hubs() => self.hub_heard(now, peer, bulletin),
             0 => {
                 self.quotas.absorb(now, peer.0, &bulletin.charged);
                 self.usage.heard_clock(now, peer, bulletin.unix_ms);
@@ -334,11 +346,11 @@
     fn take_work(&mut self, now: Time, peer: holder::Id, bulletin: Bulletin) {
         if let Some(before) = self.peer_work.get(&peer) {
             let heard = self.peer_loads.get(&peer).map(|(heard, _)| *heard);
-            let silent = heard.map_or(self.quiet(), |heard| now.since(heard));
+            let silent = heard.map_or(self.failure_timeout(), |heard| now.since(heard));
             for (service, work) in &bulletin.work {
                 let known = before.get(service).copied().unwrap_or_default();
-                let rise = work.since(&known).fresh();
-                self.demand.told(service, rise, silent);
+                let rise = work.since(&known).net_tokens();
+                self.demand.add_peer_tokens(service, rise, silent);
             }
         }
         match bulletin.tallies.is_empty() {
@@ -366,7 +378,7 @@
     }
 
     /// The speed of a service's replicas as most entries see it.
-    pub(crate) fn speed_of(&self, service: &SmolStr) -> f64 {
+    pub(crate) fn replica_speed(&self, service: &SmolStr) -> f64 {
         let all = self.peer_work.values().chain([&self.work]);
         let of = all.filter_map(|work| Some(work.get(service)?.speed));
         // A sum's speed is that of many; what is seen here alone may be far off.
@@ -380,13 +392,16 @@
         let identity = rendezvous::identity(incarnation);
         let others = self.peer_loads.values();
         let others = others.filter_map(|(_, running)| running.get(&identity));
-        let own = self.open.values().filter(|open| open.replica == Some(key));
+        let own = self
+            .requests
+            .values()
+            .filter(|open| open.replica == Some(key));
         own.count() as u32 + others.sum::<u32>()
     }
 
     /// Gives the scheduler what all entries run at each replica.
     fn report_loads(&mut self, now: Time) {
-        let fresh = self.quiet();
+        let fresh = self.failure_timeout();
         self.peer_loads
             .retain(|_, (heard, _)| now.since(*heard) < fresh);
         let mut totals: BTreeMap<u64, u32> = BTreeMap::new();
@@ -398,7 +413,7 @@
         for known in self.servers.iter() {
             let identity = rendezvous::identity(&known.server.incarnation);
             let others = totals.get(&identity).copied().unwrap_or(0);
-            let own = self.open.values();
+            let own = self.requests.values();
             let own = own.filter(|open| open.replica == Some(known.key)).count() as u32;
             let report = replica::Report {
                 running: (own + others).min(known.server.slots),
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -34,16 +34,16 @@
 
 impl Gateway {
     /// The list was read or changed.
-    pub(crate) fn servers_read(&mut self, now: Time, reading: Reading, effects: &mut Vec<Effect>) {
+    pub(crate) fn apply_reading(&mut self, now: Time, reading: Reading, effects: &mut Vec<Effect>) {
         self.doubt_after_failure();
         // Leases that lapsed are back within two seconds of the table service's return, not of our last failed call.
-        if std::mem::take(&mut self.list_lost) {
-            self.servers.trust_from(now + self.settings.return_time);
+        if std::mem::take(&mut self.list_unavailable) {
+            self.servers.distrust_until(now + self.settings.return_time);
         }
-        if self.servers_since == Time::ZERO {
-            self.servers_since = now;
+        if self.servers_known_since == Time::ZERO {
+            self.servers_known_since = now;
         }
-        self.note_reading(now, reading.revision);
+        self.advance_position(now, reading.revision);
         match reading.news {
             News::All(servers) => self.all_read(now, servers, effects),
             News::Changes { written, removed } => {
@@ -56,11 +56,11 @@
     }
 
     /// Notes how far the list is known. Rows that a restored table service lacks may be those of live servers.
-    pub(crate) fn note_reading(&mut self, at: Time, revision: u64) {
+    pub(crate) fn advance_position(&mut self, at: Time, revision: u64) {
         let restored = self.servers.restored();
-        self.servers.note_reading(at, revision);
+        self.servers.advance_position(at, revision);
         if self.servers.restored() != restored {
-            self.servers.trust_from(at + self.settings.return_time);
+            self.servers.distrust_until(at + self.settings.return_time);
         }
     }
 
@@ -81,7 +81,8 @@
     /// Missing rows aren't believed for a time after the table service failed: leases of live servers lapse then.
     fn doubt_after_failure(&mut self) {
         if let Some(failed) = self.store_failed {
-            self.servers.trust_from(failed + self.settings.return_time);
+            self.servers
+                .distrust_until(failed + self.settings.return_time);
         }
     }
 
@@ -140,7 +141,7 @@
     /// The list can't be followed.
     pub(crate) fn servers_lost(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.store_failed = Some(now);
-        self.list_lost = true;
+        self.list_unavailable = true;
         let line = Line::warn("servers_lost").with("known", self.servers.count());
         effects.push(Effect::Log(line));
     }
@@ -150,11 +151,11 @@
         if !self.servers.is_trusted(now) {
             return;
         }
-        self.missing_gone(now, Source::Row, effects);
+        self.remove_missing(now, Source::Row, effects);
     }
 
     /// Gives up all servers whose rows are missing.
-    pub(crate) fn missing_gone(&mut self, now: Time, source: Source, effects: &mut Vec<Effect>) {
+    pub(crate) fn remove_missing(&mut self, now: Time, source: Source, effects: &mut Vec<Effect>) {
         for incarnation in self.servers.missing() {
             self.server_gone(now, &incarnation, source, effects);
         }
@@ -333,13 +334,13 @@
         // Its attempts go on until their connections end: a row may be gone before its server is.
         self.scheduler.replica_lost(now, known.key);
         let running = self
-            .open
+            .requests
             .values()
             .any(|open| open.replica == Some(known.key));
         if !running {
             self.servers.drop_key(known.key);
         }
-        let open = &self.open;
+        let open = &self.requests;
         self.servers
             .forget_keys(|key| open.values().any(|open| open.replica == Some(key)));
     }
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -54,7 +54,7 @@
         self.duties.progress.next = now + INTERVAL;
         let at = Address::new(TABLE, KEY);
         if !self.duties.progress.read {
-            return self.ask_store(Waiter::Progress, Call::Get { at });
+            return self.call_store(Waiter::Progress, Call::Get { at });
         }
         let newest = self.usage.window(now);
         let mut progress = Progress::new();
@@ -67,12 +67,12 @@
             checks: Vec::new(),
             writes: vec![Write { at, value }],
         };
-        self.ask_store(Waiter::Progress, Call::Transact(transaction));
+        self.call_store(Waiter::Progress, Call::Transact(transaction));
     }
 
     /// What is known of a window: by entry, or of all together where counts travel by hubs.
     fn known_counts(&self, window: u64) -> BTreeMap<SmolStr, Counts> {
-        if self.by_hubs() {
+        if self.uses_hubs() {
             let total = self.usage.total(window);
             return BTreeMap::from([(format_smolstr!("{SUM}"), total)]);
         }
--- a/crates/gateway/src/reports.rs
+++ b/crates/gateway/src/reports.rs
@@ -139,7 +139,7 @@
 
     /// After a window's end until its counts are fixed.
     fn settle(&self) -> Span {
-        match self.by_hubs() {
+        match self.uses_hubs() {
             true => SETTLE_BY_HUBS,
             false => SETTLE,
         }
@@ -172,7 +172,7 @@
         if let Some(report) = self.duties.reports.windows.get_mut(&window) {
             report.stage = Stage::Writing(counts);
         }
-        self.ask_store(Waiter::Report(window), Call::Transact(transaction));
+        self.call_store(Waiter::Report(window), Call::Transact(transaction));
     }
 
     /// The table service answered the writing of a window's counts.
--- a/crates/gateway/src/open.rs
+++ b/crates/gateway/src/request.rs
@@ -13,7 +13,7 @@
 
 /// A request between its arrival and its final answer.
 #[derive(Clone, Debug)]
-pub(crate) struct Open {
+pub(crate) struct Request {
     /// The caller's name for it.
     pub id: SmolStr,
     /// By which route it came.
@@ -27,7 +27,7 @@
     /// What it was counted as once it was admitted.
     pub work: u64,
     /// Prompt tokens that no other request shares.
-    pub own_tokens: u64,
+    pub unshared_tokens: u64,
     /// Tokens in one event of its stream.
     pub tokens_per_event: u32,
     /// What may be repeated.
@@ -39,25 +39,25 @@
     /// Where it runs.
     pub replica: Option<replica::Key>,
     /// When its head came.
-    pub arrived: Time,
+    pub arrived_at: Time,
     /// When its final answer is due. Invariant: in the timeouts.
-    pub ends: Time,
+    pub deadline: Time,
     /// Longest silence of a replica that is worth waiting for.
-    pub patience: Option<Span>,
+    pub silence_timeout: Option<Span>,
     /// Where its run is being moved.
-    pub moving: Option<replica::Key>,
+    pub move_target: Option<replica::Key>,
     /// What its account's quota is charged.
-    pub due: Option<Charge>,
+    pub charge: Option<Charge>,
     /// What was charged.
     pub grant: Option<Grant>,
     /// Its prompt, until it is charged.
     pub prompt: Option<Prompt>,
     /// Status of a replica's own failure, which the caller gets if nobody does better.
-    pub failed: Option<u16>,
+    pub failure_status: Option<u16>,
     /// When it was handed to a replica last.
-    pub started: Option<Time>,
+    pub sent_at: Option<Time>,
     /// When its answer began.
-    pub first: Option<Time>,
+    pub first_response_at: Option<Time>,
     /// Whether a replica has begun to work on it, as far as known.
-    pub began: bool,
+    pub execution_started: bool,
 }
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -9,7 +9,7 @@
 impl Gateway {
     /// Assigns the roles anew. Earlier lives have none: they are sent what nobody takes in.
     pub(crate) fn assign_roles(&mut self, now: Time) {
-        let quiet = self.quiet();
+        let quiet = self.failure_timeout();
         let peers = self.membership.peers();
         let usable = peers.filter(|(_, known)| known.is_usable(now, quiet));
         let mut candidates: Vec<Candidate> = usable
--- a/crates/gateway/src/rollout_lead.rs
+++ b/crates/gateway/src/rollout_lead.rs
@@ -125,7 +125,7 @@
             if may_call {
                 led.asked = Some(Asked::Stage);
                 let at = Address::new(status::STAGES, service.clone());
-                self.ask_store(Waiter::Stage(service.clone()), Call::Get { at });
+                self.call_store(Waiter::Stage(service.clone()), Call::Get { at });
             }
             return;
         };
@@ -150,7 +150,7 @@
             self.publish_stage(now, service, number, &stage, effects);
         }
         if let Some(call) = call {
-            self.ask_store(Waiter::Stage(service.clone()), call);
+            self.call_store(Waiter::Stage(service.clone()), call);
         }
     }
 
@@ -169,7 +169,7 @@
             age_ms: 0,
             payload: serde_json::to_vec(stage).unwrap_or_default(),
         };
-        self.attend(now, member::event::Event::Publish(item.clone()), effects);
+        self.step_membership(now, member::event::Event::Publish(item.clone()), effects);
         self.rollout_announced(now, &item, effects);
     }
 
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -96,12 +96,12 @@
     }
 
     /// The duties were gained: what former leaders wrote is read anew.
-    pub fn gained(&mut self) {
+    pub fn reset_leads(&mut self) {
         self.leads.clear();
     }
 
     /// Whether a replica is of those that stay.
-    pub fn is_lasting(&self, server: &Server) -> bool {
+    pub fn is_permanent(&self, server: &Server) -> bool {
         let new = self
             .splits
             .get(&server.service)
@@ -271,11 +271,11 @@
     }
 
     /// Counts how an attempt ended, for the comparison of both versions.
-    pub(crate) fn note_answer(&mut self, now: Time, serial: u64, end: &End) {
-        let Some(open) = self.open.get(&serial) else {
+    pub(crate) fn record_answer(&mut self, now: Time, serial: u64, end: &End) {
+        let Some(open) = self.requests.get(&serial) else {
             return;
         };
-        let (Some(started), route) = (open.started, &open.route) else {
+        let (Some(started), route) = (open.sent_at, &open.route) else {
             return;
         };
         let (status, tokens) = match end {
@@ -283,7 +283,7 @@
             End::Finished { status, tokens, .. } => (Some(*status), *tokens),
             End::Failed { .. } | End::Broken { .. } | End::Silent { .. } => (None, 0),
         };
-        let first = open.first.unwrap_or(now);
+        let first = open.first_response_at.unwrap_or(now);
         let took = first.since(started).as_millis() as f64;
         let token = now.since(first).as_millis() as f64 / f64::from(tokens.max(1));
         let paces = self.rollouts.paces.entry(route.clone()).or_default();
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Position {
     /// When its feed answered last, also without news.
-    pub at: Time,
+    pub confirmed_at: Time,
     /// The newest revision told; never falls.
     pub revision: u64,
 }
@@ -66,12 +66,12 @@
 
 impl Servers {
     /// Missing rows don't count until `at`.
-    pub fn trust_from(&mut self, at: Time) {
+    pub fn distrust_until(&mut self, at: Time) {
         self.trusted = self.trusted.max(at);
     }
 
     /// Missing rows don't count until `at` by another entry's word; its next word takes the place of this one.
-    pub fn doubt_until(&mut self, at: Time) {
+    pub fn set_peer_distrust(&mut self, at: Time) {
         self.doubted = at;
     }
 
@@ -90,13 +90,13 @@
     }
 
     /// Notes that all up to a revision was known at that time; peers' word on that isn't needed any more.
-    pub fn note_reading(&mut self, at: Time, revision: u64) {
+    pub fn advance_position(&mut self, at: Time, revision: u64) {
         let known = self.position.revision;
         if known > 0 && Revision::is_of_older_era(known, revision) {
             self.restored = Some(at);
         }
         self.position = Position {
-            at: at.max(self.position.at),
+            confirmed_at: at.max(self.position.confirmed_at),
             revision: revision.max(self.position.revision),
         };
         let known = self.position.revision;
@@ -217,7 +217,7 @@
     }
 
     /// The incarnation that a key stands for, also after the server is gone.
-    pub fn id_of(&self, key: replica::Key) -> Option<SmolStr> {
+    pub fn incarnation_of(&self, key: replica::Key) -> Option<SmolStr> {
         self.by_key.get(&key).cloned()
     }
 
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -27,9 +27,9 @@
             return;
         }
         self.stopping = Some(now);
-        let line = Line::info("stop_asked").with("open", self.open.len());
+        let line = Line::info("stop_asked").with("open", self.requests.len());
         effects.push(Effect::Log(line));
-        self.attend(now, member::event::Event::Drain, effects);
+        self.step_membership(now, member::event::Event::Drain, effects);
     }
 
     /// Whether requests that come now can't be finished any more.
@@ -47,7 +47,7 @@
         let asked = self.stopping?;
         let linger = self.linger();
         let end = asked + (self.settings.grace - LAST_WORD);
-        Some(match self.open.is_empty() {
+        Some(match self.requests.is_empty() {
             true => end.min(asked + linger),
             false => end,
         })
@@ -61,7 +61,7 @@
         let waited = now.since(asked);
         if waited >= self.settings.grace - LAST_WORD {
             self.break_off(now, effects);
-        } else if waited < self.linger() || !self.open.is_empty() {
+        } else if waited < self.linger() || !self.requests.is_empty() {
             return;
         }
         effects.push(Effect::Log(Line::info("stopped").with("waited", waited)));
@@ -76,7 +76,7 @@
 
     /// Gives every open request its last word.
     fn break_off(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let serials: Vec<u64> = self.open.keys().copied().collect();
+        let serials: Vec<u64> = self.requests.keys().copied().collect();
         for serial in serials {
             let refusal = Refusal::not_run(Reason::Leaving, "this entry ends");
             self.refuse(now, serial, refusal, effects);
--- a/crates/gateway/src/store_calls.rs
+++ b/crates/gateway/src/store_calls.rs
@@ -29,7 +29,7 @@
 impl Gateway {
     /// Asks the table service something as soon as the share allows; the answer finds its way by
     /// `waiter`.
-    pub(crate) fn ask_store(&mut self, waiter: Waiter, call: Call) {
+    pub(crate) fn call_store(&mut self, waiter: Waiter, call: Call) {
         let id = call::Id(self.next_store_call);
         self.next_store_call += 1;
         let priority = match waiter {
@@ -75,7 +75,7 @@
         }
         let lost = self.contact.is_lost();
         if lost != was_lost {
-            self.attend(now, member::event::Event::StoreLost(lost), effects);
+            self.step_membership(now, member::event::Event::StoreLost(lost), effects);
         }
         self.pass_on(now, id, outcome, effects);
     }
@@ -100,7 +100,7 @@
     /// they were asked, and until then the entry neither knows who left nor which configuration is in force. A list
     /// that was told since then is followed.
     fn read_anew(&mut self, since: Time, effects: &mut Vec<Effect>) {
-        if self.servers.position().at < since {
+        if self.servers.position().confirmed_at < since {
             effects.push(Effect::ReadServers);
             effects.push(Effect::ReadConfiguration);
         }
@@ -110,7 +110,7 @@
     fn pass_on(&mut self, now: Time, id: call::Id, outcome: Outcome, effects: &mut Vec<Effect>) {
         match self.store_calls.remove(&id) {
             Some(Waiter::Membership(id)) => {
-                self.attend(now, member::event::Event::Store { id, outcome }, effects);
+                self.step_membership(now, member::event::Event::Store { id, outcome }, effects);
             }
             Some(Waiter::Claim(id)) => self.claim_answered(now, id, outcome, effects),
             Some(Waiter::Report(window)) => self.report_fixed(now, window, outcome, effects),
--- a/crates/gateway/src/timeouts.rs
+++ b/crates/gateway/src/timeouts.rs
@@ -23,7 +23,7 @@
     /// Ends one request.
     fn time_out(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
         let running = self
-            .open
+            .requests
             .get(&serial)
             .is_some_and(|open| open.replica.is_some());
         let refusal = match running {
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -67,7 +67,7 @@
     }
 
     /// A request of this account began to run.
-    pub fn began(&mut self, at: Time, account: &SmolStr) {
+    pub fn record_start(&mut self, at: Time, account: &SmolStr) {
         let window = self.window(at);
         let counts = self.own.entry(window).or_default();
         *counts.entry(account.clone()).or_default() += 1;
--- a/crates/gateway/src/work.rs
+++ b/crates/gateway/src/work.rs
@@ -47,7 +47,7 @@
 
 impl Work {
     /// Work arrived with a request.
-    pub fn arrived(&mut self, tokens: u64) {
+    pub fn record_arrived(&mut self, tokens: u64) {
         self.tokens += tokens;
     }
 
@@ -55,7 +55,7 @@
     ///
     /// Guards against counting one request as often as its caller comes back: in an overload five times the work was
     /// measured of twice the requests, and replicas were ordered for it.
-    pub fn refused(&mut self, tokens: u64) {
+    pub fn record_refused(&mut self, tokens: u64) {
         self.returned += tokens;
     }
 
@@ -75,12 +75,12 @@
     }
 
     /// Tokens of requests that came for the first time, as far as known.
-    pub fn fresh(&self) -> u64 {
+    pub fn net_tokens(&self) -> u64 {
         self.tokens.saturating_sub(self.returned)
     }
 
     /// The first token of a request came after `took` at its replica; `own` tokens had to be read.
-    pub fn first_token(&mut self, own: u64, took: Span) {
+    pub fn observe_first_token(&mut self, own: u64, took: Span) {
         let reading = took - BASE;
         if own < LEAST_TOKENS || reading == Span::ZERO {
             return;
@@ -113,11 +113,11 @@
 pub fn work_of(prompt: &Prompt) -> u64 {
     let output = prompt.expected_tokens.unwrap_or(prompt.max_new_tokens);
     let output = output.min(prompt.max_new_tokens);
-    own_tokens(prompt) + u64::from(output) * OUTPUT_WEIGHT
+    unshared_tokens(prompt) + u64::from(output) * OUTPUT_WEIGHT
 }
 
 /// Tokens of the prompt that no other request shares.
-pub fn own_tokens(prompt: &Prompt) -> u64 {
+pub fn unshared_tokens(prompt: &Prompt) -> u64 {
     match prompt.parts.last() {
         Some(own) => u64::from(own.tokens),
         None => u64::from(prompt.tokens),
@@ -152,7 +152,7 @@
 
 impl Demand {
     /// Notes what a peer tells of a service beyond what it told `silent` ago.
-    pub fn told(&mut self, service: &SmolStr, rise: u64, silent: Span) {
+    pub fn add_peer_tokens(&mut self, service: &SmolStr, rise: u64, silent: Span) {
         let rate = self.rates.entry(service.clone()).or_default();
         // After a silence it came over all of that time, not since the last look.
         let share = LOOK.as_millis() as f64 / silent.max(LOOK).as_millis() as f64;
@@ -160,7 +160,7 @@
     }
 
     /// Looks at what all entries have seen of a service by now, `own` of it here.
-    pub fn note(&mut self, now: Time, service: &SmolStr, own: u64) {
+    pub fn sample(&mut self, now: Time, service: &SmolStr, own: u64) {
         let rate = self.rates.entry(service.clone()).or_default();
         let passed = now.since(rate.at);
         let tokens = own + rate.told;
--- a/crates/gateway/tests/counts.rs
+++ b/crates/gateway/tests/counts.rs
@@ -225,19 +225,19 @@
     for round in 0..4 {
         for bulletin in &mut entries {
             let work = bulletin.work.entry(SERVICE.into()).or_default();
-            work.arrived(2_000);
+            work.record_arrived(2_000);
             if round < 3 {
-                work.refused(2_000);
+                work.record_refused(2_000);
             }
         }
     }
     let mut sum = Bulletin::default();
     entries.iter().for_each(|bulletin| sum.add(bulletin, true));
-    assert_eq!(sum.work[SERVICE].fresh(), 2 * 2_000);
+    assert_eq!(sum.work[SERVICE].net_tokens(), 2 * 2_000);
     let rest = sum.without(&entries[0]);
-    assert_eq!(rest.work[SERVICE].fresh(), 2_000);
+    assert_eq!(rest.work[SERVICE].net_tokens(), 2_000);
     let before = entries[1].work[SERVICE];
     let mut later = before;
-    later.arrived(700);
-    assert_eq!(later.since(&before).fresh(), 700);
+    later.record_arrived(700);
+    assert_eq!(later.since(&before).net_tokens(), 700);
 }
