--- a/crates/gateway/src/failure_detector.rs
+++ b/crates/gateway/src/failure_detector.rs
@@ -21,38 +21,38 @@
 use crate::gateway::Gateway;
 
 /// Missing heartbeats of a sender that sends two a second or more.
-const SILENT: Span = Span::from_millis(1_250);
+const HEARTBEAT_TIMEOUT: Span = Span::from_millis(1_250);
 /// A longer pause between two looks means that this entry was late itself.
-const LATE: Span = Span::from_millis(900);
+const MAX_TICK_GAP: Span = Span::from_millis(900);
 
 /// For how long this entry has received heartbeats without a gap of its own.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Watching {
+pub(crate) struct Monitor {
     since: Time,
-    last: Time,
+    last_tick: Time,
     /// Whether it was a hub at the last look.
-    hub: bool,
+    was_hub: bool,
 }
 
-impl Watching {
+impl Monitor {
     /// Notes a look; since when there is no gap.
-    fn look(&mut self, now: Time, hub: bool) -> Time {
-        if now.since(self.last) > LATE || hub && !self.hub {
+    fn observe(&mut self, now: Time, hub: bool) -> Time {
+        if now.since(self.last_tick) > MAX_TICK_GAP || hub && !self.was_hub {
             self.since = now;
         }
-        self.last = now;
-        self.hub = hub;
+        self.last_tick = now;
+        self.was_hub = hub;
         self.since
     }
 }
 
 impl Gateway {
     /// Suspects entries whose direct heartbeats are missing; a hub announces it.
-    pub(crate) fn silence_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub(crate) fn failure_detector_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let hub = self.hub.is_hub(self.identity.incarnation);
-        let since = self.hub.watching.look(now, hub);
+        let since = self.hub.monitor.observe(now, hub);
         let peers = || self.membership.peers();
-        let is_silent = |known: &Known| now.since(known.heard.max(since)) >= SILENT;
+        let is_silent = |known: &Known| now.since(known.heard.max(since)) >= HEARTBEAT_TIMEOUT;
         // Without any heartbeat, this entry is the one that is cut off.
         if peers().all(|(_, known)| is_silent(known)) {
             return;
@@ -72,12 +72,12 @@
             .with("hub", hub);
         effects.push(Effect::Log(line));
         if hub {
-            self.announce_silent(&silent, effects);
+            self.announce_suspects(&silent, effects);
         }
     }
 
     /// Announces suspected entries to all.
-    fn announce_silent(&mut self, silent: &[(holder::Id, u64)], effects: &mut Vec<Effect>) {
+    fn announce_suspects(&mut self, silent: &[(holder::Id, u64)], effects: &mut Vec<Effect>) {
         let items = silent.iter().map(|(id, count)| Item {
             topic: Topic::Silent,
             key: format_smolstr!("{id}"),
@@ -102,7 +102,7 @@
     }
 
     /// A hub suspects an entry.
-    pub(crate) fn silence_reported(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    pub(crate) fn suspicion_reported(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let Some(id) = holder::Id::parse(&item.key) else {
             return;
         };
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -68,7 +68,7 @@
     /// Limits that backend servers named.
     pub(crate) limits: Limits,
     /// The pool in which each backend server stands, by its incarnation.
-    pub(crate) grouped: BTreeMap<SmolStr, SmolStr>,
+    pub(crate) replica_pools: BTreeMap<SmolStr, SmolStr>,
     pub(crate) rollouts: Rollouts,
     /// The list of servers as rows, and the reports on it.
     pub(crate) watch: Watch,
@@ -84,7 +84,7 @@
     pub(crate) pools: BTreeMap<SmolStr, pool::Key>,
     pub(crate) membership: Membership,
     /// How often all members were read again since the start.
-    pub(crate) looks: usize,
+    pub(crate) member_reads: usize,
     /// Peers whose configuration is older than ours.
     pub(crate) lagging: Lagging,
     /// Requests that began to run.
@@ -108,11 +108,11 @@
     /// Orders our pieces of news.
     pub(crate) item_version: u64,
     /// When the process was asked to stop.
-    pub(crate) stopping: Option<Time>,
+    pub(crate) stop_requested_at: Option<Time>,
     /// Whether the table service answers our calls.
     pub(crate) contact: Contact,
     /// When the table service failed a call last.
-    pub(crate) store_failed: Option<Time>,
+    pub(crate) store_failed_at: Option<Time>,
     /// Whether the list of servers couldn't be read since it was read last.
     pub(crate) list_unavailable: bool,
     /// Names the next call of the table service.
@@ -120,7 +120,7 @@
     /// Calls that wait for their turn within our share of the table service.
     pub(crate) throttle: Throttle<call::Id>,
     /// Calls that found the queue full.
-    pub(crate) store_refused: Vec<call::Id>,
+    pub(crate) store_rejected: Vec<call::Id>,
     /// What waits for which call of the table service.
     pub(crate) store_calls: BTreeMap<call::Id, Waiter>,
 }
@@ -170,7 +170,7 @@
             throttle: Throttle::new(settings.store),
             servers: Servers::default(),
             limits: Limits::default(),
-            grouped: BTreeMap::new(),
+            replica_pools: BTreeMap::new(),
             rollouts: Rollouts::default(),
             watch: Watch::new(settings.watch, identity.incarnation.0),
             following: Following::new(),
@@ -184,7 +184,7 @@
             timeouts: BTreeSet::new(),
             accounts: BTreeMap::new(),
             pools: BTreeMap::new(),
-            looks: 0,
+            member_reads: 0,
             lagging: Lagging::default(),
             usage: Usage::new(settings.usage_window.as_millis(), settings.zero_unix_ms),
             work: BTreeMap::new(),
@@ -199,12 +199,12 @@
             next_bulletin: Time::ZERO,
             next_quarantine: Time::ZERO,
             item_version: 0,
-            stopping: None,
+            stop_requested_at: None,
             contact: Contact::default(),
-            store_failed: None,
+            store_failed_at: None,
             list_unavailable: false,
             next_store_call: 0,
-            store_refused: Vec::new(),
+            store_rejected: Vec::new(),
             store_calls: BTreeMap::new(),
             identity,
             settings,
@@ -213,12 +213,12 @@
 
     /// Takes one event and appends what follows from it.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
-        self.take(now, event, effects);
-        self.make_store_calls(now, effects);
+        self.dispatch(now, event, effects);
+        self.dispatch_store_calls(now, effects);
     }
 
     /// Passes an event to the part that it concerns.
-    fn take(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
+    fn dispatch(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Arrived { serial, arrival } => self.arrived(now, serial, &arrival, effects),
             Event::CallerGone { serial } => self.caller_gone(now, serial, effects),
@@ -266,7 +266,7 @@
 
     /// Whether callers may be sent here.
     pub fn is_ready(&self) -> bool {
-        self.book.is_some() && self.stopping.is_none()
+        self.book.is_some() && self.stop_requested_at.is_none()
     }
 
     /// The limits on what callers may send.
@@ -294,7 +294,7 @@
             list_revision: self.servers.position().revision,
             list_age_ms: now.since(self.servers.position().confirmed_at).as_millis(),
             ready: self.is_ready(),
-            stopping: self.stopping.is_some(),
+            stopping: self.stop_requested_at.is_some(),
         }
     }
 
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -1,8 +1,8 @@
 //! How counts travel among many entries.
 //!
-//! Up to [`DIRECT`] entries each tells all others. Beyond, that would be thousands of messages a second, so
+//! Up to [`MAX_DIRECT_ENTRIES`] entries each tells all others. Beyond, that would be thousands of messages a second, so
 //! each tells two hubs, and these tell everyone the sum of all others' counts. Any entry can be a hub, by
-//! [`role::roster`]. Both send, and one is listened to.
+//! [`role::roster`]. Both send, and one is followed_hub to.
 //!
 //! There is no way back to telling all others: entries that were replaced stand among the members until they
 //! are known gone, and while the way changed to and fro their counts would be charged twice.
@@ -23,39 +23,39 @@
 use crate::bulletin::Bulletin;
 use crate::effect::Effect;
 use crate::effect::Lane;
-use crate::failure_detector::Watching;
+use crate::failure_detector::Monitor;
 use crate::gateway::Gateway;
 use crate::usage;
 use crate::work;
 use crate::work::Work;
 
 /// Most entries that tell each other directly: 16 messages four times a second, about one percent of a core.
-const DIRECT: usize = 16;
+const MAX_DIRECT_ENTRIES: usize = 16;
 /// Time between two hand-overs. While entries are replaced, not all agree on who the hubs are, and each of several
 /// hears a part.
-const HAND_OVER_TIME: Span = Span::from_millis(2_000);
+const HAND_OVER_INTERVAL: Span = Span::from_millis(2_000);
 /// A hub has heard all entries once it has been one for so long: three tellings.
-const LISTEN: Span = Span::from_millis(1_500);
+const COLLECTION_TIME: Span = Span::from_millis(1_500);
 /// Stands in the key of what a hub tells of another entry's past, between the two names.
-pub(crate) const PAST_MARK: char = '/';
+pub(crate) const PAST_SEPARATOR: char = '/';
 /// Entries told of in one message as a hub hands over: about 10 KB.
-const AT_ONCE: usize = 32;
+const ENTRIES_PER_MESSAGE: usize = 32;
 /// In whose name a sum is taken in; no entry draws this number.
-pub(crate) const SUM: holder::Id = holder::Id(u64::MAX);
+pub(crate) const SUM_SENDER: holder::Id = holder::Id(u64::MAX);
 
 /// What a hub has heard.
 #[derive(Debug, Default)]
 pub(crate) struct Hub {
     /// Whether counts travel by hubs.
-    on: bool,
+    enabled: bool,
     /// By entry; that of ended ones stays, since their counts still hold.
-    heard: BTreeMap<holder::Id, Heard>,
+    contributions: BTreeMap<holder::Id, Contribution>,
     /// For how long heartbeats were received here without a gap.
-    pub(crate) watching: Watching,
+    pub(crate) monitor: Monitor,
     /// Whose sums are taken in, and when the last one came.
-    pub(crate) listened: Option<(holder::Id, Time)>,
+    pub(crate) followed_hub: Option<(holder::Id, Time)>,
     /// The hubs as they were last.
-    known: Vec<holder::Id>,
+    hubs: Vec<holder::Id>,
     /// When this entry last became one, or, while it is none, when others did.
     since: Time,
     /// When it tells the others next what it was told.
@@ -64,26 +64,26 @@
 
 /// What a hub knows of one entry.
 #[derive(Debug)]
-struct Heard {
-    at: Time,
+struct Contribution {
+    received_at: Time,
     /// What it had counted when it was heard first. A new hub hears all entries anew; were its sum to rise by
     /// all they ever counted, accounts would be charged for their past a second time, and replicas ordered for it.
     /// None if others told of it.
-    before: Option<Before>,
+    baseline: Option<Baseline>,
     /// What it told last, with the charges since then.
     counts: Bulletin,
 }
 
 /// What an entry had counted when it was heard first.
 #[derive(Debug)]
-struct Before {
+struct Baseline {
     charged: Counts,
     work: BTreeMap<SmolStr, Work>,
 }
 
-impl Before {
+impl Baseline {
     /// Leaves what came since then.
-    fn take_off(&self, bulletin: &mut Bulletin) {
+    fn subtract_from(&self, bulletin: &mut Bulletin) {
         for (account, count) in &mut bulletin.charged {
             *count = count.saturating_sub(self.charged.get(account).copied().unwrap_or(0));
         }
@@ -96,34 +96,34 @@
 impl Hub {
     /// Whether that entry was a hub when the hubs were looked up last.
     pub(crate) fn is_hub(&self, entry: holder::Id) -> bool {
-        self.known.contains(&entry)
+        self.hubs.contains(&entry)
     }
 }
 
 impl Gateway {
     /// Whether counts travel by hubs.
     pub(crate) fn uses_hubs(&self) -> bool {
-        self.hub.on
+        self.hub.enabled
     }
 
     /// Whether this entry has had time to hear what all others count.
-    pub(crate) fn has_listened(&self, now: Time) -> bool {
-        now >= self.hub.since + LISTEN
+    pub(crate) fn has_collected_counts(&self, now: Time) -> bool {
+        now >= self.hub.since + COLLECTION_TIME
     }
 
     /// Goes over to hubs once there are too many entries.
-    pub(crate) fn consider_hubs(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if !self.hub.on && self.membership.directory().addresses() > DIRECT {
+    pub(crate) fn use_hubs_if_many(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        if !self.hub.enabled && self.membership.directory().addresses() > MAX_DIRECT_ENTRIES {
             self.use_hubs(now, effects);
         }
     }
 
     /// From here on sums count in place of what single entries told.
     pub(crate) fn use_hubs(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if self.hub.on {
+        if self.hub.enabled {
             return;
         }
-        self.hub.on = true;
+        self.hub.enabled = true;
         self.hub.since = now;
         for peer in std::mem::take(&mut self.peer_work).into_keys() {
             self.quotas.forget(now, peer.0);
@@ -135,14 +135,14 @@
     }
 
     /// Tells the hubs what is counted here; a hub tells all others.
-    pub(crate) fn tell_by_hubs(&mut self, now: Time, own: Bulletin, effects: &mut Vec<Effect>) {
+    pub(crate) fn send_via_hubs(&mut self, now: Time, own: Bulletin, effects: &mut Vec<Effect>) {
         let me = self.identity.incarnation;
         let hubs = self.roster.hubs().to_vec();
-        if hubs != self.hub.known {
+        if hubs != self.hub.hubs {
             let names: Vec<String> = hubs.iter().map(|hub| hub.to_string()).collect();
             let line = Line::info("hubs").with("ids", names.join(","));
             effects.push(Effect::Log(line));
-            let before = std::mem::replace(&mut self.hub.known, hubs.clone());
+            let before = std::mem::replace(&mut self.hub.hubs, hubs.clone());
             if before.contains(&me) {
                 self.hub.next_hand_over = now;
             } else {
@@ -154,23 +154,26 @@
             self.send_bulletin(*hub, &own, list.as_ref(), effects);
         }
         if now >= self.hub.next_hand_over {
-            self.hub.next_hand_over = now + HAND_OVER_TIME;
+            self.hub.next_hand_over = now + HAND_OVER_INTERVAL;
             let oldest = self.usage.oldest(now);
-            for heard in self.hub.heard.values_mut() {
-                heard.counts.begun.retain(|window, _| *window >= oldest);
+            for contribution in self.hub.contributions.values_mut() {
+                contribution
+                    .counts
+                    .begun
+                    .retain(|window, _| *window >= oldest);
             }
             self.hand_over(&hubs, effects);
         }
         if !hubs.contains(&me) {
             return;
         }
-        self.hub_heard(now, me, own);
-        let total = self.sum_up(now);
-        self.sum_came(now, me, self.without(&total, me));
+        self.counts_received(now, me, own);
+        let total = self.total_counts(now);
+        self.sum_received(now, me, self.sum_without(&total, me));
         let others: Vec<holder::Id> = self.membership.peers().map(|(id, _)| id).collect();
         let mut bytes = 0;
         for to in &others {
-            let share = self.without(&total, *to);
+            let share = self.sum_without(&total, *to);
             bytes += self.send_bulletin(*to, &share, list.as_ref(), effects);
         }
         let line = Line::info("sums_sent")
@@ -188,31 +191,35 @@
         let me = self.identity.incarnation;
         let told: Vec<(holder::Id, Bulletin)> = self
             .hub
-            .heard
+            .contributions
             .iter()
-            .filter(|(_, heard)| !heard.counts.begun.is_empty())
-            .map(|(id, heard)| (*id, heard.counts.past()))
+            .filter(|(_, contribution)| !contribution.counts.begun.is_empty())
+            .map(|(id, contribution)| (*id, contribution.counts.past()))
             .collect();
         for hub in hubs.iter().filter(|hub| **hub != me) {
-            for some in told.chunks(AT_ONCE) {
+            for some in told.chunks(ENTRIES_PER_MESSAGE) {
                 self.send_bulletins(*hub, some, None, effects);
             }
         }
     }
 
     /// Notes what another entry had counted, by the word of a former hub.
-    fn hub_told_of(&mut self, entry: holder::Id, bulletin: Bulletin) {
-        let heard = self.hub.heard.entry(entry).or_insert_with(|| Heard {
-            at: Time::ZERO,
-            before: None,
-            counts: Bulletin::default(),
-        });
-        usage::take_most(&mut heard.counts.begun, &bulletin.begun);
+    fn past_counts_received(&mut self, entry: holder::Id, bulletin: Bulletin) {
+        let contribution = self
+            .hub
+            .contributions
+            .entry(entry)
+            .or_insert_with(|| Contribution {
+                received_at: Time::ZERO,
+                baseline: None,
+                counts: Bulletin::default(),
+            });
+        usage::merge_max(&mut contribution.counts.begun, &bulletin.begun);
     }
 
     /// The sum without what that entry told itself.
-    fn without(&self, total: &Bulletin, entry: holder::Id) -> Bulletin {
-        let rest = match self.hub.heard.get(&entry) {
+    fn sum_without(&self, total: &Bulletin, entry: holder::Id) -> Bulletin {
+        let rest = match self.hub.contributions.get(&entry) {
             Some(theirs) => total.without(&theirs.counts),
             None => total.clone(),
         };
@@ -223,42 +230,42 @@
     }
 
     /// Notes what an entry tells this one as a hub.
-    pub(crate) fn hub_heard(&mut self, now: Time, from: holder::Id, mut bulletin: Bulletin) {
+    pub(crate) fn counts_received(&mut self, now: Time, from: holder::Id, mut bulletin: Bulletin) {
         if bulletin.past {
-            return self.hub_told_of(from, bulletin);
+            return self.past_counts_received(from, bulletin);
         }
         if from != self.identity.incarnation {
-            self.usage.heard_clock(now, from, bulletin.unix_ms);
+            self.usage.record_clock(now, from, bulletin.unix_ms);
         }
-        let known = self.hub.heard.remove(&from);
-        let before = known.and_then(|known| known.before);
-        let before = before.unwrap_or_else(|| Before {
+        let known = self.hub.contributions.remove(&from);
+        let baseline = known.and_then(|known| known.baseline);
+        let baseline = baseline.unwrap_or_else(|| Baseline {
             charged: bulletin.charged.clone(),
             work: bulletin.work.clone(),
         });
-        before.take_off(&mut bulletin);
-        let heard = Heard {
-            at: now,
-            before: Some(before),
+        baseline.subtract_from(&mut bulletin);
+        let contribution = Contribution {
+            received_at: now,
+            baseline: Some(baseline),
             counts: bulletin,
         };
-        self.hub.heard.insert(from, heard);
+        self.hub.contributions.insert(from, contribution);
     }
 
     /// The sum of all that was heard; what entries run counts only while they are heard.
-    fn sum_up(&self, now: Time) -> Bulletin {
+    fn total_counts(&self, now: Time) -> Bulletin {
         let quiet = self.failure_timeout();
         let mut total = Bulletin {
             unix_ms: self.usage.unix_ms(now),
             ..Bulletin::default()
         };
-        for heard in self.hub.heard.values() {
-            let fresh = now.since(heard.at) <= quiet;
-            total.add(&heard.counts, fresh);
+        for contribution in self.hub.contributions.values() {
+            let fresh = now.since(contribution.received_at) <= quiet;
+            total.add(&contribution.counts, fresh);
         }
         for (service, work) in &mut total.work {
-            let heard = self.hub.heard.values();
-            let speeds = heard.filter_map(|one| Some(one.counts.work.get(service)?.speed));
+            let contributions = self.hub.contributions.values();
+            let speeds = contributions.filter_map(|one| Some(one.counts.work.get(service)?.speed));
             work.speed = work::median_speed(speeds);
         }
         total
@@ -320,7 +327,7 @@
         self.item_version += 1;
         // Under a key of its own: versions of one key are its entry's.
         let key = match past {
-            true => format_smolstr!("{of}{PAST_MARK}{}", self.identity.incarnation),
+            true => format_smolstr!("{of}{PAST_SEPARATOR}{}", self.identity.incarnation),
             false => format_smolstr!("{of}"),
         };
         Item {
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -29,14 +29,14 @@
 /// When a caller of an entry that is about to end may come back; it then asks for other addresses.
 const LEAVING_RETRY: Span = Span::from_millis(50);
 /// Tokens that a plain call counts as in the scheduler.
-const PLAIN_TOKENS: u32 = 1;
+const PLAIN_CALL_TOKENS: u32 = 1;
 /// Name of the account that requests on public routes are charged to.
-const PUBLIC: &str = "";
+const PUBLIC_ACCOUNT: &str = "";
 /// Part of a request's time after which a replica that said nothing is given up for another: what
 /// remains is enough to be served there within the deadline.
-const PATIENCE: f64 = 0.4;
+const SILENCE_FRACTION: f64 = 0.4;
 /// The same for a stream's silences, in targets for its pauses: its caller gives up after eight.
-const PAUSES: u64 = 3;
+const MAX_STREAM_PAUSES: u64 = 3;
 
 impl Gateway {
     /// Admits a request, or gives it its final answer at once.
@@ -47,14 +47,14 @@
         arrival: &Arrival,
         effects: &mut Vec<Effect>,
     ) {
-        match self.check_in(now, serial, arrival) {
-            Ok(open) => {
-                self.timeouts.insert((open.deadline, serial));
-                self.requests.insert(serial, open);
+        match self.validate(now, serial, arrival) {
+            Ok(request) => {
+                self.timeouts.insert((request.deadline, serial));
+                self.requests.insert(serial, request);
                 self.begin_charge(now, serial, effects);
             }
             Err(refusal) => {
-                let line = self.early_line(now, arrival);
+                let line = self.early_refusal_line(now, arrival);
                 self.send_refusal(serial, refusal, line, effects);
             }
         }
@@ -68,15 +68,15 @@
         grant: Option<Grant>,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(open) = self.requests.get_mut(&serial) else {
+        let Some(request) = self.requests.get_mut(&serial) else {
             return;
         };
-        open.grant = grant;
-        let (job, service) = (open.job, open.service.clone());
-        if let Some(prompt) = open.prompt.take() {
-            open.work = work::work_of(&prompt);
+        request.grant = grant;
+        let (job, service) = (request.job, request.service.clone());
+        if let Some(prompt) = request.prompt.take() {
+            request.work = work::request_work(&prompt);
             let work = self.work.entry(service).or_default();
-            work.record_arrived(open.work);
+            work.record_arrived(request.work);
         }
         self.with_scheduler(now, effects, |scheduler, out| {
             scheduler.offer(now, job, out);
@@ -84,7 +84,7 @@
     }
 
     /// The line on a request that is refused before it is queued, with what decided that.
-    fn early_line(&self, now: Time, arrival: &Arrival) -> Line {
+    fn early_refusal_line(&self, now: Time, arrival: &Arrival) -> Line {
         let version = self.book.as_ref().map_or(0, |book| book.version);
         Line::info("request_refused")
             .with("request", &arrival.id)
@@ -98,16 +98,16 @@
 
     /// The caller is gone: nothing is owed to it any more.
     pub(crate) fn caller_gone(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
-        let Some(open) = self.close_request(serial, effects) else {
+        let Some(request) = self.close_request(serial, effects) else {
             return;
         };
         self.with_scheduler(now, effects, |scheduler, out| {
             scheduler.cancel(now, job::Id(serial), out);
         });
         let line = Line::info("caller_gone")
-            .with("request", &open.id)
-            .with("age_ms", now.since(open.arrived_at).as_millis())
-            .with("attempt", open.attempt);
+            .with("request", &request.id)
+            .with("age_ms", now.since(request.arrived_at).as_millis())
+            .with("attempt", request.attempt);
         effects.push(Effect::Log(line));
     }
 
@@ -117,13 +117,13 @@
         serial: u64,
         effects: &mut Vec<Effect>,
     ) -> Option<Request> {
-        let open = self.requests.remove(&serial)?;
-        self.timeouts.remove(&(open.deadline, serial));
+        let request = self.requests.remove(&serial)?;
+        self.timeouts.remove(&(request.deadline, serial));
         self.charges.cancel(serial);
-        if let Some(grant) = open.grant.filter(|_| !open.execution_started) {
+        if let Some(grant) = request.grant.filter(|_| !request.execution_started) {
             self.give_back(grant, effects);
         }
-        Some(open)
+        Some(request)
     }
 
     /// Sends the final word and logs it.
@@ -148,7 +148,7 @@
     }
 
     /// Checks route and key, and makes the open request.
-    fn check_in(&mut self, now: Time, serial: u64, arrival: &Arrival) -> Result<Request, Refusal> {
+    fn validate(&mut self, now: Time, serial: u64, arrival: &Arrival) -> Result<Request, Refusal> {
         let Some(book) = self.book.clone() else {
             let refusal = Refusal::not_run(Reason::NotReady, "no configuration is known here yet");
             return Err(refusal.with_retry_after(NOT_READY_RETRY));
@@ -159,11 +159,11 @@
             let refusal = Refusal::not_run(Reason::Leaving, "this entry is about to end");
             return Err(refusal.with_retry_after(LEAVING_RETRY));
         }
-        let account = account_of(&book, route, arrival)?;
-        let service = self.draw_service(route);
-        let (pool, canary) = self.draw_pool(now, &service, &route.name);
+        let account = authenticate(&book, route, arrival)?;
+        let service = self.choose_service(route);
+        let (pool, canary) = self.select_pool(now, &service, &route.name);
         book.service(&service).ok_or_else(not_configured)?;
-        let job = self.job_of(serial, route, account, &pool, arrival)?;
+        let job = self.build_job(serial, route, account, &pool, arrival)?;
         let charge = account.map(|account| Charge {
             name: rendezvous::identity(&account.name),
             cost: quota_cost(account, arrival),
@@ -171,7 +171,7 @@
         let engine = book
             .service(&service)
             .and_then(|service| service.engine.as_ref());
-        let arrived_at = before(now, arrival.reading);
+        let arrived_at = time_before(now, arrival.reading);
         let deadline = arrived_at + route.timeout.min(arrival.deadline.unwrap_or(route.timeout));
         Ok(Request {
             id: arrival.id.clone(),
@@ -201,7 +201,7 @@
     }
 
     /// One of the route's services, by weight.
-    fn draw_service(&mut self, route: &Route) -> SmolStr {
+    fn choose_service(&mut self, route: &Route) -> SmolStr {
         let total: f64 = route.shares.iter().map(|share| share.weight).sum();
         let mut drawn = self.random.random::<f64>() * total;
         for share in &route.shares {
@@ -215,7 +215,7 @@
     }
 
     /// What the scheduler gets to know of a request.
-    fn job_of(
+    fn build_job(
         &self,
         serial: u64,
         route: &Route,
@@ -223,7 +223,7 @@
         pool: &str,
         arrival: &Arrival,
     ) -> Result<Job, Refusal> {
-        let name = account.map_or(PUBLIC, |account| account.name.as_str());
+        let name = account.map_or(PUBLIC_ACCOUNT, |account| account.name.as_str());
         let account = self.accounts.get(name).ok_or_else(not_configured)?;
         let pool = self.pools.get(pool).ok_or_else(not_configured)?;
         let prompt = arrival.prompt.as_ref();
@@ -242,7 +242,7 @@
             account: *account,
             pool: *pool,
             kind,
-            prompt_tokens: prompt.map_or(PLAIN_TOKENS, |prompt| prompt.tokens),
+            prompt_tokens: prompt.map_or(PLAIN_CALL_TOKENS, |prompt| prompt.tokens),
             max_new_tokens: prompt.map_or(0, |prompt| prompt.max_new_tokens),
             prefix: prompt.map_or(0, |prompt| prompt.shared()),
             fingerprint: arrival.fingerprint,
@@ -263,7 +263,7 @@
 }
 
 /// The account that sent the request; none on public routes.
-fn account_of<'a>(
+fn authenticate<'a>(
     book: &'a Book,
     route: &Route,
     arrival: &Arrival,
@@ -289,14 +289,14 @@
 
 /// How long a replica may be silent before another one is tried; only for what may be repeated.
 fn silence_timeout(route: &Route, left: Span) -> Option<Span> {
-    let pauses = || route.pause.map(|pause| pause.times(PAUSES));
+    let pauses = || route.pause.map(|pause| pause.times(MAX_STREAM_PAUSES));
     if route.attempts < 2 {
         return None;
     }
     match route.repeat {
-        Repeat::Idempotent => Some(left.scaled(PATIENCE)),
+        Repeat::Idempotent => Some(left.scaled(SILENCE_FRACTION)),
         Repeat::Stream { resumable: true } => {
-            let first = left.scaled(PATIENCE);
+            let first = left.scaled(SILENCE_FRACTION);
             Some(pauses().map_or(first, |pauses| pauses.max(route.target.times(2)).min(first)))
         }
         _ => None,
@@ -304,6 +304,6 @@
 }
 
 /// The moment `span` before `now`.
-fn before(now: Time, span: Span) -> Time {
+fn time_before(now: Time, span: Span) -> Time {
     Time::from_millis(now.as_millis().saturating_sub(span.as_millis()))
 }
--- a/crates/gateway/src/lagging.rs
+++ b/crates/gateway/src/lagging.rs
@@ -16,15 +16,15 @@
 
 /// A peer that still tells an older version so long after ours came in force is sent ours. Most read
 /// it themselves within a few milliseconds; one that the table service turns away can't.
-const LAG_TIME: Span = Span::from_millis(300);
+const LAG_GRACE: Span = Span::from_millis(300);
 /// Time between two sendings to the same peer, among few entries.
-const LAG_RETRY: Span = Span::from_millis(500);
-/// Time from one helper's turn to the next one's, among few entries.
-const LAG_TURN: Span = Span::from_millis(120);
+const LAG_RETRY_INTERVAL: Span = Span::from_millis(500);
+/// Time from one helper's rank to the next one's, among few entries.
+const HELPER_STAGGER: Span = Span::from_millis(120);
 /// Among so many entries and fewer the times above hold; they grow with more. What another has read is heard
 /// later there, and what all would send meanwhile fills their links: 10,000 documents a second among 79, which
 /// made every answer late for ten seconds.
-const LAG_FEW: u32 = 8;
+const LAG_BASE_ENTRIES: u32 = 8;
 
 /// Peers whose configuration is older than ours.
 #[derive(Clone, Debug, Default)]
@@ -46,7 +46,7 @@
     /// Guards against earlier lives, which stand among the members with the version that they had and the address of
     /// the entry that took their place: after all entries of a large system were killed, each sent its configuration
     /// to thirty others, and a link of 10 Mbit/s was full for 13 s.
-    pub(crate) fn note_lagging(&mut self, now: Time) {
+    pub(crate) fn update_lagging(&mut self, now: Time) {
         let Some(ours) = self.book.as_ref().map(|book| book.version) else {
             return;
         };
@@ -54,12 +54,12 @@
         let helpers = self.helpers(now);
         let mut due = BTreeMap::new();
         for (id, known) in self.membership.directory().latest() {
-            let told = known.beat.count > 0;
-            if id == me || !told || known.beat.applied >= ours {
+            let has_reported = known.beat.count > 0;
+            if id == me || !has_reported || known.beat.applied >= ours {
                 continue;
             }
-            let turn = self.turn_to_help(&helpers, id);
-            let first = now + LAG_TIME + LAG_TURN.times(turn * self.lag_pace());
+            let rank = self.helper_rank(&helpers, id);
+            let first = now + LAG_GRACE + HELPER_STAGGER.times(rank * self.lag_factor());
             let at = self.lagging.due.get(&id).copied().unwrap_or(first);
             due.insert(id, at);
         }
@@ -75,7 +75,7 @@
     }
 
     /// How many of them go before this one in helping that peer.
-    fn turn_to_help(&self, helpers: &[holder::Id], peer: holder::Id) -> u64 {
+    fn helper_rank(&self, helpers: &[holder::Id], peer: holder::Id) -> u64 {
         let weight = |id: holder::Id| rendezvous::weight(peer.0, id.0);
         let ours = weight(self.identity.incarnation);
         let ahead = |id: &&holder::Id| **id != peer && weight(**id) > ours;
@@ -83,8 +83,8 @@
     }
 
     /// By how much lagging peers are helped more slowly than among few entries.
-    fn lag_pace(&self) -> u64 {
-        u64::from((self.entry_count() / LAG_FEW).max(1))
+    fn lag_factor(&self) -> u64 {
+        u64::from((self.entry_count() / LAG_BASE_ENTRIES).max(1))
     }
 
     /// Sends our configuration to peers that lag behind.
@@ -97,7 +97,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in due {
-            let next = now + LAG_RETRY.times(self.lag_pace());
+            let next = now + LAG_RETRY_INTERVAL.times(self.lag_factor());
             self.lagging.due.insert(id, next);
             if let Some(address) = self.membership.peer_address(id).cloned() {
                 let line = Line::info("configuration_sent").with("peer", &address);
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -20,22 +20,22 @@
 use crate::gateway::Gateway;
 
 /// How long it is reported that a limit is lifted: an older report may still be under way.
-const LIFTED_KEPT: Span = Span::from_seconds(60);
+const LIFTED_RETENTION: Span = Span::from_seconds(60);
 
 /// What servers said last, by incarnation.
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
-    named: BTreeMap<SmolStr, Named>,
+    by_server: BTreeMap<SmolStr, Limit>,
 }
 
 /// What a server said.
 #[derive(Clone, Copy, Debug)]
-struct Named {
-    at: Time,
+struct Limit {
+    received_at: Time,
     /// None if it named no limit.
     rate: Option<Rate>,
     /// Whether it stood in an answer to this entry, which reports it.
-    here: bool,
+    local: bool,
 }
 
 /// One entry's report on a server's limit.
@@ -64,17 +64,17 @@
 impl Limits {
     /// Whether a server's limit is in force.
     pub(crate) fn is_limited(&self, incarnation: &str) -> bool {
-        let named = self.named.get(incarnation);
-        named.is_some_and(|named| named.rate.is_some())
+        let named = self.by_server.get(incarnation);
+        named.is_some_and(|limit| limit.rate.is_some())
     }
 
     /// Limits in answers to this entry.
     pub(crate) fn reports(&self, now: Time) -> Reports {
-        let here = self.named.iter().filter(|(_, named)| named.here);
-        let reports = here.map(|(incarnation, named)| {
+        let here = self.by_server.iter().filter(|(_, limit)| limit.local);
+        let reports = here.map(|(incarnation, limit)| {
             let report = Report {
-                rate: named.rate.map(|rate| rate.0),
-                age_ms: now.since(named.at).as_millis(),
+                rate: limit.rate.map(|rate| rate.0),
+                age_ms: now.since(limit.received_at).as_millis(),
             };
             (rendezvous::identity(incarnation), report)
         });
@@ -82,17 +82,17 @@
     }
 
     /// Notes what a server said, unless something newer is known; whether its limit is another one now.
-    fn note(&mut self, incarnation: &SmolStr, named: Named) -> bool {
-        let known = self.named.get(incarnation).copied();
-        if known.is_some_and(|known| known.at >= named.at && !named.here) {
+    fn record(&mut self, incarnation: &SmolStr, limit: Limit) -> bool {
+        let known = self.by_server.get(incarnation).copied();
+        if known.is_some_and(|known| known.received_at >= limit.received_at && !limit.local) {
             return false;
         }
         let before = known.and_then(|known| known.rate);
-        if known.is_none() && named.rate.is_none() {
+        if known.is_none() && limit.rate.is_none() {
             return false;
         }
-        self.named.insert(incarnation.clone(), named);
-        before != named.rate
+        self.by_server.insert(incarnation.clone(), limit);
+        before != limit.rate
     }
 }
 
@@ -105,8 +105,12 @@
         rate: Option<Rate>,
         effects: &mut Vec<Effect>,
     ) {
-        let (at, here) = (now, true);
-        self.take_limit(now, incarnation, Named { at, rate, here }, effects);
+        let limit = Limit {
+            received_at: now,
+            rate,
+            local: true,
+        };
+        self.apply_limit(now, incarnation, limit, effects);
     }
 
     /// Another entry reported limits.
@@ -117,58 +121,58 @@
         effects: &mut Vec<Effect>,
     ) {
         for (server, report) in reports {
-            let Some(incarnation) = self.servers.named(*server) else {
+            let Some(incarnation) = self.servers.incarnation_of_hash(*server) else {
                 continue;
             };
-            let named = Named {
-                at: Time::from_millis(now.as_millis().saturating_sub(report.age_ms)),
+            let limit = Limit {
+                received_at: Time::from_millis(now.as_millis().saturating_sub(report.age_ms)),
                 rate: report.rate.map(Rate),
-                here: false,
+                local: false,
             };
-            self.take_limit(now, &incarnation, named, effects);
+            self.apply_limit(now, &incarnation, limit, effects);
         }
     }
 
     /// Deals all limits anew, since the entries may be others.
     pub(crate) fn limits_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let servers = &mut self.servers;
-        self.limits.named.retain(|incarnation, named| {
-            let kept = named.rate.is_some() || now.since(named.at) < LIFTED_KEPT;
+        self.limits.by_server.retain(|incarnation, limit| {
+            let kept = limit.rate.is_some() || now.since(limit.received_at) < LIFTED_RETENTION;
             kept && servers.get_mut(incarnation).is_some()
         });
         let named: Vec<(SmolStr, Option<Rate>)> = self
             .limits
-            .named
+            .by_server
             .iter()
-            .map(|(incarnation, named)| (incarnation.clone(), named.rate))
+            .map(|(incarnation, limit)| (incarnation.clone(), limit.rate))
             .collect();
         for (incarnation, rate) in named {
-            self.deal(now, &incarnation, rate, effects);
+            self.apply_share(now, &incarnation, rate, effects);
         }
     }
 
-    fn take_limit(
+    fn apply_limit(
         &mut self,
         now: Time,
         incarnation: &SmolStr,
-        named: Named,
+        limit: Limit,
         effects: &mut Vec<Effect>,
     ) {
-        if !self.limits.note(incarnation, named) {
+        if !self.limits.record(incarnation, limit) {
             return;
         }
-        let rate = named.rate;
+        let rate = limit.rate;
         let line = Line::info("server_limit")
             .with("replica", incarnation)
             .with("per_second", rate.map_or(0.0, Rate::in_seconds))
             .with("limited", rate.is_some())
-            .with("here", named.here);
+            .with("here", limit.local);
         effects.push(Effect::Log(line));
-        self.deal(now, incarnation, rate, effects);
+        self.apply_share(now, incarnation, rate, effects);
     }
 
     /// Sets what this entry may send to a server.
-    fn deal(
+    fn apply_share(
         &mut self,
         now: Time,
         incarnation: &SmolStr,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -22,8 +22,8 @@
 use crate::effect::Effect;
 use crate::effect::Lane;
 use crate::gateway::Gateway;
-use crate::hubs::PAST_MARK;
-use crate::hubs::SUM;
+use crate::hubs::PAST_SEPARATOR;
+use crate::hubs::SUM_SENDER;
 use crate::identity::Identity;
 use crate::store_calls::Waiter;
 use crate::work;
@@ -31,23 +31,26 @@
 /// When all members are read again after the start. Entries that start together each find only those that
 /// were quicker; news of the others take long to come round, and until then each group would believe in
 /// hubs of its own.
-const LOOKS: [Span; 3] = [
+const MEMBER_READ_TIMES: [Span; 3] = [
     Span::from_millis(1_200),
     Span::from_millis(3_000),
     Span::from_millis(8_000),
 ];
 /// Time between two tellings of what is held against requests, while there is nothing new.
-const QUARANTINE_TIME: Span = Span::from_seconds(10);
+const QUARANTINE_INTERVAL: Span = Span::from_seconds(10);
 /// Where counts travel by hubs, they are told in so many times the interval.
-const HUB_PACE: u64 = 2;
+const HUB_INTERVAL_FACTOR: u64 = 2;
 
 impl Gateway {
     /// Lets the membership machine act on the time, and tells peers what we count.
     pub(crate) fn peers_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if let Some(at) = LOOKS.get(self.looks).filter(|at| now >= Time::ZERO + **at) {
+        if let Some(at) = MEMBER_READ_TIMES
+            .get(self.member_reads)
+            .filter(|at| now >= Time::ZERO + **at)
+        {
             let line = Line::debug("members_looked_up").with("at", at);
             effects.push(Effect::Log(line));
-            self.looks += 1;
+            self.member_reads += 1;
             self.step_membership(now, MemberEvent::Look, effects);
         }
         if self.membership.next_wake() <= now {
@@ -59,26 +62,26 @@
                 self.step_membership(now, MemberEvent::Load(load), effects);
             }
             self.membership.raise_beat(now);
-            self.consider_hubs(now, effects);
-            self.silence_tick(now, effects);
+            self.use_hubs_if_many(now, effects);
+            self.failure_detector_tick(now, effects);
             self.assign_roles(now);
             self.limits_tick(now, effects);
-            self.next_bulletin = now + self.bulletin_time();
+            self.next_bulletin = now + self.bulletin_interval();
             self.publish_bulletin(now, effects);
-            self.note_lagging(now);
+            self.update_lagging(now);
         }
         // Only when there is something new, or from time to time: each piece travels to all entries.
         if now >= self.next_quarantine || self.scheduler.urgent() {
-            self.next_quarantine = now + QUARANTINE_TIME;
+            self.next_quarantine = now + QUARANTINE_INTERVAL;
             self.publish_quarantine(now, effects);
         }
         self.send_configurations(now, effects);
     }
 
     /// Time to the next bulletin: longer by hubs, whose messages go to everyone.
-    fn bulletin_time(&self) -> Span {
+    fn bulletin_interval(&self) -> Span {
         match self.uses_hubs() {
-            true => self.settings.bulletin.times(HUB_PACE),
+            true => self.settings.bulletin.times(HUB_INTERVAL_FACTOR),
             false => self.settings.bulletin,
         }
     }
@@ -89,7 +92,7 @@
         let members = self.membership.directory().addresses();
         let quiet = self.settings.members.quiet_among(members);
         match self.uses_hubs() {
-            true => quiet.times(HUB_PACE),
+            true => quiet.times(HUB_INTERVAL_FACTOR),
             false => quiet,
         }
     }
@@ -115,7 +118,7 @@
         incarnation: &SmolStr,
         effects: &mut Vec<Effect>,
     ) {
-        self.publish_about(now, Topic::Leaving, incarnation, 1, effects);
+        self.publish_server_item(now, Topic::Leaving, incarnation, 1, effects);
     }
 
     /// Tells all entries that a backend server's row ended at that revision of the list.
@@ -126,11 +129,11 @@
         revision: u64,
         effects: &mut Vec<Effect>,
     ) {
-        self.publish_about(now, Topic::Ended, incarnation, revision, effects);
+        self.publish_server_item(now, Topic::Ended, incarnation, revision, effects);
     }
 
     /// Tells all entries of a backend server; of equal versions by several entries one goes round.
-    fn publish_about(
+    fn publish_server_item(
         &mut self,
         now: Time,
         topic: Topic,
@@ -173,7 +176,7 @@
                     lane: Lane::News,
                 });
             }
-            MemberEffect::News(item) => self.news_came(now, &item, effects),
+            MemberEffect::News(item) => self.item_received(now, &item, effects),
             MemberEffect::Peers(peers) => self.peers_changed(now, &peers, effects),
             MemberEffect::Heard { version, .. } => {
                 let ours = self.book.as_ref().map_or(0, |book| book.version);
@@ -201,17 +204,17 @@
     }
 
     /// Takes in a piece of news.
-    fn news_came(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    fn item_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         match item.topic {
-            Topic::Leaving => self.told_leaving(now, &item.key, effects),
-            Topic::Ended => self.told_ended(now, &item.key, item.version, effects),
-            Topic::Count => self.bulletin_came(now, item, effects),
-            Topic::Quarantine => self.quarantine_came(now, item, effects),
+            Topic::Leaving => self.leaving_reported(now, &item.key, effects),
+            Topic::Ended => self.ended_reported(now, &item.key, item.version, effects),
+            Topic::Count => self.bulletin_received(now, item, effects),
+            Topic::Quarantine => self.quarantine_received(now, item, effects),
             Topic::List => self.list_reported(now, item, effects),
             Topic::Rollout => self.rollout_announced(now, item, effects),
             Topic::Renewed => self.holder_renewed(now, item, effects),
             Topic::Resigned => self.holder_resigned(now, item, effects),
-            Topic::Silent => self.silence_reported(now, item, effects),
+            Topic::Silent => self.suspicion_reported(now, item, effects),
             Topic::Heir | Topic::Demand => {}
         }
     }
@@ -219,8 +222,8 @@
     /// Tells all entries what we count.
     fn publish_bulletin(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let mut running: BTreeMap<u64, u32> = BTreeMap::new();
-        for open in self.requests.values() {
-            let place = open
+        for request in self.requests.values() {
+            let place = request
                 .replica
                 .and_then(|key| self.servers.incarnation_of(key));
             if let Some(incarnation) = place {
@@ -235,14 +238,14 @@
             past: false,
             charged: self.quotas.counts(),
             running,
-            begun: self.usage.told().clone(),
+            begun: self.usage.own_windows().clone(),
             unix_ms: self.usage.raw_unix_ms(now),
             work: self.work.clone(),
             tallies: self.rollouts.tallies.clone(),
             limits: self.limits.reports(now),
         };
         if self.uses_hubs() {
-            return self.tell_by_hubs(now, bulletin, effects);
+            return self.send_via_hubs(now, bulletin, effects);
         }
         match serde_json::to_vec(&bulletin) {
             Ok(payload) => self.publish(now, Topic::Count, payload, effects),
@@ -275,7 +278,7 @@
         self.step_membership(now, MemberEvent::Publish(item), effects);
     }
 
-    fn bulletin_came(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    fn bulletin_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let bulletin: Bulletin = match serde_json::from_slice(&item.payload) {
             Ok(bulletin) => bulletin,
             Err(error) => {
@@ -285,7 +288,7 @@
                 return effects.push(Effect::Log(line));
             }
         };
-        let name = item.key.split(PAST_MARK).next().unwrap_or_default();
+        let name = item.key.split(PAST_SEPARATOR).next().unwrap_or_default();
         let Some(peer) = holder::Id::parse(name) else {
             return;
         };
@@ -299,51 +302,55 @@
         }
         self.limits_reported(now, &bulletin.limits, effects);
         match bulletin.sums {
-            0 if self.uses_hubs() => self.hub_heard(now, peer, bulletin),
+            0 if self.uses_hubs() => self.counts_received(now, peer, bulletin),
             0 => {
                 self.quotas.absorb(now, peer.0, &bulletin.charged);
-                self.usage.heard_clock(now, peer, bulletin.unix_ms);
-                self.take_counts(now, peer, bulletin);
+                self.usage.record_clock(now, peer, bulletin.unix_ms);
+                self.apply_counts(now, peer, bulletin);
             }
-            _ => self.sum_came(now, peer, bulletin),
+            _ => self.sum_received(now, peer, bulletin),
         }
     }
 
     /// Takes in a hub's sum: it stands for all entries but this one, in place of what they told directly.
     ///
-    /// Only one hub is listened to, the first as long as it is heard. Sums of two differ by what each has not
+    /// Only one hub is followed_hub to, the first as long as it is heard. Sums of two differ by what each has not
     /// heard yet; taken in turn, the difference would be charged again and again.
-    pub(crate) fn sum_came(&mut self, now: Time, hub: holder::Id, sum: Bulletin) {
+    pub(crate) fn sum_received(&mut self, now: Time, hub: holder::Id, sum: Bulletin) {
         // Of usage each sum tells something: what one hub hasn't heard yet the other may have.
-        self.usage.absorb_sum(SUM, &sum.begun);
+        self.usage.absorb_sum(SUM_SENDER, &sum.begun);
         let first = self.roster.hubs().first() == Some(&hub);
-        let (listened, heard) = self.hub.listened.unwrap_or((hub, now));
+        let (followed_hub, heard) = self.hub.followed_hub.unwrap_or((hub, now));
         let silent = now.since(heard) >= self.settings.quota.silence;
-        if listened != hub && !first && !silent {
+        if followed_hub != hub && !first && !silent {
             return;
         }
-        let changed = self.hub.listened.is_none() || listened != hub;
+        let changed = self.hub.followed_hub.is_none() || followed_hub != hub;
         if changed {
             // What it tells first says nothing of what came since the other one told its last.
-            self.peer_work.remove(&SUM);
+            self.peer_work.remove(&SUM_SENDER);
         }
-        self.hub.listened = Some((hub, now));
+        self.hub.followed_hub = Some((hub, now));
         match changed {
-            true => self.quotas.rebase(now, SUM.0, &sum.charged, sum.sums),
-            false => self.quotas.absorb_sum(now, SUM.0, &sum.charged, sum.sums),
+            true => self
+                .quotas
+                .rebase(now, SUM_SENDER.0, &sum.charged, sum.sums),
+            false => self
+                .quotas
+                .absorb_sum(now, SUM_SENDER.0, &sum.charged, sum.sums),
         }
         if hub != self.identity.incarnation {
             self.usage.follow_clock(now, sum.unix_ms);
         }
-        self.take_work(now, SUM, sum);
+        self.apply_work(now, SUM_SENDER, sum);
     }
 
-    fn take_counts(&mut self, now: Time, peer: holder::Id, mut bulletin: Bulletin) {
+    fn apply_counts(&mut self, now: Time, peer: holder::Id, mut bulletin: Bulletin) {
         self.usage.absorb(peer, std::mem::take(&mut bulletin.begun));
-        self.take_work(now, peer, bulletin);
+        self.apply_work(now, peer, bulletin);
     }
 
-    fn take_work(&mut self, now: Time, peer: holder::Id, bulletin: Bulletin) {
+    fn apply_work(&mut self, now: Time, peer: holder::Id, bulletin: Bulletin) {
         if let Some(before) = self.peer_work.get(&peer) {
             let heard = self.peer_loads.get(&peer).map(|(heard, _)| *heard);
             let silent = heard.map_or(self.failure_timeout(), |heard| now.since(heard));
@@ -362,7 +369,7 @@
         self.report_loads(now);
     }
 
-    fn quarantine_came(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    fn quarantine_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         match wire::news::decode(&item.payload) {
             Ok(digest) => {
                 let peer = rendezvous::identity(&item.key);
@@ -382,20 +389,23 @@
         let all = self.peer_work.values().chain([&self.work]);
         let of = all.filter_map(|work| Some(work.get(service)?.speed));
         // A sum's speed is that of many; what is seen here alone may be far off.
-        let summed = self.peer_work.get(&SUM).and_then(|work| work.get(service));
+        let summed = self
+            .peer_work
+            .get(&SUM_SENDER)
+            .and_then(|work| work.get(service));
         let speed = summed.map(|work| work.speed).filter(|speed| *speed > 0.0);
         speed.unwrap_or_else(|| work::median_speed(of))
     }
 
     /// How many requests a backend server runs, over all entries.
-    pub(crate) fn running_at(&self, key: replica::Key, incarnation: &str) -> u32 {
+    pub(crate) fn running_requests(&self, key: replica::Key, incarnation: &str) -> u32 {
         let identity = rendezvous::identity(incarnation);
         let others = self.peer_loads.values();
         let others = others.filter_map(|(_, running)| running.get(&identity));
         let own = self
             .requests
             .values()
-            .filter(|open| open.replica == Some(key));
+            .filter(|request| request.replica == Some(key));
         own.count() as u32 + others.sum::<u32>()
     }
 
@@ -414,7 +424,9 @@
             let identity = rendezvous::identity(&known.server.incarnation);
             let others = totals.get(&identity).copied().unwrap_or(0);
             let own = self.requests.values();
-            let own = own.filter(|open| open.replica == Some(known.key)).count() as u32;
+            let own = own
+                .filter(|request| request.replica == Some(known.key))
+                .count() as u32;
             let report = replica::Report {
                 running: (own + others).min(known.server.slots),
                 waiting: (own + others).saturating_sub(known.server.slots),
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -8,7 +8,7 @@
 
 use crate::effect::Effect;
 use crate::gateway::Gateway;
-use crate::servers::LEAVE_TIME;
+use crate::servers::DEFAULT_NOTICE;
 use watch::server::News;
 use watch::server::Reading;
 use watch::server::Removal;
@@ -35,7 +35,7 @@
 impl Gateway {
     /// The list was read or changed.
     pub(crate) fn apply_reading(&mut self, now: Time, reading: Reading, effects: &mut Vec<Effect>) {
-        self.doubt_after_failure();
+        self.distrust_after_store_failure();
         // Leases that lapsed are back within two seconds of the table service's return, not of our last failed call.
         if std::mem::take(&mut self.list_unavailable) {
             self.servers.distrust_until(now + self.settings.return_time);
@@ -45,12 +45,12 @@
         }
         self.advance_position(now, reading.revision);
         match reading.news {
-            News::All(servers) => self.all_read(now, servers, effects),
+            News::All(servers) => self.apply_snapshot(now, servers, effects),
             News::Changes { written, removed } => {
                 for server in written {
-                    self.server_seen(now, server, effects);
+                    self.row_read(now, server, effects);
                 }
-                self.rows_ended(now, &removed, effects);
+                self.apply_removals(now, &removed, effects);
             }
         }
     }
@@ -66,12 +66,12 @@
 
     /// Another entry reported changes, to everybody at once.
     pub(crate) fn servers_reported(&mut self, now: Time, news: News, effects: &mut Vec<Effect>) {
-        self.doubt_after_failure();
+        self.distrust_after_store_failure();
         let News::Changes { written, removed } = news else {
             return;
         };
         for server in written {
-            self.server_written(now, server, effects);
+            self.apply_row(now, server, effects);
         }
         let ids: Vec<SmolStr> = removed.into_iter().map(|row| row.id).collect();
         let absent = self.servers.incarnations_of(&ids);
@@ -79,15 +79,15 @@
     }
 
     /// Missing rows aren't believed for a time after the table service failed: leases of live servers lapse then.
-    fn doubt_after_failure(&mut self) {
-        if let Some(failed) = self.store_failed {
+    fn distrust_after_store_failure(&mut self) {
+        if let Some(failed) = self.store_failed_at {
             self.servers
                 .distrust_until(failed + self.settings.return_time);
         }
     }
 
     /// The whole list was read: after the start, and after each gap.
-    fn all_read(&mut self, now: Time, servers: Vec<Server>, effects: &mut Vec<Effect>) {
+    fn apply_snapshot(&mut self, now: Time, servers: Vec<Server>, effects: &mut Vec<Effect>) {
         let mut absent = self.servers.incarnations();
         absent.retain(|known| servers.iter().all(|one| one.incarnation != *known));
         let line = Line::info("servers_read")
@@ -97,7 +97,7 @@
             .with("trusted_in_ms", self.servers.trusted_in(now).as_millis());
         effects.push(Effect::Log(line));
         for server in servers {
-            self.server_seen(now, server, effects);
+            self.row_read(now, server, effects);
         }
         self.servers_missing(now, absent, effects);
     }
@@ -106,7 +106,7 @@
     ///
     /// Peers are told, unless leases may have lapsed: an entry that can't follow the list would hand requests to
     /// servers that left without a word until its way is back, and others see their rows end within milliseconds.
-    fn rows_ended(&mut self, now: Time, removed: &[Removal], effects: &mut Vec<Effect>) {
+    fn apply_removals(&mut self, now: Time, removed: &[Removal], effects: &mut Vec<Effect>) {
         let mut absent = Vec::new();
         for row in removed {
             for incarnation in self.servers.incarnations_of(std::slice::from_ref(&row.id)) {
@@ -122,7 +122,7 @@
     /// A peer followed the list without a gap and saw a server's row end at that revision.
     ///
     /// It only ever takes a server away: one whose row is back joins by our own reading.
-    pub(crate) fn told_ended(
+    pub(crate) fn ended_reported(
         &mut self,
         now: Time,
         incarnation: &SmolStr,
@@ -131,7 +131,7 @@
     ) {
         let behind = self.servers.position().revision < revision;
         if behind {
-            self.servers.note_ended(incarnation, revision);
+            self.servers.record_ended(incarnation, revision);
         }
         if behind || self.servers.missing_since(incarnation).is_some() {
             self.server_gone(now, incarnation, Source::Peer, effects);
@@ -140,7 +140,7 @@
 
     /// The list can't be followed.
     pub(crate) fn servers_lost(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        self.store_failed = Some(now);
+        self.store_failed_at = Some(now);
         self.list_unavailable = true;
         let line = Line::warn("servers_lost").with("known", self.servers.count());
         effects.push(Effect::Log(line));
@@ -162,38 +162,44 @@
     }
 
     /// A peer says that a server leaves.
-    pub(crate) fn told_leaving(
+    pub(crate) fn leaving_reported(
         &mut self,
         now: Time,
         incarnation: &SmolStr,
         effects: &mut Vec<Effect>,
     ) {
-        self.server_leaves(now, incarnation, now + LEAVE_TIME, Source::Peer, effects);
+        self.server_leaves(
+            now,
+            incarnation,
+            now + DEFAULT_NOTICE,
+            Source::Peer,
+            effects,
+        );
     }
 
     /// A row was read here; that its server leaves is published to all.
-    fn server_seen(&mut self, now: Time, server: Server, effects: &mut Vec<Effect>) {
+    fn row_read(&mut self, now: Time, server: Server, effects: &mut Vec<Effect>) {
         let incarnation = server.incarnation.clone();
-        if self.server_written(now, server, effects) {
+        if self.apply_row(now, server, effects) {
             self.publish_leaving(now, &incarnation, effects);
         }
     }
 
     /// A row says that of its server; whether it is news that the server leaves.
-    fn server_written(&mut self, now: Time, server: Server, effects: &mut Vec<Effect>) -> bool {
+    fn apply_row(&mut self, now: Time, server: Server, effects: &mut Vec<Effect>) -> bool {
         let incarnation = server.incarnation.clone();
-        let left = server.leaves_in.unwrap_or(LEAVE_TIME);
+        let left = server.leaves_in.unwrap_or(DEFAULT_NOTICE);
         let news = server.leaving
             && self.server_leaves(now, &incarnation, now + left, Source::Row, effects);
         if let Some(known) = self.servers.get_mut(&incarnation) {
-            let (key, missing) = (known.key, known.missing.take());
+            let (key, missing) = (known.key, known.missing_since.take());
             known.server = server;
             if missing.is_some() {
-                self.doubt(now, key, false, effects);
+                self.set_doubted(now, key, false, effects);
             }
             return news;
         }
-        self.replace_lives(now, &server, effects);
+        self.remove_previous_incarnations(now, &server, effects);
         let past = self.servers.is_leaving(&incarnation) || self.servers.has_ended(&incarnation);
         if !server.leaving && !past {
             self.server_joined(now, server, effects);
@@ -202,7 +208,12 @@
     }
 
     /// A new life of a server ends the one before.
-    fn replace_lives(&mut self, now: Time, server: &Server, effects: &mut Vec<Effect>) {
+    fn remove_previous_incarnations(
+        &mut self,
+        now: Time,
+        server: &Server,
+        effects: &mut Vec<Effect>,
+    ) {
         for before in self
             .servers
             .incarnations_of(std::slice::from_ref(&server.id))
@@ -222,7 +233,7 @@
         effects.push(Effect::OpenServer {
             incarnation: server.incarnation.clone(),
         });
-        let pool = self.pool_of(&server);
+        let pool = self.replica_pool(&server);
         self.join(now, server, pool, effects);
     }
 
@@ -240,7 +251,7 @@
             zone: server.zone.clone(),
             slots: server.slots.max(1),
         };
-        self.grouped.insert(server.incarnation.clone(), pool);
+        self.replica_pools.insert(server.incarnation.clone(), pool);
         let mut decisions = Vec::new();
         let key = self.scheduler.replica_joined(now, spec, &mut decisions);
         // Waiting requests may be placed there at once: their place must be known first.
@@ -284,18 +295,18 @@
         let mut doubted = Vec::new();
         for incarnation in absent {
             if let Some(known) = self.servers.get_mut(&incarnation)
-                && known.missing.is_none()
+                && known.missing_since.is_none()
             {
-                known.missing = Some(now);
+                known.missing_since = Some(now);
                 doubted.push(known.key);
             }
         }
-        // Where missing rows count by now, nothing is left to doubt.
+        // Where missing rows count by now, nothing is left to set_doubted.
         if self.servers.is_trusted(now) {
             return self.servers_tick(now, effects);
         }
         for key in doubted {
-            self.doubt(now, key, true, effects);
+            self.set_doubted(now, key, true, effects);
         }
     }
 
@@ -303,7 +314,13 @@
     ///
     /// A missing row isn't believed for some time after a gap, since leases of live servers lapse in an outage of the
     /// table service. Where only this entry's way was cut, the row of a server that left is missing just the same.
-    fn doubt(&mut self, now: Time, key: replica::Key, doubted: bool, effects: &mut Vec<Effect>) {
+    fn set_doubted(
+        &mut self,
+        now: Time,
+        key: replica::Key,
+        doubted: bool,
+        effects: &mut Vec<Effect>,
+    ) {
         self.with_scheduler(now, effects, |scheduler, out| {
             scheduler.replica_doubted(now, key, doubted, out);
         });
@@ -320,8 +337,10 @@
         let Some(known) = self.servers.remove(incarnation) else {
             return;
         };
-        self.grouped.remove(incarnation);
-        let missing = known.missing.map_or(Span::ZERO, |since| now.since(since));
+        self.replica_pools.remove(incarnation);
+        let missing = known
+            .missing_since
+            .map_or(Span::ZERO, |since| now.since(since));
         let line = Line::info("server_gone")
             .with("replica", incarnation)
             .with("source", source.as_str())
@@ -336,12 +355,15 @@
         let running = self
             .requests
             .values()
-            .any(|open| open.replica == Some(known.key));
+            .any(|request| request.replica == Some(known.key));
         if !running {
             self.servers.drop_key(known.key);
         }
-        let open = &self.requests;
-        self.servers
-            .forget_keys(|key| open.values().any(|open| open.replica == Some(key)));
+        let requests = &self.requests;
+        self.servers.prune_keys(|key| {
+            requests
+                .values()
+                .any(|request| request.replica == Some(key))
+        });
     }
 }
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -21,7 +21,7 @@
 
 use crate::effect::Effect;
 use crate::gateway::Gateway;
-use crate::hubs::SUM;
+use crate::hubs::SUM_SENDER;
 use crate::store_calls::Waiter;
 use crate::usage::Counts;
 
@@ -30,9 +30,9 @@
 /// The only row: it holds the open windows, so that no old ones must be deleted.
 const KEY: &str = "open";
 /// Time between two writings: what is lost with all entries together, at one call a second.
-const INTERVAL: Span = Span::from_millis(1_000);
+const WRITE_INTERVAL: Span = Span::from_millis(1_000);
 /// Windows that are written: the open one, and those whose counts may not be fixed yet.
-const WINDOWS: u64 = 3;
+const WRITTEN_WINDOWS: u64 = 3;
 
 /// Counts by window and entry.
 type Progress = BTreeMap<u64, BTreeMap<SmolStr, Counts>>;
@@ -42,7 +42,7 @@
 pub(crate) struct Writer {
     next: Time,
     /// Whether what a former holder wrote was read.
-    pub read: bool,
+    pub restored: bool,
 }
 
 impl Gateway {
@@ -51,14 +51,14 @@
         if !self.settings.report_usage || now < self.duties.progress.next {
             return;
         }
-        self.duties.progress.next = now + INTERVAL;
+        self.duties.progress.next = now + WRITE_INTERVAL;
         let at = Address::new(TABLE, KEY);
-        if !self.duties.progress.read {
+        if !self.duties.progress.restored {
             return self.call_store(Waiter::Progress, Call::Get { at });
         }
         let newest = self.usage.window(now);
         let mut progress = Progress::new();
-        for window in newest.saturating_sub(WINDOWS - 1)..=newest {
+        for window in newest.saturating_sub(WRITTEN_WINDOWS - 1)..=newest {
             progress.insert(window, self.known_counts(window));
         }
         let value = serde_json::to_value(&progress).unwrap_or(Value::Null);
@@ -74,7 +74,7 @@
     fn known_counts(&self, window: u64) -> BTreeMap<SmolStr, Counts> {
         if self.uses_hubs() {
             let total = self.usage.total(window);
-            return BTreeMap::from([(format_smolstr!("{SUM}"), total)]);
+            return BTreeMap::from([(format_smolstr!("{SUM_SENDER}"), total)]);
         }
         let counts = self.usage.by_entry(window, self.identity.incarnation);
         counts
@@ -87,12 +87,12 @@
         let Outcome::Row(row) = outcome else {
             return;
         };
-        self.duties.progress.read = true;
+        self.duties.progress.restored = true;
         let Some(row) = row else {
             return;
         };
         match serde_json::from_value::<Progress>(row.value) {
-            Ok(progress) => self.take_progress(progress),
+            Ok(progress) => self.restore_progress(progress),
             Err(error) => {
                 let line = Line::warn("progress_unreadable").with("error", error);
                 effects.push(Effect::Log(line));
@@ -100,13 +100,13 @@
         }
     }
 
-    fn take_progress(&mut self, progress: Progress) {
+    fn restore_progress(&mut self, progress: Progress) {
         for (window, entries) in progress {
             for (entry, counts) in entries {
                 match holder::Id::parse(&entry) {
-                    Some(SUM) => self.usage.recall_total(window, counts),
+                    Some(SUM_SENDER) => self.usage.restore_total(window, counts),
                     Some(entry) if entry != self.identity.incarnation => {
-                        self.usage.recall(entry, window, counts);
+                        self.usage.restore(entry, window, counts);
                     }
                     _ => {}
                 }
--- a/crates/gateway/src/reports.rs
+++ b/crates/gateway/src/reports.rs
@@ -31,14 +31,14 @@
 const TABLE: &str = "usage";
 /// After a window's end until its counts are fixed: two rounds of what entries tell each other, and what
 /// entries that are cut off for a moment bring late.
-const SETTLE: Span = Span::from_millis(1_500);
+const SETTLE_TIME: Span = Span::from_millis(1_500);
 /// The same where counts travel by hubs: while entries are replaced, some seconds go by until all agree on who
 /// the hubs are, and until then each of them knows a part. Leaves more than half of the usual time to report.
-const SETTLE_BY_HUBS: Span = Span::from_millis(4_000);
+const HUB_SETTLE_TIME: Span = Span::from_millis(4_000);
 /// Time between two tries.
-const RETRY: Span = Span::from_millis(700);
+const RETRY_INTERVAL: Span = Span::from_millis(700);
 /// Windows whose rows are kept.
-const KEPT: u64 = 24;
+const RETAINED_WINDOWS: u64 = 24;
 
 /// Reports under way.
 #[derive(Debug, Default)]
@@ -51,7 +51,7 @@
 struct Report {
     stage: Stage,
     /// When it is tried again.
-    next: Time,
+    next_attempt: Time,
 }
 
 /// How far a report is.
@@ -73,7 +73,7 @@
     /// Fixes and sends what is due.
     pub(crate) fn reports_tick(&mut self, now: Time, warrant: Warrant, effects: &mut Vec<Effect>) {
         // A window fixed before a former holder's counts were read would miss all that only it knew.
-        let ready = self.duties.progress.read && self.has_listened(now);
+        let ready = self.duties.progress.restored && self.has_collected_counts(now);
         if !self.settings.report_usage || !ready {
             return;
         }
@@ -87,8 +87,8 @@
         for window in oldest..newest {
             let since = self.usage.since_end(now, window);
             let delay = self.settings.usage_delay.as_millis() as i64;
-            let settle = self.settle();
-            if since < settle.as_millis() as i64 || since > delay {
+            let settle_time = self.settle_time();
+            if since < settle_time.as_millis() as i64 || since > delay {
                 continue;
             }
             self.report_window(now, window, warrant, effects);
@@ -104,32 +104,32 @@
     ) {
         let report = self.duties.reports.windows.entry(window).or_insert(Report {
             stage: Stage::Open,
-            next: now,
+            next_attempt: now,
         });
-        if now < report.next {
+        if now < report.next_attempt {
             return;
         }
-        report.next = now + RETRY;
+        report.next_attempt = now + RETRY_INTERVAL;
         match report.stage.clone() {
-            Stage::Open if self.may_have_been_lost(now, window) => self.give_up(window, effects),
-            Stage::Open => self.fix(window),
+            Stage::Open if self.may_be_reported(now, window) => self.skip_report(window, effects),
+            Stage::Open => self.write_counts(window),
             Stage::Fixed(counts) => self.send_report(window, counts, warrant, effects),
             Stage::Writing(_) | Stage::Sending(..) | Stage::Done => {}
         }
     }
 
     /// Whether a former holder may have fixed and sent a window's counts that the table service has lost since.
-    fn may_have_been_lost(&self, now: Time, window: u64) -> bool {
+    fn may_be_reported(&self, now: Time, window: u64) -> bool {
         let Some(restored) = self.servers.restored() else {
             return false;
         };
         let ended_before =
             self.usage.since_end(now, window) - now.since(restored).as_millis() as i64;
-        ended_before >= self.settle().as_millis() as i64
+        ended_before >= self.settle_time().as_millis() as i64
     }
 
     /// Leaves a window unreported: a second report could contradict the first.
-    fn give_up(&mut self, window: u64, effects: &mut Vec<Effect>) {
+    fn skip_report(&mut self, window: u64, effects: &mut Vec<Effect>) {
         let line = Line::warn("usage_not_reported").with("window", window);
         effects.push(Effect::Log(line));
         if let Some(report) = self.duties.reports.windows.get_mut(&window) {
@@ -138,15 +138,15 @@
     }
 
     /// After a window's end until its counts are fixed.
-    fn settle(&self) -> Span {
+    fn settle_time(&self) -> Span {
         match self.uses_hubs() {
-            true => SETTLE_BY_HUBS,
-            false => SETTLE,
+            true => HUB_SETTLE_TIME,
+            false => SETTLE_TIME,
         }
     }
 
     /// Writes the counts of a window, unless there are some.
-    fn fix(&mut self, window: u64) {
+    fn write_counts(&mut self, window: u64) {
         let mut counts = self.usage.total(window);
         if let Some(book) = &self.book {
             for account in &book.accounts {
@@ -164,7 +164,7 @@
             writes: vec![
                 Write { at, value },
                 Write {
-                    at: address(window.saturating_sub(KEPT)),
+                    at: address(window.saturating_sub(RETAINED_WINDOWS)),
                     value: Value::Null,
                 },
             ],
@@ -176,7 +176,7 @@
     }
 
     /// The table service answered the writing of a window's counts.
-    pub(crate) fn report_fixed(
+    pub(crate) fn counts_written(
         &mut self,
         now: Time,
         window: u64,
@@ -191,7 +191,7 @@
         };
         report.stage = match outcome {
             Outcome::Committed(_) => Stage::Fixed(written),
-            Outcome::Conflict(failed) => match standing(failed) {
+            Outcome::Conflict(failed) => match stored_counts(failed) {
                 Some(counts) => Stage::Fixed(counts),
                 None => Stage::Open,
             },
@@ -199,7 +199,7 @@
             _ => Stage::Open,
         };
         if matches!(report.stage, Stage::Fixed(_)) {
-            report.next = now;
+            report.next_attempt = now;
             if let Some(warrant) = self.warrant(now) {
                 self.report_window(now, window, warrant, effects);
             }
@@ -238,7 +238,7 @@
             if *sent != id {
                 continue;
             }
-            report.next = now + RETRY;
+            report.next_attempt = now + RETRY_INTERVAL;
             report.stage = match outcome {
                 duty::Outcome::Done => Stage::Done,
                 _ => Stage::Fixed(counts.clone()),
@@ -255,7 +255,7 @@
 }
 
 /// The counts that somebody else wrote.
-fn standing(failed: Vec<(Address, Option<store::call::Row>)>) -> Option<Counts> {
+fn stored_counts(failed: Vec<(Address, Option<store::call::Row>)>) -> Option<Counts> {
     let (_, row) = failed.into_iter().next()?;
     serde_json::from_value(row?.value).ok()
 }
--- a/crates/gateway/src/rollout_lead.rs
+++ b/crates/gateway/src/rollout_lead.rs
@@ -27,51 +27,51 @@
 use crate::duty::Warrant;
 use crate::effect::Effect;
 use crate::gateway::Gateway;
-use crate::rollouts::Part;
+use crate::rollouts::Generation;
 use crate::store_calls::Waiter;
 
 /// Bits of an announcement's number below the leader's fencing number.
-const NUMBER_BITS: u32 = 20;
+const SEQUENCE_BITS: u32 = 20;
 /// Time between two announcements of a roll-out that has ended, for entries that start.
-const FINAL_REPEAT: Span = Span::from_seconds(5);
+const FINAL_ANNOUNCEMENT_INTERVAL: Span = Span::from_seconds(5);
 /// Time before a stage that could not be written is tried again.
-const RETRY: Span = Span::from_millis(500);
+const RETRY_INTERVAL: Span = Span::from_millis(500);
 
 /// A roll-out that this entry leads.
 #[derive(Debug)]
-pub(crate) struct Led {
+pub(crate) struct Leadership {
     order: Order,
-    /// None until a former leader's stage was asked for.
+    /// None until a former leader's stage was pending for.
     lead: Option<Lead>,
     /// The call of the table service that is under way.
-    asked: Option<Asked>,
-    /// It isn't asked or written again before.
+    pending: Option<Pending>,
+    /// It isn't pending or written again before.
     next_call: Time,
     /// The phase in the stage for a next leader, as far as known.
-    saved: Option<Phase>,
-    /// The phase in the status for the operator, as far as known. Invariant: it was saved before.
-    shown: Option<Phase>,
+    saved_phase: Option<Phase>,
+    /// The phase in the status for the operator, as far as known. Invariant: it was saved_phase before.
+    published_phase: Option<Phase>,
     next_announcement: Time,
     announcements: u64,
 }
 
 /// A call of the table service.
 #[derive(Clone, Copy, Debug)]
-enum Asked {
-    /// What a former leader saved.
-    Stage,
+enum Pending {
+    /// What a former leader saved_phase.
+    ReadStage,
     /// The stage of that phase is written for a next leader.
-    Save(Phase),
+    SaveStage(Phase),
     /// The status of that phase is written for the operator.
-    Show(Phase),
+    PublishStatus(Phase),
 }
 
-impl Led {
-    /// What is to be written next: only what can be gone on from is shown.
-    fn next_write(&self, phase: Phase) -> Option<Asked> {
+impl Leadership {
+    /// What is to be written next: only what can be gone on from is published_phase.
+    fn next_write(&self, phase: Phase) -> Option<Pending> {
         match phase {
-            _ if self.saved != Some(phase) => Some(Asked::Save(phase)),
-            _ if self.shown != Some(phase) => Some(Asked::Show(phase)),
+            _ if self.saved_phase != Some(phase) => Some(Pending::SaveStage(phase)),
+            _ if self.published_phase != Some(phase) => Some(Pending::PublishStatus(phase)),
             _ => None,
         }
     }
@@ -80,7 +80,7 @@
 impl Gateway {
     /// Leads the roll-outs, as the holder of the duties.
     pub(crate) fn rollouts_tick(&mut self, now: Time, warrant: Warrant, effects: &mut Vec<Effect>) {
-        self.follow_orders(now);
+        self.sync_leads(now);
         let services: Vec<SmolStr> = self.rollouts.leads.keys().cloned().collect();
         for service in services {
             self.lead_rollout(now, &service, warrant, effects);
@@ -88,23 +88,26 @@
     }
 
     /// Leads what is ordered, and gives up what isn't any more.
-    fn follow_orders(&mut self, now: Time) {
-        let splits = &self.rollouts.splits;
+    fn sync_leads(&mut self, now: Time) {
+        let active = &self.rollouts.active;
         self.rollouts.leads.retain(|service, led| {
-            let known = splits.get(service);
+            let known = active.get(service);
             known.is_some_and(|known| *known.split.order() == led.order)
         });
-        for (service, known) in splits {
-            self.rollouts.leads.entry(service.clone()).or_insert(Led {
-                order: known.split.order().clone(),
-                lead: None,
-                asked: None,
-                next_call: now,
-                saved: None,
-                shown: None,
-                next_announcement: now,
-                announcements: 0,
-            });
+        for (service, known) in active {
+            self.rollouts
+                .leads
+                .entry(service.clone())
+                .or_insert(Leadership {
+                    order: known.split.order().clone(),
+                    lead: None,
+                    pending: None,
+                    next_call: now,
+                    saved_phase: None,
+                    published_phase: None,
+                    next_announcement: now,
+                    announcements: 0,
+                });
         }
     }
 
@@ -115,15 +118,15 @@
         warrant: Warrant,
         effects: &mut Vec<Effect>,
     ) {
-        let fleet = self.fleet_of(service);
-        let tally = self.tally_of(service);
+        let fleet = self.rollout_fleet(service);
+        let tally = self.total_tally(service);
         let Some(led) = self.rollouts.leads.get_mut(service) else {
             return;
         };
-        let may_call = led.asked.is_none() && now >= led.next_call;
+        let may_call = led.pending.is_none() && now >= led.next_call;
         let Some(lead) = &mut led.lead else {
             if may_call {
-                led.asked = Some(Asked::Stage);
+                led.pending = Some(Pending::ReadStage);
                 let at = Address::new(status::STAGES, service.clone());
                 self.call_store(Waiter::Stage(service.clone()), Call::Get { at });
             }
@@ -135,18 +138,18 @@
         }
         let stage = lead.stage(now, &tally);
         let pause = match stage.phase.is_final() {
-            true => FINAL_REPEAT,
+            true => FINAL_ANNOUNCEMENT_INTERVAL,
             false => lead.repeat(),
         };
         if may_call {
-            led.asked = led.next_write(stage.phase);
+            led.pending = led.next_write(stage.phase);
         }
-        let call = led.asked.filter(|_| may_call);
-        let call = call.and_then(|asked| write_of(service, &stage, asked));
+        let call = led.pending.filter(|_| may_call);
+        let call = call.and_then(|pending| write_call(service, &stage, pending));
         if changed || now >= led.next_announcement {
             led.next_announcement = now + pause;
             led.announcements += 1;
-            let number = warrant.fence << NUMBER_BITS | led.announcements;
+            let number = warrant.fence << SEQUENCE_BITS | led.announcements;
             self.publish_stage(now, service, number, &stage, effects);
         }
         if let Some(call) = call {
@@ -175,18 +178,22 @@
 
     /// The table service answered a question for a stage, or its writing.
     pub(crate) fn stage_answered(&mut self, now: Time, service: &SmolStr, outcome: Outcome) {
-        let since = self.rollouts.splits.get(service).map(|known| known.since);
+        let since = self
+            .rollouts
+            .active
+            .get(service)
+            .map(|known| known.ordered_at);
         let (Some(led), Some(since)) = (self.rollouts.leads.get_mut(service), since) else {
             return;
         };
-        let asked = led.asked.take();
-        match (outcome, asked) {
+        let pending = led.pending.take();
+        match (outcome, pending) {
             (Outcome::Row(row), _) => {
                 let stage = row.and_then(|row| serde_json::from_value::<Stage>(row.value).ok());
                 let elapsed = stage.as_ref().map_or(0, |stage| stage.elapsed_ms);
                 let elapsed = Span::from_millis(elapsed).max(now.since(since));
                 let begun = Time::from_millis(now.as_millis().saturating_sub(elapsed.as_millis()));
-                led.saved = stage.as_ref().map(|stage| stage.phase);
+                led.saved_phase = stage.as_ref().map(|stage| stage.phase);
                 led.lead = Some(Lead::new(
                     configs::lead::Config::default(),
                     configs::judge::Config::default(),
@@ -195,14 +202,18 @@
                     stage.as_ref(),
                 ));
             }
-            (Outcome::Committed(_), Some(Asked::Save(phase))) => led.saved = Some(phase),
-            (Outcome::Committed(_), Some(Asked::Show(phase))) => led.shown = Some(phase),
-            _ => led.next_call = now + RETRY,
+            (Outcome::Committed(_), Some(Pending::SaveStage(phase))) => {
+                led.saved_phase = Some(phase)
+            }
+            (Outcome::Committed(_), Some(Pending::PublishStatus(phase))) => {
+                led.published_phase = Some(phase)
+            }
+            _ => led.next_call = now + RETRY_INTERVAL,
         }
     }
 
     /// What all entries have counted since an order.
-    fn tally_of(&self, service: &SmolStr) -> Tally {
+    fn total_tally(&self, service: &SmolStr) -> Tally {
         let mut sum = self
             .rollouts
             .tallies
@@ -221,7 +232,7 @@
     }
 
     /// What is known of both versions' replicas.
-    fn fleet_of(&self, service: &SmolStr) -> Fleet {
+    fn rollout_fleet(&self, service: &SmolStr) -> Fleet {
         let mut fleet = Fleet::default();
         for known in self
             .servers
@@ -229,15 +240,15 @@
             .filter(|one| one.server.service == *service)
         {
             let server = &known.server;
-            match self.rollouts.part(server) {
-                Part::Old => {
+            match self.rollouts.generation(server) {
+                Generation::Old => {
                     fleet.slots_old += server.slots;
-                    fleet.running_old += self.running_at(known.key, &server.incarnation);
+                    fleet.running_old += self.running_requests(known.key, &server.incarnation);
                 }
-                Part::New if !self.servers.is_leaving(&server.incarnation) => {
+                Generation::New if !self.servers.is_leaving(&server.incarnation) => {
                     fleet.slots_new += server.slots;
                 }
-                Part::New | Part::Rejected => {}
+                Generation::New | Generation::Rejected => {}
             }
         }
         fleet
@@ -245,11 +256,11 @@
 }
 
 /// The writing of a stage or status.
-fn write_of(service: &SmolStr, stage: &Stage, asked: Asked) -> Option<Call> {
-    let table = match asked {
-        Asked::Stage => return None,
-        Asked::Save(_) => status::STAGES,
-        Asked::Show(_) => status::TABLE,
+fn write_call(service: &SmolStr, stage: &Stage, pending: Pending) -> Option<Call> {
+    let table = match pending {
+        Pending::ReadStage => return None,
+        Pending::SaveStage(_) => status::STAGES,
+        Pending::PublishStatus(_) => status::TABLE,
     };
     Some(Call::Transact(Transaction {
         token: service.clone(),
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -27,7 +27,7 @@
 use crate::attempt::End;
 use crate::effect::Effect;
 use crate::gateway::Gateway;
-use crate::rollout_lead::Led;
+use crate::rollout_lead::Leadership;
 
 /// Status from which on a plain answer counts as failed.
 const FAILED_STATUS: u16 = 500;
@@ -36,43 +36,43 @@
 #[derive(Debug, Default)]
 pub(crate) struct Rollouts {
     /// By service.
-    pub splits: BTreeMap<SmolStr, Known>,
+    pub active: BTreeMap<SmolStr, Rollout>,
     /// The version that a finished roll-out has put into use, by service.
     in_use: BTreeMap<SmolStr, SmolStr>,
     /// Versions that get nothing, by service.
     rejected: BTreeMap<SmolStr, BTreeSet<SmolStr>>,
     /// How long answers usually take, by route.
-    paces: BTreeMap<SmolStr, Paces>,
+    latencies: BTreeMap<SmolStr, Latencies>,
     /// What this entry has counted since each order, by service.
     pub tallies: BTreeMap<SmolStr, Tally>,
     /// The same of peers, by the sender.
     pub peer_tallies: BTreeMap<lease::holder::Id, BTreeMap<SmolStr, Tally>>,
     /// The roll-outs that this entry leads.
-    pub leads: BTreeMap<SmolStr, Led>,
+    pub leads: BTreeMap<SmolStr, Leadership>,
 }
 
 /// One service's roll-out.
 #[derive(Debug)]
-pub(crate) struct Known {
+pub(crate) struct Rollout {
     pub split: Split,
     /// When the order was seen here.
-    pub since: Time,
+    pub ordered_at: Time,
     /// Whether replicas of the version in use were ever known since.
-    had_old: bool,
+    old_seen: bool,
 }
 
 /// How long answers of a route usually take.
 #[derive(Clone, Copy, Debug, Default)]
-struct Paces {
+struct Latencies {
     /// The whole answer, or a stream's first event.
-    first: Pace,
+    first_response: Pace,
     /// A token after the first.
-    token: Pace,
+    per_token: Pace,
 }
 
 /// What of a service a replica belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Part {
+pub(crate) enum Generation {
     /// The version in use.
     Old,
     /// The version that is ordered.
@@ -83,15 +83,15 @@
 
 impl Rollouts {
     /// What of its service a replica belongs to.
-    pub fn part(&self, server: &Server) -> Part {
+    pub fn generation(&self, server: &Server) -> Generation {
         let rejected = self.rejected.get(&server.service);
         if rejected.is_some_and(|versions| versions.contains(&server.version)) {
-            return Part::Rejected;
+            return Generation::Rejected;
         }
-        let known = self.splits.get(&server.service);
+        let known = self.active.get(&server.service);
         match known.is_some_and(|known| known.split.order().to == server.version) {
-            true => Part::New,
-            false => Part::Old,
+            true => Generation::New,
+            false => Generation::Old,
         }
     }
 
@@ -103,13 +103,13 @@
     /// Whether a replica is of those that stay.
     pub fn is_permanent(&self, server: &Server) -> bool {
         let new = self
-            .splits
+            .active
             .get(&server.service)
             .is_some_and(|known| matches!(known.split.phase(), Phase::Moving | Phase::Completed));
-        match self.part(server) {
-            Part::Old => !new,
-            Part::New => new,
-            Part::Rejected => false,
+        match self.generation(server) {
+            Generation::Old => !new,
+            Generation::New => new,
+            Generation::Rejected => false,
         }
     }
 }
@@ -118,7 +118,7 @@
     /// The operator orders a roll-out. A second order for a service takes the place of the first.
     pub(crate) fn rollout_ordered(&mut self, now: Time, order: Order, effects: &mut Vec<Effect>) {
         let service = order.service.clone();
-        if let Some(known) = self.rollouts.splits.get(&service) {
+        if let Some(known) = self.rollouts.active.get(&service) {
             if known.split.order() == &order {
                 return;
             }
@@ -134,13 +134,13 @@
         }
         let tally = Tally::new(order.revision);
         self.rollouts.tallies.insert(service.clone(), tally);
-        let known = Known {
+        let known = Rollout {
             split: Split::new(order),
-            since: now,
-            had_old: false,
+            ordered_at: now,
+            old_seen: false,
         };
-        self.rollouts.splits.insert(service.clone(), known);
-        self.regroup(now, &service, effects);
+        self.rollouts.active.insert(service.clone(), known);
+        self.reassign_pools(now, &service, effects);
     }
 
     /// The operator takes an order back: the version gets nothing more, unless it is in use by now.
@@ -150,13 +150,13 @@
         service: &SmolStr,
         effects: &mut Vec<Effect>,
     ) {
-        if !self.rollouts.splits.contains_key(service) {
+        if !self.rollouts.active.contains_key(service) {
             return;
         }
         let line = Line::info("rollout_withdrawn").with("service", service);
         effects.push(Effect::Log(line));
         self.end_rollout(service);
-        self.regroup(now, service, effects);
+        self.reassign_pools(now, service, effects);
     }
 
     /// Orders for all other services are withdrawn.
@@ -166,14 +166,14 @@
         services: &[SmolStr],
         effects: &mut Vec<Effect>,
     ) {
-        let known: Vec<SmolStr> = self.rollouts.splits.keys().cloned().collect();
+        let known: Vec<SmolStr> = self.rollouts.active.keys().cloned().collect();
         for service in known.iter().filter(|service| !services.contains(service)) {
             self.rollout_withdrawn(now, service, effects);
         }
     }
 
     fn end_rollout(&mut self, service: &SmolStr) {
-        let Some(known) = self.rollouts.splits.remove(service) else {
+        let Some(known) = self.rollouts.active.remove(service) else {
             return;
         };
         self.rollouts.tallies.remove(service);
@@ -190,15 +190,15 @@
     }
 
     /// The pool that a replica stands in.
-    pub(crate) fn pool_of(&self, server: &Server) -> SmolStr {
+    pub(crate) fn replica_pool(&self, server: &Server) -> SmolStr {
         let service = &server.service;
-        match self.rollouts.part(server) {
-            Part::Old => self.pool_in_use(service),
-            Part::Rejected => format_smolstr!("{service}!"),
-            Part::New if self.is_reserve(server) => {
+        match self.rollouts.generation(server) {
+            Generation::Old => self.pool_in_use(service),
+            Generation::Rejected => format_smolstr!("{service}!"),
+            Generation::New if self.is_reserve(server) => {
                 format_smolstr!("{service}@{}+", server.version)
             }
-            Part::New => pool_of_version(service, &server.version),
+            Generation::New => pool_of_version(service, &server.version),
         }
     }
 
@@ -212,7 +212,7 @@
     /// Whether enough other replicas of the version take part: more would each get too few requests to show how they do under
     /// load.
     fn is_reserve(&self, server: &Server) -> bool {
-        let Some(known) = self.rollouts.splits.get(&server.service) else {
+        let Some(known) = self.rollouts.active.get(&server.service) else {
             return false;
         };
         if known.split.phase() != Phase::Canary {
@@ -222,21 +222,22 @@
             let servers = self.servers.iter().map(|known| &known.server);
             servers.filter(|one| one.service == server.service)
         };
-        let old = of_service().filter(|one| self.rollouts.part(one) == Part::Old);
+        let old = of_service().filter(|one| self.rollouts.generation(one) == Generation::Old);
         let enough = (old.count() as f64 * configs::lead::Config::default().share).ceil() as usize;
         let rank = |one: &Server| rendezvous::identity(&one.incarnation);
-        let before = of_service()
-            .filter(|one| self.rollouts.part(one) == Part::New && rank(one) < rank(server));
+        let before = of_service().filter(|one| {
+            self.rollouts.generation(one) == Generation::New && rank(one) < rank(server)
+        });
         before.count() >= enough.max(1)
     }
 
     /// Puts each replica of a service into the pool that it belongs to by now. What runs there goes on.
-    fn regroup(&mut self, now: Time, service: &SmolStr, effects: &mut Vec<Effect>) {
+    fn reassign_pools(&mut self, now: Time, service: &SmolStr, effects: &mut Vec<Effect>) {
         let servers = self.servers.iter().map(|known| known.server.clone());
         let servers: Vec<Server> = servers.filter(|one| one.service == *service).collect();
         for server in servers {
-            let pool = self.pool_of(&server);
-            if self.grouped.get(&server.incarnation) == Some(&pool) {
+            let pool = self.replica_pool(&server);
+            if self.replica_pools.get(&server.incarnation) == Some(&pool) {
                 continue;
             }
             if let Some(known) = self.servers.remove(&server.incarnation) {
@@ -247,24 +248,24 @@
     }
 
     /// The pool that a new request goes to, and whether it tries a version.
-    pub(crate) fn draw_pool(
+    pub(crate) fn select_pool(
         &mut self,
         now: Time,
         service: &SmolStr,
         route: &SmolStr,
     ) -> (SmolStr, bool) {
         let old = self.pool_in_use(service);
-        let Some(known) = self.rollouts.splits.get_mut(service) else {
+        let Some(known) = self.rollouts.active.get_mut(service) else {
             return (old, false);
         };
         let drawn = self.random.random::<f64>();
         let to = pool_of_version(service, &known.split.order().to);
-        let is_there = |pool: &SmolStr| self.grouped.values().any(|grouped| grouped == pool);
-        known.had_old |= is_there(&old);
+        let has_replicas = |pool: &SmolStr| self.replica_pools.values().any(|known| known == pool);
+        known.old_seen |= has_replicas(&old);
         // An entry that starts once a roll-out is over may meet the new version alone.
-        let only = !known.had_old && known.split.phase() != Phase::RolledBack;
+        let only = !known.old_seen && known.split.phase() != Phase::RolledBack;
         let side = known.split.side(now, route, drawn);
-        match (side == Side::New || only) && is_there(&to) {
+        match (side == Side::New || only) && has_replicas(&to) {
             true => (to, known.split.phase() == Phase::Canary),
             false => (old, false),
         }
@@ -272,10 +273,10 @@
 
     /// Counts how an attempt ended, for the comparison of both versions.
     pub(crate) fn record_answer(&mut self, now: Time, serial: u64, end: &End) {
-        let Some(open) = self.requests.get(&serial) else {
+        let Some(request) = self.requests.get(&serial) else {
             return;
         };
-        let (Some(started), route) = (open.sent_at, &open.route) else {
+        let (Some(started), route) = (request.sent_at, &request.route) else {
             return;
         };
         let (status, tokens) = match end {
@@ -283,18 +284,19 @@
             End::Finished { status, tokens, .. } => (Some(*status), *tokens),
             End::Failed { .. } | End::Broken { .. } | End::Silent { .. } => (None, 0),
         };
-        let first = open.first_response_at.unwrap_or(now);
+        let first = request.first_response_at.unwrap_or(now);
         let took = first.since(started).as_millis() as f64;
         let token = now.since(first).as_millis() as f64 / f64::from(tokens.max(1));
-        let paces = self.rollouts.paces.entry(route.clone()).or_default();
+        let latencies = self.rollouts.latencies.entry(route.clone()).or_default();
         let failed = status.is_none_or(|status| status >= FAILED_STATUS);
-        let slow = paces.first.is_far_slower(took) || paces.token.is_far_longer(token);
-        if !open.canary && !failed {
-            paces.first.learn(took);
-            paces.token.learn(token);
+        let slow = latencies.first_response.is_far_slower(took)
+            || latencies.per_token.is_far_longer(token);
+        if !request.canary && !failed {
+            latencies.first_response.learn(took);
+            latencies.per_token.learn(token);
         }
-        if let Some(tally) = self.rollouts.tallies.get_mut(&open.service) {
-            tally.answered(route, open.canary, failed || slow);
+        if let Some(tally) = self.rollouts.tallies.get_mut(&request.service) {
+            tally.answered(route, request.canary, failed || slow);
         }
     }
 
@@ -307,7 +309,7 @@
                 return effects.push(Effect::Log(line));
             }
         };
-        let Some(known) = self.rollouts.splits.get_mut(&item.key) else {
+        let Some(known) = self.rollouts.active.get_mut(&item.key) else {
             return;
         };
         let age = Span::from_millis(item.age_ms);
@@ -321,7 +323,7 @@
             .with("age_ms", item.age_ms);
         effects.push(Effect::Log(line));
         let service = item.key.clone();
-        self.regroup(now, &service, effects);
+        self.reassign_pools(now, &service, effects);
     }
 }
 
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -20,27 +20,27 @@
 
 /// Most incarnations that are remembered as leaving; the oldest go first. A day of a large deployment
 /// has some thousand.
-const LEFT_KEPT: usize = 16_384;
+const MAX_LEAVING_INCARNATIONS: usize = 16_384;
 
 /// All servers that this entry knows.
 #[derive(Debug, Default)]
 pub(crate) struct Servers {
-    known: BTreeMap<SmolStr, Known>,
+    known: BTreeMap<SmolStr, Record>,
     by_key: BTreeMap<replica::Key, SmolStr>,
-    /// Known ones by the hash of their incarnation, as entries name them to each other.
+    /// Record ones by the hash of their incarnation, as entries name them to each other.
     by_identity: BTreeMap<u64, SmolStr>,
     /// Incarnations that leave or have left.
-    left: BTreeSet<SmolStr>,
+    leaving: BTreeSet<SmolStr>,
     /// The same, the oldest first.
-    left_order: VecDeque<SmolStr>,
+    leaving_order: VecDeque<SmolStr>,
     /// Missing rows don't count before this time, after a gap of our own.
-    trusted: Time,
+    distrusted_until: Time,
     /// Nor before this one, by the last word of those that read the list for us.
-    doubted: Time,
+    peer_distrusted_until: Time,
     /// How far the list was read.
     position: Position,
     /// When the table service was last seen to have come back from a copy.
-    restored: Option<Time>,
+    restored_at: Option<Time>,
     /// Rows that ended by peers' word, and at which revision. Invariant: each is newer than our position, at
     /// which the list may still name the server.
     ended: BTreeMap<SmolStr, u64>,
@@ -57,43 +57,43 @@
 
 /// One server.
 #[derive(Debug)]
-pub(crate) struct Known {
+pub(crate) struct Record {
     pub key: replica::Key,
     pub server: Server,
     /// Since when its row is missing, if it is.
-    pub missing: Option<Time>,
+    pub missing_since: Option<Time>,
 }
 
 impl Servers {
     /// Missing rows don't count until `at`.
     pub fn distrust_until(&mut self, at: Time) {
-        self.trusted = self.trusted.max(at);
+        self.distrusted_until = self.distrusted_until.max(at);
     }
 
     /// Missing rows don't count until `at` by another entry's word; its next word takes the place of this one.
     pub fn set_peer_distrust(&mut self, at: Time) {
-        self.doubted = at;
+        self.peer_distrusted_until = at;
     }
 
     /// Whether a missing row means that its server is gone.
     pub fn is_trusted(&self, now: Time) -> bool {
-        now >= self.trusted_at()
+        now >= self.trusted_from()
     }
 
     /// How long missing rows don't count yet.
     pub fn trusted_in(&self, now: Time) -> Span {
-        self.trusted_at().since(now)
+        self.trusted_from().since(now)
     }
 
-    fn trusted_at(&self) -> Time {
-        self.trusted.max(self.doubted)
+    fn trusted_from(&self) -> Time {
+        self.distrusted_until.max(self.peer_distrusted_until)
     }
 
     /// Notes that all up to a revision was known at that time; peers' word on that isn't needed any more.
     pub fn advance_position(&mut self, at: Time, revision: u64) {
         let known = self.position.revision;
         if known > 0 && Revision::is_of_older_era(known, revision) {
-            self.restored = Some(at);
+            self.restored_at = Some(at);
         }
         self.position = Position {
             confirmed_at: at.max(self.position.confirmed_at),
@@ -104,7 +104,7 @@
     }
 
     /// Notes that a row ends at a revision that we haven't read yet.
-    pub fn note_ended(&mut self, incarnation: &SmolStr, revision: u64) {
+    pub fn record_ended(&mut self, incarnation: &SmolStr, revision: u64) {
         let ended = self.ended.entry(incarnation.clone()).or_default();
         *ended = revision.max(*ended);
     }
@@ -116,7 +116,7 @@
 
     /// When the table service was last seen to have come back from a copy, if it ever was.
     pub fn restored(&self) -> Option<Time> {
-        self.restored
+        self.restored_at
     }
 
     /// How far the list was read.
@@ -130,16 +130,16 @@
         self.by_key.insert(key, incarnation.clone());
         let identity = rendezvous::identity(&incarnation);
         self.by_identity.insert(identity, incarnation.clone());
-        let known = Known {
+        let known = Record {
             key,
             server,
-            missing: None,
+            missing_since: None,
         };
         self.known.insert(incarnation, known);
     }
 
     /// Forgets a server.
-    pub fn remove(&mut self, incarnation: &str) -> Option<Known> {
+    pub fn remove(&mut self, incarnation: &str) -> Option<Record> {
         self.by_identity.remove(&rendezvous::identity(incarnation));
         self.known.remove(incarnation)
     }
@@ -150,32 +150,32 @@
     }
 
     /// A server by its incarnation.
-    pub fn get_mut(&mut self, incarnation: &str) -> Option<&mut Known> {
+    pub fn get_mut(&mut self, incarnation: &str) -> Option<&mut Record> {
         self.known.get_mut(incarnation)
     }
 
     /// The known incarnation that entries name by this hash.
-    pub fn named(&self, identity: u64) -> Option<SmolStr> {
+    pub fn incarnation_of_hash(&self, identity: u64) -> Option<SmolStr> {
         self.by_identity.get(&identity).cloned()
     }
 
     /// Notes that an incarnation leaves; whether that is news.
     pub fn mark_leaving(&mut self, incarnation: &SmolStr) -> bool {
-        if !self.left.insert(incarnation.clone()) {
+        if !self.leaving.insert(incarnation.clone()) {
             return false;
         }
-        self.left_order.push_back(incarnation.clone());
-        if self.left_order.len() > LEFT_KEPT
-            && let Some(oldest) = self.left_order.pop_front()
+        self.leaving_order.push_back(incarnation.clone());
+        if self.leaving_order.len() > MAX_LEAVING_INCARNATIONS
+            && let Some(oldest) = self.leaving_order.pop_front()
         {
-            self.left.remove(&oldest);
+            self.leaving.remove(&oldest);
         }
         true
     }
 
     /// Whether an incarnation gets no new work.
     pub fn is_leaving(&self, incarnation: &str) -> bool {
-        self.left.contains(incarnation)
+        self.leaving.contains(incarnation)
     }
 
     /// Names of the incarnations that go by one of these ids.
@@ -197,13 +197,13 @@
         let known = self
             .known
             .iter()
-            .filter(|(_, known)| known.missing.is_some());
+            .filter(|(_, known)| known.missing_since.is_some());
         known.map(|(incarnation, _)| incarnation.clone()).collect()
     }
 
     /// Since when a server's row is missing, if it is.
     pub fn missing_since(&self, incarnation: &str) -> Option<Time> {
-        self.known.get(incarnation)?.missing
+        self.known.get(incarnation)?.missing_since
     }
 
     /// Where the shell finds a server.
@@ -222,7 +222,7 @@
     }
 
     /// All servers.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    pub fn iter(&self) -> impl Iterator<Item = &Record> {
         self.known.values()
     }
 
@@ -241,17 +241,20 @@
 
     /// When missing rows begin to count, if there are any.
     pub fn next_wake(&self) -> Option<Time> {
-        let any = self.known.values().any(|known| known.missing.is_some());
-        any.then(|| self.trusted_at())
+        let any = self
+            .known
+            .values()
+            .any(|known| known.missing_since.is_some());
+        any.then(|| self.trusted_from())
     }
 
     /// Keeps the keys of gone servers bounded.
-    pub fn forget_keys(&mut self, alive: impl Fn(replica::Key) -> bool) {
+    pub fn prune_keys(&mut self, in_use: impl Fn(replica::Key) -> bool) {
         let known: BTreeSet<replica::Key> = self.known.values().map(|known| known.key).collect();
         self.by_key
-            .retain(|key, _| known.contains(key) || alive(*key));
+            .retain(|key, _| known.contains(key) || in_use(*key));
     }
 }
 
 /// How long a server that leaves without a word of when is taken to go on.
-pub(crate) const LEAVE_TIME: Span = Span::from_seconds(2);
+pub(crate) const DEFAULT_NOTICE: Span = Span::from_seconds(2);
--- a/crates/gateway/src/store_calls.rs
+++ b/crates/gateway/src/store_calls.rs
@@ -40,14 +40,14 @@
         let refused = self.throttle.push(priority, id, call);
         self.store_calls.insert(id, waiter);
         if let Some((id, _)) = refused {
-            self.store_refused.push(id);
+            self.store_rejected.push(id);
         }
     }
 
     /// Makes the calls whose turn has come, and tells those that found the queue full.
-    pub(crate) fn make_store_calls(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        while let Some(id) = self.store_refused.pop() {
-            self.pass_on(now, id, Outcome::Unavailable, effects);
+    pub(crate) fn dispatch_store_calls(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        while let Some(id) = self.store_rejected.pop() {
+            self.deliver_outcome(now, id, Outcome::Unavailable, effects);
         }
         while let Some((id, call)) = self.throttle.pop(now) {
             effects.push(Effect::Store { id, call });
@@ -65,22 +65,28 @@
         let failed = matches!(outcome, Outcome::Unavailable | Outcome::Unknown);
         let was_lost = self.contact.is_lost();
         if failed {
-            self.store_failed = Some(now);
+            self.store_failed_at = Some(now);
             if self.contact.failed(now) {
-                self.log_contact(Line::warn("dependency_lost"), id, &outcome, effects);
+                self.log_connectivity(Line::warn("dependency_lost"), id, &outcome, effects);
             }
         } else if let Some(since) = self.contact.answered() {
-            self.read_anew(since, effects);
-            self.log_contact(Line::info("dependency_regained"), id, &outcome, effects);
+            self.refresh_after_outage(since, effects);
+            self.log_connectivity(Line::info("dependency_regained"), id, &outcome, effects);
         }
         let lost = self.contact.is_lost();
         if lost != was_lost {
             self.step_membership(now, member::event::Event::StoreLost(lost), effects);
         }
-        self.pass_on(now, id, outcome, effects);
+        self.deliver_outcome(now, id, outcome, effects);
     }
 
-    fn log_contact(&self, line: Line, id: call::Id, outcome: &Outcome, effects: &mut Vec<Effect>) {
+    fn log_connectivity(
+        &self,
+        line: Line,
+        id: call::Id,
+        outcome: &Outcome,
+        effects: &mut Vec<Effect>,
+    ) {
         let cause = match outcome {
             Outcome::Unavailable => "refused",
             Outcome::Unknown => "no_answer",
@@ -99,7 +105,7 @@
     /// Guards against questions for changes that it swallowed meanwhile: they end by their own time only, 11.5 s after
     /// they were asked, and until then the entry neither knows who left nor which configuration is in force. A list
     /// that was told since then is followed.
-    fn read_anew(&mut self, since: Time, effects: &mut Vec<Effect>) {
+    fn refresh_after_outage(&mut self, since: Time, effects: &mut Vec<Effect>) {
         if self.servers.position().confirmed_at < since {
             effects.push(Effect::ReadServers);
             effects.push(Effect::ReadConfiguration);
@@ -107,13 +113,19 @@
     }
 
     /// Passes an answer to whoever waits for it.
-    fn pass_on(&mut self, now: Time, id: call::Id, outcome: Outcome, effects: &mut Vec<Effect>) {
+    fn deliver_outcome(
+        &mut self,
+        now: Time,
+        id: call::Id,
+        outcome: Outcome,
+        effects: &mut Vec<Effect>,
+    ) {
         match self.store_calls.remove(&id) {
             Some(Waiter::Membership(id)) => {
                 self.step_membership(now, member::event::Event::Store { id, outcome }, effects);
             }
             Some(Waiter::Claim(id)) => self.claim_answered(now, id, outcome, effects),
-            Some(Waiter::Report(window)) => self.report_fixed(now, window, outcome, effects),
+            Some(Waiter::Report(window)) => self.counts_written(now, window, outcome, effects),
             Some(Waiter::Stage(service)) => self.stage_answered(now, &service, outcome),
             Some(Waiter::Progress) => self.progress_answered(outcome, effects),
             None => {}
--- a/crates/gateway/src/timeouts.rs
+++ b/crates/gateway/src/timeouts.rs
@@ -25,7 +25,7 @@
         let running = self
             .requests
             .get(&serial)
-            .is_some_and(|open| open.replica.is_some());
+            .is_some_and(|request| request.replica.is_some());
         let refusal = match running {
             true => Refusal::may_have_run(Reason::TimedOut, "its time is up"),
             false => Refusal::not_run(Reason::TimedOut, "its time is up"),
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -16,7 +16,7 @@
 
 /// Windows that are kept and told: reports are due two windows after a window's end, and an entry that
 /// was cut off for some seconds still brings its counts in time.
-const KEPT: u64 = 8;
+const RETAINED_WINDOWS: u64 = 8;
 /// Clocks that differ by less are left alone: messages take that long.
 const CLOCK_SLACK_MS: i64 = 250;
 
@@ -31,9 +31,9 @@
     own: Windows,
     peers: BTreeMap<holder::Id, Windows>,
     /// What a former holder of the duty knew of all entries together, where counts travel by hubs.
-    recalled: Windows,
+    restored: Windows,
     /// By how much each peer's clock is ahead of ours.
-    ahead: BTreeMap<holder::Id, i64>,
+    clock_offsets: BTreeMap<holder::Id, i64>,
 }
 
 impl Usage {
@@ -74,7 +74,7 @@
     }
 
     /// What to tell the others.
-    pub fn told(&self) -> &Windows {
+    pub fn own_windows(&self) -> &Windows {
         &self.own
     }
 
@@ -86,20 +86,21 @@
     /// Takes in what all others have counted together. Nobody's count falls: a sum that tells less comes from an
     /// entry that hasn't heard all of them yet.
     pub fn absorb_sum(&mut self, peer: holder::Id, windows: &Windows) {
-        take_most(self.peers.entry(peer).or_default(), windows);
+        merge_max(self.peers.entry(peer).or_default(), windows);
     }
 
     /// Notes what another entry's clock read.
-    pub fn heard_clock(&mut self, now: Time, peer: holder::Id, unix_ms: u64) {
-        self.ahead.insert(peer, self.ahead_of_ours(now, unix_ms));
-        let mut clocks: Vec<i64> = self.ahead.values().copied().chain([0]).collect();
+    pub fn record_clock(&mut self, now: Time, peer: holder::Id, unix_ms: u64) {
+        self.clock_offsets
+            .insert(peer, self.clock_offset(now, unix_ms));
+        let mut clocks: Vec<i64> = self.clock_offsets.values().copied().chain([0]).collect();
         clocks.sort_unstable();
-        self.correct(clocks[clocks.len() / 2]);
+        self.set_correction(clocks[clocks.len() / 2]);
     }
 
     /// Follows a hub's time, which is the median of all clocks already.
     pub fn follow_clock(&mut self, now: Time, unix_ms: u64) {
-        self.correct(self.ahead_of_ours(now, unix_ms));
+        self.set_correction(self.clock_offset(now, unix_ms));
     }
 
     /// Requests of all entries in a window.
@@ -111,8 +112,8 @@
                 *total.entry(account.clone()).or_default() += count;
             }
         }
-        match self.recalled.get(&window) {
-            Some(recalled) if sum(recalled) > sum(&total) => recalled.clone(),
+        match self.restored.get(&window) {
+            Some(restored) if sum(restored) > sum(&total) => restored.clone(),
             _ => total,
         }
     }
@@ -129,7 +130,7 @@
     }
 
     /// Adds what an entry had told a former holder, unless more of it was heard.
-    pub fn recall(&mut self, entry: holder::Id, window: u64, counts: Counts) {
+    pub fn restore(&mut self, entry: holder::Id, window: u64, counts: Counts) {
         let known = self
             .peers
             .entry(entry)
@@ -142,14 +143,14 @@
     }
 
     /// Notes what a former holder knew of all entries together.
-    pub fn recall_total(&mut self, window: u64, counts: Counts) {
-        self.recalled.insert(window, counts);
+    pub fn restore_total(&mut self, window: u64, counts: Counts) {
+        self.restored.insert(window, counts);
     }
 
     /// Forgets what single entries told; from here on one sum stands for all.
     pub fn forget_peers(&mut self) {
         self.peers.clear();
-        self.ahead.clear();
+        self.clock_offsets.clear();
     }
 
     /// The clock as it read at the start, for peers to compare: uncorrected, or all would follow each other.
@@ -159,26 +160,26 @@
 
     /// The oldest window that may still be reported.
     pub fn oldest(&self, now: Time) -> u64 {
-        self.window(now).saturating_sub(KEPT)
+        self.window(now).saturating_sub(RETAINED_WINDOWS)
     }
 
     /// Forgets what is too old to be reported.
     pub fn expire(&mut self, now: Time) {
         let oldest = self.oldest(now);
         self.own.retain(|window, _| *window >= oldest);
-        self.recalled.retain(|window, _| *window >= oldest);
+        self.restored.retain(|window, _| *window >= oldest);
         for windows in self.peers.values_mut() {
             windows.retain(|window, _| *window >= oldest);
         }
         self.peers.retain(|_, windows| !windows.is_empty());
     }
 
-    fn ahead_of_ours(&self, now: Time, unix_ms: u64) -> i64 {
+    fn clock_offset(&self, now: Time, unix_ms: u64) -> i64 {
         unix_ms as i64 - self.raw_unix_ms(now) as i64
     }
 
     /// Puts our clock right if it differs.
-    fn correct(&mut self, ahead_ms: i64) {
+    fn set_correction(&mut self, ahead_ms: i64) {
         self.correction_ms = match ahead_ms.abs() > CLOCK_SLACK_MS {
             true => ahead_ms,
             false => 0,
@@ -187,7 +188,7 @@
 }
 
 /// Raises each count to what the other one tells, if that is more.
-pub(crate) fn take_most(into: &mut Windows, told: &Windows) {
+pub(crate) fn merge_max(into: &mut Windows, told: &Windows) {
     for (window, counts) in told {
         let into = into.entry(*window).or_default();
         for (account, count) in counts {
--- a/crates/gateway/src/work.rs
+++ b/crates/gateway/src/work.rs
@@ -17,21 +17,21 @@
 
 /// Prompt tokens that a generated token counts as. In a batch it adds some hundredths of a millisecond to
 /// a step, as one to two prompt tokens do.
-const OUTPUT_WEIGHT: u64 = 2;
+const OUTPUT_TOKEN_WEIGHT: u64 = 2;
 /// Shorter prompts say little of the speed: their time is mostly that of a step.
-const LEAST_TOKENS: u64 = 1_000;
+const MIN_UNSHARED_TOKENS: u64 = 1_000;
 /// Time to the first token that isn't reading.
-const BASE: Span = Span::from_millis(8);
+const FIRST_TOKEN_OVERHEAD: Span = Span::from_millis(8);
 /// The speed rises by this part of the difference towards a quicker answer, and falls by a twentieth of
 /// that towards a slower one: it settles near the quickest. Falling faster it followed the waits of an
 /// overload, and replicas were ordered for three times the work.
-const RISE: f64 = 0.06;
-const FALL: f64 = 0.003;
+const SPEED_RISE_WEIGHT: f64 = 0.06;
+const SPEED_FALL_WEIGHT: f64 = 0.003;
 /// Weight of a second's arrivals in the rate, for rises and falls: a rise is believed within two or three
 /// seconds, since replicas take four to start; a fall within ten, since stopping one too many costs more
 /// than running it for some seconds.
-const UP: f64 = 0.4;
-const DOWN: f64 = 0.1;
+const RATE_RISE_WEIGHT: f64 = 0.4;
+const RATE_FALL_WEIGHT: f64 = 0.1;
 
 /// What one entry has seen of one service since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -81,8 +81,8 @@
 
     /// The first token of a request came after `took` at its replica; `own` tokens had to be read.
     pub fn observe_first_token(&mut self, own: u64, took: Span) {
-        let reading = took - BASE;
-        if own < LEAST_TOKENS || reading == Span::ZERO {
+        let reading = took - FIRST_TOKEN_OVERHEAD;
+        if own < MIN_UNSHARED_TOKENS || reading == Span::ZERO {
             return;
         }
         let speed = own as f64 / reading.as_millis() as f64;
@@ -90,8 +90,8 @@
             self.speed = speed;
         }
         let weight = match speed > self.speed {
-            true => RISE,
-            false => FALL,
+            true => SPEED_RISE_WEIGHT,
+            false => SPEED_FALL_WEIGHT,
         };
         // One answer that was far too quick, from a part thought to be unread, must not count for more.
         let speed = speed.min(self.speed * 2.0);
@@ -110,10 +110,10 @@
 }
 
 /// What a request counts as.
-pub fn work_of(prompt: &Prompt) -> u64 {
+pub fn request_work(prompt: &Prompt) -> u64 {
     let output = prompt.expected_tokens.unwrap_or(prompt.max_new_tokens);
     let output = output.min(prompt.max_new_tokens);
-    unshared_tokens(prompt) + u64::from(output) * OUTPUT_WEIGHT
+    unshared_tokens(prompt) + u64::from(output) * OUTPUT_TOKEN_WEIGHT
 }
 
 /// Tokens of the prompt that no other request shares.
@@ -139,53 +139,54 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     /// What peers told since they were heard first, tokens.
-    told: u64,
+    peer_tokens: u64,
     /// All entries' tokens when they were last looked at.
-    seen: u64,
-    at: Time,
+    sampled_tokens: u64,
+    sampled_at: Time,
     /// Tokens a millisecond.
-    rate: f64,
+    tokens_per_milli: f64,
 }
 
 /// Time over which arrivals are counted for one look.
-const LOOK: Span = Span::from_millis(1_000);
+const SAMPLE_INTERVAL: Span = Span::from_millis(1_000);
 
 impl Demand {
     /// Notes what a peer tells of a service beyond what it told `silent` ago.
     pub fn add_peer_tokens(&mut self, service: &SmolStr, rise: u64, silent: Span) {
         let rate = self.rates.entry(service.clone()).or_default();
         // After a silence it came over all of that time, not since the last look.
-        let share = LOOK.as_millis() as f64 / silent.max(LOOK).as_millis() as f64;
-        rate.told += (rise as f64 * share) as u64;
+        let share =
+            SAMPLE_INTERVAL.as_millis() as f64 / silent.max(SAMPLE_INTERVAL).as_millis() as f64;
+        rate.peer_tokens += (rise as f64 * share) as u64;
     }
 
     /// Looks at what all entries have seen of a service by now, `own` of it here.
     pub fn sample(&mut self, now: Time, service: &SmolStr, own: u64) {
         let rate = self.rates.entry(service.clone()).or_default();
-        let passed = now.since(rate.at);
-        let tokens = own + rate.told;
-        if rate.at == Time::ZERO {
-            rate.seen = tokens;
-            rate.at = now;
+        let passed = now.since(rate.sampled_at);
+        let tokens = own + rate.peer_tokens;
+        if rate.sampled_at == Time::ZERO {
+            rate.sampled_tokens = tokens;
+            rate.sampled_at = now;
             return;
         }
-        if passed < LOOK {
+        if passed < SAMPLE_INTERVAL {
             return;
         }
-        let fresh = tokens.saturating_sub(rate.seen) as f64 / passed.as_millis() as f64;
-        let weight = match fresh > rate.rate {
-            true if rate.rate == 0.0 => 1.0,
-            true => UP,
-            false => DOWN,
+        let fresh = tokens.saturating_sub(rate.sampled_tokens) as f64 / passed.as_millis() as f64;
+        let weight = match fresh > rate.tokens_per_milli {
+            true if rate.tokens_per_milli == 0.0 => 1.0,
+            true => RATE_RISE_WEIGHT,
+            false => RATE_FALL_WEIGHT,
         };
-        rate.rate += weight * (fresh - rate.rate);
-        rate.seen = tokens;
-        rate.at = now;
+        rate.tokens_per_milli += weight * (fresh - rate.tokens_per_milli);
+        rate.sampled_tokens = tokens;
+        rate.sampled_at = now;
     }
 
     /// How many replicas of this speed, tokens a millisecond, the arrivals keep busy.
     pub fn replicas(&self, service: &SmolStr, speed: f64) -> Option<f64> {
         let rate = self.rates.get(service)?;
-        (speed > 0.0).then(|| rate.rate / speed)
+        (speed > 0.0).then(|| rate.tokens_per_milli / speed)
     }
 }
