--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -51,9 +51,9 @@
         let speeds = engines.filter_map(|engine| engine.transfer_tokens_per_ms);
         self.scheduler.set_transfer_speed(speeds.reduce(f64::min));
         self.document = document;
-        self.catalog_since = now;
+        self.configured_since = now;
         self.catalog = Some(Rc::clone(&catalog));
-        self.attend(now, member::event::Event::Applied(catalog.version), effects);
+        self.step_membership(now, member::event::Event::Applied(catalog.version), effects);
     }
 
     /// The scheduler's key of a service.
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -165,7 +165,7 @@
         if starting && !self.duties.predecessors.is_empty() {
             return true;
         }
-        let max_claimants = match self.by_hubs() {
+        let max_claimants = match self.uses_hubs() {
             true => usize::MAX,
             false => HUB_COUNT,
         };
@@ -232,7 +232,7 @@
             age_ms: 0,
             payload: Vec::new(),
         };
-        self.attend(now, member::event::Event::Publish(item), effects);
+        self.step_membership(now, member::event::Event::Publish(item), effects);
     }
 
     /// Tells the claim of earlier lives of this entry: they are gone, since their port is ours now.
@@ -256,12 +256,12 @@
         self.duties.claim.step(now, event, &mut claim_effects);
         for effect in claim_effects {
             match effect {
-                claim::Effect::Store { id, call } => self.ask_store(Waiter::Claim(id), call),
+                claim::Effect::Store { id, call } => self.call_store(Waiter::Claim(id), call),
                 claim::Effect::Gained(fence) => {
                     self.duties.reports = Reports::default();
                     self.duties.progress = Writer::default();
-                    self.rollouts.gained();
-                    let settled = now.since(self.servers_since) > LIST_SETTLED;
+                    self.rollouts.reset_leads();
+                    let settled = now.since(self.servers_known_since) > LIST_SETTLED;
                     self.duties.fleet.gained(now, settled);
                     effects.push(Effect::Log(Line::info("duty_gained").with("fence", fence)));
                 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -271,7 +271,7 @@
         for known in self.servers.iter() {
             let server = &known.server;
             let leaves = self.servers.is_leaving(&server.incarnation);
-            if server.service != service.name || leaves || !self.rollouts.is_lasting(server) {
+            if server.service != service.name || leaves || !self.rollouts.is_permanent(server) {
                 continue;
             }
             let market = match server.reclaimable {
@@ -290,14 +290,14 @@
             return;
         };
         for service in catalog.services.iter().filter(|one| one.scaling.is_some()) {
-            let own = self.work.get(&service.name).map_or(0, Work::fresh);
-            self.demand.note(now, &service.name, own);
+            let own = self.work.get(&service.name).map_or(0, Work::net_tokens);
+            self.demand.sample(now, &service.name, own);
         }
     }
 
     /// Replicas that the work keeps busy, once that is known.
     fn busy_replicas(&self, service: &SmolStr) -> Option<f64> {
-        let speed = self.speed_of(service);
+        let speed = self.replica_speed(service);
         let busy_replicas = self.demand.replicas(service, speed);
         busy_replicas.filter(|busy_replicas| *busy_replicas > 0.0)
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -36,8 +36,8 @@
 use crate::identity::Identity;
 use crate::lagging::Lagging;
 use crate::limits::Limits;
-use crate::open::Open;
 use crate::peers;
+use crate::request::Request;
 use crate::rollouts::Rollouts;
 use crate::servers::Servers;
 use crate::store_calls::Waiter;
@@ -53,9 +53,9 @@
     /// The newest configuration seen in this life; its version never falls.
     pub(crate) catalog: Option<Rc<Catalog>>,
     /// When the list of servers was read first.
-    pub(crate) servers_since: Time,
+    pub(crate) servers_known_since: Time,
     /// When `catalog` came in force.
-    pub(crate) catalog_since: Time,
+    pub(crate) configured_since: Time,
     /// The document that `catalog` was read from.
     pub(crate) document: Bytes,
     pub(crate) scheduler: Scheduler,
@@ -68,14 +68,14 @@
     /// Limits that backend servers named.
     pub(crate) limits: Limits,
     /// The pool in which each backend server stands, by its incarnation.
-    pub(crate) grouped: BTreeMap<SmolStr, SmolStr>,
+    pub(crate) replica_pools: BTreeMap<SmolStr, SmolStr>,
     pub(crate) rollouts: Rollouts,
     /// The list of servers as rows, and the reports on it.
     pub(crate) watch: Watch,
     /// Whether this entry reads the list, and who does.
     pub(crate) following: Following,
-    /// Open requests by serial.
-    pub(crate) open: BTreeMap<u64, Open>,
+    /// Request requests by serial.
+    pub(crate) requests: BTreeMap<u64, Request>,
     /// When the final answer of each open request is due.
     pub(crate) timeouts: BTreeSet<(Time, u64)>,
     /// Scheduler's keys of accounts by name; an account keeps its key through all versions.
@@ -84,7 +84,7 @@
     pub(crate) pools: BTreeMap<SmolStr, pool::Key>,
     pub(crate) membership: Membership,
     /// How often all members were read again since the start.
-    pub(crate) looks: usize,
+    pub(crate) member_reads: usize,
     /// Peers whose configuration is older than ours.
     pub(crate) lagging: Lagging,
     /// Requests that began to run.
@@ -106,28 +106,28 @@
     /// When what is held against requests is told next, if there is nothing new.
     pub(crate) next_quarantine: Time,
     /// Orders our pieces of news.
-    pub(crate) news_version: u64,
+    pub(crate) item_version: u64,
     /// When the process was asked to stop.
-    pub(crate) stopping: Option<Time>,
+    pub(crate) stop_requested_at: Option<Time>,
     /// Whether the table service answers our calls.
     pub(crate) contact: Contact,
     /// When the table service failed a call last.
-    pub(crate) store_failed: Option<Time>,
+    pub(crate) store_failed_at: Option<Time>,
     /// Whether the list of servers couldn't be read since it was read last.
-    pub(crate) list_lost: bool,
+    pub(crate) list_unavailable: bool,
     /// Names the next call of the table service.
     pub(crate) next_store_call: u64,
     /// Calls that wait for their turn within our share of the table service.
     pub(crate) throttle: Throttle<call::Id>,
     /// Calls that found the queue full.
-    pub(crate) store_refused: Vec<call::Id>,
+    pub(crate) store_rejected: Vec<call::Id>,
     /// What waits for which call of the table service.
     pub(crate) store_calls: BTreeMap<call::Id, Waiter>,
 }
 
 /// How an entry stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Vitals {
+pub struct Status {
     /// Requests open here.
     pub open_requests: u64,
     /// Configuration version in force here; 0 while there is none.
@@ -170,21 +170,21 @@
             throttle: Throttle::new(settings.store),
             servers: Servers::default(),
             limits: Limits::default(),
-            grouped: BTreeMap::new(),
+            replica_pools: BTreeMap::new(),
             rollouts: Rollouts::default(),
             watch: Watch::new(settings.watch, identity.incarnation.0),
             following: Following::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
             catalog: None,
-            servers_since: Time::ZERO,
-            catalog_since: Time::ZERO,
+            servers_known_since: Time::ZERO,
+            configured_since: Time::ZERO,
             document: Bytes::new(),
             scheduler,
-            open: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timeouts: BTreeSet::new(),
             accounts: BTreeMap::new(),
             pools: BTreeMap::new(),
-            looks: 0,
+            member_reads: 0,
             lagging: Lagging::default(),
             usage: Usage::new(settings.usage_window.as_millis(), settings.zero_unix_ms),
             work: BTreeMap::new(),
@@ -198,13 +198,13 @@
             peer_loads: BTreeMap::new(),
             next_bulletin: Time::ZERO,
             next_quarantine: Time::ZERO,
-            news_version: 0,
-            stopping: None,
+            item_version: 0,
+            stop_requested_at: None,
             contact: Contact::default(),
-            store_failed: None,
-            list_lost: false,
+            store_failed_at: None,
+            list_unavailable: false,
             next_store_call: 0,
-            store_refused: Vec::new(),
+            store_rejected: Vec::new(),
             store_calls: BTreeMap::new(),
             identity,
             settings,
@@ -213,12 +213,12 @@
 
     /// Takes one event and appends what follows from it.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
-        self.take(now, event, effects);
-        self.make_store_calls(now, effects);
+        self.dispatch(now, event, effects);
+        self.dispatch_store_calls(now, effects);
     }
 
     /// Passes an event to the part that it concerns.
-    fn take(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
+    fn dispatch(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Arrived { serial, arrival } => self.arrived(now, serial, &arrival, effects),
             Event::CallerDisconnected { serial } => self.caller_gone(now, serial, effects),
@@ -258,7 +258,7 @@
             } => self.handle_charge_answer(now, serial, charge, home, answer, effects),
             Event::Refunded { bucket, cost } => self.quotas.refund(bucket, cost),
             Event::DigestReceived(digest) => {
-                self.attend(now, member::event::Event::Digest(digest), effects);
+                self.step_membership(now, member::event::Event::Digest(digest), effects);
             }
             Event::Tick => self.tick(now, effects),
             Event::SettingsRead(settings) => self.settings_read(now, *settings, effects),
@@ -268,7 +268,7 @@
 
     /// Whether callers may be sent here.
     pub fn is_ready(&self) -> bool {
-        self.catalog.is_some() && self.stopping.is_none()
+        self.catalog.is_some() && self.stop_requested_at.is_none()
     }
 
     /// The limits on what callers may send.
@@ -278,25 +278,25 @@
     }
 
     /// How this entry stands, for metrics.
-    pub fn vitals(&self, now: Time) -> Vitals {
+    pub fn status(&self, now: Time) -> Status {
         let pools = || self.pools.values();
         let waiting: usize = pools().map(|pool| self.scheduler.waiting(*pool)).sum();
         let repeats: f64 = pools().map(|pool| self.scheduler.retries_left(*pool)).sum();
-        Vitals {
-            version_age_ms: now.since(self.catalog_since).as_millis(),
+        Status {
+            version_age_ms: now.since(self.configured_since).as_millis(),
             leaving: self.servers.leaving_count() as u64,
             missing: self.servers.missing().len() as u64,
             waiting: waiting as u64,
             repeats_left: repeats.max(0.0) as u64,
             fence: self.lease(now).map_or(0, |lease| lease.fence),
-            open_requests: self.open.len() as u64,
+            open_requests: self.requests.len() as u64,
             version: self.catalog.as_ref().map_or(0, |catalog| catalog.version),
             members: self.membership.directory().present_count() as u64,
             servers: self.servers.count() as u64,
             list_revision: self.servers.position().revision,
-            list_age_ms: now.since(self.servers.position().at).as_millis(),
+            list_age_ms: now.since(self.servers.position().confirmed_at).as_millis(),
             ready: self.is_ready(),
-            stopping: self.stopping.is_some(),
+            stopping: self.stop_requested_at.is_some(),
         }
     }
 
@@ -329,7 +329,7 @@
             .with("grace_ms", settings.grace.as_millis());
         effects.push(Effect::Log(line));
         self.membership.set_seeds(settings.seeds.clone());
-        let known = self.entries();
+        let known = self.entry_count();
         self.quotas.set_entries(now, settings.entries.max(known));
         self.settings.seeds = settings.seeds;
         self.settings.entries = settings.entries;
--- a/crates/gateway/src/timeouts.rs
+++ b/crates/gateway/src/timeouts.rs
@@ -23,9 +23,9 @@
     /// Ends one request.
     fn time_out(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
         let running = self
-            .open
+            .requests
             .get(&serial)
-            .is_some_and(|open| open.replica.is_some());
+            .is_some_and(|request| request.replica.is_some());
         let refusal = match running {
             true => Refusal::may_have_run(Reason::TimedOut, "its time is up"),
             false => Refusal::not_run(Reason::TimedOut, "its time is up"),
