--- a/crates/role/src/candidate.rs
+++ b/crates/role/src/candidate.rs
@@ -1,17 +1,17 @@
-//! An entry that may fill roles.
+//! Entries that roles can be assigned to.
 
 use lease::holder;
 use smol_str::SmolStr;
 
-/// One entry that lives and was heard lately.
+/// A live entry from which a heartbeat was received recently.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// This life of it.
+    /// Identifies this life of the entry.
     pub id: holder::Id,
     /// Its availability zone.
     pub zone: SmolStr,
-    /// How much it can take against others, 0 to 255.
+    /// Spare capacity relative to other entries, 0 to 255.
     pub capacity: u8,
-    /// Whether it says that the table service doesn't answer it.
+    /// Whether the entry reports that the table service doesn't answer it.
     pub store_lost: bool,
 }
--- a/crates/role/src/roster.rs
+++ b/crates/role/src/roster.rs
@@ -1,4 +1,4 @@
-//! The roles and those who fill them, the first one first.
+//! Assignment of roles to entries, in order of rank.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,20 +9,20 @@
 
 use crate::candidate::Candidate;
 
-/// Hubs: with one, its loss would silence all until everyone has noticed.
+/// Number of hubs. With only one, its loss would stop all reports until every entry has detected it.
 pub const HUB_COUNT: usize = 2;
-/// Most readers: each that stands by costs calls of the table service, and one of five is nearly always fit.
+/// Most readers. Each standby costs calls of the table service, and one of five is nearly always fit.
 const MAX_READERS: usize = 5;
-/// Entries that can take less than this part of the most able one decide on no account: a busy account's home is asked
-/// some hundred times a second.
+/// Least capacity of a home, as a ratio of the largest one: a busy account's home receives about a
+/// hundred requests per second.
 const MIN_HOME_CAPACITY_RATIO: f64 = 0.5;
-/// With fewer able entries than that, any entry may decide: the accounts would all hang on one or two.
+/// With fewer entries of that capacity, any entry can be a home, or one or two would have all accounts.
 const MIN_HOMES: usize = 4;
-/// What ranks are drawn from.
+/// Hash keys of the ranks.
 const HUB_KEY: &str = "hub";
 const READER_KEY: &str = "reader";
 
-/// Who fills which role.
+/// The entries that fill each role.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Roster {
     hubs: Vec<holder::Id>,
@@ -46,33 +46,35 @@
         }
     }
 
-    /// Those who add up all counts and pass them to everyone. They need room and their peers, not the table service.
+    /// Returns the hubs, which add up all counts and send them to every entry. They need capacity, not
+    /// the table service.
     pub fn hubs(&self) -> &[holder::Id] {
         &self.hubs
     }
 
-    /// Those who need the table service for all, each in the place of those before it: the hubs, then the most able
-    /// entry of each zone. Entries that the table service doesn't answer come last.
+    /// Returns the entries that use the table service for all, each a standby for those before it: the
+    /// hubs, then the entry with the most capacity in each zone. Entries that the table service doesn't
+    /// answer come last.
     pub fn readers(&self) -> &[holder::Id] {
         &self.readers
     }
 
-    /// All that take part.
+    /// Returns all entries, in order of id.
     pub fn entries(&self) -> &[holder::Id] {
         &self.entries
     }
 
-    /// Those who decide on accounts' quotas. A hub writes to all entries at once, twice a second, and whoever asks it
-    /// meanwhile waits for that; so hubs are none.
+    /// Returns the entries that decide on accounts' quotas. Hubs are excluded: twice a second a hub
+    /// writes to all entries, and a quota request would wait for that.
     pub fn homes(&self) -> &[holder::Id] {
         &self.homes
     }
 }
 
-/// The entries that can take the most, by a hash among equal ones.
+/// Returns the entries with the most capacity, by hash among equal ones.
 ///
-/// Guards against small entries on narrow links: what a hub sends to 75 others fills half of 10 Mbit/s, and beside its
-/// callers' answers it lost the table service and connections to replicas.
+/// Guards against small entries on narrow links: a hub's messages to 75 others fill half of 10 Mbit/s.
+/// Together with answers to callers they cut a small entry off from the table service and from replicas.
 fn hubs(candidates: &[Candidate]) -> Vec<holder::Id> {
     let mut ranked: Vec<&Candidate> = candidates.iter().collect();
     ranked.sort_by_key(|candidate| Reverse(rank(candidate, HUB_KEY)));
@@ -80,8 +82,8 @@
     ranked.into_iter().map(|candidate| candidate.id).collect()
 }
 
-/// Guards against one fate for all: hubs are large entries of any zone, and a cut took both from the table service for
-/// ten seconds while others could reach it.
+/// Guards against a cut that hits all readers: hubs are large entries of any zone, and one cut separated
+/// both from the table service for ten seconds while others could reach it.
 fn readers(candidates: &[Candidate], hubs: &[holder::Id]) -> Vec<holder::Id> {
     let priority = |candidate: &Candidate| (!candidate.store_lost, rank(candidate, READER_KEY));
     let mut best: BTreeMap<&SmolStr, &Candidate> = BTreeMap::new();
--- a/crates/role/tests/roster.rs
+++ b/crates/role/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Who fills which role, whatever each entry can take and whoever is cut off from the table service.
+//! Assignment of roles for entries of different capacity, with and without the table service.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 const ZONES: [&str; 3] = ["north", "south", "west"];
 const SIZES: [u64; 4] = [8, 62, 295, 840];
 
-/// Entries of which every tenth can take much.
+/// Returns entries of which every tenth has full capacity.
 fn candidates(count: u64) -> Vec<Candidate> {
     let all = (0..count).map(|number| Candidate {
         id: holder::Id(rendezvous::weight(5, number)),
@@ -23,14 +23,15 @@
     all.collect()
 }
 
-/// A half that the table service doesn't answer.
+/// Cuts half of the entries off from the table service.
 fn cut_half(candidates: &mut [Candidate], seed: u64) {
     for candidate in candidates {
         candidate.store_lost = rendezvous::weight(seed, candidate.id.0).is_multiple_of(2);
     }
 }
 
-/// Two entries that disagree on a role would both fill it: the order in which they know the others must not matter.
+/// Entries that disagree on a role would both fill it, so the order in which they know the others must
+/// not matter.
 #[test]
 fn all_entries_assign_the_same_roles() {
     for count in SIZES {
@@ -42,8 +43,8 @@
     }
 }
 
-/// Both hubs were cut off from the table service, and nobody else tried for the lease of the duties: an entry that is
-/// answered comes first wherever there is one in any zone.
+/// Both hubs were cut off from the table service, and no other entry tried to take the lease of the
+/// duties. An entry that the service answers must come first if any zone has one.
 #[test]
 fn entries_with_the_table_service_read_first() {
     for count in SIZES {
@@ -67,7 +68,8 @@
     }
 }
 
-/// Were hubs to change with each outage of the table service, all counts would have to be handed over in the middle of it.
+/// If hubs changed with each outage of the table service, all counts would have to be handed over during
+/// it.
 #[test]
 fn hubs_do_not_change_during_an_outage() {
     let mut known = candidates(62);
@@ -78,7 +80,7 @@
     assert_eq!(after.homes(), before.homes());
 }
 
-/// Small entries on narrow links were hubs, and lost the table service and their connections to what hubs send.
+/// Small entries on narrow links became hubs and lost the table service and replicas to the hubs' traffic.
 #[test]
 fn hubs_and_homes_are_able_and_disjoint() {
     for count in [62, 295, 840] {
@@ -96,7 +98,7 @@
     }
 }
 
-/// One zone's readers would be lost with it.
+/// If all readers were in one zone, the loss of that zone would end all reads.
 #[test]
 fn every_zone_has_a_reader() {
     let known = candidates(62);
--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -1,15 +1,15 @@
-//! How long answers usually take, and which are far slower.
+//! Estimates how long answers usually take, and detects slow ones.
 
 use clock::Span;
 
-/// An answer that takes so many times as long as usual is bad.
+/// An answer is slow if it takes more than this multiple of the usual time.
 const SLOW_FACTOR: f64 = 2.5;
-/// Answers are never far slower by less than this.
+/// An answer is slow only if it takes at least this much longer than usual.
 const MIN_SLOWDOWN: Span = Span::from_millis(30);
-/// The usual time moves by this part of itself towards each answer.
+/// The median moves towards each answer by this ratio of itself.
 const STEP_RATIO: f64 = 0.03;
 
-/// The median time of answers of one kind, in any unit of time.
+/// A running estimate of the median time of one kind of answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Baseline {
     /// Milliseconds; 0 before the first answer.
@@ -17,7 +17,7 @@
 }
 
 impl Baseline {
-    /// Takes in an answer of the version in use.
+    /// Records the time of an answer of the version in use.
     pub fn record(&mut self, took_ms: f64) {
         if self.median == 0.0 {
             self.median = took_ms;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether an answer came far slower than usual.
+    /// Returns whether an answer was much slower than usual.
     pub fn is_slow(&self, took_ms: f64) -> bool {
         let limit = self.median * SLOW_FACTOR;
         self.median > 0.0
@@ -36,7 +36,7 @@
             && took_ms > self.median + MIN_SLOWDOWN.as_millis() as f64
     }
 
-    /// The same for a pause that is a few milliseconds long.
+    /// Returns whether a gap of a few milliseconds between tokens was much longer than usual.
     pub fn is_long_gap(&self, gap_ms: f64) -> bool {
         self.median > 0.0 && gap_ms > self.median * SLOW_FACTOR
     }
--- a/crates/rollout/src/configs/judge.rs
+++ b/crates/rollout/src/configs/judge.rs
@@ -1,19 +1,20 @@
 //! Settings of [`crate::judge`].
 
-/// When a version is taken for bad, or for good.
+/// Thresholds for rejecting or accepting a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Chance to reject a version that answers like the old one, on one route.
+    /// Probability of rejecting, on one route, a version that answers like the old one.
     pub wrong_rejection: f64,
-    /// Chance to accept, on one route, a version that spoils `effect` more of its answers than the old one.
+    /// Probability of accepting, on one route, a version with `effect` more bad answers than the old one.
     pub wrong_acceptance: f64,
-    /// The same over all routes together.
+    /// Probability of accepting such a version over all routes together.
     pub wrong_acceptance_over_all: f64,
-    /// Share of bad answers, beyond the old version's, that is to be found.
+    /// Share of bad answers, above the old version's, that the test must detect.
     pub effect: f64,
-    /// Share of bad answers that the old version is taken to have at least.
+    /// Least share of bad answers assumed of the old version.
     pub min_share: f64,
-    /// How much higher the new version's share may be by chance of its few and other replicas, as a ratio.
+    /// Ratio by which the new version's share may be higher by chance, as its replicas are few and other
+    /// ones.
     pub tolerance: f64,
 }
 
--- a/crates/rollout/src/configs/leader.rs
+++ b/crates/rollout/src/configs/leader.rs
@@ -2,22 +2,22 @@
 
 use clock::Span;
 
-/// How a roll-out goes on in time.
+/// Shares, reserves of time and capacity of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Share of a service's requests that the canary replicas get.
+    /// Share of a service's requests that is sent to the canary replicas.
     pub canary_share: f64,
-    /// Most of one route's requests that it gets; routes with little traffic get more than the share.
+    /// Most of one route's requests sent to them; routes with little traffic send more than `canary_share`.
     pub max_route_share: f64,
-    /// Most of all requests that the canary replicas may ever get, and this many besides.
+    /// Most of all requests that may ever be sent to the canary replicas, besides `exposure_allowance`.
     pub max_exposure: f64,
-    /// See [`Config::exposure`].
+    /// Number of requests allowed beyond [`Config::max_exposure`].
     pub exposure_allowance: u64,
-    /// Time kept for moving all requests, before the order's time is up.
+    /// Time before the deadline that is reserved for moving all requests.
     pub move_reserve: Span,
-    /// Time before the order's is up at which the canary phase ends, with a verdict or without.
+    /// Time before the deadline at which the canary phase ends, with or without a verdict.
     pub decision_reserve: Span,
-    /// Part of the old version's slots that the new one must have before all requests are moved.
+    /// Ratio of the new version's slots to the old one's that is needed before all requests are moved.
     pub min_capacity_ratio: f64,
     /// Time between two announcements while nothing changes.
     pub announcement_interval: Span,
--- a/crates/rollout/src/configs/mod.rs
+++ b/crates/rollout/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, one file a module.
+//! Settings, one file per module.
 
 pub mod judge;
 pub mod leader;
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -1,34 +1,35 @@
-//! Whether a canary version is good, by a sequential probability ratio test against the version in use.
+//! Judges a canary version by a sequential probability ratio test against the version in use.
 //!
-//! An answer is bad if it failed, was cut or came far slower than usual. Both versions answer the same routes at the
-//! same time, so bursts, reclaims and slow replicas spoil answers of both; what counts is how many more the new one spoils.
+//! An answer is bad if it failed, was cut off or was much slower than usual. Both versions answer the
+//! same routes at the same time, so bursts, reclaims and slow replicas affect both; the test compares
+//! their shares of bad answers.
 
 use crate::configs::judge::Config;
 use crate::tally::Count;
 use crate::tally::Pair;
 use crate::tally::Tally;
 
-/// What the counts say.
+/// The result of the test.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finding {
-    /// Too little is known.
+    /// There are too few answers to decide.
     Open,
-    /// Good over all, and on no route does it look worse; some routes have too few answers to tell.
+    /// Good overall, and no route looks worse, but some routes have too few answers to decide.
     Likely,
-    /// It answers like the version in use, on every route that has requests.
+    /// As good as the version in use, on every route that has requests.
     Good,
-    /// It spoils more.
+    /// The version has more bad answers.
     Bad {
-        /// On which route; none if over all.
+        /// The route on which it has; none if over all routes.
         route: Option<smol_str::SmolStr>,
-        /// Share of bad answers of the version in use.
+        /// Share of bad answers expected from the version in use.
         usual: f64,
-        /// Its own.
+        /// The new version's own share.
         found: f64,
     },
 }
 
-/// Judges the counts since an order.
+/// Judges a version by the counts since its order.
 pub fn judge(config: &Config, tally: &Tally) -> Finding {
     let total = tally.total();
     if rejects(config, total) {
@@ -57,13 +58,13 @@
     }
 }
 
-/// Share of bad answers that a version like the one in use may show.
+/// Returns the share of bad answers to expect from a version like the one in use.
 fn expected_share(config: &Config, old: Count) -> f64 {
     let share = old.bad as f64 / old.answers.max(1) as f64;
     (share * config.tolerance).max(config.min_share)
 }
 
-/// Logarithm of the likelihood that the version spoils `effect` more, against that it doesn't.
+/// Returns the log-likelihood ratio of a share that is higher by `effect` to the expected one.
 fn log_likelihood_ratio(config: &Config, pair: Pair) -> f64 {
     let same = expected_share(config, pair.old).min(1.0 - 2.0 * config.effect);
     let worse = same + config.effect;
--- a/crates/rollout/src/leader.rs
+++ b/crates/rollout/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's part: how a roll-out goes on.
+//! The leader's state machine, which advances a roll-out through its phases.
 
 use std::collections::BTreeMap;
 
@@ -14,32 +14,32 @@
 use crate::stage::Stage;
 use crate::tally::Tally;
 
-/// What is known of both versions' replicas, over all entries.
+/// Requests and slots of both versions' replicas, summed over all entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fleet {
-    /// Requests that the old version's replicas run.
+    /// Requests that run on the old version's replicas.
     pub running_old: u32,
     /// Slots of the old version's replicas.
     pub slots_old: u32,
-    /// Slots of the new version's replicas that are ready.
+    /// Slots of the new version's ready replicas.
     pub slots_new: u32,
 }
 
-/// One service's roll-out, at the entry that leads.
+/// One service's roll-out at the leading entry.
 #[derive(Clone, Debug)]
 pub struct Leader {
     config: configs::leader::Config,
     judge: configs::judge::Config,
     order: Order,
-    /// When the order was given, by our clock.
+    /// When the order was given, by this entry's clock.
     started: Time,
     phase: Phase,
-    /// What was found, for the log.
+    /// The latest result of the test, for the log.
     finding: Finding,
 }
 
 impl Leader {
-    /// Leads an order that was given at `begun`, from the stage that a former leader wrote, if one did.
+    /// Leads an order given at `started`, resuming from the stage that an earlier leader stored, if any.
     pub fn new(
         config: configs::leader::Config,
         judge: configs::judge::Config,
@@ -58,22 +58,22 @@
         }
     }
 
-    /// The order.
+    /// Returns the order.
     pub fn order(&self) -> &Order {
         &self.order
     }
 
-    /// What becomes of new requests.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// What was found last.
+    /// Returns the latest result of the test.
     pub fn finding(&self) -> &Finding {
         &self.finding
     }
 
-    /// Goes on by what all entries have counted; whether the phase changed.
+    /// Judges the summed counts and advances the phase; returns whether it changed.
     pub fn step(&mut self, now: Time, tally: &Tally, fleet: Fleet) -> bool {
         let before = self.phase;
         if !before.is_final() {
@@ -97,9 +97,9 @@
             Phase::Canary if self.finding == Finding::Likely && self.has_capacity(fleet) => {
                 Phase::Moving
             }
-            // What isn't known to be good isn't used.
+            // A version that isn't known to be good must not be used.
             Phase::Canary => Phase::RolledBack,
-            // Old replicas stop at once when it is completed, and what runs there would be cut.
+            // Old replicas are stopped on completion, which would cut off requests that still run there.
             Phase::Moving if fleet.running_old == 0 => Phase::Completed,
             other => other,
         }
@@ -109,14 +109,14 @@
         f64::from(fleet.slots_new) >= f64::from(fleet.slots_old) * self.config.min_capacity_ratio
     }
 
-    /// The order was withdrawn, or another one took its place: the version gets nothing more.
+    /// Ends the roll-out because its order was withdrawn or replaced.
     pub fn withdraw(&mut self) {
         if !self.phase.is_final() {
             self.phase = Phase::RolledBack;
         }
     }
 
-    /// The stage to announce to all entries.
+    /// Returns the stage to announce to all entries.
     pub fn stage(&self, now: Time, tally: &Tally) -> Stage {
         Stage {
             order: self.order.revision,
@@ -130,15 +130,16 @@
         }
     }
 
-    /// Time between two announcements.
+    /// Returns the time between two announcements.
     pub fn announcement_interval(&self) -> Span {
         self.config.announcement_interval
     }
 
-    /// Share of each route that goes to the canary replicas: all routes get an equal number, as far as each has requests.
+    /// Returns the share of each route's requests for the canary replicas. All routes send an equal
+    /// number, as far as each has requests.
     ///
-    /// Guards against a version that is bad on a route with little traffic: by one share for all routes it would be seen
-    /// too seldom to be found.
+    /// Guards against a version that is bad on a route with little traffic: with one share for all
+    /// routes, that route would send too few requests to find it.
     fn shares(&self, tally: &Tally) -> BTreeMap<SmolStr, f64> {
         let requests = |route: &SmolStr| {
             let pair = tally.routes[route];
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,17 +1,17 @@
-//! The operator's order.
+//! An operator's order to change a service's version.
 
 use clock::Span;
 use smol_str::SmolStr;
 
-/// Move a service's traffic to a version.
+/// An order to move a service's traffic to a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Which service.
+    /// The service.
     pub service: SmolStr,
-    /// The version.
+    /// The new version.
     pub to: SmolStr,
-    /// How long it may take, from the order on.
+    /// Deadline, counted from the order.
     pub within: Span,
-    /// Names the order: the revision at which it was written.
+    /// Identifies the order: the revision that wrote it.
     pub revision: u64,
 }
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -1,4 +1,4 @@
-//! One entry's part: which requests go to the new version.
+//! Splits one entry's new requests between the old and the new version.
 
 use clock::Span;
 use clock::Time;
@@ -8,31 +8,31 @@
 use crate::stage::Phase;
 use crate::stage::Stage;
 
-/// An older announcement counts as none: the version may have been found bad since.
+/// An older announcement is ignored: the version may have been found bad since.
 const MAX_ANNOUNCEMENT_AGE: Span = Span::from_millis(2_500);
 
-/// What one entry knows of one service's roll-out.
+/// One entry's view of one service's roll-out.
 #[derive(Clone, Debug)]
 pub struct Split {
     order: Order,
     stage: Stage,
-    /// Number of the leader's newest announcement.
+    /// Number of the leader's latest announcement.
     announcement: u64,
-    /// When it was made, by our clock.
+    /// When it was made, by this entry's clock.
     announced_at: Option<Time>,
 }
 
-/// Where a new request goes.
+/// The version that a new request goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// To the version in use.
+    /// The version in use.
     Old,
-    /// To the ordered one.
+    /// The ordered version.
     New,
 }
 
 impl Split {
-    /// An order without an announcement of the leader.
+    /// Creates a split for an order that the leader hasn't announced yet.
     pub fn new(order: Order) -> Split {
         let stage = Stage {
             order: order.revision,
@@ -47,17 +47,17 @@
         }
     }
 
-    /// The order.
+    /// Returns the order.
     pub fn order(&self) -> &Order {
         &self.order
     }
 
-    /// What becomes of new requests.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.stage.phase
     }
 
-    /// Takes in an announcement of the leader, which is `age` old; whether the phase changed.
+    /// Applies the leader's announcement, which is `age` old; returns whether the phase changed.
     pub fn apply_stage(&mut self, now: Time, number: u64, age: Span, stage: &Stage) -> bool {
         let is_other_order = stage.order != self.order.revision || stage.to != self.order.to;
         if is_other_order || number <= self.announcement {
@@ -72,10 +72,10 @@
         changed
     }
 
-    /// Where a new request of a route goes; `drawn` is drawn evenly from 0 to 1.
+    /// Returns the version for a new request of a route; `draw` is uniform in [0, 1).
     ///
-    /// Guards against an entry that is cut off from the leader: it would go on sending requests to a version that has been
-    /// rolled back.
+    /// Guards against an entry that is cut off from the leader: it would keep sending requests to a
+    /// version that has been rolled back.
     pub fn side(&self, now: Time, route: &SmolStr, draw: f64) -> Side {
         let fresh = self
             .announced_at
--- a/crates/rollout/src/stage.rs
+++ b/crates/rollout/src/stage.rs
@@ -1,4 +1,4 @@
-//! How far a roll-out is, as the leader says it.
+//! A roll-out's stage, as the leader announces it.
 
 use std::collections::BTreeMap;
 
@@ -6,38 +6,38 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// What becomes of new requests.
+/// The phase of a roll-out, which decides where new requests go.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// A small share of them goes to the version.
+    /// A small share goes to the new version.
     #[default]
     Canary,
-    /// All go to the version; some still run on the old one.
+    /// All go to the new version; some earlier ones still run on the old version.
     Moving,
-    /// All go to the version, and nothing is left on the old one.
+    /// All go to the new version, and none run on the old version.
     Completed,
-    /// None go to the version.
+    /// None go to the new version.
     RolledBack,
 }
 
 impl Phase {
-    /// Whether nothing will change any more.
+    /// Returns whether the phase can't change any more.
     pub fn is_final(self) -> bool {
         matches!(self, Phase::Completed | Phase::RolledBack)
     }
 }
 
-/// A roll-out's stage.
+/// The stage of one roll-out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Stage {
-    /// The order that it belongs to.
+    /// The revision of its order.
     pub order: u64,
-    /// The version.
+    /// The new version.
     pub to: SmolStr,
-    /// What becomes of new requests.
+    /// The phase.
     pub phase: Phase,
-    /// Share of each route that goes to the canary replicas; only in that phase.
+    /// Share of each route's requests for the canary replicas; empty in other phases.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub shares: BTreeMap<SmolStr, f64>,
     /// Time since the order, milliseconds.
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -1,7 +1,7 @@
-//! What the operator reads of a roll-out, and what a next leader goes on from.
+//! Tables that hold the state of roll-outs.
 
-/// The table of statuses for the operator; the key names the service.
+/// The table of statuses that operators read; the key is the service.
 pub const TABLE: &str = "rollout-status";
 
-/// The table of stages; the key names the service.
+/// The table of stages from which a new leader resumes; the key is the service.
 pub const STAGES: &str = "rollouts";
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of answers by route and version, kept by each entry and added up.
+//! Counts of answers by route and version, which each entry keeps and the leader adds up.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,30 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Answers of one version on one route.
+/// Counts of one version's answers on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// All.
+    /// All answers.
     pub answers: u64,
-    /// Those that failed, were cut, or came far slower than usual.
+    /// Answers that failed, were cut off, or were much slower than usual.
     pub bad: u64,
 }
 
-/// Both versions' answers on one route.
+/// Counts of both versions' answers on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pair {
-    /// Of the version in use.
+    /// The version in use.
     pub old: Count,
-    /// Of the canary version.
+    /// The canary version.
     pub new: Count,
 }
 
-/// Answers since an order, by route.
+/// Counts of answers since an order, by route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// The order.
+    /// The revision of the order.
     pub order: u64,
-    /// By route.
+    /// Counts by route.
     pub routes: BTreeMap<SmolStr, Pair>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Tally {
-    /// Nothing counted yet since an order.
+    /// Creates an empty tally for an order.
     pub fn new(order: u64) -> Tally {
         Tally {
             order,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Counts an answer; `canary` if it is of the canary version.
+    /// Counts an answer; `canary` if the canary version gave it.
     pub fn record(&mut self, route: &SmolStr, canary: bool, bad: bool) {
         let pair = self.routes.entry(route.clone()).or_default();
         let count = match canary {
@@ -67,7 +67,7 @@
         });
     }
 
-    /// Adds another entry's counts; those of an older order are passed over.
+    /// Adds another entry's counts, unless they belong to an older order.
     pub fn add(&mut self, other: &Tally) {
         if other.order > self.order {
             *self = Tally::new(other.order);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes an entry's counts off a sum that holds them.
+    /// Subtracts an entry's counts from a sum that includes them.
     pub fn subtract(&mut self, other: &Tally) {
         if other.order != self.order {
             return;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// All routes together.
+    /// Returns the counts over all routes.
     pub fn total(&self) -> Pair {
         let mut total = Pair::default();
         for pair in self.routes.values() {
--- a/crates/rollout/tests/trials.rs
+++ b/crates/rollout/tests/trials.rs
@@ -1,4 +1,5 @@
-//! Roll-outs of good and bad versions in simulation: what callers meet, and how often the verdict is wrong.
+//! Simulated roll-outs of good and bad versions: how many callers are affected, and whether the verdict
+//! is right.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -22,27 +23,28 @@
 const ENTRIES: usize = 62;
 const STEP_MILLIS: u64 = 20;
 const DEADLINE: Span = Span::from_seconds(12);
-/// Of a service's requests a bad version may get this share, and so many besides.
+/// Most of a service's requests that a bad version may receive, and a number of requests beyond that.
 const MAX_EXPOSURE: f64 = 0.1;
 const EXPOSURE_ALLOWANCE: u64 = 50;
-/// Bad answers of a version after which it must soon get nothing more, and how soon.
+/// Number of bad answers after which a version must receive no more requests, and the time allowed for
+/// that.
 const BAD_LIMIT: u64 = 50;
 const ROLLBACK_MILLIS: u64 = 5_000;
-/// Routes and their requests a second.
+/// Routes with their requests per second.
 const ROUTES: [(&str, f64); 3] = [("summary", 119.0), ("draft", 249.0), ("chat", 71.0)];
-/// Share of answers of any good version that are bad.
+/// Share of bad answers of a good version.
 const BASELINE_BAD_SHARE: f64 = 0.04;
 const SEEDS: u64 = 100;
 
-/// How a version goes wrong.
+/// The behaviour of a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Version {
     Good,
-    /// It spoils that share of its answers.
+    /// Bad on this share of its answers.
     Bad(f64),
-    /// The same from some seconds on.
+    /// Bad on this share after a time in milliseconds.
     LateBad(f64, u64),
-    /// The same on one route.
+    /// Bad on this share of one route's answers.
     OneRoute(f64, usize),
 }
 
@@ -57,7 +59,7 @@
     }
 }
 
-/// What a play came to.
+/// The result of a simulated roll-out.
 #[derive(Debug, Default)]
 struct Outcome {
     phase: Phase,
@@ -65,22 +67,22 @@
     requests: u64,
     exposed: u64,
     bad: u64,
-    /// Requests sent to the version, by time.
+    /// When each request was sent to the version.
     sent: Vec<u64>,
     limit_reached_at: Option<u64>,
 }
 
-/// Entries, one of which leads, and what news take between them.
+/// Entries, one of which leads, with delayed messages between them.
 struct World {
     random: Pcg64Mcg,
     splits: Vec<Split>,
     tallies: Vec<Tally>,
-    /// Counts as the leader knows them, with the time at which they come.
+    /// Counts by the time at which they reach the leader.
     counts_in_flight: VecDeque<(u64, Tally)>,
     known: Tally,
     announcements: Vec<(u64, usize, u64, u64, Stage)>,
     lead: Option<Leader>,
-    /// Both versions' answers are bad that much more.
+    /// Least share of bad answers of both versions.
     burst: f64,
 }
 
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Plays an order; `leaderless` is a time without a leader, after which another one goes on from `written`.
+    /// Simulates an order; `leaderless` is a period without a leader, after which another one resumes.
     fn run(&mut self, version: Version, leaderless: Option<(u64, u64)>) -> Outcome {
         let mut outcome = Outcome::default();
         let mut written: Option<Stage> = None;
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Counts come to the leader twice a second, some tenths of a second old.
+    /// Delivers counts to the leader twice a second, 600 ms old.
     fn deliver_counts(&mut self, now: u64) {
         if now.is_multiple_of(500) {
             let mut sum = Tally::new(7);
@@ -221,7 +223,7 @@
     }
 }
 
-/// A version that spoils answers gets few requests, whatever is wrong with it, and soon none.
+/// Asserts that a bad version is rolled back, in time and after few requests.
 fn assert_contained(version: Version, outcome: &Outcome) {
     let limit = (outcome.requests as f64 * MAX_EXPOSURE) as u64 + EXPOSURE_ALLOWANCE;
     assert_eq!(outcome.phase, Phase::RolledBack, "{version:?}: {outcome:?}");
@@ -241,7 +243,8 @@
     }
 }
 
-/// Hundreds of callers met a version that failed at once, later or on one route only, before anyone had found it out.
+/// Hundreds of callers received bad answers of a version that failed immediately, later or on one route
+/// only, before it was found bad.
 #[test]
 fn bad_versions_are_rolled_back_in_time() {
     let versions = [
@@ -269,7 +272,7 @@
     }
 }
 
-/// A good version that isn't put into use in time is a release that somebody has to do by hand.
+/// A good version must be completed by the deadline, or an operator has to release it by hand.
 #[test]
 fn good_versions_are_completed_in_time() {
     let mut wrong = 0;
@@ -281,7 +284,7 @@
     assert_eq!(wrong, 0, "of {SEEDS}");
 }
 
-/// A burst spoils a third of all answers, whichever version gives them: that is no reason to reject one.
+/// A burst spoils a third of both versions' answers, which is no reason to reject the new one.
 #[test]
 fn a_burst_on_both_versions_rejects_neither() {
     let mut completed = 0;
@@ -294,7 +297,8 @@
     assert!(completed >= SEEDS * 95 / 100, "{completed} of {SEEDS}");
 }
 
-/// The leader ends in the middle of a trial. Nobody may go on trying without one, and the next goes on from there.
+/// The leader ends during the canary phase: no requests may go to the version without a leader, and the
+/// next leader resumes from the stored stage.
 #[test]
 fn a_rollout_survives_its_leader() {
     let mut completed = 0;
@@ -313,7 +317,8 @@
     assert!(completed >= SEEDS * 95 / 100, "{completed} of {SEEDS}");
 }
 
-/// An entry that is cut off from the leader must not go on sending requests to a version that was found bad.
+/// An entry that is cut off from the leader must stop sending requests to a version that may have been
+/// found bad.
 #[test]
 fn without_a_fresh_announcement_nothing_is_sent() {
     let mut split = Split::new(order());
@@ -329,12 +334,12 @@
     split.apply_stage(at(1_000), 1, Span::ZERO, &stage);
     assert_eq!(split.side(at(1_000), &route, 0.0), Side::New);
     assert_eq!(split.side(at(5_000), &route, 0.0), Side::Old);
-    // An announcement that took long to come is as old as it is.
+    // An announcement counts from when it was made, not from when it arrived.
     split.apply_stage(at(6_000), 2, Span::from_seconds(5), &stage);
     assert_eq!(split.side(at(6_000), &route, 0.0), Side::Old);
 }
 
-/// An announcement for an older order must not decide on the version of the present one.
+/// An announcement for an older order must not decide about the current order's version.
 #[test]
 fn an_announcement_for_another_order_is_ignored() {
     let mut split = Split::new(order());
--- a/crates/watch/src/configs/watch.rs
+++ b/crates/watch/src/configs/watch.rs
@@ -2,24 +2,26 @@
 
 use clock::Span;
 
-/// How often the list is read, and when an entry reads for itself.
+/// Intervals and timeouts of reads and reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Time between two reads of the first reader; each further one waits so much longer before it stands in.
+    /// Time between two reads of the first reader; also each further rank's extra delay before it takes
+    /// over.
     pub reader_interval: Span,
-    /// Age of the list that the others see while the first reader is well.
+    /// Age of the list after which standby readers take over, in order of rank.
     pub reader_timeout: Span,
-    /// Age of the list from which on an entry that is no reader reads for itself.
+    /// Age of the list after which a follower reads it itself.
     pub follower_timeout: Span,
-    /// Such entries begin at times that are spread over this: all of them lack the same word at once.
+    /// Most random delay of a follower's first read: all followers lose the reports at the same time.
     pub follower_jitter: Span,
-    /// How long a list may differ from what reports say: the missing part may be under way by another hub.
+    /// How long a digest may differ from the reports': the missing change may be in flight from another
+    /// hub.
     pub mismatch_timeout: Span,
-    /// Pause between two reads of an entry that reads for itself.
+    /// Time between two reads of a follower that reads for itself.
     pub follower_interval: Span,
-    /// Least time from one report to the next: changes that come together go in one.
+    /// Shortest time between two reports, so that a burst of changes shares one report.
     pub min_report_interval: Span,
-    /// How long a change stays in the reports of the one who passes it on.
+    /// How long a change is repeated in regular reports by the entry that relays it.
     pub retransmission_time: Span,
 }
 
--- a/crates/watch/src/list.rs
+++ b/crates/watch/src/list.rs
@@ -14,44 +14,45 @@
 use crate::server::Server;
 use crate::server::Update;
 
-/// All rows.
+/// All rows, with a digest over them.
 #[derive(Clone, Debug, Default)]
 pub struct List {
     rows: BTreeMap<SmolStr, Server>,
-    /// Rows that ended, and at which revision. Invariant: each is newer than `complete`.
+    /// Revisions at which rows ended. Invariant: each is newer than `complete_revision`.
     ended: BTreeMap<SmolStr, u64>,
-    /// Every change up to this revision is taken in: an older row that isn't here has ended.
+    /// All changes up to this revision have been applied: an older row that is absent here has ended.
     complete_revision: u64,
-    /// Invariant: over all rows, the exclusive or of their hashes.
+    /// Invariant: the exclusive or of all rows' hashes.
     digest: u64,
     /// The newest revision at which a row changed.
     changed_revision: u64,
 }
 
 impl List {
-    /// Digest of all rows: equal for equal lists, whatever way their entries learned of them.
+    /// Returns the digest of all rows. Equal lists have equal digests, in whatever order changes were
+    /// applied.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The newest revision at which a row changed.
+    /// Returns the newest revision at which a row changed.
     pub fn changed_revision(&self) -> u64 {
         self.changed_revision
     }
 
-    /// What a row says.
+    /// Returns a server's row.
     pub fn get(&self, id: &str) -> Option<&Server> {
         self.rows.get(id)
     }
 
-    /// Takes in what the table service says; what of it is new.
+    /// Applies an answer of the table service and returns the changes that are new.
     pub fn apply_reading(&mut self, reading: &Reading) -> Vec<Change> {
         let changes = self.apply(self.changes_of(reading));
         self.mark_complete(reading.revision);
         changes
     }
 
-    /// What an answer says, row by row.
+    /// Converts an answer to changes of rows.
     fn changes_of(&self, reading: &Reading) -> Vec<Change> {
         match &reading.update {
             Update::All(servers) if self.is_restored(reading) => self.known_leaving(servers),
@@ -69,16 +70,16 @@
         }
     }
 
-    /// Whether the service came back from a copy since the list was read last.
+    /// Returns whether the table service was restored from a backup since the last reading.
     fn is_restored(&self, reading: &Reading) -> bool {
         self.complete_revision > 0
             && Revision::is_of_older_era(self.complete_revision, reading.revision)
     }
 
-    /// Of rows that were restored from a copy, what is believed before their servers write them again: that one leaves.
+    /// Returns the changes to accept from rows restored from a backup: only that a known server is leaving.
     ///
-    /// Guards against servers that are gone or have said that they leave since the copy was made: they would be handed
-    /// requests again. Live ones write their rows again with the next heartbeat.
+    /// Guards against servers that ended or began to leave after the backup was made: they would receive
+    /// requests again. Live servers rewrite their rows with the next heartbeat.
     fn known_leaving(&self, servers: &[Server]) -> Vec<Change> {
         let leaving = servers.iter().filter(|server| server.leaving);
         let known = leaving.filter(|server| {
@@ -88,13 +89,13 @@
         known.map(Change::written).collect()
     }
 
-    /// Rows that aren't among these servers.
+    /// Returns the ids of rows that are missing among these servers.
     fn absent(&self, servers: &[Server]) -> impl Iterator<Item = &SmolStr> {
         let named: BTreeSet<&SmolStr> = servers.iter().map(|server| &server.id).collect();
         self.rows.keys().filter(move |id| !named.contains(id))
     }
 
-    /// Of an answer that was taken in, what holds by now.
+    /// Returns the part of an applied update that still matches the list.
     pub fn up_to_date(&self, update: &Update) -> Update {
         match update {
             Update::All(_) => Update::All(self.rows.values().cloned().collect()),
@@ -113,22 +114,22 @@
         }
     }
 
-    /// Whether a row still says the same, but for the time that is left to its server.
+    /// Returns whether a row is unchanged apart from its revision and its server's remaining time.
     fn is_current(&self, server: &Server) -> bool {
         let known = self.get(&server.id);
         known.is_some_and(|known| hash_of(known) == hash_of(server))
     }
 
-    /// Notes that every change up to a revision is taken in.
+    /// Records that all changes up to a revision have been applied.
     pub fn mark_complete(&mut self, revision: u64) {
         self.complete_revision = self.complete_revision.max(revision);
         let complete = self.complete_revision;
         self.ended.retain(|_, ended| *ended > complete);
     }
 
-    /// Takes in changes; those that are new here, in the order of their revisions.
+    /// Applies changes and returns those that were new, in order of revision.
     ///
-    /// The newest of a row comes first, so that an older one among them is never in force.
+    /// Newest first, so that an outdated state of a row is never applied in between.
     pub fn apply(&mut self, mut changes: Vec<Change>) -> Vec<Change> {
         changes.sort_by_key(|change| Reverse(change.at));
         changes.retain(|change| self.apply_one(change));
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Whether what is known of the row is as new.
+    /// Returns whether the known state of the row is at least as new.
     fn is_outdated(&self, change: &Change) -> bool {
         if let Some(known) = self.rows.get(&change.id) {
             return known.revision >= change.at;
@@ -185,8 +186,8 @@
     }
 }
 
-/// Hash of what a row says; its revision and the time that is left to its server change with each heartbeat and don't
-/// count.
+/// Returns the hash of a row without its revision and its server's remaining time, which change with each
+/// heartbeat.
 fn hash_of(server: &Server) -> u64 {
     let texts = [
         &server.incarnation,
--- a/crates/watch/src/report.rs
+++ b/crates/watch/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports on the list of backend servers, from entry to entry.
+//! Reports on the list of backend servers that entries send each other.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,47 +6,47 @@
 
 use crate::server::Server;
 
-/// The state of the list at a revision, and what changed lately. Loss, repetition and any order do no harm.
+/// The list's digest at a revision, with recent changes. Tolerates loss, duplication and reordering.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Report {
-    /// Everything up to this revision is in `digest`.
+    /// The revision up to which `digest` covers all changes.
     pub revision: u64,
-    /// Time since the table service said so, milliseconds.
+    /// Time since the table service was read at this revision, milliseconds.
     pub age_ms: u64,
-    /// Digest of all rows, [`crate::list::List::digest`].
+    /// Digest of all rows, see [`crate::list::List::digest`].
     pub digest: u64,
-    /// How long missing rows may be those of live servers whose leases lapsed, milliseconds.
+    /// Time during which missing rows may belong to live servers whose leases lapsed, milliseconds.
     #[serde(skip_serializing_if = "is_zero")]
     pub lapsed_ms: u64,
-    /// What changed lately.
+    /// Recent changes.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<Change>,
 }
 
-/// A row that changed.
+/// A change of one row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The server's name.
+    /// The server's id.
     pub id: SmolStr,
-    /// The list's revision that changed it. Invariant: of two changes of a row the later has the higher one.
+    /// The list's revision of this change. Invariant: a later change of the same row has a higher one.
     pub at: u64,
-    /// What it is now.
+    /// The row's state after the change.
     pub now: State,
 }
 
-/// What a row says.
+/// A row's state after a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// The row is new, or another.
+    /// The row was created or changed.
     Written(Server),
-    /// It ended.
+    /// The row ended.
     Ended,
 }
 
 impl Change {
-    /// A row that is new, or says something else.
+    /// Creates the change that wrote a server's row.
     pub fn written(server: &Server) -> Change {
         Change {
             id: server.id.clone(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A row that ended at a revision.
+    /// Creates the change that ended a row at a revision.
     pub fn ended(id: SmolStr, at: u64) -> Change {
         Change {
             id,
--- a/crates/watch/src/server.rs
+++ b/crates/watch/src/server.rs
@@ -1,60 +1,60 @@
-//! A backend server as its own row in the table service tells.
+//! Rows of backend servers in the table service, and answers about them.
 
 use clock::Span;
 use serde::Deserialize;
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// What one replica says of itself.
+/// A replica's description of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// Names one life of it: a replica that starts again under its old name is another incarnation.
+    /// Identifies one life of the replica: one that restarts under its old id is another incarnation.
     pub incarnation: SmolStr,
-    /// The name that it expects in requests.
+    /// The id that it expects in requests.
     pub id: SmolStr,
-    /// Which service it runs.
+    /// The service that it runs.
     pub service: SmolStr,
-    /// `host:port`.
+    /// Its address, `host:port`.
     pub address: SmolStr,
     /// Its availability zone.
     pub zone: SmolStr,
-    /// The version of its software; empty where that isn't said.
+    /// Its software version; empty if unknown.
     #[serde(default, skip_serializing_if = "SmolStr::is_empty")]
     pub version: SmolStr,
-    /// Requests at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new work and will leave.
+    /// Whether it accepts no new requests because it will leave.
     pub leaving: bool,
-    /// When it is gone, where that is known, counted from the answer or report on.
+    /// Time until it is gone, if known, as of the answer or report.
     #[serde(rename = "leaves_in_ms", with = "span")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leaves_in: Option<Span>,
-    /// Whether it can be reclaimed on short notice.
+    /// Whether its instance can be reclaimed at short notice.
     pub reclaimable: bool,
-    /// The list's revision that wrote this row; between entries it goes with the change.
+    /// The list's revision that wrote this row. Reports carry it in [`crate::report::Change::at`].
     #[serde(skip)]
     pub revision: u64,
 }
 
-/// One answer about the list of servers.
+/// One answer of the table service about the list of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reading {
-    /// The list's revision that it tells.
+    /// The list's revision as of the answer.
     pub revision: u64,
-    /// What it says.
+    /// Its contents.
     pub update: Update,
 }
 
-/// What an answer says.
+/// The contents of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// All servers as of one moment.
+    /// All servers at one revision.
     All(Vec<Server>),
-    /// What changed since the reading before; often nothing.
+    /// Changes since the previous reading; often empty.
     Changes {
-        /// Rows that changed or are new.
+        /// Rows that were created or changed.
         written: Vec<Server>,
-        /// Names that have no usable row any more.
+        /// Servers that have no usable row any more.
         removed: Vec<Removal>,
     },
 }
@@ -62,13 +62,13 @@
 /// The end of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Removal {
-    /// The server's name.
+    /// The server's id.
     pub id: SmolStr,
-    /// The list's revision at which its row ended.
+    /// The list's revision that ended the row.
     pub revision: u64,
 }
 
-/// Spans as milliseconds.
+/// Serializes optional spans as milliseconds.
 mod span {
     use clock::Span;
     use serde::Deserialize;
--- a/crates/watch/src/watch.rs
+++ b/crates/watch/src/watch.rs
@@ -1,4 +1,4 @@
-//! One entry's part in following the list: whether it reads, and what it reports.
+//! One entry's copy of the list: when it reads the table service, and what it reports to others.
 
 use clock::Span;
 use clock::Time;
@@ -13,82 +13,82 @@
 use crate::server::Removal;
 use crate::server::Server;
 
-/// What an entry does for the others.
+/// An entry's part in keeping the list up to date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// There are few entries, and each reads for itself.
+    /// There are few entries, and each reads the list itself.
     Alone,
-    /// It reads for all, or stands by for those before it.
+    /// Reads for all entries, or stands by to replace readers of lower rank.
     Reader {
-        /// Its place among the readers; the first one reads.
+        /// Its rank; the reader of rank 0 reads.
         rank: usize,
     },
-    /// It receives reports.
+    /// Receives reports.
     Follower,
 }
 
-/// How far the list is known.
+/// How current an entry's list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// When the table service said so, as far as known.
+    /// When the table service was read at this revision, by this entry's clock.
     pub as_of: Time,
-    /// Everything up to this revision is known.
+    /// The revision up to which all changes are known.
     pub revision: u64,
 }
 
-/// What an entry learned from a report.
+/// The changes that an entry learned from a report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Learned {
-    /// Servers whose rows are new or say something else.
+    /// Servers whose rows were created or changed.
     pub written: Vec<Server>,
     /// Rows that ended.
     pub removed: Vec<Removal>,
-    /// How far the list is known by now, if the report shows that nothing is missing.
+    /// The list's position, if the report shows that no change is missing.
     pub position: Option<Position>,
 }
 
-/// How much of what changed lately a report has.
+/// Which recent changes a report contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Extent {
-    /// What no report of this entry had before.
+    /// Changes that no earlier report of this entry contained.
     New,
-    /// Also what earlier reports had, so that a loss is made good.
+    /// Also changes of earlier reports, to make up for lost ones.
     Recent,
 }
 
-/// A change that is passed on.
+/// A change to relay to other entries.
 #[derive(Debug)]
 struct Outgoing {
     since: Time,
     change: Change,
-    /// Whether a report had it.
+    /// Whether a report has contained it.
     reported: bool,
 }
 
-/// What one entry knows of the list.
+/// One entry's copy of the list and its schedule of reads and reports.
 #[derive(Debug)]
 pub struct Watch {
     config: Config,
     list: List,
     position: Option<Position>,
-    /// Since when reports say that something is missing here.
+    /// Since when this list's digest has differed from that of reports.
     mismatch_since: Option<Time>,
-    /// Whether the last report came from one that can't say whether missing rows are those of live servers.
+    /// Whether the last report's sender couldn't tell if missing rows belong to live servers.
     reader_unsure: bool,
-    /// What was learned and is still passed on.
+    /// Changes that are still relayed.
     outgoing: Vec<Outgoing>,
-    /// Whether the table service was read since the last report.
+    /// Whether the table service was read since the last report was made.
     read_since_report: bool,
-    /// When it was read here last.
+    /// When this entry last read the table service.
     last_read: Option<Time>,
-    /// When it reported last.
+    /// When the last report was made.
     last_report: Time,
-    /// This entry's moment within the spread.
+    /// This entry's delay before it reads for itself, see [`Config::follower_jitter`].
     jitter: Span,
 }
 
 impl Watch {
-    /// An entry that knows nothing; `seed` sets its moment among those that read for themselves.
+    /// Creates an empty list; `seed` determines the jitter of reads.
     pub fn new(config: Config, seed: u64) -> Watch {
         let jitter = rendezvous::weight(seed, 0) % config.follower_jitter.as_millis().max(1);
         Watch {
@@ -105,13 +105,14 @@
         }
     }
 
-    /// Takes in an answer of the table service; what of it isn't out of date by now.
+    /// Applies an answer of the table service and returns the part that is still current.
     ///
-    /// Guards against an answer that was under way while reports brought newer changes: it names servers that are gone.
+    /// Guards against an answer that was in flight while reports brought newer changes: it contains
+    /// servers that have ended.
     pub fn apply_reading(&mut self, now: Time, reading: &Reading) -> Reading {
         let is_first = self.position.is_none();
         let changes = self.list.apply_reading(reading);
-        // What an entry finds as it starts is known to all others.
+        // All other entries know what an entry finds when it starts.
         if !is_first {
             self.relay(now, changes);
         }
@@ -129,9 +130,9 @@
         }
     }
 
-    /// Takes in a report; with `pass_on`, what is new in it goes into this entry's own reports.
+    /// Applies a report; with `relay`, its new changes go into this entry's own reports.
     pub fn receive(&mut self, now: Time, report: &Report, relay: bool) -> Learned {
-        // Without a reading of its own an entry can't tell what is missing.
+        // Without a first reading, an entry can't tell what is missing.
         if self.position.is_none() {
             return Learned::default();
         }
@@ -154,7 +155,7 @@
         learned
     }
 
-    /// Compares the list with a report's digest.
+    /// Compares the list's digest with a report's and returns the position if they are equal.
     fn compare_digest(&mut self, now: Time, report: &Report) -> Option<Position> {
         if report.digest == self.list.digest() {
             self.mismatch_since = None;
@@ -164,14 +165,14 @@
             });
             return self.position;
         }
-        // A report of before our newest change says nothing of what is missing here.
+        // A report that is older than our newest change doesn't show whether a change is missing.
         if report.revision >= self.list.changed_revision() {
             self.mismatch_since.get_or_insert(now);
         }
         None
     }
 
-    /// Notes how far the list is known without a gap.
+    /// Advances the position up to which no change is missing.
     fn advance_position(&mut self, position: Position) {
         self.list.mark_complete(position.revision);
         let known = self.position.unwrap_or(position);
@@ -190,34 +191,34 @@
         self.outgoing.extend(outgoing);
     }
 
-    /// Whether there is something to pass on before the next regular report.
+    /// Returns whether there are changes to report before the next regular report.
     pub fn is_report_due(&self, now: Time) -> bool {
         self.has_unreported() && now >= self.last_report + self.config.min_report_interval
     }
 
-    /// When [`Watch::is_report_due`] holds next.
+    /// Returns when [`Watch::is_report_due`] becomes true, if there are changes to report.
     pub fn next_report_due(&self) -> Option<Time> {
         self.has_unreported()
             .then_some(self.last_report + self.config.min_report_interval)
     }
 
-    /// Whether something was not passed on yet.
+    /// Returns whether there are changes that no report has contained.
     fn has_unreported(&self) -> bool {
         self.outgoing.iter().any(|one| !one.reported)
     }
 
-    /// Whether the table service was read since the last report.
+    /// Returns whether the table service was read since the last report.
     pub fn has_read(&self) -> bool {
         self.read_since_report
     }
 
-    /// Whether this entry reads by itself at present, and needs nobody's word on which rows may have lapsed.
+    /// Returns whether this entry reads the table service itself, and so knows which rows may have lapsed.
     pub fn is_reading(&self, now: Time) -> bool {
         let standby = self.config.reader_timeout;
         self.last_read.is_some_and(|at| now.since(at) < standby)
     }
 
-    /// A report for other entries; `lapsed` is how long missing rows may be those of live servers.
+    /// Creates a report; `lapsed` is the time during which missing rows may belong to live servers.
     pub fn report(&mut self, now: Time, lapsed: Span, extent: Extent) -> Option<Report> {
         let position = self.position?;
         self.read_since_report = false;
@@ -240,7 +241,7 @@
         })
     }
 
-    /// The pause between two reads of this entry; none while it need not read.
+    /// Returns the time between two reads of this entry, or none while it needn't read.
     pub fn read_interval(&self, now: Time, role: Role) -> Option<Span> {
         match role {
             Role::Alone => Some(Span::ZERO),
@@ -253,14 +254,14 @@
         }
     }
 
-    /// When an entry reads next unless a newer report comes.
+    /// Returns when an entry reads next unless a newer report arrives.
     pub fn next_read(&self, role: Role) -> Time {
         let Some(position) = self.position else {
             return Time::ZERO;
         };
         let timeout = match role {
             Role::Alone | Role::Reader { rank: 0 } => return Time::ZERO,
-            // Those that stand by have followed the list without a gap, where the reader has not.
+            // Standby readers have followed the list without a gap; the reader has not.
             Role::Reader { rank } if self.reader_unsure => {
                 self.config.reader_interval.times(rank as u64)
             }
@@ -276,18 +277,18 @@
         }
     }
 
-    /// How far the list is known.
+    /// Returns how current the list is.
     pub fn position(&self) -> Option<Position> {
         self.position
     }
 
-    /// Digest of the list as it is known here.
+    /// Returns the list's digest.
     pub fn digest(&self) -> u64 {
         self.list.digest()
     }
 }
 
-/// The moment `span` before `now`.
+/// Returns the time `span` before `now`.
 fn before(now: Time, span: Span) -> Time {
     Time::from_millis(now.as_millis().saturating_sub(span.as_millis()))
 }
--- a/crates/watch/tests/order.rs
+++ b/crates/watch/tests/order.rs
@@ -1,4 +1,4 @@
-//! Answers of the table service and reports of entries come in any order, twice, or cut anywhere: the list is the same.
+//! The list is the same for readings and reports that arrive reordered, duplicated or in any split.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 use watch::server::Server;
 use watch::server::Update;
 
-/// What happens to a row.
+/// A change of a row.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Ready,
@@ -26,7 +26,7 @@
     Ended,
 }
 
-/// What the rows say after each revision, by revision.
+/// The row that each revision wrote, by revision.
 type History = BTreeMap<u64, (SmolStr, Option<Server>)>;
 
 fn server(row: u8, leaving: bool, revision: u64) -> Server {
@@ -66,7 +66,7 @@
     }
 }
 
-/// All rows as of a revision.
+/// Returns a reading of all rows as of a revision.
 fn all(history: &History, revision: u64) -> Reading {
     let mut rows = BTreeMap::new();
     for (id, now) in history.range(..=revision).map(|(_, row)| row) {
@@ -78,7 +78,7 @@
     }
 }
 
-/// What an answer says of the revisions after one up to another, with each row named as often as it changed.
+/// Returns a reading of the changes between two revisions, with each row listed once per change.
 fn changes(history: &History, after: u64, to: u64, backwards: bool) -> Reading {
     let (mut written, mut removed) = (Vec::new(), Vec::new());
     let named = history
@@ -116,8 +116,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// A leave or an end that stood beside an older state of its row, or came before it, was dropped, and all entries
-    /// went on with a server that had left.
+    /// A leaving or ended state that arrived together with an older state of its row, or before it, was
+    /// dropped, and all entries kept using a server that had left.
     #[test]
     fn the_list_does_not_depend_on_the_order(
         steps in prop::collection::vec(step(), 1..40),
--- a/crates/watch/tests/spread.rs
+++ b/crates/watch/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Many entries follow a list that few of them read, over a network that loses messages, cuts ways and freezes entries.
+//! Many entries follow a list that few of them read, with message loss, network cuts and frozen entries.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -30,11 +30,11 @@
 const CHANGE_MILLIS: u64 = 300;
 /// Time between two regular reports.
 const REPORT_MILLIS: u64 = 500;
-/// A way between two entries, at most.
+/// Most time that a message between two entries takes.
 const MAX_LATENCY_MILLIS: u64 = 20;
-/// From an entry's end or freeze until the others choose without it.
+/// Time from an entry's end or freeze until the others assign roles without it.
 const DETECTION_MILLIS: u64 = 2_500;
-/// A change must be known everywhere after this.
+/// Most time until every entry knows a change.
 const MAX_AGE_MILLIS: u64 = 4_000;
 
 /// A row of the table service.
@@ -43,27 +43,28 @@
     revision: u64,
 }
 
-/// Entries, the list that they follow, and what goes wrong.
+/// Entries, the list that they follow, and the faults in force.
 struct World {
     now: u64,
     revision: u64,
     rows: BTreeMap<SmolStr, Row>,
-    /// The list as it is, and when it had which digest.
+    /// The list in the table service.
     truth: List,
+    /// Latest time by digest of that list.
     history: BTreeMap<u64, u64>,
     entries: Vec<Watch>,
     next_read: Vec<u64>,
-    /// As of when each entry knows the list.
+    /// Time of the list that each entry knows.
     known_as_of: Vec<u64>,
-    /// Messages by the time of their arrival.
+    /// Messages by arrival time.
     in_flight: BTreeMap<u64, Vec<(usize, usize, Report)>>,
     reads: u64,
     draws: u64,
-    /// Messages lost of a thousand.
+    /// Messages lost per thousand.
     loss_per_mille: u64,
     /// Entries that can't reach the table service.
     cut_off: BTreeSet<usize>,
-    /// Entries that do nothing, and since when.
+    /// Entries that do nothing, by the time of their freeze.
     frozen: BTreeMap<usize, u64>,
     /// Entries whose messages don't reach one in three others.
     one_way: BTreeSet<usize>,
@@ -105,7 +106,7 @@
         rendezvous::weight(7, self.draws) % below
     }
 
-    /// A server's row is written, as new or as one that leaves.
+    /// Writes a server's row.
     fn write(&mut self, number: u64, leaving: bool) {
         let id = format_smolstr!("s{number}");
         let server = Server {
@@ -143,7 +144,7 @@
         self.history.insert(self.truth.digest(), self.now);
     }
 
-    /// A list that holds this row alone.
+    /// Returns a list of this row alone.
     fn single_row(&self, id: &str) -> List {
         let row = &self.rows[id];
         let update = Update::All(row.server.clone().into_iter().collect());
@@ -155,7 +156,7 @@
         list
     }
 
-    /// One server starts, says that it leaves, or is gone.
+    /// Starts, drains or ends one server, by turns.
     fn change(&mut self, turn: u64) {
         let number = SERVERS + turn / 3;
         match turn % 3 {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Entries that the others take for live, in order of rank.
+    /// Entries that the others consider live, in order of rank.
     fn present(&self) -> Vec<usize> {
         let known = |entry: &usize| {
             let frozen = self.frozen.get(entry);
@@ -188,7 +189,7 @@
         self.present().into_iter().take(HUBS).collect()
     }
 
-    /// The hubs, then the first of each zone.
+    /// The hubs, then the first entry of each zone.
     fn readers(&self) -> Vec<usize> {
         let present = self.present();
         let first = |zone| present.iter().find(move |entry| **entry % ZONES == zone);
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Runs while every entry that isn't frozen or blind knows the list as of not longer ago than the bound.
+    /// Runs and asserts that no entry's list is too old, except at entries that are frozen or cut off.
     fn assert_known(&mut self, millis: u64, case: &str) {
         let end = self.now + millis;
         while self.now < end {
@@ -332,8 +333,7 @@
 
 const SIZES: [usize; 3] = [30, 300, 840];
 
-/// Each of many entries read the list by itself, and calls of the table service grew with entries times changes. Reads
-/// must not grow with the entries.
+/// Each entry read the list itself, and calls of the table service grew with entries times changes.
 #[test]
 fn reads_do_not_grow_with_the_entries() {
     for entries in SIZES {
@@ -346,7 +346,7 @@
     }
 }
 
-/// A tenth of all messages is lost: an entry that misses a change must notice and make up for it.
+/// A tenth of all messages is lost: an entry that misses a change must detect it and read the list.
 #[test]
 fn lost_messages_are_made_up_for() {
     for entries in SIZES {
@@ -357,7 +357,7 @@
     }
 }
 
-/// Nobody who reads for the others reaches the table service; the others do, and must not wait for them.
+/// No reader reaches the table service: the entries that do must not wait for them.
 #[test]
 fn readers_without_the_table_service_are_replaced() {
     for entries in SIZES {
@@ -368,7 +368,7 @@
     }
 }
 
-/// The hubs freeze, and the others choose new ones only after some seconds.
+/// Both hubs freeze, and the others replace them only after some seconds.
 #[test]
 fn frozen_hubs_are_replaced_in_time() {
     for entries in SIZES {
@@ -377,13 +377,13 @@
         let since = world.now;
         world.frozen = world.hubs().into_iter().map(|hub| (hub, since)).collect();
         world.assert_known(6_000, "hubs frozen");
-        // They wake with what they knew, and believe themselves hubs: nobody may go back to that.
+        // The hubs resume with an old list and still act as hubs: no entry may adopt that list.
         world.frozen.clear();
         world.assert_known(6_000, "hubs awake");
     }
 }
 
-/// Messages of both hubs reach two thirds of the others only, while all answer them.
+/// Both hubs' messages reach only two thirds of the others, while all messages to the hubs arrive.
 #[test]
 fn a_one_way_cut_is_detected() {
     for entries in SIZES {
@@ -394,8 +394,8 @@
     }
 }
 
-/// A row was written and ended between two reads, and one answer names it twice. The end was dropped, everybody was
-/// sent the row as new, and requests went to a server that had left.
+/// A row was written and ended between two reads, so one answer contains both. The end was dropped, the
+/// row was reported as new, and requests went to a server that had left.
 #[test]
 fn a_row_that_was_written_and_ended_is_gone() {
     let mut world = World::new(3);
@@ -423,8 +423,8 @@
     assert_eq!(report.changes, []);
 }
 
-/// The reader lost an answer and can't tell whether a missing row is that of a live server: who stands by has followed
-/// the list all the while and must read, or everyone would go on with servers that left.
+/// The reader lost an answer and can't tell whether a missing row belongs to a live server. A standby has
+/// followed the list all along and must read, or all entries would keep servers that left.
 #[test]
 fn a_standby_reads_while_the_reader_is_unsure() {
     let mut world = World::new(3);
@@ -445,8 +445,8 @@
     assert!(world.entries[1].read_interval(soon, standby).is_some());
 }
 
-/// A report that a server started comes after its receiver has read that the server is gone again: an older report
-/// must not bring it back.
+/// A report that a server started arrives after the receiver has read that it ended, and must not revive
+/// it.
 #[test]
 fn an_older_report_revives_no_server() {
     let mut world = World::new(3);
@@ -466,8 +466,8 @@
     assert_eq!(world.entries[1].digest(), world.truth.digest());
 }
 
-/// One answer named a row twice, as ready and as leaving. The leave was dropped as no newer than the row before it, and
-/// all entries handed requests to the server until its row ended.
+/// One answer contained a row twice, as ready and as leaving. The leave was dropped as no newer than the
+/// other state, and all entries sent requests to the server until its row ended.
 #[test]
 fn a_leave_is_kept_beside_its_older_row() {
     let mut world = World::new(3);
@@ -490,8 +490,8 @@
     }
 }
 
-/// The table service came back from a copy some seconds old: a server that had ended since was handed requests again, and
-/// one that had started since was given up.
+/// The table service was restored from a backup some seconds old: a server that had ended since received
+/// requests again, and one that had started since was dropped.
 #[test]
 fn a_restored_list_revives_no_server() {
     let mut world = World::new(1);
@@ -517,7 +517,7 @@
     world.entries[0].apply_reading(now, &reading);
     assert_eq!(world.entries[0].digest(), before);
 
-    // Its server writes a row again, by a number that was given out before.
+    // The server rewrites its row, at a revision number that was used before the restore.
     let back = Server {
         revision: restored(4),
         ..copy[1].clone()
@@ -531,7 +531,7 @@
     };
     let taken = world.entries[0].apply_reading(now, &reading);
     assert_eq!(taken.update, reading.update);
-    // Once more read whole, rows that nobody wrote again are gone.
+    // The next full reading removes rows that nobody rewrote.
     let reading = Reading {
         revision: restored(9),
         update: Update::All(Vec::new()),
@@ -540,8 +540,8 @@
     assert_eq!(world.entries[0].digest(), List::default().digest());
 }
 
-/// Sixty servers that came within a second stood in up to seven reports to everyone each, which is more than a narrow
-/// link carries.
+/// Sixty servers that started within a second were in up to seven reports each, which exceeds a narrow
+/// link.
 #[test]
 fn each_change_is_reported_at_once_only_once() {
     let mut world = World::new(3);
