--- a/crates/member/examples/spread.rs
+++ b/crates/member/examples/spread.rs
@@ -1,4 +1,4 @@
-//! What membership costs a node as there are more, and how long news takes to reach all.
+//! Prints what membership costs per node as their number grows, and how long items take to reach all nodes.
 //!
 //! `cargo run --release -p member --example spread`
 
@@ -11,13 +11,13 @@
 use member::event::Event;
 use member::fake::Fleet;
 
-/// Time that members have to find each other.
+/// Time that members have to discover each other.
 const WARM_UP: Span = Span::from_seconds(120);
-/// Time over which costs are measured.
+/// Time over which costs are sampled.
 const MEASUREMENT: Span = Span::from_seconds(60);
-/// Longest time that news may take.
+/// Longest time for one item to reach all nodes.
 const PROPAGATION_LIMIT: Span = Span::from_seconds(120);
-/// Longest time that a wave may take.
+/// Longest time for a wave of items to reach all nodes.
 const WAVE_LIMIT: Span = Span::from_seconds(600);
 
 fn main() {
@@ -33,7 +33,7 @@
     }
 }
 
-/// One member hears of many leaving backend servers at once.
+/// Publishes many leaving backend servers at one member, and prints how long they take to reach all.
 fn wave(nodes: usize, items: usize) {
     let mut fleet = Fleet::default();
     for index in 0..nodes {
@@ -62,7 +62,7 @@
     }
 }
 
-/// News of a leaving backend server.
+/// Returns the item of a leaving backend server.
 fn leaving(name: &str) -> Item {
     Item {
         topic: Topic::Leaving,
@@ -113,7 +113,7 @@
     println!("{}", propagation(&mut fleet));
 }
 
-/// Freezes a third and tells one of the others of a leaving backend server and of a new version.
+/// Freezes a third of the nodes, then publishes a leaving backend server and a new version at another one.
 fn propagation(fleet: &mut Fleet) -> String {
     let nodes = fleet.nodes.len();
     for index in (1..nodes).step_by(3) {
--- a/crates/member/src/addresses.rs
+++ b/crates/member/src/addresses.rs
@@ -1,10 +1,9 @@
-//! Which entries callers are told to use.
+//! Chooses the entries whose addresses a caller receives.
 //!
-//! The load pattern: callers keep an answer for a while and send what they have to the first address
-//! in it. Without a key, answers spread callers over all entries by weight; with a prefix's key its
-//! owner comes first, so that requests that share a prefix meet where its cache is known. An entry
-//! that is draining, gone or silent is never named, since callers would hold on to it for the
-//! answer's whole lifetime.
+//! Load pattern: callers cache an answer for its lifetime and send their requests to its first address.
+//! Without a key, answers spread callers over all entries by weight; with a prefix's key its owner comes
+//! first, so that requests with the same prefix meet its cache. An entry that is draining, gone or silent
+//! is never included, since callers would use it for the answer's whole lifetime.
 
 use clock::Span;
 use clock::Time;
@@ -19,23 +18,23 @@
 
 /// Weight of an idle entry.
 const FULL_WEIGHT: u32 = 100;
-/// Weight of a full one: some callers still find out that it has room again.
+/// Weight of a full entry. Not zero, so that some callers find out that it has capacity again.
 const LEAST_WEIGHT: u32 = 5;
 
-/// One entry named to a caller.
+/// An entry in an answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Which.
+    /// The entry's id.
     pub id: holder::Id,
     /// `host:port` to connect to.
     pub address: SmolStr,
     /// Its availability zone.
     pub zone: SmolStr,
-    /// Its share of callers who choose at random; at least 1.
+    /// Relative share of callers that choose at random; at least 1.
     pub weight: u32,
 }
 
-/// Up to `limit` entries: the key's owner first, the others drawn by weight over the zones.
+/// Returns up to `limit` entries: the key's owner first, the others drawn by weight, evenly over the zones.
 pub fn choose(
     directory: &Directory,
     now: Time,
@@ -81,7 +80,7 @@
     chosen
 }
 
-/// Moves the first match over.
+/// Moves the first match from `usable` to `chosen`.
 fn move_first(
     usable: &mut Vec<Endpoint>,
     chosen: &mut Vec<Endpoint>,
--- a/crates/member/src/configs/membership.rs
+++ b/crates/member/src/configs/membership.rs
@@ -2,53 +2,53 @@
 
 use clock::Span;
 
-/// Times, bounds and shares of the table service.
+/// Intervals, timeouts and limits of leases, reads and gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Time between two renewals of our row while few members share the service.
+    /// Time between two renewals of our row while few members share the table service.
     pub renewal_interval: Span,
-    /// Renewals a second that all members together may make.
+    /// Most renewals per second of all members together.
     pub renewals_per_second: u64,
-    /// A lease's term, in renewals.
+    /// A lease's term, in renewal intervals.
     pub renewals_per_term: u64,
-    /// Shortest time between two renewals that carry news.
+    /// Shortest time between two renewals when the row has changed.
     pub min_renewal_interval: Span,
-    /// Added to the term before others treat a lease as lapsed.
+    /// Time added to a lease's term before others treat it as lapsed.
     pub margin: Span,
-    /// A step that follows the last after a longer gap means that the loop slept.
+    /// Longest time between two steps; after a longer one the process is assumed to have been suspended.
     pub max_step_gap: Span,
-    /// Shortest time between two reads of the members of our zone.
+    /// Shortest time between two reads of our zone's members.
     pub scan_interval: Span,
-    /// Bytes a second that one member may read of the members of its zone, and as many of all.
+    /// Most bytes per second that one member reads of its zone's rows, and as many again of all rows.
     pub scan_bytes_per_second: u64,
-    /// What one member's row takes in an answer, bytes.
+    /// Size of one row in an answer, bytes.
     pub row_bytes: u64,
-    /// Time between two rounds of digests.
+    /// Time between two regular rounds of digests.
     pub gossip_interval: Span,
-    /// Peers that are sent a digest each round.
+    /// Peers that receive a digest in each round.
     pub fanout: usize,
-    /// Peers that are told of a request that crashes backend servers at once; the others by rounds.
-    /// Twice today's 8 entries; at full size those beside which the same replicas are used must come
-    /// first, which isn't built.
+    /// Peers to which a request that crashes backend servers is announced at once; the others receive it
+    /// by rounds. Covers a system of 8 entries twice. A larger one would have to choose first the peers
+    /// that use the same replicas, which isn't implemented.
     pub announce_fanout: usize,
-    /// Most bytes of one digest.
+    /// Most bytes of a regular digest.
     pub digest_bytes: usize,
-    /// Most bytes of one digest while there is much news and bytes are saved up for it.
+    /// Most bytes of a digest while many items are waiting and the byte budget allows it.
     pub burst_digest_bytes: usize,
-    /// Bytes of digests a second beyond which nothing is brought forward.
+    /// Rate of the byte budget, beyond which no urgent rounds are sent.
     pub gossip_bytes_per_second: u64,
-    /// Shortest time between two rounds when there is urgent news.
+    /// Shortest time between two rounds while urgent items are waiting.
     pub urgent_interval: Span,
-    /// A member whose heartbeat has not risen for so long is not named to callers. Stretched where
-    /// heartbeats of all members take longer to come round.
+    /// Time without a new heartbeat after which a member is no longer given to callers. Longer among many
+    /// members, whose heartbeats take longer to go round.
     pub heartbeat_timeout: Span,
-    /// How long the row of a member that left is kept, for those who look for its ledger's heir.
+    /// How long the row of a member that left is kept, for entries that look for its ledger's heir.
     pub left_retention: Span,
-    /// How long a lapsed row is kept unless the instance is known to be gone.
+    /// How long a lapsed row is kept unless its instance is known to be gone.
     pub lapsed_retention: Span,
-    /// First wait after a failed call.
+    /// First delay before a failed call is retried.
     pub retry_delay: Span,
-    /// Longest wait after failed calls.
+    /// Longest delay before a failed call is retried.
     pub max_retry_delay: Span,
     /// Most addresses in one answer to a caller.
     pub addresses: usize,
@@ -84,32 +84,32 @@
 }
 
 impl Settings {
-    /// Time between renewals when `members` share the service.
+    /// Returns the time between two renewals when `members` share the service.
     pub fn renewal_interval_for(&self, members: usize) -> Span {
         let shared = Span::from_millis(members as u64 * 1_000 / self.renewals_per_second);
         self.renewal_interval.max(shared)
     }
 
-    /// A lease's term when `members` share the service.
+    /// Returns a lease's term when `members` share the service.
     pub fn term_for(&self, members: usize) -> Span {
         self.renewal_interval_for(members)
             .times(self.renewals_per_term)
     }
 
-    /// Shortest time between renewals that carry news when `members` share the service.
+    /// Returns the shortest time between renewals of a changed row when `members` share the service.
     pub fn min_renewal_interval_for(&self, members: usize) -> Span {
         let shared = Span::from_millis(members as u64 * 1_000 / self.renewals_per_second);
         self.min_renewal_interval.max(shared)
     }
 
-    /// Time between reads of `rows` rows.
+    /// Returns the time between two reads of `rows` rows.
     pub fn scan_interval_for(&self, rows: usize) -> Span {
         let bytes = rows as u64 * self.row_bytes;
         let shared = Span::from_millis(bytes * 1_000 / self.scan_bytes_per_second);
         self.scan_interval.max(shared)
     }
 
-    /// How long a heartbeat may stand still when there are `members`.
+    /// Returns the heartbeat timeout among `members`.
     pub fn heartbeat_timeout_for(&self, members: usize) -> Span {
         let beats = (self.digest_bytes / crate::digest::BEAT_BYTES).max(1);
         let rounds = members.div_ceil(beats * self.fanout.max(1)) as u64;
--- a/crates/member/src/digest.rs
+++ b/crates/member/src/digest.rs
@@ -1,4 +1,4 @@
-//! What one entry tells a few others now and then, bounded in size.
+//! Gossip digests: messages of bounded size that entries send to a few peers in each round.
 
 use clock::Span;
 use lease::holder;
@@ -8,95 +8,97 @@
 
 use crate::row::Row;
 
-/// What a heartbeat takes on the wire, bytes: id 8, count 4, version 4, load 1, framing.
+/// Size of a heartbeat on the wire, bytes: id 8, count 4, version 4, load 1, framing.
 pub const BEAT_BYTES: usize = 20;
-/// What a digest takes besides its parts, bytes.
+/// Size of a digest without its parts, bytes.
 pub const HEAD_BYTES: usize = 32;
 
-/// One message to one peer. Loss, repetition, delay and any order do no harm.
+/// A message to one peer. Tolerates loss, duplication, delay and reordering.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
     /// The sender's own heartbeat.
     pub own: Beat,
-    /// Heartbeats of others as the sender heard them.
+    /// Latest heartbeats of others that the sender knows.
     pub beats: Vec<Beat>,
-    /// News of members.
+    /// Records of members.
     pub records: Vec<Record>,
-    /// Other news.
+    /// Items on other topics.
     pub items: Vec<Item>,
-    /// The sender knows no peers yet and asks for an answer with all members.
+    /// Whether the sender knows no peers yet and asks for a snapshot of all members.
     pub greeting: bool,
 }
 
 /// A member's heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beat {
-    /// Whose.
+    /// The member.
     pub id: holder::Id,
-    /// Rises while the member runs.
+    /// Increases while the member runs.
     pub count: u64,
-    /// The configuration version it has applied; never falls.
+    /// The configuration version that it has applied; never decreases.
     pub applied: u64,
-    /// How full it is, 0 to 255.
+    /// How loaded it is, 0 to 255.
     pub load: u8,
     /// Whether the table service doesn't answer it.
     pub store_lost: bool,
 }
 
-/// A member's row as far as others know it. The member's own count of renewals orders records.
+/// A member's row as others know it. Records of a member are ordered by its count of renewals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The row.
     pub row: Row,
-    /// Its lease was seen to lapse, or its row is gone; a higher count of renewals refutes that.
+    /// Whether its lease lapsed or its row was removed; a higher count of renewals refutes that.
     pub gone: bool,
 }
 
-/// What a piece of news is about.
+/// The topic of an item. It determines the meaning of the item's key and version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Topic {
-    /// A backend server incarnation that is leaving; the key names it. Sticky.
+    /// A backend server incarnation, named by the key, is leaving. Never revoked.
     Leaving,
     /// A quarantined fingerprint of a request that crashes backend servers.
     Quarantine,
-    /// Who holds the ledger of an entry that left; the key names the entry.
+    /// The heir of the ledger of an entry that left; the key names that entry.
     Heir,
-    /// What accounts ask for at one entry; the key names the entry.
+    /// Accounts' demand at one entry; the key names the entry.
     Demand,
-    /// What one entry has counted; the key names the entry.
+    /// One entry's counts; the key names the entry.
     Count,
-    /// A backend server incarnation whose row ended; the key names it, the version is the list's revision then.
+    /// The row of a backend server incarnation, named by the key, ended; the version is the list's
+    /// revision then.
     Ended,
-    /// What one entry knows of the list of backend servers; the key names the entry.
+    /// One entry's report on the list of backend servers; the key names the entry.
     List,
-    /// A holder of a lease gave up; the key names the lease, the version is its fencing number.
+    /// The holder of a lease, named by the key, resigned; the version is its fencing token.
     Resigned,
-    /// A holder renewed a lease; the key names the lease, the version is its row's revision, and the row is in it.
+    /// The holder of a lease, named by the key, renewed it; the version is its row's revision, the
+    /// payload the row.
     Renewed,
-    /// How far a service's roll-out is, by its leader; the key names the service.
+    /// The stage of a service's roll-out, from its leader; the key names the service.
     Rollout,
-    /// A member is suspected to have failed; the key names it, the version is the count of its last heartbeat. A later
-    /// heartbeat refutes it.
+    /// A member, named by the key, is suspected to have failed; the version is the count of its last
+    /// heartbeat. A later heartbeat refutes it.
     Silent,
 }
 
 impl Topic {
-    /// How long news of this topic is kept and passed on. It outlives the matter: calls and backend
-    /// servers that it speaks of are gone by then.
+    /// Returns how long items of this topic are kept and passed on. Calls and backend servers that they
+    /// refer to are gone before that.
     pub const fn lifetime(self) -> Span {
         match self {
             Topic::Demand | Topic::Count | Topic::List | Topic::Renewed | Topic::Silent => {
                 Span::from_seconds(15)
             }
-            // Whoever can read the list itself needs it no more.
+            // An entry that reads the list itself doesn't need them any more.
             Topic::Ended | Topic::Resigned | Topic::Rollout => Span::from_seconds(60),
             Topic::Quarantine => Span::from_seconds(900),
             Topic::Leaving | Topic::Heir => Span::from_seconds(3_600),
         }
     }
 
-    /// Whether it is told at once and not with the next round.
+    /// Returns whether items are sent in urgent rounds.
     pub const fn is_urgent(self) -> bool {
         !matches!(
             self,
@@ -104,29 +106,29 @@
         )
     }
 
-    /// Whether others pass it on; what isn't comes from its own entry each time.
+    /// Returns whether peers pass items on; the others come only from their own entry.
     pub const fn is_passed_on(self) -> bool {
         !matches!(self, Topic::Count | Topic::List | Topic::Renewed)
     }
 }
 
-/// One piece of news. Among pieces of equal topic and key the highest version counts.
+/// An item of gossip. Of several with the same topic and key, the highest version counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// What it is about.
+    /// Its topic.
     pub topic: Topic,
-    /// Names the subject within its topic.
+    /// Identifies the subject within the topic.
     pub key: SmolStr,
-    /// Orders pieces on the same subject.
+    /// Orders items on the same subject.
     pub version: u64,
-    /// How long it has been under way, summed over all who held it; no clocks are compared.
+    /// Age, summed over all entries that held it, so that no clocks are compared.
     pub age_ms: u64,
-    /// Meaning left to the topic's own module.
+    /// Its contents, interpreted by the topic's own module.
     pub payload: Vec<u8>,
 }
 
 impl Digest {
-    /// About what it takes on the wire, bytes.
+    /// Returns the approximate size on the wire, bytes.
     pub fn size(&self) -> usize {
         let records: usize = self.records.iter().map(Record::size).sum();
         let items: usize = self.items.iter().map(Item::size).sum();
@@ -135,7 +137,7 @@
 }
 
 impl Record {
-    /// About what it takes on the wire, bytes.
+    /// Returns the approximate size on the wire, bytes.
     pub fn size(&self) -> usize {
         const FIXED: usize = 48;
         FIXED + self.row.zone.len() + self.row.address.len() + self.row.peer_address.len()
@@ -143,7 +145,7 @@
 }
 
 impl Item {
-    /// About what it takes on the wire, bytes.
+    /// Returns the approximate size on the wire, bytes.
     pub fn size(&self) -> usize {
         const FIXED: usize = 24;
         FIXED + self.key.len() + self.payload.len()
--- a/crates/member/src/directory.rs
+++ b/crates/member/src/directory.rs
@@ -1,7 +1,7 @@
-//! All members this entry knows of, from its own reads and from others' word.
+//! All members that this entry knows, from its own reads and from gossip.
 //!
-//! Good enough to choose whom to talk to and whom to name to callers. What must not be wrong (when a
-//! lease has lapsed for certain) is concluded from our own reads alone, in [`crate::roster`].
+//! Accurate enough to choose peers for messages and addresses for callers. Whether a lease has lapsed,
+//! which must not be wrong, is concluded from this entry's own reads alone, in [`crate::roster`].
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,30 +15,31 @@
 use crate::digest::Record;
 use crate::row::State;
 
-/// Heartbeats that may come in after a suspicion though they were sent before it: gossip takes longer ways.
+/// Heartbeats that may arrive after a suspicion though they were sent before it, as gossip takes longer
+/// paths.
 pub const REFUTATION_LEAD: u64 = 12;
 
-/// The members.
+/// All known members.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     members: BTreeMap<holder::Id, Member>,
 }
 
-/// One member.
+/// A known member.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// The newest record.
     pub record: Record,
     /// The newest heartbeat.
     pub beat: Beat,
-    /// When the heartbeat last rose, or the member was first heard of.
+    /// When a newer heartbeat last arrived, or the member was discovered.
     pub last_seen: Time,
-    /// The last heartbeat that doesn't refute a suspicion, if there is one.
+    /// If suspected, the highest heartbeat count that doesn't refute the suspicion.
     pub suspected_count: Option<u64>,
 }
 
 impl Directory {
-    /// Takes a record; true if it says something that others should hear.
+    /// Merges a record; returns whether others should receive it.
     pub fn merge(&mut self, now: Time, record: &Record) -> bool {
         let Some(known) = self.members.get_mut(&record.row.id) else {
             if record.gone || record.row.state == State::Left {
@@ -67,7 +68,7 @@
         is_news
     }
 
-    /// Takes a heartbeat; true if the member is known and has applied a newer version.
+    /// Records a heartbeat; returns whether the member is known and has applied a newer version.
     pub fn record_beat(&mut self, now: Time, beat: &Beat) -> bool {
         let Some(known) = self.members.get_mut(&beat.id) else {
             return false;
@@ -81,7 +82,8 @@
         newer
     }
 
-    /// Suspects a member by the count of its last heartbeat; false if it was suspected, or a later one refutes it.
+    /// Suspects a member by the count of its last heartbeat; false if already suspected or refuted by a
+    /// later heartbeat.
     pub fn suspect(&mut self, id: holder::Id, count: u64) -> bool {
         let Some(known) = self.members.get_mut(&id) else {
             return false;
@@ -98,7 +100,7 @@
         true
     }
 
-    /// Forgets members that went or left and were not heard for `keep`; names them.
+    /// Removes members that are gone or left and had no heartbeat for `keep`; returns their ids.
     pub fn expire(&mut self, now: Time, keep: Span) -> Vec<holder::Id> {
         let expired: Vec<holder::Id> = self
             .iter()
@@ -111,22 +113,22 @@
         expired
     }
 
-    /// What is known of a member.
+    /// Returns a member.
     pub fn get(&self, id: holder::Id) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// All members, also those that are gone.
+    /// Returns all members, including those that are gone.
     pub fn iter(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
         self.members.iter().map(|(id, known)| (*id, known))
     }
 
-    /// Members that have not gone or left.
+    /// Returns the members that are not gone and have not left.
     pub fn present(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
         self.iter().filter(|(_, known)| known.is_present())
     }
 
-    /// Of the members at each address the one that was heard last; the others are earlier lives of it.
+    /// Returns the member that was last seen at each address; the others there are earlier lives of it.
     pub fn latest_by_address(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
         let mut latest: BTreeMap<&SmolStr, (holder::Id, &Member)> = BTreeMap::new();
         for (id, known) in self.present() {
@@ -138,18 +140,18 @@
                 *newest = (id, known);
             }
         }
-        // In the order of ids, as all members come.
+        // In order of id, like the other iterators.
         let latest: BTreeMap<holder::Id, &Member> = latest.into_values().collect();
         latest.into_iter()
     }
 
-    /// How many have not gone or left.
+    /// Returns the number of members that are not gone and have not left.
     pub fn present_count(&self) -> usize {
         self.present().count()
     }
 
-    /// How many addresses the members have that haven't gone or left. One that was killed and started again is
-    /// two members until the first is known gone; both have one address.
+    /// Returns the number of addresses of present members. An entry that was killed and restarted is two
+    /// members with one address until the first is known to be gone.
     pub fn address_count(&self) -> usize {
         let present = self.present();
         let addresses = present.map(|(_, known)| &known.record.row.peer_address);
@@ -158,12 +160,12 @@
 }
 
 impl Member {
-    /// Whether it has not gone or left.
+    /// Returns whether it is not gone and has not left.
     pub fn is_present(&self) -> bool {
         !self.record.gone && self.record.row.state != State::Left
     }
 
-    /// How much it can take against others, 1 to 255; 0 before it has told.
+    /// Returns its spare capacity relative to others, 1 to 255; 0 before its first heartbeat.
     pub fn capacity(&self) -> u8 {
         match self.beat.count {
             0 => 0,
@@ -171,13 +173,13 @@
         }
     }
 
-    /// Whether it is suspected, and no heartbeat has refuted that.
+    /// Returns whether it is suspected and no heartbeat has refuted that.
     pub fn is_suspected(&self) -> bool {
         self.suspected_count
             .is_some_and(|count| self.beat.count <= count)
     }
 
-    /// Whether it may be named to callers: live, with a heartbeat within `quiet`, and not suspected.
+    /// Returns whether callers may use it: live, with a heartbeat within `timeout`, and not suspected.
     pub fn is_usable(&self, now: Time, timeout: Span) -> bool {
         let live = self.is_present() && self.record.row.state == State::Live;
         live && now.since(self.last_seen) <= timeout && !self.is_suspected()
--- a/crates/member/src/event.rs
+++ b/crates/member/src/event.rs
@@ -1,4 +1,4 @@
-//! What [`crate::membership::Membership`] is told and what it asks for.
+//! Inputs and outputs of [`crate::membership::Membership`].
 
 use lease::holder;
 use lease::holding::Holding;
@@ -11,61 +11,61 @@
 use crate::digest::Digest;
 use crate::digest::Item;
 
-/// What happens to the state machine.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Wake,
     /// A store call has ended.
     Store {
-        /// Which.
+        /// The call.
         id: call::Id,
-        /// How.
+        /// Its outcome.
         outcome: Outcome,
     },
     /// A peer sent a digest.
     Digest(Digest),
     /// This entry has applied a configuration version.
     Applied(u64),
-    /// How full this entry is, 0 to 255.
+    /// The load of this entry has changed, 0 to 255.
     Load(u8),
     /// Whether the table service doesn't answer this entry.
     StoreLost(bool),
-    /// This entry admits nothing new from now on.
+    /// This entry accepts no new requests from now on.
     Drain,
     /// This entry has stopped; `heir` holds its ledger.
     Leave {
-        /// The entry that took over its ledger, if one did.
+        /// The entry that took over its ledger, if any.
         heir: Option<holder::Id>,
     },
-    /// All members are to be read as soon as may be.
+    /// All members should be read as soon as possible.
     ReadAll,
-    /// The instance list says that this member's instance is gone for good.
+    /// According to the instance list, this member's instance is gone for good.
     InstanceGone(holder::Id),
-    /// The instance list names these entries, by the addresses that callers connect to.
+    /// The addresses for callers of all entries in the instance list.
     InstancesListed(Vec<SmolStr>),
-    /// News from this entry itself, to be told to all.
+    /// An item of this entry, to be published to all.
     Publish(Item),
 }
 
-/// What the embedder is to do.
+/// An action for the embedder.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Make a store call.
     Store {
-        /// Given back with its outcome.
+        /// Returned with its outcome.
         id: call::Id,
         /// The call.
         call: Call,
     },
-    /// Send a digest to a member; it may get lost.
+    /// Send a digest to a member; it may be lost.
     Send {
-        /// Which; [`crate::membership::Membership::peer_address`] tells where.
+        /// The member, see [`crate::membership::Membership::peer_address`].
         to: holder::Id,
         /// The digest.
         digest: Digest,
     },
-    /// Send a digest to an address of the settings, while no members are known.
+    /// Send a digest to a seed address, while no members are known.
     Greet {
         /// `host:port` that other entries connect to.
         address: SmolStr,
@@ -76,17 +76,17 @@
     Lease(Holding),
     /// All members were read.
     View(View),
-    /// A member is heard to have applied a version.
+    /// According to its heartbeat, a member has applied a version.
     Applied {
-        /// Which.
+        /// The member.
         member: holder::Id,
         /// The version.
         version: u64,
     },
-    /// News that was not known here.
+    /// An item that was not known here.
     Item(Item),
-    /// The members that can be talked to have changed.
+    /// The set of present members has changed.
     Peers(Vec<holder::Id>),
-    /// The service has it that we left.
+    /// The table service has stored that this entry left.
     Left,
 }
--- a/crates/member/src/fake.rs
+++ b/crates/member/src/fake.rs
@@ -1,4 +1,4 @@
-//! Many members before one table service in virtual time, for tests and measurements.
+//! Simulates many members and one table service in virtual time, for tests and examples.
 
 use std::collections::BTreeMap;
 
@@ -19,21 +19,21 @@
 use crate::membership::Membership;
 use crate::row::Row;
 
-/// One way between two entries.
+/// One-way latency between two entries.
 const PEER_LATENCY: Span = Span::from_millis(1);
-/// One way between an entry and the table service.
+/// One-way latency between an entry and the table service.
 const STORE_LATENCY: Span = Span::from_millis(3);
 
-/// All members and what is on its way between them.
+/// All members and the messages between them.
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// The table service.
     pub table: Table,
     /// The members by index; ids are index plus 1.
     pub nodes: Vec<Node>,
-    /// The present time.
+    /// The virtual time.
     pub now: Time,
-    /// Members apply a configuration version as soon as they hear of it.
+    /// Whether members apply a configuration version as soon as a heartbeat shows it.
     pub apply_versions: bool,
     by_address: BTreeMap<SmolStr, usize>,
     queue: Queue<Delivery>,
@@ -44,15 +44,15 @@
 pub struct Node {
     /// Its state machine.
     pub membership: Membership,
-    /// Stopped for good.
+    /// Whether it has stopped for good.
     pub dead: bool,
-    /// Gets nothing until it is thawed; then everything at once, as a stopped process does.
+    /// Whether it is suspended: events are deferred until it resumes.
     pub frozen: bool,
-    /// Members hear each other only within the same part of a cut network.
+    /// Its network partition; only members of the same one can exchange messages.
     pub partition: u32,
-    /// Whether the network cuts it off from the table service.
+    /// Whether it is cut off from the table service.
     pub store_cut: bool,
-    /// What it told its embedder, with the time.
+    /// Effects for the embedder, with the time.
     pub effects: Vec<(Time, Effect)>,
     /// Bytes of digests sent.
     pub sent_bytes: u64,
@@ -60,13 +60,13 @@
     pub received_bytes: u64,
     /// Bytes of rows read.
     pub read_bytes: u64,
-    /// Steps made.
+    /// Number of steps.
     pub steps: u64,
     deferred: Vec<Event>,
     next_wake: Time,
 }
 
-/// Something on its way.
+/// A delivery in flight.
 #[derive(Debug)]
 enum Delivery {
     Wake(usize),
@@ -122,12 +122,12 @@
         index
     }
 
-    /// The id of the member at `index`.
+    /// Returns the id of the member at `index`.
     pub fn id(&self, index: usize) -> holder::Id {
         holder::Id(index as u64 + 1)
     }
 
-    /// Stops and continues a member as a signal does.
+    /// Suspends or resumes a member, as a signal does.
     pub fn set_frozen(&mut self, index: usize, frozen: bool) {
         self.nodes[index].frozen = frozen;
         if frozen {
@@ -139,7 +139,7 @@
         self.feed(index, Event::Wake);
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn run(&mut self, span: Span) {
         let until = self.now + span;
         while let Some((at, delivery)) = self.queue.pop(until) {
@@ -149,7 +149,7 @@
         self.now = until;
     }
 
-    /// Lets time pass until something holds, at most `limit`; how long it took.
+    /// Advances the time until a condition holds, at most by `limit`; returns how long it took.
     pub fn run_until(&mut self, limit: Span, holds: impl Fn(&Fleet) -> bool) -> Option<Span> {
         let start = self.now;
         while !holds(self) {
@@ -161,7 +161,7 @@
         Some(self.now.since(start))
     }
 
-    /// Feeds one event to a member and carries out what follows.
+    /// Passes an event to a member and executes the effects.
     pub fn feed(&mut self, index: usize, event: Event) {
         let now = self.now;
         let node = &mut self.nodes[index];
--- a/crates/member/src/items.rs
+++ b/crates/member/src/items.rs
@@ -1,4 +1,4 @@
-//! Pieces of news that are kept for their lifetime, the highest version of each.
+//! Stores gossip items for their lifetime, the highest version of each.
 
 use std::collections::BTreeMap;
 
@@ -9,28 +9,28 @@
 use crate::digest::Item;
 use crate::digest::Topic;
 
-/// Most pieces kept; beyond it the oldest goes. A wave that takes half of 12,000 backend servers
-/// makes 6,000.
+/// Most items stored; then the oldest is evicted. A wave that takes half of 12,000 backend servers
+/// creates 6,000.
 const MAX_ITEMS: usize = 8_192;
 
-/// All pieces held.
+/// All stored items.
 #[derive(Clone, Debug, Default)]
 pub struct Items {
     entries: BTreeMap<(Topic, SmolStr), Entry>,
 }
 
-/// One piece.
+/// A stored item.
 #[derive(Clone, Debug)]
 struct Entry {
     version: u64,
     payload: Vec<u8>,
-    /// When it would have been made by our clock; its age counts from here.
+    /// When it was received, at `age`.
     received: Time,
     age: Span,
 }
 
 impl Items {
-    /// Takes a piece; true if it is new here.
+    /// Inserts an item; returns whether it is new here.
     pub fn insert(&mut self, now: Time, item: &Item) -> bool {
         let age = Span::from_millis(item.age_ms);
         if age >= item.topic.lifetime() {
@@ -55,7 +55,7 @@
         true
     }
 
-    /// The piece on a subject, with its age now.
+    /// Returns the item on a subject, with its current age.
     pub fn get(&self, now: Time, topic: Topic, key: &SmolStr) -> Option<Item> {
         let entry = self.entries.get(&(topic, key.clone()))?;
         Some(Item {
@@ -67,12 +67,12 @@
         })
     }
 
-    /// Whether there is news of this topic on this subject.
+    /// Returns whether there is an item on a subject.
     pub fn contains(&self, topic: Topic, key: &str) -> bool {
         self.entries.contains_key(&(topic, SmolStr::from(key)))
     }
 
-    /// Forgets what has outlived its topic; names what was forgotten.
+    /// Removes items that exceed their topic's lifetime, and returns their subjects.
     pub fn expire(&mut self, now: Time) -> Vec<(Topic, SmolStr)> {
         let expired: Vec<(Topic, SmolStr)> = self
             .entries
@@ -86,12 +86,12 @@
         expired
     }
 
-    /// How many pieces are held.
+    /// Returns the number of items.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is held.
+    /// Returns whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which entries are alive, what they tell each other, and who owns what.
+//! Membership of entries: leases, failure detection, gossip, and ownership of keys.
 //!
 //! [`membership::Membership`] is the state machine that an entry embeds.
 
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -1,7 +1,7 @@
-//! One entry's part in knowing who is there: register, read, tell, answer callers.
+//! One entry's part in membership: it renews its lease, reads others' rows, gossips, and answers callers.
 //!
-//! Pure: the embedder feeds [`Event`]s to [`Membership::step`], carries out the [`Effect`]s and calls
-//! again with [`Event::Wake`] at the time that [`Membership::next_wake`] names.
+//! A state machine without I/O: the embedder passes [`Event`]s to [`Membership::step`], executes the
+//! [`Effect`]s and passes [`Event::Wake`] at the time that [`Membership::next_wake`] returns.
 
 mod gossip;
 mod instances;
@@ -48,10 +48,10 @@
 use crate::rumors::Rumors;
 use crate::rumors::Subject;
 
-/// Outdated rows deleted after one read.
+/// Most rows deleted after one read.
 const MAX_DELETIONS: usize = 8;
 
-/// The state machine.
+/// One entry's membership.
 #[derive(Clone, Debug)]
 pub struct Membership {
     me: holder::Id,
@@ -70,13 +70,13 @@
     next_gossip: Time,
     last_gossip: Time,
     round: u64,
-    /// Rounds that are still to be brought forward.
+    /// Urgent rounds that are still to be sent.
     urgent_rounds: u32,
     budget: Budget,
-    /// Where the round of heartbeats stands.
+    /// The member whose heartbeat was last sent; the next digest continues after it.
     beat_cursor: holder::Id,
     known_gone: BTreeSet<holder::Id>,
-    /// Since when lapsed members are missing from the instance list.
+    /// When each lapsed member was first missing from the instance list.
     unlisted_since: BTreeMap<holder::Id, Time>,
     seeds: Vec<SmolStr>,
     holding: Holding,
@@ -85,7 +85,7 @@
     random: Pcg64Mcg,
 }
 
-/// Why a store call was made.
+/// The purpose of a store call.
 #[derive(Clone, Copy, Debug)]
 enum Purpose {
     Renewal,
@@ -94,8 +94,8 @@
 }
 
 impl Membership {
-    /// A member that is not registered yet. `row` says who it is; `seeds` are peer addresses to try
-    /// while no members are known.
+    /// Creates a member that isn't registered yet. `seeds` are peer addresses to try while no members are
+    /// known.
     pub fn new(row: Row, seeds: Vec<SmolStr>, settings: Settings, seed: u64) -> Membership {
         Membership {
             me: row.id,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles an event and appends the effects to execute.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         let before = self.directory.present_count();
         if self.pulse.beat(now) {
@@ -163,26 +163,26 @@
         self.emit_changes(before, effects);
     }
 
-    /// Replaces the addresses that are tried while no members are known.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SmolStr>) {
         self.seeds = seeds;
     }
 
-    /// Our lease, to be checked again where an effect leaves the process.
+    /// Returns our lease, which must be checked again before an effect leaves the process.
     pub fn holding(&self) -> Holding {
         self.holding
     }
 
-    /// Entries to name to a caller, a key's owner first.
+    /// Returns entries for a caller, a key's owner first.
     pub fn addresses(&mut self, now: Time, key: Option<u64>) -> Vec<Endpoint> {
         let timeout = self.heartbeat_timeout();
         let limit = self.settings.addresses;
         addresses::choose(&self.directory, now, timeout, key, limit, &mut self.random)
     }
 
-    /// Where to forward a request with this key: its owner, if that is another entry and the request
-    /// was not forwarded before. One forward at most, so that entries that know different members
-    /// never send a request in a circle.
+    /// Returns the owner of a key if a request should be forwarded there: if it is another entry and the
+    /// request wasn't forwarded before. With one forward at most, entries that know different members
+    /// never forward in a loop.
     pub fn forward_target(&self, now: Time, key: u64, forwarded: bool) -> Option<holder::Id> {
         if forwarded {
             return None;
@@ -196,7 +196,7 @@
         rendezvous::owner(key, usable).filter(|owner| *owner != self.me)
     }
 
-    /// Who holds the ledger of an entry that left.
+    /// Returns the entry that holds the ledger of an entry that left.
     pub fn heir(&self, now: Time, member: holder::Id) -> Option<holder::Id> {
         let from_items = self
             .items
@@ -205,26 +205,26 @@
         from_items.or_else(|| self.directory.get(member)?.record.row.heir)
     }
 
-    /// `host:port` at which other entries reach a member.
+    /// Returns the `host:port` at which other entries connect to a member.
     pub fn peer_address(&self, id: holder::Id) -> Option<&SmolStr> {
         Some(&self.directory.get(id)?.record.row.peer_address)
     }
 
-    /// Whether a backend server incarnation is known to be leaving. Sticky.
+    /// Returns whether a backend server incarnation is known to be leaving. Never reverts.
     pub fn is_leaving(&self, incarnation: &str) -> bool {
         self.items.contains(Topic::Leaving, incarnation)
     }
 
-    /// The configuration version this entry has applied, as it tells others.
+    /// Returns the configuration version that this entry has applied.
     pub fn applied_version(&self) -> u64 {
         self.beat.applied
     }
 
-    /// Members that messages go to: the latest life at each address but our own.
+    /// Returns the members to send messages to: the latest life at each address except our own.
     ///
-    /// Guards against earlier lives, which stand among the members until they are known gone: after all entries of a
-    /// large system had ended together, each message to all was sent three times, and the links of those that send
-    /// the most were full for eight seconds.
+    /// Guards against earlier lives, which remain members until they are known to be gone: after a
+    /// restart of all entries of a large system, each broadcast was sent three times and filled the
+    /// senders' links for eight seconds.
     pub fn peers(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
         let address = &self.registration.row().peer_address;
         let latest = self.directory.latest_by_address();
@@ -232,19 +232,20 @@
             .filter(move |(id, known)| *id != self.me && known.record.row.peer_address != *address)
     }
 
-    /// Our heartbeat as it stands, for messages past the rounds.
+    /// Returns our heartbeat, for messages outside the rounds.
     pub fn beat(&self) -> Beat {
         self.beat
     }
 
-    /// Raises our heartbeat, for a message past the rounds.
+    /// Advances our heartbeat, for a message outside the rounds.
     pub fn advance_beat(&mut self, now: Time) {
         self.beat.count += 1;
         let beat = self.beat;
         self.directory.record_beat(now, &beat);
     }
 
-    /// Suspects a member by the count of its last heartbeat; whether that is news. A suspicion of ourselves is refuted.
+    /// Suspects a member by the count of its last heartbeat; returns whether that is new. Refutes
+    /// suspicion of ourselves.
     pub fn suspect(&mut self, now: Time, id: holder::Id, count: u64) -> bool {
         if id == self.me {
             self.beat.count = self.beat.count.max(count + REFUTATION_LEAD);
@@ -255,12 +256,12 @@
         self.directory.suspect(id, count)
     }
 
-    /// All members known here.
+    /// Returns all known members.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// When [`Event::Wake`] is wanted next.
+    /// Returns when [`Event::Wake`] is next needed.
     pub fn next_wake(&self) -> Time {
         let mut wake = self.next_gossip;
         if let Some(renewal) = self.registration.next_wake() {
@@ -293,7 +294,7 @@
         }
     }
 
-    /// Takes a page or the end of a read.
+    /// Handles a page or the failure of a read.
     fn handle_page(&mut self, now: Time, outcome: Outcome, wait: Span, effects: &mut Vec<Effect>) {
         let (page, finished) = self.roster.handle_outcome(now, outcome);
         if let Some(call) = page {
@@ -322,7 +323,8 @@
         self.delete_rows(now, effects);
     }
 
-    /// Deletes rows nobody needs. Each has one member that does it, so that they don't all try.
+    /// Deletes rows that aren't needed any more. One member is responsible for each, to avoid duplicate
+    /// calls.
     fn delete_rows(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let deletable = self.roster.deletable(
             now,
@@ -377,7 +379,7 @@
         self.schedule_urgent_rounds(now);
     }
 
-    /// Renews our row when that is due.
+    /// Renews our row if that is due.
     fn renew(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let members = self.directory.present_count();
         let interval = self.settings.renewal_interval_for(members);
@@ -389,7 +391,7 @@
         }
     }
 
-    /// Notes our own row among the members.
+    /// Merges our own row into the directory.
     fn merge_own_record(&mut self, now: Time) {
         let record = Record {
             row: self.registration.row().clone(),
@@ -419,7 +421,7 @@
         self.call(Purpose::Read, call, effects);
     }
 
-    /// Tells the embedder what has changed.
+    /// Emits effects for our lease, the present members and our leaving if they have changed.
     fn emit_changes(&mut self, before: usize, effects: &mut Vec<Effect>) {
         let holding = self.registration.holding();
         if holding != self.holding {
--- a/crates/member/src/membership/gossip.rs
+++ b/crates/member/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Rounds of digests to a few peers, and what is learnt from theirs.
+//! Gossip: rounds of digests to a few peers, and merging of received digests.
 
 use clock::Time;
 use lease::holder;
@@ -13,24 +13,23 @@
 use crate::rumors::Kind;
 use crate::rumors::Subject;
 
-/// Rounds between two words to a member that seems to be silent, so that a healed cut is noticed.
+/// Rounds between two digests to a member that seems to be silent, so that a healed partition is detected.
 const SILENT_PEER_ROUNDS: u64 = 8;
-/// Rounds between two sweeps of what has expired.
+/// Rounds between two removals of expired items and members.
 const EXPIRE_ROUNDS: u64 = 64;
-/// Part of a digest that items may take. They go before records: a wave that takes many members makes
-/// many records, and a leaving backend server must not wait behind them.
+/// Share of a digest for items. They go before records: a wave that takes many members creates many
+/// records, which must not delay a leaving backend server.
 const ITEMS_SHARE: f64 = 0.5;
-/// Part that items and records may take; the rest is kept for heartbeats and old news in turn.
+/// Share of a digest for items and records; the rest is reserved for heartbeats and round-robin subjects.
 const NEWS_SHARE: f64 = 0.75;
-/// Part of a digest that may be taken before old news in turn.
+/// Share of a digest for everything but round-robin subjects.
 const BEATS_SHARE: f64 = 0.8;
-/// Most bytes of the answer to a greeting, which brings a starting entry up to date.
+/// Most bytes of a snapshot, the answer to a greeting from a starting entry.
 const MAX_SNAPSHOT_BYTES: usize = 128 << 10;
-/// Urgent rounds after something new was learnt. With two peers a round and a third of them frozen,
-/// one round reaches too few for the news to grow; after three, the next regular rounds reach the
-/// rest.
+/// Urgent rounds after something new was learned. With two peers per round and a third of them frozen,
+/// one round reaches too few for the item to spread; after three, the next regular rounds reach the rest.
 const URGENT_ROUNDS: u32 = 3;
-/// Least bytes that a digest is worth putting a subject into.
+/// Least size of a subject in a digest, bytes.
 const MIN_SUBJECT_BYTES: usize = 32;
 
 impl Membership {
@@ -62,11 +61,11 @@
         self.schedule_urgent(now);
     }
 
-    /// Tells peers a piece of our own at once, past the rounds.
+    /// Sends an item of our own to peers at once, outside the rounds.
     ///
-    /// A request that crashes backend servers is sent again within milliseconds through the next entry.
-    /// Rounds would bring the news a few tenths of a second later and each entry would lose servers of
-    /// its own; and all that a crash makes suspect takes more bytes than a round may carry.
+    /// A request that crashes backend servers is retried within milliseconds through another entry. With
+    /// rounds the quarantine would arrive tenths of a second later and each entry would lose servers of
+    /// its own; besides, the item of a crash exceeds a round's size.
     pub(super) fn announce(&mut self, item: Item, effects: &mut Vec<Effect>) {
         let digest = Digest {
             own: self.beat,
@@ -83,10 +82,10 @@
         }
     }
 
-    /// Takes in what a peer says.
+    /// Merges a peer's digest.
     ///
-    /// Guards against our own words, which others may send to an earlier life's address: our counts would stand
-    /// beside themselves as those of a peer, and be charged and reported twice.
+    /// Guards against our own digests, which others may send to an earlier life's address: our counts
+    /// would also be taken for a peer's, and be charged and reported twice.
     pub(super) fn receive(&mut self, now: Time, digest: Digest, effects: &mut Vec<Effect>) {
         if digest.own.id == self.me {
             return;
@@ -120,10 +119,10 @@
         }
     }
 
-    /// Takes a record and passes it on if it is news.
+    /// Merges a record and passes it on if others should receive it.
     pub(super) fn merge_record(&mut self, now: Time, record: &Record) {
         let id = record.row.id;
-        // Our next attempt to renew counts higher, whether it succeeds or not, and is told on.
+        // Our next renewal, even a failed one, has a higher count and refutes it.
         if id == self.me && record.gone {
             return;
         }
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Takes an item and passes it on if it is news.
+    /// Merges an item and passes it on if it is new.
     pub(super) fn merge_item(&mut self, now: Time, item: &Item) -> bool {
         if !self.items.insert(now, item) {
             return false;
@@ -147,13 +146,13 @@
         true
     }
 
-    /// Something new was learnt: the next rounds are brought forward.
+    /// Schedules urgent rounds because something new was learned.
     pub(super) fn schedule_urgent_rounds(&mut self, now: Time) {
         self.urgent_rounds = URGENT_ROUNDS;
         self.schedule_urgent(now);
     }
 
-    /// Brings the next round forward while urgent rounds are left and bytes are saved up for them.
+    /// Brings the next round forward while urgent rounds are left and the byte budget allows it.
     fn schedule_urgent(&mut self, now: Time) {
         if self.urgent_rounds == 0 || !self.budget.can_spend(now, &self.settings) {
             return;
@@ -162,7 +161,7 @@
         self.next_gossip = self.next_gossip.min(next_urgent);
     }
 
-    /// The peers of this round: at random among those that are heard, now and then a silent one.
+    /// Chooses the peers of this round: random reachable ones, and sometimes a silent one.
     fn targets(&mut self, now: Time) -> Vec<holder::Id> {
         let timeout = self.heartbeat_timeout();
         let (mut reachable, silent): (Vec<_>, Vec<_>) = self
@@ -182,7 +181,7 @@
         targets
     }
 
-    /// Presents ourselves at an address of the settings.
+    /// Sends a greeting to a random seed address.
     fn greet(&mut self, effects: &mut Vec<Effect>) {
         if self.seeds.is_empty() {
             return;
@@ -201,7 +200,8 @@
         effects.push(Effect::Greet { address, digest });
     }
 
-    /// News first, then heartbeats, then old news in turn, within `limit` bytes.
+    /// Creates a digest within `limit` bytes: hot subjects, then heartbeats, then subjects in round-robin
+    /// order.
     fn digest(&mut self, now: Time, limit: usize, regular: bool) -> Digest {
         let mut digest = Digest {
             own: self.beat,
@@ -235,7 +235,7 @@
         digest
     }
 
-    /// Everything that a starting entry should know.
+    /// Creates a digest of everything that a starting entry should know.
     fn snapshot(&mut self, now: Time) -> Digest {
         let mut digest = Digest {
             own: self.beat,
@@ -249,7 +249,7 @@
         digest
     }
 
-    /// Adds a subject if it fits; false if it doesn't fit or is there already.
+    /// Adds a subject; returns false if it doesn't fit or is already included.
     fn add(&mut self, now: Time, subject: &Subject, limit: usize, digest: &mut Digest) -> bool {
         match subject {
             Subject::Member(id) => {
@@ -282,7 +282,7 @@
         true
     }
 
-    /// Adds heartbeats of others, in turn.
+    /// Adds heartbeats of other members, in round-robin order.
     fn add_beats(&mut self, now: Time, limit: usize, digest: &mut Digest) {
         let timeout = self.heartbeat_timeout();
         let fresh: Vec<_> = self
--- a/crates/member/src/membership/instances.rs
+++ b/crates/member/src/membership/instances.rs
@@ -1,8 +1,8 @@
-//! Members whose instances are gone for good, by the instance list.
+//! Detects members whose instances are gone for good, from the instance list.
 //!
-//! Guards against changes that are never accepted: entries that died without a word stay members,
-//! and with as many of them as of live ones no majority comes together. The list lags, so a member
-//! must be missing from it for a while; one whose address a live member has is gone at once.
+//! Guards against changes that are never accepted: entries that died without leaving remain members, and
+//! if they are as many as the live ones there is no majority. The list lags, so a member counts as gone
+//! only after it was missing for a while, but at once if a live member has its address.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,11 +13,11 @@
 
 use crate::membership::Membership;
 
-/// A lapsed member that is missing from the instance list for so long is gone for good.
+/// Time after which a lapsed member that is missing from the instance list is gone for good.
 const UNLISTED_TIMEOUT: Span = Span::from_seconds(15);
 
 impl Membership {
-    /// Notes which lapsed members' instances are gone for good.
+    /// Records which lapsed members' instances are gone for good.
     pub(super) fn note_listed_instances(&mut self, now: Time, addresses: &[SmolStr]) {
         if !addresses.contains(&self.registration.row().address) {
             return;
--- a/crates/member/src/registration.rs
+++ b/crates/member/src/registration.rs
@@ -1,9 +1,9 @@
-//! Our own leased row: written, renewed and given up.
+//! Our own leased row, and its renewals.
 //!
-//! Failures guarded against: a pause past the lease's end, a renewal whose answer was lost, and a row
-//! that others removed. Each shows as others having stopped counting on us while we go on. The
-//! deadline counts from before a renewal was sent, and only an answer moves it; an answer that comes
-//! after the old deadline starts a new epoch, in which the configuration must be read again.
+//! Guards against a pause past the lease's end, a renewal whose answer was lost, and a row that others
+//! removed: in each case others no longer count on this entry while it continues. The deadline counts
+//! from before a renewal was sent, and only an answer extends it. An answer after the old deadline starts
+//! a new epoch, in which the configuration must be read again.
 
 use clock::Span;
 use clock::Time;
@@ -18,26 +18,26 @@
 use crate::row::Row;
 use crate::row::State;
 
-/// The row and the lease that it stands for.
+/// Our row and the lease that it represents.
 #[derive(Clone, Debug)]
 pub struct Registration {
     row: Row,
-    /// The row's revision as far as known; none if we believe that there is no row.
+    /// The row's last known revision; none if there should be no row.
     revision: Option<u64>,
     epoch: u64,
     valid_until: Time,
-    /// When the renewal on its way was sent, and its term.
+    /// When the renewal in flight was sent, and its term.
     in_flight: Option<(Time, Span)>,
     last_sent: Time,
     next_renewal: Time,
-    /// The row was changed since the last renewal was sent.
+    /// Whether the row has changed since the last renewal was sent.
     has_unsent_change: bool,
-    /// The row says that we left, and the service has it so.
+    /// Whether the service has stored that we left.
     left: bool,
 }
 
 impl Registration {
-    /// No row yet; it is written at the first opportunity.
+    /// Creates a registration whose row is written at the first opportunity.
     pub fn new(row: Row) -> Registration {
         Registration {
             row,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// The row as it was or will be written.
+    /// Returns the row as last or next written.
     pub fn row(&self) -> &Row {
         &self.row
     }
 
-    /// The lease that the row stands for.
+    /// Returns the lease.
     pub fn holding(&self) -> Holding {
         Holding {
             epoch: self.epoch,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Whether the service has it that we left.
+    /// Returns whether the service has stored that we left.
     pub fn has_left(&self) -> bool {
         self.left
     }
 
-    /// Changes the row; `early` is the shortest time between renewals that carry news.
+    /// Changes the row; `min_interval` is the shortest time between renewals of a changed row.
     pub fn change(&mut self, min_interval: Span, change: impl FnOnce(&mut Row)) {
         let before = self.row.clone();
         change(&mut self.row);
@@ -81,13 +81,14 @@
         }
     }
 
-    /// The loop slept: the lease no longer counts, and is renewed at once.
+    /// Invalidates the lease because the process was suspended, and renews it at once.
     pub fn invalidate(&mut self, now: Time) {
         self.valid_until = Time::ZERO;
         self.next_renewal = self.next_renewal.min(now);
     }
 
-    /// The renewal to send now, if one is due. `interval` and `term` hold for the one after it.
+    /// Returns the renewal to send if one is due. `interval` applies until the next one, `term` to this
+    /// one's lease.
     pub fn take_due(&mut self, now: Time, interval: Span, term: Span) -> Option<Call> {
         if now < self.next_renewal || self.in_flight.is_some() || self.left {
             return None;
@@ -112,7 +113,7 @@
         }))
     }
 
-    /// The renewal ended; `wait` passes before a failed one is tried again.
+    /// Handles a renewal's outcome; a failed one is retried after `retry_delay`.
     pub fn handle_outcome(&mut self, now: Time, outcome: Outcome, retry_delay: Span) {
         let Some((sent, term)) = self.in_flight.take() else {
             return;
@@ -120,7 +121,7 @@
         match outcome {
             Outcome::Committed(revision) => self.renewed(now, sent + term, revision),
             Outcome::Conflict(failed) => {
-                // Our own earlier write whose answer was lost, or others removed the row.
+                // Either our own earlier write, whose answer was lost, or others removed the row.
                 let row = failed.into_iter().next().and_then(|(_, row)| row);
                 if row.is_none() {
                     self.valid_until = Time::ZERO;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// When a renewal is due.
+    /// Returns when the next renewal is due.
     pub fn next_wake(&self) -> Option<Time> {
         (self.in_flight.is_none() && !self.left).then_some(self.next_renewal)
     }
--- a/crates/member/src/roster.rs
+++ b/crates/member/src/roster.rs
@@ -1,8 +1,8 @@
-//! Reads members' rows and watches their leases by our own clock.
+//! Reads members' rows and observes their leases by our own clock.
 //!
-//! Reading everyone's row often costs the square of the number of members. So each member reads the
-//! rows of its own zone now and then, and all rows rarely, both within a share of bytes; since the
-//! members of a zone read at different moments, one of them sees a change early, and tells it on.
+//! If each member read all rows often, the cost would grow with the square of their number. So each reads
+//! its own zone's rows now and then and all rows rarely, both within a byte rate. The members of a zone
+//! read at different times, so one of them sees a change early and gossips it.
 
 use std::collections::BTreeMap;
 
@@ -24,10 +24,10 @@
 use crate::row::State;
 use crate::row::TABLE;
 
-/// Rows read with one call.
+/// Rows per call.
 const PAGE_ROWS: u32 = 500;
 
-/// All rows seen, and the read on its way.
+/// All observed rows, and the scan in flight.
 #[derive(Clone, Debug)]
 pub struct Roster {
     watched: BTreeMap<SmolStr, Watched>,
@@ -35,7 +35,7 @@
     margin: Span,
 }
 
-/// One row.
+/// An observed row.
 #[derive(Clone, Debug)]
 struct Watched {
     row: Row,
@@ -43,29 +43,29 @@
     changed_at: Time,
 }
 
-/// One read of a range, in pages.
+/// A paged scan of rows.
 #[derive(Clone, Debug)]
 struct Scan {
     prefix: SmolStr,
     after: SmolStr,
-    /// When its first page was asked for.
+    /// When its first page was requested.
     requested_at: Time,
     rows: Vec<call::Row>,
 }
 
-/// A finished read.
+/// A finished scan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finished {
-    /// When it was sent: every row written before is in it.
+    /// When it was requested: it includes every row written before.
     pub requested_at: Time,
     /// Whether it covered all members.
     pub is_full: bool,
-    /// Every row that it changed here, and those that are gone.
+    /// Records of all rows that changed or were removed.
     pub records: Vec<Record>,
 }
 
 impl Roster {
-    /// Nothing seen yet.
+    /// Creates an empty roster.
     pub fn new(margin: Span) -> Roster {
         Roster {
             watched: BTreeMap::new(),
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Whether a read is on its way.
+    /// Returns whether a scan is in flight.
     pub fn is_busy(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// Begins to read all rows whose key begins so.
+    /// Starts a scan of all rows whose keys have this prefix.
     pub fn start(&mut self, now: Time, prefix: SmolStr) -> Call {
         self.in_flight = Some(Scan {
             after: SmolStr::default(),
@@ -90,7 +90,8 @@
         page(prefix, SmolStr::default())
     }
 
-    /// Takes an answer: asks for the next page, or is finished, or has failed (neither).
+    /// Handles a page; returns the call for the next one, or the finished scan, or neither if the call
+    /// failed.
     pub fn handle_outcome(
         &mut self,
         now: Time,
@@ -112,7 +113,7 @@
         (None, Some(self.finish(now, scan)))
     }
 
-    /// Every row, with whether its lease has lapsed for certain; not those of members that left.
+    /// Returns the rows of members that haven't left, with whether their leases have certainly lapsed.
     pub fn members(&self) -> impl Iterator<Item = (&Row, bool)> {
         self.watched
             .values()
@@ -120,7 +121,7 @@
             .map(|item| (&item.row, item.has_lapsed(self.margin)))
     }
 
-    /// How many rows there are whose key begins so.
+    /// Returns the number of rows whose keys have this prefix.
     pub fn count(&self, prefix: &str) -> usize {
         self.watched
             .keys()
@@ -128,7 +129,8 @@
             .count()
     }
 
-    /// Rows that may be deleted: of members that left or lapsed so long ago, or are known gone.
+    /// Returns calls that delete old rows: of members that left or lapsed long ago, or are known to be
+    /// gone.
     pub fn deletable(
         &self,
         now: Time,
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Notes a row; returns its record if there is something new in it.
+    /// Observes a row; returns its record if something has changed.
     fn observe(&mut self, now: Time, requested_at: Time, row: &call::Row) -> Option<Record> {
         let value: Row = serde_json::from_value(row.value.clone()).ok()?;
         let item = self
@@ -221,7 +223,7 @@
     }
 }
 
-/// Deletes a row if it still is as we saw it.
+/// Deletes a row if it hasn't changed since it was observed.
 fn delete(key: &SmolStr, revision: u64) -> Call {
     let at = Address::new(TABLE, key.clone());
     Call::Transact(Transaction {
--- a/crates/member/src/row.rs
+++ b/crates/member/src/row.rs
@@ -11,44 +11,45 @@
 /// The table of members.
 pub const TABLE: &str = "members";
 
-/// Where a member stands in its life.
+/// A member's stage of life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
     /// Serves callers.
     #[default]
     Live,
-    /// Admits nothing new; finishes what it has.
+    /// Accepts nothing new and finishes what it has.
     Draining,
-    /// Stopped for good; the row only names the heir of its ledger.
+    /// Stopped for good; the row only names its ledger's heir.
     Left,
 }
 
-/// Who a member is and how it stands.
+/// A member's identity and state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// This life of the entry.
+    /// Identifies this life of the entry.
     pub id: holder::Id,
     /// Its availability zone.
     pub zone: SmolStr,
-    /// `host:port` that callers connect to.
+    /// The address for callers, `host:port`.
     pub address: SmolStr,
-    /// `host:port` that other entries connect to.
+    /// The address for other entries, `host:port`.
     pub peer_address: SmolStr,
-    /// Where it stands.
+    /// Its stage of life.
     pub state: State,
-    /// The configuration version it has applied; never falls.
+    /// The configuration version that it has applied; never decreases.
     pub applied: u64,
-    /// How long the lease runs from each renewal, milliseconds.
+    /// Term of the lease from each renewal, milliseconds.
     pub term_ms: u64,
-    /// Rises by one with each renewal, so that every renewal changes the row.
+    /// Increases with each renewal, so that every renewal changes the row.
     pub renewals: u64,
-    /// Who holds its ledger after it left.
+    /// The entry that holds its ledger after it left.
     pub heir: Option<holder::Id>,
 }
 
 impl Row {
-    /// Where the row is: rows of one zone stand together, so that a zone can be read by itself.
+    /// Returns the row's address in the table service. Keys begin with the zone, so that a zone can be
+    /// scanned alone.
     pub fn store_address(&self) -> Address {
         Address::new(
             TABLE,
@@ -56,13 +57,13 @@
         )
     }
 
-    /// How long the lease runs.
+    /// Returns the lease's term.
     pub fn term(&self) -> Span {
         Span::from_millis(self.term_ms)
     }
 }
 
-/// The beginning of all keys of one zone.
+/// Returns the common prefix of one zone's keys.
 pub fn zone_prefix(zone: &str) -> SmolStr {
     format_smolstr!("{zone}/")
 }
--- a/crates/member/src/rumors.rs
+++ b/crates/member/src/rumors.rs
@@ -1,9 +1,9 @@
-//! Which news to put into the next digest.
+//! Chooses the subjects of the next digest by rumor mongering.
 //!
-//! Each subject is told a bounded number of times, the least told first, and then rests; what room
-//! is left goes round all subjects in turn, so that whoever missed a subject while it was new learns
-//! it later. With `n` members, a subject that everyone tells about `log2(n)` times reaches all but a
-//! handful [Demers et al. 1987, epidemic algorithms]; the turn reaches those.
+//! A new subject is hot and sent a bounded number of times, the least sent first. The remaining space
+//! goes to all subjects in round-robin order, so that a peer that missed a subject while it was hot
+//! receives it later. Among `n` members, a subject that each sends about `log2(n)` times reaches all but
+//! a few [Demers et al. 1987, epidemic algorithms]; the round-robin order reaches those.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,10 +14,10 @@
 
 use crate::digest::Topic;
 
-/// Tellings beyond the logarithm, for peers that are frozen or gone when they are told.
+/// Sends beyond the logarithm, to make up for peers that are frozen or gone.
 const EXTRA_SENDS: u32 = 8;
 
-/// What a piece of news is on.
+/// The subject of a piece of gossip.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
     /// A member's record.
@@ -26,7 +26,7 @@
     Item(Topic, SmolStr),
 }
 
-/// What kind of subject it is.
+/// The kind of a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A member's record.
@@ -36,7 +36,7 @@
 }
 
 impl Subject {
-    /// Its kind.
+    /// Returns the subject's kind.
     pub fn kind(&self) -> Kind {
         match self {
             Subject::Member(_) => Kind::Member,
@@ -45,41 +45,41 @@
     }
 }
 
-/// How often each subject was told.
+/// All subjects, and how often hot ones were sent.
 #[derive(Clone, Debug, Default)]
 pub struct Rumors {
     /// All subjects.
     known: BTreeSet<Subject>,
-    /// Subjects that have tellings left, and how often they were told.
+    /// Hot subjects, with how often they were sent.
     hot: BTreeMap<Subject, u32>,
-    /// Where the turn stands.
+    /// The last subject sent in round-robin order.
     cursor: Option<Subject>,
 }
 
 impl Rumors {
-    /// There is a new version of a subject.
+    /// Adds a new version of a subject as hot.
     pub fn add(&mut self, subject: Subject) {
         self.known.insert(subject.clone());
         self.hot.insert(subject, 0);
     }
 
-    /// A subject is known to all or doesn't hurry: it only takes its turn.
+    /// Adds a subject that is known to all or not urgent; it is sent only in round-robin order.
     pub fn add_cold(&mut self, subject: Subject) {
         self.known.insert(subject);
     }
 
-    /// A subject is gone.
+    /// Removes a subject.
     pub fn remove(&mut self, subject: &Subject) {
         self.known.remove(subject);
         self.hot.remove(subject);
     }
 
-    /// Whether something has tellings left.
+    /// Returns whether any subject is hot.
     pub fn is_hot(&self) -> bool {
         !self.hot.is_empty()
     }
 
-    /// Up to `limit` subjects of one kind with tellings left, the least told first.
+    /// Returns up to `limit` hot subjects of one kind, the least sent first.
     pub fn hottest(&self, kind: Kind, limit: usize) -> Vec<Subject> {
         let mut subjects: Vec<(&Subject, u32)> = self
             .hot
@@ -95,7 +95,7 @@
             .collect()
     }
 
-    /// Notes that a subject was told to one of `members`.
+    /// Records that a subject was sent to one of `members`; after enough sends it is no longer hot.
     pub fn record_sent(&mut self, subject: &Subject, members: usize) {
         let Some(sent) = self.hot.get_mut(subject) else {
             return;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The next subject in turn.
+    /// Returns the next subject in round-robin order.
     pub fn next_round_robin(&mut self) -> Option<Subject> {
         let after = match &self.cursor {
             Some(last) => Bound::Excluded(last.clone()),
@@ -122,12 +122,12 @@
         next
     }
 
-    /// How many subjects there are.
+    /// Returns the number of subjects.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no subjects.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
--- a/crates/member/tests/histories.rs
+++ b/crates/member/tests/histories.rs
@@ -1,7 +1,7 @@
-//! Random histories of members that start, die, freeze and lose each other or the service.
+//! Random histories of members that start, die, freeze, and lose each other or the table service.
 //!
-//! Whenever a member concludes that another's lease has lapsed, that lease must not be valid. After
-//! all faults have ended, every live member is named everywhere and no dead one is.
+//! Whenever a member concludes that another's lease has lapsed, that lease must not be valid. After all
+//! faults have ended, every member must give callers exactly the live members.
 
 use clock::Span;
 use member::configs::membership::Settings;
@@ -22,7 +22,7 @@
 const MAX_MEMBERS: usize = 8;
 const CASES: u32 = 128;
 
-/// One thing that happens.
+/// A step of a history.
 #[derive(Clone, Debug)]
 enum Step {
     Freeze(usize, bool),
@@ -75,8 +75,8 @@
     Ok(())
 }
 
-/// Compares every view since the last look with what the members hold now. A lease that is valid now
-/// and was gained or renewed in time was valid when the view was made, a moment ago.
+/// Compares new views with the leases that members hold now. A lease that is valid now, and wasn't gained
+/// or renewed since the view was made, was valid then.
 fn assert_views_are_correct(fleet: &mut Fleet) -> Result<(), TestCaseError> {
     let now = fleet.now;
     for index in 0..fleet.nodes.len() {
--- a/crates/member/tests/membership.rs
+++ b/crates/member/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Members that come, go, pause and lose each other, in virtual time.
+//! Members that start, leave, pause and lose each other, in virtual time.
 
 use clock::Span;
 use member::configs::membership::Settings;
@@ -8,7 +8,7 @@
 use member::event::Event;
 use member::fake::Fleet;
 
-/// Eight entries over three zones that have found each other.
+/// Starts eight entries in three zones and lets them discover each other.
 fn eight() -> Fleet {
     let mut fleet = Fleet::default();
     for index in 0..8 {
@@ -18,7 +18,7 @@
     fleet
 }
 
-/// Indexes of the entries that `index` names to a caller.
+/// Returns the indexes of the entries that `index` gives to a caller.
 fn named(fleet: &mut Fleet, index: usize) -> Vec<usize> {
     let now = fleet.now;
     let mut named: Vec<usize> = fleet.nodes[index]
@@ -41,8 +41,8 @@
     }
 }
 
-/// An operator stops an entry. A caller that asks any other entry right afterwards would hold on to
-/// the leaving one for the answer's whole lifetime and fail there; so it is no longer named.
+/// A caller that receives the address of a stopping entry would use it for the answer's whole lifetime
+/// and fail there, so no entry may give it out.
 #[test]
 fn a_draining_entry_is_soon_named_by_nobody() {
     let mut fleet = eight();
@@ -67,9 +67,8 @@
     }
 }
 
-/// An entry is stopped by a signal for longer than its lease and continued. Before it hears anything
-/// new it must know that others no longer count on it, and its next lease is a new one, so that it
-/// reads the configuration again.
+/// An entry is suspended for longer than its lease and resumed. It must know immediately that its lease
+/// is invalid, and its next lease has a new epoch, so that it reads the configuration again.
 #[test]
 fn a_pause_past_the_lease_ends_it() {
     let mut fleet = eight();
@@ -87,9 +86,8 @@
     assert_eq!(holding.epoch, 2);
 }
 
-/// The table service is down for an hour. Nobody can renew, so every lease lapses; but nobody is
-/// taken for gone, callers are still told all addresses, and an entry that dies in that time is no
-/// longer named, because its heartbeat stands still.
+/// During an outage of the table service all leases lapse, but live members must not count as gone:
+/// callers still receive all addresses, except of an entry that dies meanwhile, whose heartbeat stops.
 #[test]
 fn an_outage_of_an_hour_removes_no_live_entry() {
     let mut fleet = eight();
@@ -107,8 +105,8 @@
     assert!(fleet.nodes[0].membership.holding().is_valid(fleet.now));
 }
 
-/// An entry is started while the table service is down. It knows only the peer addresses of its
-/// settings; through them it learns of the others and they of it.
+/// An entry that starts during an outage of the table service knows only its seed addresses, through
+/// which it and the others must discover each other.
 #[test]
 fn an_entry_started_in_an_outage_is_found_through_peers() {
     let mut fleet = eight();
@@ -122,8 +120,8 @@
     }
 }
 
-/// The cloud takes all entries of one zone without a word and starts as many new ones. Callers that
-/// ask the rest are soon told the new ones and none of the old.
+/// All entries of one zone are lost without leaving and replaced by new ones. Callers must soon receive
+/// only the addresses of the remaining and new entries.
 #[test]
 fn a_zone_of_entries_is_replaced_at_once() {
     let mut fleet = eight();
@@ -140,8 +138,8 @@
     }
 }
 
-/// Two regions lose each other for an hour while both reach the table service. Neither names the
-/// other's entries, which its callers may not reach either; after the hour they find each other.
+/// Two regions lose each other but not the table service. Neither may give out the other's entries, which
+/// its callers may not reach either; after the partition has healed they must rejoin.
 #[test]
 fn partitioned_regions_rejoin() {
     let mut fleet = eight();
@@ -159,8 +157,8 @@
     assert_eq!(named(&mut fleet, 7).len(), 8);
 }
 
-/// A backend server is leaving, and one entry alone hears of it while a third of the entries are
-/// frozen. The others know within seconds; the frozen ones know soon after they are continued.
+/// One entry learns that a backend server is leaving while a third of the entries are frozen. The others
+/// must know within seconds, the frozen ones soon after they are resumed.
 #[test]
 fn items_reach_all_while_a_third_is_frozen() {
     let mut fleet = eight();
@@ -192,9 +190,9 @@
         .unwrap();
 }
 
-/// A request crashes two backend servers at one entry; its caller sends it again through the next
-/// within milliseconds. Every entry must know by then, and what a crash makes suspect is more than a
-/// round may carry, so it would not get there by rounds at all.
+/// A request crashes two backend servers, and its caller retries it through another entry within
+/// milliseconds, by which time every entry must know. The item of a crash exceeds a round's size, so
+/// rounds would never carry it.
 #[test]
 fn a_quarantined_request_is_announced_at_once() {
     let mut fleet = eight();
@@ -217,8 +215,8 @@
     }
 }
 
-/// Answers to renewals get lost after their effect, twice in a row. The entry finds its own row in
-/// the service, takes it for its own and keeps its lease.
+/// Answers to renewals are lost twice in a row, after the writes took effect. The entry must recognize
+/// the row as its own and keep its lease.
 #[test]
 fn a_lost_renewal_answer_keeps_the_lease() {
     let mut fleet = Fleet::default();
@@ -233,7 +231,7 @@
     assert_eq!(holding.epoch, 1);
 }
 
-/// Every entry names the same owner for a key, and a request is forwarded there once at most.
+/// All entries agree on a key's owner, and a request is forwarded there at most once.
 #[test]
 fn a_key_has_one_owner_and_one_forward() {
     let mut fleet = eight();
@@ -256,8 +254,8 @@
     assert!(owned.iter().all(|count| *count > 50), "{owned:?}");
 }
 
-/// An entry is frozen past its lease and called gone; then the table service goes down and the entry is
-/// continued. It can't renew its row, but it runs: it tells the others so, and callers are sent to it.
+/// An entry is frozen past its lease and marked gone, and resumes during an outage of the table service.
+/// It can't renew its row, but its gossip must make it available to callers again.
 #[test]
 fn an_entry_marked_gone_returns_during_an_outage() {
     let mut fleet = eight();
