--- a/crates/member/src/addresses.rs
+++ b/crates/member/src/addresses.rs
@@ -45,8 +45,8 @@
 ) -> Vec<Endpoint> {
     let mut usable: Vec<Endpoint> = directory
         .iter()
-        .filter(|(_, known)| known.is_usable(now, timeout))
-        .map(|(id, known)| endpoint(id, known))
+        .filter(|(_, member)| member.is_usable(now, timeout))
+        .map(|(id, member)| endpoint(id, member))
         .collect();
     let mut chosen = Vec::new();
     if let Some(key) = key
@@ -94,13 +94,13 @@
     chosen.iter().filter(|item| item.zone == zone).count()
 }
 
-fn endpoint(id: holder::Id, known: &Member) -> Endpoint {
-    let load = u32::from(known.beat.load);
+fn endpoint(id: holder::Id, member: &Member) -> Endpoint {
+    let load = u32::from(member.beat.load);
     let weight = FULL_WEIGHT - FULL_WEIGHT * load / u32::from(u8::MAX);
     Endpoint {
         id,
-        address: known.record.row.address.clone(),
-        zone: known.record.row.zone.clone(),
+        address: member.record.row.address.clone(),
+        zone: member.record.row.zone.clone(),
         weight: weight.max(LEAST_WEIGHT),
     }
 }
--- a/crates/member/src/directory.rs
+++ b/crates/member/src/directory.rs
@@ -41,20 +41,20 @@
 impl Directory {
     /// Merges a record; returns whether others should receive it.
     pub fn merge(&mut self, now: Time, record: &Record) -> bool {
-        let Some(known) = self.members.get_mut(&record.row.id) else {
+        let Some(member) = self.members.get_mut(&record.row.id) else {
             if record.gone || record.row.state == State::Left {
                 return false;
             }
-            let known = Member {
+            let member = Member {
                 record: record.clone(),
                 beat: Beat::default(),
                 last_seen: now,
                 suspected_count: None,
             };
-            self.members.insert(record.row.id, known);
+            self.members.insert(record.row.id, member);
             return true;
         };
-        let old = &known.record;
+        let old = &member.record;
         let newer = record.row.renewals > old.row.renewals;
         let lapsed = record.row.renewals == old.row.renewals && record.gone && !old.gone;
         if !newer && !lapsed {
@@ -64,39 +64,39 @@
             || record.row.state != old.row.state
             || record.row.heir != old.row.heir
             || record.row.address != old.row.address;
-        known.record = record.clone();
+        member.record = record.clone();
         is_news
     }
 
     /// Records a heartbeat; returns whether the member is known and has applied a newer version.
     pub fn record_beat(&mut self, now: Time, beat: &Beat) -> bool {
-        let Some(known) = self.members.get_mut(&beat.id) else {
+        let Some(member) = self.members.get_mut(&beat.id) else {
             return false;
         };
-        if beat.count <= known.beat.count {
+        if beat.count <= member.beat.count {
             return false;
         }
-        let newer = beat.applied > known.beat.applied;
-        known.beat = *beat;
-        known.last_seen = now;
+        let newer = beat.applied > member.beat.applied;
+        member.beat = *beat;
+        member.last_seen = now;
         newer
     }
 
     /// Suspects a member by the count of its last heartbeat; false if already suspected or refuted by a
     /// later heartbeat.
     pub fn suspect(&mut self, id: holder::Id, count: u64) -> bool {
-        let Some(known) = self.members.get_mut(&id) else {
+        let Some(member) = self.members.get_mut(&id) else {
             return false;
         };
         let refuted_above = count + REFUTATION_LEAD;
-        if known.beat.count > refuted_above
-            || known
+        if member.beat.count > refuted_above
+            || member
                 .suspected_count
-                .is_some_and(|known| known >= refuted_above)
+                .is_some_and(|count| count >= refuted_above)
         {
             return false;
         }
-        known.suspected_count = Some(refuted_above);
+        member.suspected_count = Some(refuted_above);
         true
     }
 
@@ -104,7 +104,7 @@
     pub fn expire(&mut self, now: Time, keep: Span) -> Vec<holder::Id> {
         let expired: Vec<holder::Id> = self
             .iter()
-            .filter(|(_, known)| !known.is_present() && now.since(known.last_seen) > keep)
+            .filter(|(_, member)| !member.is_present() && now.since(member.last_seen) > keep)
             .map(|(id, _)| id)
             .collect();
         for id in &expired {
@@ -120,24 +120,24 @@
 
     /// Returns all members, including those that are gone.
     pub fn iter(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
-        self.members.iter().map(|(id, known)| (*id, known))
+        self.members.iter().map(|(id, member)| (*id, member))
     }
 
     /// Returns the members that are not gone and have not left.
     pub fn present(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
-        self.iter().filter(|(_, known)| known.is_present())
+        self.iter().filter(|(_, member)| member.is_present())
     }
 
     /// Returns the member that was last seen at each address; the others there are earlier lives of it.
     pub fn latest_by_address(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
         let mut latest: BTreeMap<&SmolStr, (holder::Id, &Member)> = BTreeMap::new();
-        for (id, known) in self.present() {
+        for (id, member) in self.present() {
             let newest = latest
-                .entry(&known.record.row.peer_address)
-                .or_insert((id, known));
-            let recency = |one: &Member| (one.beat.count > 0, one.last_seen);
-            if recency(known) > recency(newest.1) {
-                *newest = (id, known);
+                .entry(&member.record.row.peer_address)
+                .or_insert((id, member));
+            let recency = |member: &Member| (member.beat.count > 0, member.last_seen);
+            if recency(member) > recency(newest.1) {
+                *newest = (id, member);
             }
         }
         // In order of id, like the other iterators.
@@ -154,7 +154,7 @@
     /// members with one address until the first is known to be gone.
     pub fn address_count(&self) -> usize {
         let present = self.present();
-        let addresses = present.map(|(_, known)| &known.record.row.peer_address);
+        let addresses = present.map(|(_, member)| &member.record.row.peer_address);
         addresses.collect::<BTreeSet<_>>().len()
     }
 }
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -191,7 +191,7 @@
         let usable = self
             .directory
             .iter()
-            .filter(|(_, known)| known.is_usable(now, timeout))
+            .filter(|(_, member)| member.is_usable(now, timeout))
             .map(|(id, _)| id);
         rendezvous::owner(key, usable).filter(|owner| *owner != self.me)
     }
@@ -228,8 +228,9 @@
     pub fn peers(&self) -> impl Iterator<Item = (holder::Id, &Member)> {
         let address = &self.registration.row().peer_address;
         let latest = self.directory.latest_by_address();
-        latest
-            .filter(move |(id, known)| *id != self.me && known.record.row.peer_address != *address)
+        latest.filter(move |(id, member)| {
+            *id != self.me && member.record.row.peer_address != *address
+        })
     }
 
     /// Returns our heartbeat, for messages outside the rounds.
--- a/crates/member/src/membership/gossip.rs
+++ b/crates/member/src/membership/gossip.rs
@@ -38,7 +38,7 @@
         if now < self.next_gossip {
             return;
         }
-        let regular = now >= self.last_gossip + self.settings.gossip_interval || self.round == 0;
+        let is_regular = now >= self.last_gossip + self.settings.gossip_interval || self.round == 0;
         self.last_gossip = now;
         self.next_gossip = now + self.backoff.spread(self.settings.gossip_interval);
         self.round += 1;
@@ -53,7 +53,7 @@
             return self.greet(effects);
         }
         for to in targets {
-            let digest = self.digest(now, self.settings.digest_bytes, regular);
+            let digest = self.digest(now, self.settings.digest_bytes, is_regular);
             self.budget.spend(digest.size());
             effects.push(Effect::Send { to, digest });
         }
@@ -166,7 +166,7 @@
         let timeout = self.heartbeat_timeout();
         let (mut reachable, silent): (Vec<_>, Vec<_>) = self
             .peers()
-            .map(|(id, known)| (id, now.since(known.last_seen) <= timeout))
+            .map(|(id, member)| (id, now.since(member.last_seen) <= timeout))
             .partition(|(_, reachable)| *reachable);
         let mut targets = Vec::new();
         if !silent.is_empty()
@@ -202,7 +202,7 @@
 
     /// Creates a digest within `limit` bytes: hot subjects, then heartbeats, then subjects in round-robin
     /// order.
-    fn digest(&mut self, now: Time, limit: usize, regular: bool) -> Digest {
+    fn digest(&mut self, now: Time, limit: usize, is_regular: bool) -> Digest {
         let mut digest = Digest {
             own: self.beat,
             ..Digest::default()
@@ -220,7 +220,7 @@
                 }
             }
         }
-        if !regular {
+        if !is_regular {
             return digest;
         }
         self.add_beats(now, share_bytes(BEATS_SHARE), &mut digest);
@@ -253,11 +253,11 @@
     fn add(&mut self, now: Time, subject: &Subject, limit: usize, digest: &mut Digest) -> bool {
         match subject {
             Subject::Member(id) => {
-                let Some(known) = self.directory.get(*id) else {
+                let Some(member) = self.directory.get(*id) else {
                     self.rumors.remove(subject);
                     return true;
                 };
-                let record = &known.record;
+                let record = &member.record;
                 let is_included = digest.records.iter().any(|other| other.row.id == *id);
                 if is_included || digest.size() + record.size() > limit {
                     return false;
@@ -288,10 +288,10 @@
         let fresh: Vec<_> = self
             .directory
             .present()
-            .filter(|(id, known)| {
-                *id != self.me && known.beat.count > 0 && now.since(known.last_seen) <= timeout
+            .filter(|(id, member)| {
+                *id != self.me && member.beat.count > 0 && now.since(member.last_seen) <= timeout
             })
-            .map(|(_, known)| known.beat)
+            .map(|(_, member)| member.beat)
             .collect();
         let start = fresh.partition_point(|beat| beat.id <= self.beat_cursor);
         for beat in fresh[start..].iter().chain(&fresh[..start]) {
--- a/crates/member/src/rumors.rs
+++ b/crates/member/src/rumors.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Rumors {
     /// All subjects.
-    known: BTreeSet<Subject>,
+    subjects: BTreeSet<Subject>,
     /// Hot subjects, with how often they were sent.
     hot: BTreeMap<Subject, u32>,
     /// The last subject sent in round-robin order.
@@ -59,18 +59,18 @@
 impl Rumors {
     /// Adds a new version of a subject as hot.
     pub fn add(&mut self, subject: Subject) {
-        self.known.insert(subject.clone());
+        self.subjects.insert(subject.clone());
         self.hot.insert(subject, 0);
     }
 
     /// Adds a subject that is known to all or not urgent; it is sent only in round-robin order.
     pub fn add_cold(&mut self, subject: Subject) {
-        self.known.insert(subject);
+        self.subjects.insert(subject);
     }
 
     /// Removes a subject.
     pub fn remove(&mut self, subject: &Subject) {
-        self.known.remove(subject);
+        self.subjects.remove(subject);
         self.hot.remove(subject);
     }
 
@@ -113,10 +113,10 @@
             None => Bound::Unbounded,
         };
         let next = self
-            .known
+            .subjects
             .range((after, Bound::Unbounded))
             .next()
-            .or_else(|| self.known.first())
+            .or_else(|| self.subjects.first())
             .cloned();
         self.cursor = next.clone();
         next
@@ -124,11 +124,11 @@
 
     /// Returns the number of subjects.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.subjects.len()
     }
 
     /// Returns whether there are no subjects.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.subjects.is_empty()
     }
 }
--- a/crates/member/tests/histories.rs
+++ b/crates/member/tests/histories.rs
@@ -114,14 +114,14 @@
     let now = fleet.now;
     for index in &alive {
         prop_assert!(fleet.nodes[*index].membership.holding().is_valid(now));
-        let mut named: Vec<usize> = fleet.nodes[*index]
+        let mut offered: Vec<usize> = fleet.nodes[*index]
             .membership
             .addresses(now, None)
             .iter()
-            .map(|named| named.id.0 as usize - 1)
+            .map(|endpoint| endpoint.id.0 as usize - 1)
             .collect();
-        named.sort_unstable();
-        prop_assert_eq!(&named, &alive, "named by {}", index);
+        offered.sort_unstable();
+        prop_assert_eq!(&offered, &alive, "offered by {}", index);
     }
     Ok(())
 }
--- a/crates/member/tests/membership.rs
+++ b/crates/member/tests/membership.rs
@@ -9,7 +9,7 @@
 use member::fake::Fleet;
 
 /// Starts eight entries in three zones and lets them discover each other.
-fn eight() -> Fleet {
+fn eight_entries() -> Fleet {
     let mut fleet = Fleet::default();
     for index in 0..8 {
         fleet.start(["a", "b", "c"][index % 3], Settings::default());
@@ -19,38 +19,38 @@
 }
 
 /// Returns the indexes of the entries that `index` gives to a caller.
-fn named(fleet: &mut Fleet, index: usize) -> Vec<usize> {
+fn offered(fleet: &mut Fleet, index: usize) -> Vec<usize> {
     let now = fleet.now;
-    let mut named: Vec<usize> = fleet.nodes[index]
+    let mut offered: Vec<usize> = fleet.nodes[index]
         .membership
         .addresses(now, None)
         .iter()
-        .map(|named| named.id.0 as usize - 1)
+        .map(|endpoint| endpoint.id.0 as usize - 1)
         .collect();
-    named.sort_unstable();
-    named
+    offered.sort_unstable();
+    offered
 }
 
 #[test]
 fn all_entries_hold_leases_and_name_each_other() {
-    let mut fleet = eight();
+    let mut fleet = eight_entries();
     for index in 0..8 {
         assert!(fleet.nodes[index].membership.holding().is_valid(fleet.now));
         assert_eq!(fleet.nodes[index].membership.holding().epoch, 1);
-        assert_eq!(named(&mut fleet, index), (0..8).collect::<Vec<_>>());
+        assert_eq!(offered(&mut fleet, index), (0..8).collect::<Vec<_>>());
     }
 }
 
 /// A caller that receives the address of a stopping entry would use it for the answer's whole lifetime
 /// and fail there, so no entry may give it out.
 #[test]
-fn a_draining_entry_is_soon_named_by_nobody() {
-    let mut fleet = eight();
+fn a_draining_entry_is_soon_offered_by_nobody() {
+    let mut fleet = eight_entries();
     fleet.feed(3, Event::Drain);
     let others: Vec<usize> = (0..8).filter(|index| *index != 3).collect();
     fleet.run(Span::from_seconds(2));
     for index in 0..8 {
-        assert_eq!(named(&mut fleet, index), others, "at {index}");
+        assert_eq!(offered(&mut fleet, index), others, "at {index}");
     }
     let heir = Some(fleet.id(5));
     fleet.feed(3, Event::Leave { heir });
@@ -71,11 +71,11 @@
 /// is invalid, and its next lease has a new epoch, so that it reads the configuration again.
 #[test]
 fn a_pause_past_the_lease_ends_it() {
-    let mut fleet = eight();
+    let mut fleet = eight_entries();
     fleet.set_frozen(0, true);
     fleet.run(Span::from_seconds(30));
     for index in 1..8 {
-        assert_eq!(named(&mut fleet, index), (1..8).collect::<Vec<_>>());
+        assert_eq!(offered(&mut fleet, index), (1..8).collect::<Vec<_>>());
     }
     assert!(!fleet.nodes[0].membership.holding().is_valid(fleet.now));
     fleet.set_frozen(0, false);
@@ -90,16 +90,16 @@
 /// callers still receive all addresses, except of an entry that dies meanwhile, whose heartbeat stops.
 #[test]
 fn an_outage_of_an_hour_removes_no_live_entry() {
-    let mut fleet = eight();
+    let mut fleet = eight_entries();
     fleet.table.set_down(true);
     fleet.run(Span::from_seconds(3_600));
     for index in 0..8 {
         assert!(!fleet.nodes[index].membership.holding().is_valid(fleet.now));
-        assert_eq!(named(&mut fleet, index), (0..8).collect::<Vec<_>>());
+        assert_eq!(offered(&mut fleet, index), (0..8).collect::<Vec<_>>());
     }
     fleet.nodes[7].dead = true;
     fleet.run(Span::from_seconds(20));
-    assert_eq!(named(&mut fleet, 0), (0..7).collect::<Vec<_>>());
+    assert_eq!(offered(&mut fleet, 0), (0..7).collect::<Vec<_>>());
     fleet.table.set_down(false);
     fleet.run(Span::from_seconds(10));
     assert!(fleet.nodes[0].membership.holding().is_valid(fleet.now));
@@ -109,13 +109,13 @@
 /// which it and the others must discover each other.
 #[test]
 fn an_entry_started_in_an_outage_is_found_through_peers() {
-    let mut fleet = eight();
+    let mut fleet = eight_entries();
     fleet.table.set_down(true);
     fleet.run(Span::from_seconds(60));
     let late = fleet.start("b", Settings::default());
     fleet.run(Span::from_seconds(10));
     for index in 0..=late {
-        assert_eq!(named(&mut fleet, index).len(), 8, "at {index}");
+        assert_eq!(offered(&mut fleet, index).len(), 8, "at {index}");
         assert_eq!(fleet.nodes[index].membership.directory().present_count(), 9);
     }
 }
@@ -124,7 +124,7 @@
 /// only the addresses of the remaining and new entries.
 #[test]
 fn a_zone_of_entries_is_replaced_at_once() {
-    let mut fleet = eight();
+    let mut fleet = eight_entries();
     let lost = [0, 3, 6];
     for index in lost {
         fleet.nodes[index].dead = true;
@@ -134,7 +134,7 @@
     }
     fleet.run(Span::from_seconds(20));
     for index in [1, 2, 4, 5, 7, 8, 9, 10] {
-        assert_eq!(named(&mut fleet, index), [1, 2, 4, 5, 7, 8, 9, 10]);
+        assert_eq!(offered(&mut fleet, index), [1, 2, 4, 5, 7, 8, 9, 10]);
     }
 }
 
@@ -142,26 +142,26 @@
 /// its callers may not reach either; after the partition has healed they must rejoin.
 #[test]
 fn partitioned_regions_rejoin() {
-    let mut fleet = eight();
+    let mut fleet = eight_entries();
     for index in 0..4 {
         fleet.nodes[index].partition = 1;
     }
     fleet.run(Span::from_seconds(3_600));
-    assert_eq!(named(&mut fleet, 0), [0, 1, 2, 3]);
-    assert_eq!(named(&mut fleet, 7), [4, 5, 6, 7]);
+    assert_eq!(offered(&mut fleet, 0), [0, 1, 2, 3]);
+    assert_eq!(offered(&mut fleet, 7), [4, 5, 6, 7]);
     for index in 0..4 {
         fleet.nodes[index].partition = 0;
     }
     fleet.run(Span::from_seconds(30));
-    assert_eq!(named(&mut fleet, 0).len(), 8);
-    assert_eq!(named(&mut fleet, 7).len(), 8);
+    assert_eq!(offered(&mut fleet, 0).len(), 8);
+    assert_eq!(offered(&mut fleet, 7).len(), 8);
 }
 
 /// One entry learns that a backend server is leaving while a third of the entries are frozen. The others
 /// must know within seconds, the frozen ones soon after they are resumed.
 #[test]
 fn items_reach_all_while_a_third_is_frozen() {
-    let mut fleet = eight();
+    let mut fleet = eight_entries();
     for index in [1, 4, 7] {
         fleet.set_frozen(index, true);
     }
@@ -195,7 +195,7 @@
 /// rounds would never carry it.
 #[test]
 fn a_quarantined_request_is_announced_at_once() {
-    let mut fleet = eight();
+    let mut fleet = eight_entries();
     let item = Item {
         topic: Topic::Quarantine,
         key: "entry-1".into(),
@@ -234,7 +234,7 @@
 /// All entries agree on a key's owner, and a request is forwarded there at most once.
 #[test]
 fn a_key_has_one_owner_and_one_forward() {
-    let mut fleet = eight();
+    let mut fleet = eight_entries();
     let now = fleet.now;
     let mut owned = [0; 8];
     for key in 0..800 {
@@ -258,22 +258,22 @@
 /// It can't renew its row, but its gossip must make it available to callers again.
 #[test]
 fn an_entry_marked_gone_returns_during_an_outage() {
-    let mut fleet = eight();
+    let mut fleet = eight_entries();
     fleet.set_frozen(2, true);
     fleet.run(Span::from_seconds(30));
-    assert_eq!(named(&mut fleet, 0).len(), 7);
+    assert_eq!(offered(&mut fleet, 0).len(), 7);
     fleet.table.set_down(true);
     fleet.set_frozen(2, false);
     let id = fleet.id(2);
-    let back = fleet.run_until(Span::from_seconds(10), |fleet| {
+    let returned = fleet.run_until(Span::from_seconds(10), |fleet| {
         let mut others = fleet.nodes.iter();
         others.all(|node| {
             let known = node.membership.directory().get(id);
             known.is_some_and(|known| known.is_usable(fleet.now, Span::from_seconds(8)))
         })
     });
-    assert!(back.is_some());
+    assert!(returned.is_some());
     for index in 0..8 {
-        assert_eq!(named(&mut fleet, index).len(), 8, "at {index}");
+        assert_eq!(offered(&mut fleet, index).len(), 8, "at {index}");
     }
 }
--- a/crates/rollout/tests/trials.rs
+++ b/crates/rollout/tests/trials.rs
@@ -68,7 +68,7 @@
     exposed: u64,
     bad: u64,
     /// When each request was sent to the version.
-    sent: Vec<u64>,
+    sent_at: Vec<u64>,
     limit_reached_at: Option<u64>,
 }
 
@@ -79,9 +79,9 @@
     tallies: Vec<Tally>,
     /// Counts by the time at which they reach the leader.
     counts_in_flight: VecDeque<(u64, Tally)>,
-    known: Tally,
+    leader_counts: Tally,
     announcements: Vec<(u64, usize, u64, u64, Stage)>,
-    lead: Option<Leader>,
+    leader: Option<Leader>,
     /// Least share of bad answers of both versions.
     burst: f64,
 }
@@ -95,7 +95,7 @@
     }
 }
 
-fn lead(started: u64, previous: Option<&Stage>) -> Leader {
+fn new_leader(started: u64, previous: Option<&Stage>) -> Leader {
     Leader::new(
         configs::leader::Config::default(),
         configs::judge::Config::default(),
@@ -112,9 +112,9 @@
             splits: (0..ENTRIES).map(|_| Split::new(order())).collect(),
             tallies: vec![Tally::new(7); ENTRIES],
             counts_in_flight: VecDeque::new(),
-            known: Tally::new(7),
+            leader_counts: Tally::new(7),
             announcements: Vec::new(),
-            lead: Some(lead(0, None)),
+            leader: Some(new_leader(0, None)),
             burst: 0.0,
         }
     }
@@ -122,41 +122,41 @@
     /// Simulates an order; `leaderless` is a period without a leader, after which another one resumes.
     fn run(&mut self, version: Version, leaderless: Option<(u64, u64)>) -> Outcome {
         let mut outcome = Outcome::default();
-        let mut written: Option<Stage> = None;
+        let mut stored_stage: Option<Stage> = None;
         let mut number = 0;
         let end = DEADLINE.as_millis() + 2_000;
         for now in (0..end).step_by(STEP_MILLIS as usize) {
-            self.requests(now, version, &mut outcome);
+            self.send_requests(now, version, &mut outcome);
             if let Some((from, to)) = leaderless {
-                if now >= from && self.lead.is_some() && now < to {
-                    self.lead = None;
+                if now >= from && self.leader.is_some() && now < to {
+                    self.leader = None;
                 }
-                if now >= to && self.lead.is_none() {
-                    self.lead = Some(lead(0, written.as_ref()));
+                if now >= to && self.leader.is_none() {
+                    self.leader = Some(new_leader(0, stored_stage.as_ref()));
                 }
             }
             self.deliver_counts(now);
             let time = Time::from_millis(now);
-            let Some(lead) = &mut self.lead else {
+            let Some(leader) = &mut self.leader else {
                 continue;
             };
             let fleet = Fleet {
-                running_old: match lead.phase() {
+                running_old: match leader.phase() {
                     Phase::Moving if now > outcome.ended_at + 2_000 => 0,
                     _ => 40,
                 },
                 slots_old: 90 * 32,
                 slots_new: 90 * 32,
             };
-            let changed = lead.step(time, &self.known, fleet);
+            let changed = leader.step(time, &self.leader_counts, fleet);
             if changed {
                 outcome.ended_at = now;
-                outcome.phase = lead.phase();
+                outcome.phase = leader.phase();
             }
             if changed || now.is_multiple_of(700) {
                 number += 1;
-                let stage = lead.stage(time, &self.known);
-                written = Some(stage.clone());
+                let stage = leader.stage(time, &self.leader_counts);
+                stored_stage = Some(stage.clone());
                 for entry in 0..ENTRIES {
                     let latency = self.random.random_range(50..1_000);
                     self.announcements
@@ -167,7 +167,7 @@
         outcome
     }
 
-    fn requests(&mut self, now: u64, version: Version, outcome: &mut Outcome) {
+    fn send_requests(&mut self, now: u64, version: Version, outcome: &mut Outcome) {
         let time = Time::from_millis(now);
         let due: Vec<_> = self
             .announcements
@@ -194,7 +194,7 @@
                 if canary {
                     outcome.exposed += u64::from(now < DEADLINE.as_millis());
                     outcome.bad += u64::from(bad);
-                    outcome.sent.push(now);
+                    outcome.sent_at.push(now);
                     if outcome.bad == BAD_LIMIT {
                         outcome.limit_reached_at.get_or_insert(now);
                     }
@@ -217,7 +217,7 @@
             .is_some_and(|(at, _)| *at <= now)
         {
             if let Some((_, sum)) = self.counts_in_flight.pop_front() {
-                self.known = sum;
+                self.leader_counts = sum;
             }
         }
     }
@@ -234,7 +234,7 @@
         outcome.requests
     );
     if let Some(reached_at) = outcome.limit_reached_at {
-        let last = outcome.sent.last().copied().unwrap_or(0);
+        let last = outcome.sent_at.last().copied().unwrap_or(0);
         assert!(
             last <= reached_at + ROLLBACK_MILLIS,
             "{version:?}: {} ms after the {BAD_LIMIT}th",
@@ -306,7 +306,7 @@
         let outcome = World::new(seed).run(Version::Good, Some((3_000, 6_000)));
         completed += u64::from(outcome.phase == Phase::Completed);
         let leaderless = outcome
-            .sent
+            .sent_at
             .iter()
             .filter(|at| (5_600..6_000).contains(*at));
         assert_eq!(leaderless.count(), 0, "seed {seed}: tried without a leader");
--- a/crates/watch/src/watch.rs
+++ b/crates/watch/src/watch.rs
@@ -204,7 +204,7 @@
 
     /// Returns whether there are changes that no report has contained.
     fn has_unreported(&self) -> bool {
-        self.outgoing.iter().any(|one| !one.reported)
+        self.outgoing.iter().any(|outgoing| !outgoing.reported)
     }
 
     /// Returns whether the table service was read since the last report.
@@ -214,8 +214,8 @@
 
     /// Returns whether this entry reads the table service itself, and so knows which rows may have lapsed.
     pub fn is_reading(&self, now: Time) -> bool {
-        let standby = self.config.reader_timeout;
-        self.last_read.is_some_and(|at| now.since(at) < standby)
+        let timeout = self.config.reader_timeout;
+        self.last_read.is_some_and(|at| now.since(at) < timeout)
     }
 
     /// Creates a report; `lapsed` is the time during which missing rows may belong to live servers.
@@ -223,14 +223,15 @@
         let position = self.position?;
         self.read_since_report = false;
         self.last_report = now;
-        let repeat = self.config.retransmission_time;
-        self.outgoing
-            .retain(|one| !one.reported || now.since(one.since) < repeat);
+        let retransmission_time = self.config.retransmission_time;
+        self.outgoing.retain(|outgoing| {
+            !outgoing.reported || now.since(outgoing.since) < retransmission_time
+        });
         let outgoing = self.outgoing.iter_mut();
-        let selected = outgoing.filter(|one| extent == Extent::Recent || !one.reported);
-        let changes = selected.map(|one| {
-            one.reported = true;
-            one.change.clone()
+        let selected = outgoing.filter(|outgoing| extent == Extent::Recent || !outgoing.reported);
+        let changes = selected.map(|outgoing| {
+            outgoing.reported = true;
+            outgoing.change.clone()
         });
         Some(Report {
             revision: position.revision,
