--- a/crates/member/src/directory.rs
+++ b/crates/member/src/directory.rs
@@ -92,7 +92,7 @@
         if member.beat.count > refuted_above
             || member
                 .suspected_count
-                .is_some_and(|count| count >= refuted_above)
+                .is_some_and(|suspected| suspected >= refuted_above)
         {
             return false;
         }
--- a/crates/member/src/fake.rs
+++ b/crates/member/src/fake.rs
@@ -181,11 +181,11 @@
             self.queue.push(wake, Delivery::Wake(index));
         }
         for effect in effects {
-            self.carry_out(index, effect);
+            self.execute(index, effect);
         }
     }
 
-    fn carry_out(&mut self, index: usize, effect: Effect) {
+    fn execute(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Store { id, call } => {
                 let at = self.now + STORE_LATENCY;
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -140,7 +140,7 @@
             Event::Wake => {}
             Event::Store { id, outcome } => self.handle_outcome(now, id, outcome, effects),
             Event::Digest(digest) => self.receive(now, digest, effects),
-            Event::Applied(version) => self.applied(now, version),
+            Event::Applied(version) => self.set_applied_version(now, version),
             Event::Load(load) => self.beat.load = load,
             Event::StoreLost(lost) => self.beat.store_lost = lost,
             Event::Drain => self.change_state(now, State::Draining, None),
@@ -343,7 +343,7 @@
         }
     }
 
-    fn applied(&mut self, now: Time, version: u64) {
+    fn set_applied_version(&mut self, now: Time, version: u64) {
         if version <= self.beat.applied {
             return;
         }
--- a/crates/member/src/membership/gossip.rs
+++ b/crates/member/src/membership/gossip.rs
@@ -21,7 +21,7 @@
 /// records, which must not delay a leaving backend server.
 const ITEMS_SHARE: f64 = 0.5;
 /// Share of a digest for items and records; the rest is reserved for heartbeats and round-robin subjects.
-const NEWS_SHARE: f64 = 0.75;
+const ITEMS_AND_RECORDS_SHARE: f64 = 0.75;
 /// Share of a digest for everything but round-robin subjects.
 const BEATS_SHARE: f64 = 0.8;
 /// Most bytes of a snapshot, the answer to a greeting from a starting entry.
@@ -48,12 +48,12 @@
         if self.round.is_multiple_of(EXPIRE_ROUNDS) {
             self.expire(now);
         }
-        let targets = self.targets(now);
+        let targets = self.choose_targets(now);
         if targets.is_empty() {
             return self.greet(effects);
         }
         for to in targets {
-            let digest = self.digest(now, self.settings.digest_bytes, is_regular);
+            let digest = self.create_digest(now, self.settings.digest_bytes, is_regular);
             self.budget.spend(digest.size());
             effects.push(Effect::Send { to, digest });
         }
@@ -111,7 +111,7 @@
             }
         }
         if digest.greeting {
-            let snapshot = self.snapshot(now);
+            let snapshot = self.create_snapshot(now);
             effects.push(Effect::Send {
                 to: digest.own.id,
                 digest: snapshot,
@@ -162,7 +162,7 @@
     }
 
     /// Chooses the peers of this round: random reachable ones, and sometimes a silent one.
-    fn targets(&mut self, now: Time) -> Vec<holder::Id> {
+    fn choose_targets(&mut self, now: Time) -> Vec<holder::Id> {
         let timeout = self.heartbeat_timeout();
         let (mut reachable, silent): (Vec<_>, Vec<_>) = self
             .peers()
@@ -202,7 +202,7 @@
 
     /// Creates a digest within `limit` bytes: hot subjects, then heartbeats, then subjects in round-robin
     /// order.
-    fn digest(&mut self, now: Time, limit: usize, is_regular: bool) -> Digest {
+    fn create_digest(&mut self, now: Time, limit: usize, is_regular: bool) -> Digest {
         let mut digest = Digest {
             own: self.beat,
             ..Digest::default()
@@ -212,7 +212,10 @@
         let max_extra = self.settings.burst_digest_bytes.saturating_sub(limit);
         let extra =
             (self.budget.spare_bytes(&self.settings) / self.settings.fanout.max(1)).min(max_extra);
-        for (kind, share) in [(Kind::Item, ITEMS_SHARE), (Kind::Member, NEWS_SHARE)] {
+        for (kind, share) in [
+            (Kind::Item, ITEMS_SHARE),
+            (Kind::Member, ITEMS_AND_RECORDS_SHARE),
+        ] {
             let limit = share_bytes(share) + extra;
             for subject in self.rumors.hottest(kind, limit / MIN_SUBJECT_BYTES) {
                 if self.add(now, &subject, limit, &mut digest) {
@@ -236,7 +239,7 @@
     }
 
     /// Creates a digest of everything that a starting entry should know.
-    fn snapshot(&mut self, now: Time) -> Digest {
+    fn create_snapshot(&mut self, now: Time) -> Digest {
         let mut digest = Digest {
             own: self.beat,
             ..Digest::default()
--- a/crates/member/src/registration.rs
+++ b/crates/member/src/registration.rs
@@ -119,7 +119,7 @@
             return;
         };
         match outcome {
-            Outcome::Committed(revision) => self.renewed(now, sent + term, revision),
+            Outcome::Committed(revision) => self.complete_renewal(now, sent + term, revision),
             Outcome::Conflict(failed) => {
                 // Either our own earlier write, whose answer was lost, or others removed the row.
                 let row = failed.into_iter().next().and_then(|(_, row)| row);
@@ -138,7 +138,7 @@
         (self.in_flight.is_none() && !self.left).then_some(self.next_renewal)
     }
 
-    fn renewed(&mut self, now: Time, valid_until: Time, revision: u64) {
+    fn complete_renewal(&mut self, now: Time, valid_until: Time, revision: u64) {
         self.revision = Some(revision);
         if now >= self.valid_until {
             self.epoch += 1;
--- a/crates/member/src/roster.rs
+++ b/crates/member/src/roster.rs
@@ -87,7 +87,7 @@
             rows: Vec::new(),
             prefix: prefix.clone(),
         });
-        page(prefix, SmolStr::default())
+        page_call(prefix, SmolStr::default())
     }
 
     /// Handles a page; returns the call for the next one, or the finished scan, or neither if the call
@@ -106,7 +106,7 @@
         scan.rows.extend(rows);
         if let (true, Some(last)) = (more, scan.rows.last()) {
             scan.after = last.key.clone();
-            let call = page(scan.prefix.clone(), scan.after.clone());
+            let call = page_call(scan.prefix.clone(), scan.after.clone());
             self.in_flight = Some(scan);
             return (Some(call), None);
         }
@@ -150,7 +150,7 @@
                     }
                 }
             })
-            .map(|(key, item)| (item.row.id, delete(key, item.watch.revision())))
+            .map(|(key, item)| (item.row.id, delete_call(key, item.watch.revision())))
             .collect()
     }
 
@@ -214,7 +214,7 @@
     }
 }
 
-fn page(prefix: SmolStr, after: SmolStr) -> Call {
+fn page_call(prefix: SmolStr, after: SmolStr) -> Call {
     Call::Scan {
         table: SmolStr::from(TABLE),
         prefix,
@@ -224,7 +224,7 @@
 }
 
 /// Deletes a row if it hasn't changed since it was observed.
-fn delete(key: &SmolStr, revision: u64) -> Call {
+fn delete_call(key: &SmolStr, revision: u64) -> Call {
     let at = Address::new(TABLE, key.clone());
     Call::Transact(Transaction {
         token: key.clone(),
--- a/crates/member/tests/membership.rs
+++ b/crates/member/tests/membership.rs
@@ -208,7 +208,7 @@
     for index in 1..8 {
         let effects = &fleet.nodes[index].effects;
         let received = effects.iter().any(|(_, effect)| match effect {
-            Effect::Item(news) => news.topic == item.topic && news.payload == item.payload,
+            Effect::Item(other) => other.topic == item.topic && other.payload == item.payload,
             _ => false,
         });
         assert!(received, "at {index}");
--- a/crates/role/src/roster.rs
+++ b/crates/role/src/roster.rs
@@ -34,13 +34,13 @@
 impl Roster {
     /// Assigns the roles among these entries.
     pub fn new(candidates: &[Candidate]) -> Roster {
-        let hubs = hubs(candidates);
+        let hubs = choose_hubs(candidates);
         let mut entries: Vec<holder::Id> =
             candidates.iter().map(|candidate| candidate.id).collect();
         entries.sort_unstable();
         Roster {
-            readers: readers(candidates, &hubs),
-            homes: homes(candidates, &hubs),
+            readers: choose_readers(candidates, &hubs),
+            homes: choose_homes(candidates, &hubs),
             entries,
             hubs,
         }
@@ -75,16 +75,18 @@
 ///
 /// Guards against small entries on narrow links: a hub's messages to 75 others fill half of 10 Mbit/s.
 /// Together with answers to callers they cut a small entry off from the table service and from replicas.
-fn hubs(candidates: &[Candidate]) -> Vec<holder::Id> {
+fn choose_hubs(candidates: &[Candidate]) -> Vec<holder::Id> {
     let mut ranked: Vec<&Candidate> = candidates.iter().collect();
     ranked.sort_by_key(|candidate| Reverse(rank(candidate, HUB_KEY)));
     ranked.truncate(HUB_COUNT);
     ranked.into_iter().map(|candidate| candidate.id).collect()
 }
 
+/// Returns the hubs and the entry with the most capacity in each zone; see [`Roster::readers`].
+///
 /// Guards against a cut that hits all readers: hubs are large entries of any zone, and one cut separated
 /// both from the table service for ten seconds while others could reach it.
-fn readers(candidates: &[Candidate], hubs: &[holder::Id]) -> Vec<holder::Id> {
+fn choose_readers(candidates: &[Candidate], hubs: &[holder::Id]) -> Vec<holder::Id> {
     let priority = |candidate: &Candidate| (!candidate.store_lost, rank(candidate, READER_KEY));
     let mut best: BTreeMap<&SmolStr, &Candidate> = BTreeMap::new();
     for candidate in candidates {
@@ -103,7 +105,7 @@
     readers.into_iter().map(|candidate| candidate.id).collect()
 }
 
-fn homes(candidates: &[Candidate], hubs: &[holder::Id]) -> Vec<holder::Id> {
+fn choose_homes(candidates: &[Candidate], hubs: &[holder::Id]) -> Vec<holder::Id> {
     let max_capacity = candidates
         .iter()
         .map(|candidate| candidate.capacity)
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -33,12 +33,12 @@
 pub fn judge(config: &Config, tally: &Tally) -> Finding {
     let total = tally.total();
     if rejects(config, total) {
-        return bad(config, None, total);
+        return bad_finding(config, None, total);
     }
     let (mut likely, mut good) = (true, true);
     for (route, pair) in &tally.routes {
         if rejects(config, *pair) {
-            return bad(config, Some(route.clone()), *pair);
+            return bad_finding(config, Some(route.clone()), *pair);
         }
         likely &= log_likelihood_ratio(config, *pair) < 0.0;
         good &= accepts(config, *pair, config.wrong_acceptance);
@@ -50,7 +50,7 @@
     }
 }
 
-fn bad(config: &Config, route: Option<smol_str::SmolStr>, pair: Pair) -> Finding {
+fn bad_finding(config: &Config, route: Option<smol_str::SmolStr>, pair: Pair) -> Finding {
     Finding::Bad {
         route,
         usual: expected_share(config, pair.old),
--- a/crates/rollout/src/leader.rs
+++ b/crates/rollout/src/leader.rs
@@ -123,7 +123,7 @@
             to: self.order.to.clone(),
             phase: self.phase,
             shares: match self.phase {
-                Phase::Canary => self.shares(tally),
+                Phase::Canary => self.canary_shares(tally),
                 _ => BTreeMap::new(),
             },
             elapsed_ms: now.since(self.started).as_millis(),
@@ -140,7 +140,7 @@
     ///
     /// Guards against a version that is bad on a route with little traffic: with one share for all
     /// routes, that route would send too few requests to find it.
-    fn shares(&self, tally: &Tally) -> BTreeMap<SmolStr, f64> {
+    fn canary_shares(&self, tally: &Tally) -> BTreeMap<SmolStr, f64> {
         let requests = |route: &SmolStr| {
             let pair = tally.routes[route];
             (pair.old.answers + pair.new.answers) as f64
--- a/crates/watch/src/list.rs
+++ b/crates/watch/src/list.rs
@@ -57,7 +57,7 @@
         match &reading.update {
             Update::All(servers) if self.is_restored(reading) => self.known_leaving(servers),
             Update::All(servers) => {
-                let absent = self.absent(servers);
+                let absent = self.absent_ids(servers);
                 let ended = absent.map(|id| Change::ended(id.clone(), reading.revision));
                 servers.iter().map(Change::written).chain(ended).collect()
             }
@@ -90,13 +90,13 @@
     }
 
     /// Returns the ids of rows that are missing among these servers.
-    fn absent(&self, servers: &[Server]) -> impl Iterator<Item = &SmolStr> {
+    fn absent_ids(&self, servers: &[Server]) -> impl Iterator<Item = &SmolStr> {
         let named: BTreeSet<&SmolStr> = servers.iter().map(|server| &server.id).collect();
         self.rows.keys().filter(move |id| !named.contains(id))
     }
 
     /// Returns the part of an applied update that still matches the list.
-    pub fn up_to_date(&self, update: &Update) -> Update {
+    pub fn current_part(&self, update: &Update) -> Update {
         match update {
             Update::All(_) => Update::All(self.rows.values().cloned().collect()),
             Update::Changes { written, removed } => Update::Changes {
@@ -142,8 +142,8 @@
             return false;
         }
         match &change.now {
-            State::Ended => self.end(change),
-            State::Written(server) => self.write(Server {
+            State::Ended => self.remove(change),
+            State::Written(server) => self.insert(Server {
                 revision: change.at,
                 ..server.clone()
             }),
@@ -159,7 +159,7 @@
         ended.unwrap_or(0).max(self.complete_revision) >= change.at
     }
 
-    fn write(&mut self, server: Server) -> bool {
+    fn insert(&mut self, server: Server) -> bool {
         let revision = server.revision;
         let hash = hash_of(&server);
         self.ended.remove(&server.id);
@@ -173,7 +173,7 @@
         true
     }
 
-    fn end(&mut self, change: &Change) -> bool {
+    fn remove(&mut self, change: &Change) -> bool {
         if change.at > self.complete_revision {
             self.ended.insert(change.id.clone(), change.at);
         }
--- a/crates/watch/src/watch.rs
+++ b/crates/watch/src/watch.rs
@@ -126,7 +126,7 @@
         self.last_read = Some(now);
         Reading {
             revision: reading.revision,
-            update: self.list.up_to_date(&reading.update),
+            update: self.list.current_part(&reading.update),
         }
     }
 
@@ -160,7 +160,7 @@
         if report.digest == self.list.digest() {
             self.mismatch_since = None;
             self.advance_position(Position {
-                as_of: before(now, Span::from_millis(report.age_ms)),
+                as_of: time_before(now, Span::from_millis(report.age_ms)),
                 revision: report.revision,
             });
             return self.position;
@@ -290,6 +290,6 @@
 }
 
 /// Returns the time `span` before `now`.
-fn before(now: Time, span: Span) -> Time {
+fn time_before(now: Time, span: Span) -> Time {
     Time::from_millis(now.as_millis().saturating_sub(span.as_millis()))
 }
--- a/crates/watch/tests/spread.rs
+++ b/crates/watch/tests/spread.rs
@@ -434,11 +434,11 @@
     let unsure = world.entries[0]
         .report(now, lapsed, Extent::Recent)
         .expect("a report");
-    let sure = world.entries[0]
+    let certain = world.entries[0]
         .report(now, Span::ZERO, Extent::Recent)
         .expect("a report");
     let standby = Role::Reader { rank: 1 };
-    world.entries[1].receive(now, &sure, true);
+    world.entries[1].receive(now, &certain, true);
     let soon = now + Config::default().reader_interval;
     assert_eq!(world.entries[1].read_interval(soon, standby), None);
     world.entries[1].receive(now, &unsure, true);
@@ -498,7 +498,7 @@
     world.write(900, false);
     world.write(901, false);
     world.write(902, false);
-    let copy: Vec<Server> = ["s900", "s901", "s902"]
+    let backup: Vec<Server> = ["s900", "s901", "s902"]
         .iter()
         .filter_map(|id| world.rows[*id].server.clone())
         .collect();
@@ -511,7 +511,7 @@
     let restored = |number| Revision { era: 1, number }.packed();
     let reading = Reading {
         revision: restored(3),
-        update: Update::All(copy.clone()),
+        update: Update::All(backup.clone()),
     };
     let now = world.time();
     world.entries[0].apply_reading(now, &reading);
@@ -520,7 +520,7 @@
     // The server rewrites its row, at a revision number that was used before the restore.
     let back = Server {
         revision: restored(4),
-        ..copy[1].clone()
+        ..backup[1].clone()
     };
     let reading = Reading {
         revision: restored(4),
@@ -529,8 +529,8 @@
             removed: Vec::new(),
         },
     };
-    let taken = world.entries[0].apply_reading(now, &reading);
-    assert_eq!(taken.update, reading.update);
+    let applied = world.entries[0].apply_reading(now, &reading);
+    assert_eq!(applied.update, reading.update);
     // The next full reading removes rows that nobody rewrote.
     let reading = Reading {
         revision: restored(9),
