--- a/crates/policy/examples/mix.rs
+++ b/crates/policy/examples/mix.rs
@@ -57,7 +57,7 @@
 fn run(stay: f64, seed: u64) -> Run {
     let mut random = Pcg32::seed_from_u64(seed);
     let config = Config {
-        stay,
+        hysteresis: stay,
         ..Config::default()
     };
     let (mut mix, mut free) = (Mix::new(config), Mix::new(config));
--- a/crates/policy/src/affinity/hints.rs
+++ b/crates/policy/src/affinity/hints.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Hint {
     replica: replica::Key,
-    at: Time,
+    stored_at: Time,
     /// Generation of the replica's events at that time; a gap since then invalidates the hint.
     generation: u32,
 }
@@ -31,7 +31,7 @@
 /// Position in the cache events of one replica.
 #[derive(Clone, Copy, Debug, Default)]
 struct Events {
-    last: u64,
+    last_sequence: u64,
     generation: u32,
 }
 
@@ -47,11 +47,11 @@
     }
 
     /// Tracks the sequence number of an event; a gap before it may have hidden evictions.
-    pub fn heard(&mut self, replica: replica::Key, sequence: u64) {
+    pub fn track(&mut self, replica: replica::Key, sequence: u64) {
         let events = self.replicas.entry(replica).or_default();
-        let gap = events.last != 0 && sequence > events.last + 1;
+        let gap = events.last_sequence != 0 && sequence > events.last_sequence + 1;
         events.generation += u32::from(gap);
-        events.last = events.last.max(sequence);
+        events.last_sequence = events.last_sequence.max(sequence);
     }
 
     /// Records that the replica holds the prefix or is about to.
@@ -59,26 +59,26 @@
         let generation = self.generation(replica);
         let hint = Hint {
             replica,
-            at: now,
+            stored_at: now,
             generation,
         };
         self.by_prefix.insert(prefix, hint);
         self.order.push_back((now, prefix));
-        while self.order.len() > self.config.hints {
+        while self.order.len() > self.config.max_hints {
             self.drop_oldest();
         }
     }
 
     /// Records that the replica no longer holds the prefix.
     pub fn evicted(&mut self, prefix: u64, replica: replica::Key) {
-        let is_it = |hint: &Hint| hint.replica == replica;
-        if self.by_prefix.get(&prefix).is_some_and(is_it) {
+        let names_replica = |hint: &Hint| hint.replica == replica;
+        if self.by_prefix.get(&prefix).is_some_and(names_replica) {
             self.by_prefix.remove(&prefix);
         }
     }
 
     /// Removes a replica that is gone and all hints at it.
-    pub fn left(&mut self, replica: replica::Key) {
+    pub fn remove_replica(&mut self, replica: replica::Key) {
         self.replicas.remove(&replica);
         self.by_prefix.retain(|_, hint| hint.replica != replica);
     }
@@ -86,7 +86,7 @@
     /// Returns the replica that may hold the prefix, if the hint is still valid.
     pub fn get(&self, now: Time, prefix: u64) -> Option<replica::Key> {
         let hint = self.by_prefix.get(&prefix)?;
-        let fresh = now.since(hint.at) <= self.config.fresh;
+        let fresh = now.since(hint.stored_at) <= self.config.hint_ttl;
         let valid = hint.generation == self.generation(hint.replica);
         (fresh && valid).then_some(hint.replica)
     }
@@ -103,14 +103,14 @@
     }
 
     fn drop_oldest(&mut self) {
-        let Some((at, prefix)) = self.order.pop_front() else {
+        let Some((stored_at, prefix)) = self.order.pop_front() else {
             return;
         };
         // A prefix that was stored again has another entry in the order.
         if self
             .by_prefix
             .get(&prefix)
-            .is_some_and(|hint| hint.at <= at)
+            .is_some_and(|hint| hint.stored_at <= stored_at)
         {
             self.by_prefix.remove(&prefix);
         }
--- a/crates/policy/src/affinity/mod.rs
+++ b/crates/policy/src/affinity/mod.rs
@@ -134,7 +134,7 @@
         prefix: u64,
         stored: bool,
     ) {
-        self.hints.heard(replica, sequence);
+        self.hints.track(replica, sequence);
         match stored {
             true => self.hints.stored(now, prefix, replica),
             false => self.hints.evicted(prefix, replica),
@@ -142,12 +142,12 @@
     }
 
     /// Removes a replica that is gone.
-    pub fn left(&mut self, replica: replica::Key) {
-        self.hints.left(replica);
+    pub fn remove_replica(&mut self, replica: replica::Key) {
+        self.hints.remove_replica(replica);
     }
 
     /// Returns the number of hints.
-    pub fn hints(&self) -> usize {
+    pub fn hint_count(&self) -> usize {
         self.hints.len()
     }
 
@@ -155,6 +155,6 @@
     fn bound(&self, candidates: &[Candidate]) -> f64 {
         let total: f64 = candidates.iter().map(|candidate| candidate.load).sum();
         let mean = total / candidates.len().max(1) as f64;
-        (mean * self.config.factor).max(mean + self.config.slack)
+        (mean * self.config.load_factor).max(mean + self.config.slack)
     }
 }
--- a/crates/policy/src/charge.rs
+++ b/crates/policy/src/charge.rs
@@ -49,21 +49,21 @@
     config: Config,
     me: Entry,
     /// Pending charges by request serial.
-    waiting: BTreeMap<u64, Waiting>,
+    pending: BTreeMap<u64, Pending>,
     /// Homes that timed out, and until when they are skipped.
-    avoided: BTreeMap<Entry, Time>,
+    skipped_until: BTreeMap<Entry, Time>,
 }
 
 /// A charge that waits for an answer.
 #[derive(Debug)]
-struct Waiting {
+struct Pending {
     charge: Charge,
     /// Home that was asked.
     asked: Entry,
     /// Deadline of the answer.
-    due: Time,
+    deadline: Time,
     /// Homes that have not been asked.
-    left: Vec<Entry>,
+    remaining: Vec<Entry>,
 }
 
 impl Charges {
@@ -72,51 +72,58 @@
         Charges {
             config,
             me,
-            waiting: BTreeMap::new(),
-            avoided: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            skipped_until: BTreeMap::new(),
         }
     }
 
     /// Returns who decides on a request's charge; `entries` are the candidates for its homes.
     pub fn begin(&mut self, now: Time, serial: u64, charge: Charge, entries: &[Entry]) -> Step {
-        self.avoided.retain(|_, until| *until > now);
+        self.skipped_until.retain(|_, until| *until > now);
         let mut homes = homes(charge.name, entries);
-        homes.retain(|home| !self.avoided.contains_key(home));
+        homes.retain(|home| !self.skipped_until.contains_key(home));
         self.ask(now, serial, charge, homes)
     }
 
     /// Removes and returns the charge that a home's answer decides, or `None` if the answer is too late.
     pub fn answered(&mut self, serial: u64, by: Entry) -> Option<Charge> {
-        if self.waiting.get(&serial)?.asked != by {
+        if self.pending.get(&serial)?.asked != by {
             return None;
         }
-        self.waiting.remove(&serial).map(|waiting| waiting.charge)
+        self.pending.remove(&serial).map(|pending| pending.charge)
     }
 
     /// Handles a missing answer: returns who decides next, or `None` if the charge is decided.
     pub fn unanswered(&mut self, now: Time, serial: u64, by: Entry) -> Option<(Charge, Step)> {
-        if self.waiting.get(&serial)?.asked != by {
+        if self.pending.get(&serial)?.asked != by {
             return None;
         }
-        let Waiting { charge, left, .. } = self.waiting.remove(&serial)?;
-        self.avoided.insert(by, now + self.config.avoid);
-        Some((charge, self.ask(now, serial, charge, left)))
+        let Pending {
+            charge, remaining, ..
+        } = self.pending.remove(&serial)?;
+        self.skipped_until.insert(by, now + self.config.backoff);
+        Some((charge, self.ask(now, serial, charge, remaining)))
     }
 
     /// Returns the serials of charges whose answers are overdue, with the home of each.
     pub fn overdue(&self, now: Time) -> Vec<(u64, Entry)> {
-        let due = self.waiting.iter().filter(|(_, one)| one.due <= now);
-        due.map(|(serial, one)| (*serial, one.asked)).collect()
+        let overdue = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| pending.deadline <= now);
+        overdue
+            .map(|(serial, pending)| (*serial, pending.asked))
+            .collect()
     }
 
     /// Drops the charge of a request that no longer needs it.
     pub fn cancel(&mut self, serial: u64) {
-        self.waiting.remove(&serial);
+        self.pending.remove(&serial);
     }
 
     /// Returns when [`Charges::overdue`] must be called next.
     pub fn next_wake(&self) -> Option<Time> {
-        self.waiting.values().map(|one| one.due).min()
+        self.pending.values().map(|pending| pending.deadline).min()
     }
 
     /// Asks the first of the remaining homes.
@@ -128,13 +135,13 @@
         if asked == self.me {
             return Step::Home;
         }
-        let waiting = Waiting {
+        let pending = Pending {
             charge,
             asked,
-            due: now + self.config.answer,
-            left: homes,
+            deadline: now + self.config.answer_timeout,
+            remaining: homes,
         };
-        self.waiting.insert(serial, waiting);
+        self.pending.insert(serial, pending);
         Step::Ask(asked)
     }
 }
--- a/crates/policy/src/concurrency/limit.rs
+++ b/crates/policy/src/concurrency/limit.rs
@@ -10,36 +10,36 @@
     /// Limit on own jobs, from 1 to `max`.
     value: f64,
     /// Number of jobs that the replica can run for all entries.
-    most: f64,
+    max: f64,
     /// Moving average of latency over target.
-    strain: f64,
+    latency_ratio: f64,
     /// Time before which the limit isn't cut again.
-    pause: Time,
+    next_cut: Time,
 }
 
 impl Limit {
     /// Starts with the replica's whole capacity: the use of others is subtracted elsewhere, and the first late
     /// samples cut the limit.
     pub fn new(slots: u32) -> Limit {
-        let most = f64::from(slots.max(1));
+        let max = f64::from(slots.max(1));
         Limit {
-            value: most,
-            most,
-            strain: 0.0,
-            pause: Time::ZERO,
+            value: max,
+            max,
+            latency_ratio: 0.0,
+            next_cut: Time::ZERO,
         }
     }
 
     /// Adjusts the limit to a latency, as a multiple of its target, that was seen while `jobs` own jobs ran.
-    pub fn sample(&mut self, now: Time, strain: f64, jobs: u32, config: &Config) {
-        self.strain += config.sample * (strain - self.strain);
-        if self.strain > 1.0 {
+    pub fn sample(&mut self, now: Time, latency_ratio: f64, jobs: u32, config: &Config) {
+        self.latency_ratio += config.smoothing * (latency_ratio - self.latency_ratio);
+        if self.latency_ratio > 1.0 {
             self.cut(now, jobs, config);
             return;
         }
         // An unused limit proves nothing: it would rise beyond any load that was tried.
         if f64::from(jobs) >= self.value / 2.0 {
-            self.value = (self.value + 1.0 / self.value).min(self.most);
+            self.value = (self.value + 1.0 / self.value).min(self.max);
         }
     }
 
@@ -50,10 +50,10 @@
 
     /// Cuts the number in use: a limit far above it would have no effect for many cuts.
     fn cut(&mut self, now: Time, jobs: u32, config: &Config) {
-        if now < self.pause {
+        if now < self.next_cut {
             return;
         }
-        self.pause = now + config.pause;
-        self.value = (self.value.min(f64::from(jobs)) * config.cut).max(1.0);
+        self.next_cut = now + config.cut_interval;
+        self.value = (self.value.min(f64::from(jobs)) * config.decrease).max(1.0);
     }
 }
--- a/crates/policy/src/concurrency/mod.rs
+++ b/crates/policy/src/concurrency/mod.rs
@@ -69,11 +69,11 @@
 
     /// Records the start of an own job with that many tokens.
     pub fn started(&mut self, now: Time, tokens: u64) {
-        self.own.started(now, tokens, self.config.history);
+        self.own.started(now, tokens, self.config.max_history);
         if self.typical_tokens == 0.0 {
             self.typical_tokens = tokens as f64;
         }
-        self.typical_tokens += self.config.sample * (tokens as f64 - self.typical_tokens);
+        self.typical_tokens += self.config.smoothing * (tokens as f64 - self.typical_tokens);
     }
 
     /// Records that tokens of an own job are done.
@@ -83,13 +83,13 @@
 
     /// Records the end of an own job and its outstanding tokens.
     pub fn ended(&mut self, now: Time, outstanding: u64) {
-        self.own.ended(now, outstanding, self.config.history);
+        self.own.ended(now, outstanding, self.config.max_history);
     }
 
     /// Records an own latency (token gap, or time of a plain call) as a multiple of its target.
-    pub fn sample(&mut self, now: Time, strain: f64) {
+    pub fn sample(&mut self, now: Time, latency_ratio: f64) {
         let jobs = self.own.jobs();
-        self.limit.sample(now, strain, jobs, &self.config);
+        self.limit.sample(now, latency_ratio, jobs, &self.config);
     }
 
     /// Records a load report, unless a newer one is known.
@@ -99,10 +99,10 @@
             return;
         }
         let own = self.own.jobs_at(at);
-        let there = f64::from(report.running + report.waiting);
+        let total = f64::from(report.running + report.waiting);
         self.reported = Some(Reported {
             at,
-            others: (there - f64::from(own)).max(0.0),
+            others: (total - f64::from(own)).max(0.0),
             own,
             kv_used: report.kv_used,
         });
@@ -115,20 +115,20 @@
 
     /// Estimates the jobs of all entries. `mean_own` is this entry's mean number of jobs per replica of the pool,
     /// which is assumed for each other entry where nothing is known.
-    pub fn jobs(&self, now: Time, usual: f64) -> f64 {
-        f64::from(self.own.jobs()) + self.others(now, usual)
+    pub fn jobs(&self, now: Time, mean_own: f64) -> f64 {
+        f64::from(self.own.jobs()) + self.estimate_others(now, mean_own)
     }
 
     /// Estimates the outstanding tokens of all entries.
-    pub fn tokens(&self, now: Time, usual: f64) -> f64 {
-        self.own.tokens() as f64 + self.others(now, usual) * self.typical_tokens
+    pub fn tokens(&self, now: Time, mean_own: f64) -> f64 {
+        self.own.tokens() as f64 + self.estimate_others(now, mean_own) * self.typical_tokens
     }
 
     /// Returns whether one more own job may start, within the limit and the replica's slots.
-    pub fn is_open(&self, now: Time, usual: f64) -> bool {
+    pub fn is_open(&self, now: Time, mean_own: f64) -> bool {
         let own = self.own.jobs();
         // The first own job is always allowed: a wrong estimate of others must not exclude a replica for good.
-        own == 0 || own < self.limit.value() && self.jobs(now, usual) < f64::from(self.slots)
+        own == 0 || own < self.limit.value() && self.jobs(now, mean_own) < f64::from(self.slots)
     }
 
     /// Returns the limit on own jobs.
@@ -141,16 +141,16 @@
         self.reported.map(|reported| reported.kv_used)
     }
 
-    fn others(&self, now: Time, usual: f64) -> f64 {
+    fn estimate_others(&self, now: Time, mean_own: f64) -> f64 {
         let peers = f64::from(self.config.entries.saturating_sub(1));
-        let guess = usual * peers;
+        let assumed = mean_own * peers;
         let Some(reported) = self.reported else {
-            return guess;
+            return assumed;
         };
         let added = f64::from(self.own.jobs().saturating_sub(reported.own));
         let known = reported.others + added * peers * self.config.herd;
         let age = now.since(reported.at).as_millis() as f64;
         let weight = (-age / self.config.report_decay.as_millis().max(1) as f64).exp();
-        weight * known + (1.0 - weight) * guess
+        weight * known + (1.0 - weight) * assumed
     }
 }
--- a/crates/policy/src/concurrency/own.rs
+++ b/crates/policy/src/concurrency/own.rs
@@ -15,10 +15,10 @@
 
 impl Own {
     /// Records the start of a job with that many tokens.
-    pub fn started(&mut self, now: Time, tokens: u64, most: usize) {
+    pub fn started(&mut self, now: Time, tokens: u64, max_history: usize) {
         self.jobs += 1;
         self.tokens += tokens;
-        self.note(now, most);
+        self.record(now, max_history);
     }
 
     /// Records that tokens of a job are done.
@@ -27,10 +27,10 @@
     }
 
     /// Records the end of a job and its outstanding tokens.
-    pub fn ended(&mut self, now: Time, outstanding: u64, most: usize) {
+    pub fn ended(&mut self, now: Time, outstanding: u64, max_history: usize) {
         self.jobs = self.jobs.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(outstanding);
-        self.note(now, most);
+        self.record(now, max_history);
     }
 
     /// Returns the jobs in flight.
@@ -44,18 +44,22 @@
     }
 
     /// Returns the jobs in flight at `time`, or the oldest known count if the history begins later.
-    pub fn jobs_at(&self, at: Time) -> u32 {
-        let before = self.history.iter().rev().find(|(since, _)| *since <= at);
+    pub fn jobs_at(&self, time: Time) -> u32 {
+        let before = self
+            .history
+            .iter()
+            .rev()
+            .find(|(changed, _)| *changed <= time);
         let oldest = || self.history.front().map_or(0, |(_, jobs)| *jobs);
         before.map_or_else(oldest, |(_, jobs)| *jobs)
     }
 
-    fn note(&mut self, now: Time, most: usize) {
+    fn record(&mut self, now: Time, max_history: usize) {
         if self.history.is_empty() {
             self.history.push_back((Time::ZERO, 0));
         }
         self.history.push_back((now, self.jobs));
-        if self.history.len() > most {
+        if self.history.len() > max_history {
             self.history.pop_front();
         }
     }
--- a/crates/policy/src/configs/concurrency.rs
+++ b/crates/policy/src/configs/concurrency.rs
@@ -13,14 +13,14 @@
     /// Age at which a report has lost about two thirds of its weight.
     pub report_decay: Span,
     /// Weight of one latency sample in the moving average.
-    pub sample: f64,
+    pub smoothing: f64,
     /// Factor applied to the limit when latency is above the target. With +1 for each full round below it, the
     /// limits of entries that share a replica converge to equal values (Chiu and Jain, 1989).
-    pub cut: f64,
+    pub decrease: f64,
     /// Minimum time between cuts, so that each takes effect before the next.
-    pub pause: Span,
+    pub cut_interval: Span,
     /// Number of starts and ends kept to correct reports; must cover the age of one report.
-    pub history: usize,
+    pub max_history: usize,
 }
 
 impl Default for Config {
@@ -29,10 +29,10 @@
             entries: 8,
             herd: 0.75,
             report_decay: Span::from_seconds(5),
-            sample: 0.1,
-            cut: 0.8,
-            pause: Span::from_seconds(1),
-            history: 64,
+            smoothing: 0.1,
+            decrease: 0.8,
+            cut_interval: Span::from_seconds(1),
+            max_history: 64,
         }
     }
 }
--- a/crates/policy/src/configs/mix.rs
+++ b/crates/policy/src/configs/mix.rs
@@ -9,20 +9,20 @@
     ///
     /// A price must fall by more than this before work moves to it, so smaller swings move nothing. A lower
     /// value starts more instances at about the same cost.
-    pub stay: f64,
+    pub hysteresis: f64,
     /// Time for which a refused kind is excluded before it is requested again.
-    pub refusal: Span,
+    pub refusal_backoff: Span,
     /// Time for which surplus instances are kept: starting one again costs its loading time, during which it
     /// is paid for and serves nobody.
-    pub linger: Span,
+    pub surplus_delay: Span,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            stay: 0.2,
-            refusal: Span::from_seconds(60),
-            linger: Span::from_seconds(300),
+            hysteresis: 0.2,
+            refusal_backoff: Span::from_seconds(60),
+            surplus_delay: Span::from_seconds(300),
         }
     }
 }
--- a/crates/policy/src/configs/pace.rs
+++ b/crates/policy/src/configs/pace.rs
@@ -8,19 +8,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// Minimum share of a sender; all other entries send nothing.
-    pub sender: Rate,
+    pub min_share: Rate,
     /// Minimum rate, whatever the limit: only an answer without a limit lifts it.
-    pub least: Rate,
+    pub min_rate: Rate,
     /// Time over which unused tokens are saved.
-    pub saved: Span,
+    pub burst_time: Span,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            sender: Rate(1_000),
-            least: Rate(100),
-            saved: Span::from_millis(500),
+            min_share: Rate(1_000),
+            min_rate: Rate(100),
+            burst_time: Span::from_millis(500),
         }
     }
 }
--- a/crates/policy/src/mix/fill.rs
+++ b/crates/policy/src/mix/fill.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 
 /// Maximum number of caps on a zone's capacity to try; if there are fewer, all are tried.
-const TRIES: u64 = 64;
+const MAX_CAPS: u64 = 64;
 
 /// Instances of one kind that are available in a zone.
 #[derive(Clone, Copy, Debug)]
@@ -39,15 +39,15 @@
 pub(super) fn cheapest(tiers: &[Tier], zones: usize, need: u32) -> Choice {
     let need = u64::from(need);
     let mut order: Vec<usize> = (0..tiers.len()).collect();
-    order.sort_by(|one, other| by_unit(&tiers[*one], &tiers[*other]));
+    order.sort_by(|one, other| by_unit_price(&tiers[*one], &tiers[*other]));
     let largest = tiers.iter().map(|tier| u64::from(tier.capacity)).max();
     let least = need.div_ceil(zones.saturating_sub(1).max(1) as u64);
     let most = need + largest.unwrap_or(0);
-    let step = (most - least).div_ceil(TRIES).max(1);
+    let step = (most - least).div_ceil(MAX_CAPS).max(1);
     let caps = (least..=most).step_by(step as usize);
     let choices = caps.map(|cap| fill(tiers, &order, zones, need, cap));
-    let better = |one: &Choice, other: &Choice| prefer(one, other, need);
-    choices.min_by(better).unwrap_or(Choice {
+    let preference = |one: &Choice, other: &Choice| by_preference(one, other, need);
+    choices.min_by(preference).unwrap_or(Choice {
         counts: vec![0; tiers.len()],
         price: 0.0,
         total: 0,
@@ -55,19 +55,19 @@
     })
 }
 
-fn by_unit(one: &Tier, other: &Tier) -> Ordering {
-    let unit = |tier: &Tier| tier.price / f64::from(tier.capacity);
-    unit(one).total_cmp(&unit(other))
+fn by_unit_price(one: &Tier, other: &Tier) -> Ordering {
+    let unit_price = |tier: &Tier| tier.price / f64::from(tier.capacity);
+    unit_price(one).total_cmp(&unit_price(other))
 }
 
 /// Orders choices by shortfall, then by price.
-fn prefer(one: &Choice, other: &Choice, need: u64) -> Ordering {
-    let short = |choice: &Choice| {
+fn by_preference(one: &Choice, other: &Choice, need: u64) -> Ordering {
+    let shortfall = |choice: &Choice| {
         let without_one = need.saturating_sub(choice.without_one);
         (without_one, need.saturating_sub(choice.total))
     };
-    let shorter = short(one).cmp(&short(other));
-    shorter.then(one.price.total_cmp(&other.price))
+    let order = shortfall(one).cmp(&shortfall(other));
+    order.then(one.price.total_cmp(&other.price))
 }
 
 /// Takes the cheapest tiers first, with no zone above the cap, until the need is met.
--- a/crates/policy/src/mix/mod.rs
+++ b/crates/policy/src/mix/mod.rs
@@ -84,7 +84,7 @@
     /// Orders, starts first.
     pub orders: Vec<Order>,
     /// Whether the demand survives the loss of any one zone once all instances are live.
-    pub survives_zone: bool,
+    pub survives_zone_loss: bool,
     /// Price per hour of the planned instances.
     pub per_hour: f64,
 }
@@ -111,7 +111,7 @@
 
     /// Records that the cloud refused a kind; the caller should plan again, since another takes its place.
     pub fn refused(&mut self, now: Time, kind: Kind) {
-        self.refused.insert(kind, now + self.config.refusal);
+        self.refused.insert(kind, now + self.config.refusal_backoff);
     }
 
     /// Returns the cheapest orders that carry `demand` without any one zone.
@@ -123,72 +123,72 @@
         instances: &[Instance],
     ) -> Plan {
         self.refused.retain(|_, until| now < *until);
-        let market = Listing::new(offers);
-        let held = market.held(instances);
-        let mut tiers = self.tiers(&market, &held);
-        let choice = fill::cheapest(&tiers, market.zones.len(), demand);
+        let listing = Listing::new(offers);
+        let held = listing.held(instances);
+        let mut tiers = self.tiers(&listing, &held);
+        let choice = fill::cheapest(&tiers, listing.zones.len(), demand);
         let (old, new) = choice.counts.split_at(held.len());
         let starts = new.iter().zip(tiers.split_off(held.len()));
         let starts: Vec<Order> = starts
-            .zip(self.startable(&market))
+            .zip(self.startable(&listing))
             .filter(|((count, _), _)| **count > 0)
             .map(|((count, _), offer)| Order::Start(offer.kind.clone(), *count))
             .collect();
         let pending = !starts.is_empty() || instances.iter().any(|instance| !instance.live);
-        let survives_zone = choice.without_one >= u64::from(demand);
-        let stops = self.stops(now, &held, old, pending || !survives_zone);
+        let survives_zone_loss = choice.without_one >= u64::from(demand);
+        let stops = self.stops(now, &held, old, pending || !survives_zone_loss);
         Plan {
-            per_hour: self.price(&market, &held, &choice.counts),
+            per_hour: self.price(&listing, &held, &choice.counts),
             orders: starts.into_iter().chain(stops).collect(),
-            survives_zone,
+            survives_zone_loss,
         }
     }
 
     /// Returns tiers of existing instances, by kind, followed by those that can be started.
-    fn tiers(&self, market: &Listing, held: &[Held]) -> Vec<Tier> {
+    fn tiers(&self, listing: &Listing, held: &[Held]) -> Vec<Tier> {
         let old = held.iter().map(|held| Tier {
-            price: held.offer.per_hour * (1.0 - self.config.stay),
+            price: held.offer.per_hour * (1.0 - self.config.hysteresis),
             count: Some(held.instances.len() as u32),
-            ..market.tier(held.offer)
+            ..listing.tier(held.offer)
         });
-        let new = self.startable(market).map(|offer| market.tier(offer));
+        let new = self.startable(listing).map(|offer| listing.tier(offer));
         old.chain(new).collect()
     }
 
-    fn startable<'a>(&self, market: &Listing<'a>) -> impl Iterator<Item = &'a Offer> {
+    fn startable<'a>(&self, listing: &Listing<'a>) -> impl Iterator<Item = &'a Offer> {
         let refused: BTreeSet<Kind> = self.refused.keys().cloned().collect();
-        let offers: Vec<&Offer> = market.offers.values().copied().collect();
+        let offers: Vec<&Offer> = listing.offers.values().copied().collect();
         offers
             .into_iter()
             .filter(move |offer| !refused.contains(&offer.kind))
     }
 
     /// Returns stops for instances that were surplus long enough, unless changes are in progress.
-    fn stops(&mut self, now: Time, held: &[Held], kept: &[u32], in_motion: bool) -> Vec<Order> {
-        let extra: BTreeSet<SmolStr> = held
+    fn stops(&mut self, now: Time, held: &[Held], kept: &[u32], in_progress: bool) -> Vec<Order> {
+        let excess: BTreeSet<SmolStr> = held
             .iter()
             .zip(kept)
             .flat_map(|(held, kept)| &held.instances[*kept as usize..])
             .map(|instance| instance.id.clone())
             .collect();
-        self.surplus.retain(|id, _| extra.contains(id));
-        for id in extra {
+        self.surplus.retain(|id, _| excess.contains(id));
+        for id in excess {
             self.surplus.entry(id).or_insert(now);
         }
-        if in_motion {
+        if in_progress {
             return Vec::new();
         }
-        let linger = self.config.linger;
+        let delay = self.config.surplus_delay;
         let due = self
             .surplus
             .iter()
-            .filter(|(_, since)| now.since(**since) >= linger);
+            .filter(|(_, since)| now.since(**since) >= delay);
         due.map(|(id, _)| Order::Stop(id.clone())).collect()
     }
 
-    fn price(&self, market: &Listing, held: &[Held], counts: &[u32]) -> f64 {
+    fn price(&self, listing: &Listing, held: &[Held], counts: &[u32]) -> f64 {
         let old = held.iter().map(|held| held.offer);
-        let offers = old.chain(self.startable(market));
+        let offers = old.chain(self.startable(listing));
         let price = |(offer, count): (&Offer, &u32)| offer.per_hour * f64::from(*count);
         offers.zip(counts).map(price).sum()
     }
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -51,13 +51,13 @@
 
 /// Returns the share of the entry `me` in a replica's limit; `entries` are all that may send.
 pub fn share(config: &Config, replica: u64, limit: Rate, entries: &[u64], me: u64) -> Share {
-    let limit = limit.max(config.least);
-    let senders = (limit.0 / config.sender.0).max(1) as usize;
+    let limit = limit.max(config.min_rate);
+    let senders = (limit.0 / config.min_share.0).max(1) as usize;
     let senders = senders.min(entries.len());
     let mut ranked = entries.to_vec();
     ranked.sort_by_key(|entry| Reverse(rendezvous::weight(replica, *entry)));
-    let sends = ranked.iter().take(senders).any(|entry| *entry == me);
-    match sends {
+    let is_sender = ranked.iter().take(senders).any(|entry| *entry == me);
+    match is_sender {
         true => Share::Part(Rate(limit.0 / senders as u32)),
         false => Share::Nothing,
     }
@@ -68,7 +68,7 @@
 pub enum Gate {
     /// The replica sets no limit.
     #[default]
-    Free,
+    Unlimited,
     /// Other entries use the whole limit.
     Closed,
     /// This entry sends at a limited rate.
@@ -79,22 +79,24 @@
     /// Applies a new share and keeps the saved tokens.
     pub fn set(&mut self, config: &Config, now: Time, share: Share) {
         *self = match (&self, share) {
-            (_, Share::Unlimited) => Gate::Free,
+            (_, Share::Unlimited) => Gate::Unlimited,
             (_, Share::Nothing) => Gate::Closed,
-            (Gate::Paced(pace), Share::Part(rate)) => Gate::Paced(pace.at(config, now, rate)),
+            (Gate::Paced(pace), Share::Part(rate)) => {
+                Gate::Paced(pace.with_rate(config, now, rate))
+            }
             (_, Share::Part(rate)) => Gate::Paced(Pace::new(config, now, rate)),
         };
     }
 
     /// Returns whether the replica sets a limit.
     pub fn is_limited(&self) -> bool {
-        !matches!(self, Gate::Free)
+        !matches!(self, Gate::Unlimited)
     }
 
     /// Returns whether a request may be sent now.
     pub fn is_open(&self, now: Time) -> bool {
         match self {
-            Gate::Free => true,
+            Gate::Unlimited => true,
             Gate::Closed => false,
             Gate::Paced(pace) => pace.is_open(now),
         }
@@ -103,7 +105,7 @@
     /// Returns when a request may be sent next; `None` while the gate is closed.
     pub fn opens_at(&self) -> Option<Time> {
         match self {
-            Gate::Free => Some(Time::ZERO),
+            Gate::Unlimited => Some(Time::ZERO),
             Gate::Closed => None,
             Gate::Paced(pace) => Some(pace.opens_at()),
         }
@@ -112,7 +114,7 @@
     /// Returns the requests per second that this entry may send; `None` without a limit.
     pub fn rate(&self) -> Option<f64> {
         match self {
-            Gate::Free => None,
+            Gate::Unlimited => None,
             Gate::Closed => Some(0.0),
             Gate::Paced(pace) => Some(pace.rate.requests_per_second()),
         }
@@ -131,60 +133,60 @@
 pub struct Pace {
     rate: Rate,
     /// Capacity, requests.
-    most: f64,
+    capacity: f64,
     /// Requests that could be sent at `refilled_at`.
-    left: f64,
-    filled: Time,
+    tokens: f64,
+    refilled_at: Time,
 }
 
 impl Pace {
     /// Creates a bucket that holds one request.
     pub fn new(config: &Config, now: Time, rate: Rate) -> Pace {
-        let begun = Pace {
+        let bucket = Pace {
             rate,
-            most: 1.0,
-            left: 1.0,
-            filled: now,
+            capacity: 1.0,
+            tokens: 1.0,
+            refilled_at: now,
         };
-        begun.at(config, now, rate)
+        bucket.with_rate(config, now, rate)
     }
 
     /// Returns the bucket at another rate, with its tokens capped at the new capacity.
-    fn at(&self, config: &Config, now: Time, rate: Rate) -> Pace {
-        let most = (rate.per_milli() * config.saved.as_millis() as f64).max(1.0);
+    fn with_rate(&self, config: &Config, now: Time, rate: Rate) -> Pace {
+        let capacity = (rate.per_milli() * config.burst_time.as_millis() as f64).max(1.0);
         Pace {
             rate,
-            most,
-            left: self.left_at(now).min(most),
-            filled: now,
+            capacity,
+            tokens: self.tokens_at(now).min(capacity),
+            refilled_at: now,
         }
     }
 
     /// Returns whether a request may be sent now.
     fn is_open(&self, now: Time) -> bool {
-        self.left_at(now) >= 1.0
+        self.tokens_at(now) >= 1.0
     }
 
     /// Returns when a request may be sent next.
     fn opens_at(&self) -> Time {
-        let missing = (1.0 - self.left).max(0.0);
+        let missing = (1.0 - self.tokens).max(0.0);
         let wait = missing / self.rate.per_milli().max(f64::MIN_POSITIVE);
-        self.filled + Span::from_millis(wait.ceil().min(u32::MAX.into()) as u64)
+        self.refilled_at + Span::from_millis(wait.ceil().min(u32::MAX.into()) as u64)
     }
 
     /// Takes a token for a request that is sent.
     fn take(&mut self, now: Time) {
-        self.fill(now);
-        self.left -= 1.0;
+        self.refill(now);
+        self.tokens -= 1.0;
     }
 
-    fn fill(&mut self, now: Time) {
-        self.left = self.left_at(now);
-        self.filled = now;
+    fn refill(&mut self, now: Time) {
+        self.tokens = self.tokens_at(now);
+        self.refilled_at = now;
     }
 
-    fn left_at(&self, now: Time) -> f64 {
-        let came = self.rate.per_milli() * now.since(self.filled).as_millis() as f64;
-        (self.left + came).min(self.most)
+    fn tokens_at(&self, now: Time) -> f64 {
+        let refilled = self.rate.per_milli() * now.since(self.refilled_at).as_millis() as f64;
+        (self.tokens + refilled).min(self.capacity)
     }
 }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -45,7 +45,7 @@
     entries: u32,
     buckets: BTreeMap<Name, Bucket>,
     peers: BTreeMap<u64, Peer>,
-    filled: Time,
+    refilled_at: Time,
 }
 
 /// Token bucket of one account, as this entry sees it.
@@ -60,7 +60,7 @@
     /// Charged by this entry since its start, tokens.
     own: Cost,
     /// Tokens that this entry may grant while the account is short; `None` before the first request.
-    part: Option<f64>,
+    share: Option<f64>,
     /// Largest request so far, tokens; caps the saved share.
     largest: f64,
     /// End of the shortage that the last refusal here started.
@@ -70,7 +70,7 @@
 /// Another entry, or several whose counts arrive as a sum.
 #[derive(Clone, Debug)]
 struct Peer {
-    heard: Time,
+    received_at: Time,
     /// Number of entries in its counts.
     entries: u32,
     counts: Counts,
@@ -90,28 +90,28 @@
             entries: 1,
             buckets: BTreeMap::new(),
             peers: BTreeMap::new(),
-            filled: Time::ZERO,
+            refilled_at: Time::ZERO,
         }
     }
 
     /// Sets the number of entries that share the quotas, this one included.
     pub fn set_entries(&mut self, now: Time, entries: u32) {
-        self.fill(now);
+        self.refill(now);
         self.entries = entries.max(1);
     }
 
     /// Sets an account's quota; a rate of zero removes it.
     pub fn set_quota(&mut self, now: Time, name: Name, rate: u64, burst: u64) {
-        self.fill(now);
+        self.refill(now);
         if rate == 0 {
             self.buckets.remove(&name);
-            self.buckets.remove(&beyond(name));
+            self.buckets.remove(&overrun_of(name));
             return;
         }
         self.set_bucket(name, rate as f64, burst as f64);
         if self.config.overrun_burst > 0 {
-            let spare = rate as f64 * self.config.overrun_fraction;
-            self.set_bucket(beyond(name), spare, self.config.overrun_burst as f64);
+            let overrun = rate as f64 * self.config.overrun_fraction;
+            self.set_bucket(overrun_of(name), overrun, self.config.overrun_burst as f64);
         }
     }
 
@@ -119,9 +119,9 @@
         let bucket = self.buckets.entry(name).or_insert(Bucket {
             rate,
             burst,
-            level: burst * self.config.start,
+            level: burst * self.config.initial_level,
             own: 0,
-            part: None,
+            share: None,
             largest: 0.0,
             short_until: Time::ZERO,
         });
@@ -132,7 +132,7 @@
 
     /// Removes the quotas of accounts that are not in `names`.
     pub fn retain(&mut self, names: &[Name]) {
-        let kept = |name| names.contains(&name) || names.contains(&beyond(name));
+        let kept = |name| names.contains(&name) || names.contains(&overrun_of(name));
         self.buckets.retain(|name, _| kept(*name));
     }
 
@@ -140,13 +140,13 @@
     ///
     /// A request larger than the burst is granted when the bucket is full.
     pub fn charge(&mut self, now: Time, name: Name, cost: Cost) -> Result<Name, Span> {
-        let in_parts = self.entries > self.config.few;
-        self.charge_from(now, name, cost, in_parts)
+        let share_only = self.entries > self.config.max_direct;
+        self.charge_buckets(now, name, cost, share_only)
     }
 
-    /// Charges a request of any entry as the account's home, which alone grants requests.
+    /// Charges a request of any entry as the account's home, which decides for all.
     pub fn charge_as_home(&mut self, now: Time, name: Name, cost: Cost) -> Result<Name, Span> {
-        self.charge_from(now, name, cost, false)
+        self.charge_buckets(now, name, cost, false)
     }
 
     /// Returns whether an account has a quota.
@@ -154,26 +154,26 @@
         self.buckets.contains_key(&name)
     }
 
-    fn charge_from(
+    fn charge_buckets(
         &mut self,
         now: Time,
         name: Name,
         cost: Cost,
-        in_parts: bool,
+        share_only: bool,
     ) -> Result<Name, Span> {
-        self.fill(now);
-        let Err(after) = self.take(now, name, cost, in_parts) else {
+        self.refill(now);
+        let Err(after) = self.take(now, name, cost, share_only) else {
             return Ok(name);
         };
-        let spare = beyond(name);
-        match self.is_limited(spare) && self.take(now, spare, cost, in_parts).is_ok() {
-            true => Ok(spare),
+        let overrun = overrun_of(name);
+        match self.is_limited(overrun) && self.take(now, overrun, cost, share_only).is_ok() {
+            true => Ok(overrun),
             false => Err(after),
         }
     }
 
     /// Takes from one bucket, or returns when there is room; with `share_only`, at most this entry's share.
-    fn take(&mut self, now: Time, name: Name, cost: Cost, in_parts: bool) -> Result<(), Span> {
+    fn take(&mut self, now: Time, name: Name, cost: Cost, share_only: bool) -> Result<(), Span> {
         let unseen = self.unseen(now, name);
         let config = self.config;
         let others = f64::from(self.entries - 1);
@@ -183,11 +183,11 @@
         let needed = (cost as f64).min(bucket.burst);
         let left = bucket.level - unseen;
         if left < needed {
-            bucket.short_until = now + config.short;
+            bucket.short_until = now + config.shortage_hold;
             return Err(config.wait(needed - left, bucket.rate));
         }
-        if in_parts {
-            bucket.take_part(now, &config, needed, left, others)?;
+        if share_only {
+            bucket.take_share(now, &config, needed, left, others)?;
         }
         bucket.level -= cost as f64;
         bucket.own += cost;
@@ -203,14 +203,14 @@
     /// Returns the tokens that this entry may grant while the account is short.
     pub fn share(&self, name: Name) -> f64 {
         let bucket = self.buckets.get(&name);
-        bucket.and_then(|bucket| bucket.part).unwrap_or(0.0)
+        bucket.and_then(|bucket| bucket.share).unwrap_or(0.0)
     }
 
     /// Refunds the cost of a request that didn't run to `name`, the bucket it was charged to.
     pub fn refund(&mut self, name: Name, cost: Cost) {
         if let Some(bucket) = self.buckets.get_mut(&name) {
             bucket.level = (bucket.level + cost as f64).min(bucket.burst);
-            bucket.part = bucket.part.map(|part| part + cost as f64);
+            bucket.share = bucket.share.map(|share| share + cost as f64);
             bucket.own = bucket.own.saturating_sub(cost);
         }
     }
@@ -223,61 +223,61 @@
 
     /// Charges the totals of a peer.
     pub fn absorb(&mut self, now: Time, peer: u64, counts: &Counts) {
-        self.fill(now);
-        let Some(known) = self.peers.get_mut(&peer) else {
+        self.refill(now);
+        let Some(state) = self.peers.get_mut(&peer) else {
             self.peers.insert(peer, Peer::new(now, counts));
             return;
         };
         // Delayed messages arrive in bunches; the later counts were not charged in the gap between arrivals.
-        let passed = now.since(known.heard).max(self.config.shortest);
-        let seconds = passed.as_millis() as f64 / 1_000.0;
+        let gap = now.since(state.received_at).max(self.config.min_interval);
+        let seconds = gap.as_millis() as f64 / 1_000.0;
         for (name, count) in counts {
-            let before = known.counts.get(name).copied().unwrap_or(0);
+            let before = state.counts.get(name).copied().unwrap_or(0);
             let charged = *count as f64 - before as f64;
-            let assumed = known.assumed.remove(name).unwrap_or(0.0);
+            let assumed = state.assumed.remove(name).unwrap_or(0.0);
             if let Some(bucket) = self.buckets.get_mut(name) {
                 bucket.level = (bucket.level - charged + assumed).min(bucket.burst);
             }
-            let rate = known.rates.entry(*name).or_default();
+            let rate = state.rates.entry(*name).or_default();
             *rate += self.config.smoothing * ((charged / seconds).max(0.0) - *rate);
         }
-        known.counts = counts.clone();
-        known.heard = now;
-        known.settled = false;
+        state.counts = counts.clone();
+        state.received_at = now;
+        state.settled = false;
     }
 
     /// Takes the sum of `entries` peers as the new baseline and charges nothing: it is not comparable with the
     /// previous sum.
     pub fn rebase(&mut self, now: Time, peer: u64, counts: &Counts, entries: u32) {
-        self.fill(now);
-        let known = self
+        self.refill(now);
+        let state = self
             .peers
             .entry(peer)
             .or_insert_with(|| Peer::new(now, counts));
-        known.heard = now;
-        known.entries = entries;
-        known.counts = counts.clone();
-        known.settled = false;
+        state.received_at = now;
+        state.entries = entries;
+        state.counts = counts.clone();
+        state.settled = false;
     }
 
     /// Charges the sum of `entries` peers. A sum that falls no longer includes one of them and refunds nothing.
     pub fn absorb_sum(&mut self, now: Time, peer: u64, counts: &Counts, entries: u32) {
         let mut rising = counts.clone();
-        if let Some(known) = self.peers.get(&peer) {
+        if let Some(state) = self.peers.get(&peer) {
             for (name, count) in &mut rising {
-                *count = (*count).max(known.counts.get(name).copied().unwrap_or(0));
+                *count = (*count).max(state.counts.get(name).copied().unwrap_or(0));
             }
         }
         self.absorb(now, peer, &rising);
-        if let Some(known) = self.peers.get_mut(&peer) {
-            known.counts = counts.clone();
-            known.entries = entries;
+        if let Some(state) = self.peers.get_mut(&peer) {
+            state.counts = counts.clone();
+            state.entries = entries;
         }
     }
 
     /// Removes a peer that is gone; nothing is held back for it any more.
     pub fn remove_peer(&mut self, now: Time, peer: u64) {
-        self.fill(now);
+        self.refill(now);
         self.peers.remove(&peer);
     }
 
@@ -288,7 +288,7 @@
             .values()
             .filter(|peer| peer.is_fresh(now, &self.config));
         let likely = fresh.map(|peer| {
-            let seconds = now.since(peer.heard).as_millis() as f64 / 1_000.0;
+            let seconds = now.since(peer.received_at).as_millis() as f64 / 1_000.0;
             peer.rates.get(&name).copied().unwrap_or(0.0) * seconds
         });
         likely.sum()
@@ -298,14 +298,14 @@
     ///
     /// What was held back for them would otherwise become free at the timeout: every entry that was cut off in a
     /// flood granted it a second time.
-    fn settle(&mut self, now: Time) {
+    fn charge_timed_out(&mut self, now: Time) {
         let config = self.config;
         let seconds = config.peer_timeout.as_millis() as f64 / 1_000.0;
-        let fallen = self
+        let timed_out = self
             .peers
             .values_mut()
             .filter(|peer| !peer.settled && !peer.is_fresh(now, &config));
-        for peer in fallen {
+        for peer in timed_out {
             peer.settled = true;
             for (name, rate) in &peer.rates {
                 if let Some(bucket) = self.buckets.get_mut(name) {
@@ -317,54 +317,54 @@
     }
 
     /// Refills the buckets, less the equal shares of silent peers.
-    fn fill(&mut self, now: Time) {
-        let seconds = now.since(self.filled).as_millis() as f64 / 1_000.0;
-        self.filled = now;
+    fn refill(&mut self, now: Time) {
+        let seconds = now.since(self.refilled_at).as_millis() as f64 / 1_000.0;
+        self.refilled_at = now;
         if seconds == 0.0 {
             return;
         }
         let config = self.config;
-        self.settle(now);
+        self.charge_timed_out(now);
         let fresh = self
             .peers
             .values()
             .filter(|peer| peer.is_fresh(now, &config));
         // No more shares than missing entries: an entry that ended was replaced by another.
-        let heard: u32 = fresh.map(|peer| peer.entries).sum();
-        let missing = (self.entries - 1).saturating_sub(heard) as usize;
+        let reported: u32 = fresh.map(|peer| peer.entries).sum();
+        let missing = (self.entries - 1).saturating_sub(reported) as usize;
         self.peers
-            .retain(|_, peer| now.since(peer.heard) < config.forget);
+            .retain(|_, peer| now.since(peer.received_at) < config.peer_expiry);
         let mut silent: Vec<&mut Peer> = self
             .peers
             .values_mut()
             .filter(|peer| !peer.is_fresh(now, &config))
             .collect();
-        silent.sort_by_key(|peer| std::cmp::Reverse(peer.heard));
+        silent.sort_by_key(|peer| std::cmp::Reverse(peer.received_at));
         for (name, bucket) in &mut self.buckets {
-            let part = bucket.rate * seconds / f64::from(self.entries);
+            let equal_share = bucket.rate * seconds / f64::from(self.entries);
             for peer in silent.iter_mut().take(missing) {
-                *peer.assumed.entry(*name).or_default() += part;
+                *peer.assumed.entry(*name).or_default() += equal_share;
             }
-            let filled = bucket.rate * seconds - part * missing as f64;
-            bucket.level = (bucket.level + filled).min(bucket.burst);
+            let refill = bucket.rate * seconds - equal_share * missing as f64;
+            bucket.level = (bucket.level + refill).min(bucket.burst);
             // Shares saved up while a debt is paid off would all be granted at its end.
             if bucket.level > 0.0 {
                 // What silent entries leave of their shares is unknown.
-                let unused = match missing {
-                    0 => bucket.unused(&config),
+                let boost = match missing {
+                    0 => bucket.share_boost(&config),
                     _ => 1.0,
                 };
-                let saved = bucket
-                    .part
-                    .map(|saved| (saved + part * unused).min(bucket.largest));
-                bucket.part = saved;
+                let grown = bucket
+                    .share
+                    .map(|saved| (saved + equal_share * boost).min(bucket.largest));
+                bucket.share = grown;
             }
         }
     }
 }
 
 /// Returns the name of an account's overrun bucket, and for the overrun bucket that of the account.
-fn beyond(name: Name) -> Name {
+fn overrun_of(name: Name) -> Name {
     !name
 }
 
@@ -372,13 +372,13 @@
     /// Returns the time in which that many tokens are refilled.
     fn wait(&self, tokens: f64, rate: f64) -> Span {
         let seconds = tokens / rate.max(1.0);
-        Span::from_millis((seconds * 1_000.0) as u64).max(self.shortest)
+        Span::from_millis((seconds * 1_000.0) as u64).max(self.min_interval)
     }
 }
 
 impl Bucket {
     /// Takes from this entry's share if the account is short.
-    fn take_part(
+    fn take_share(
         &mut self,
         now: Time,
         config: &Config,
@@ -388,29 +388,29 @@
     ) -> Result<(), Span> {
         self.largest = self.largest.max(needed);
         let reserve = (needed * others).min(self.burst * config.reserve);
-        let plenty = left >= self.burst * config.plenty;
-        let short = left < needed + reserve || now < self.short_until && !plenty;
+        let recovered = left >= self.burst * config.recovered;
+        let short = left < needed + reserve || now < self.short_until && !recovered;
         let first = self.burst / (others + 1.0);
-        let part = self.part.get_or_insert(first);
-        if short && *part < needed {
-            self.short_until = now + config.short;
-            return Err(config.wait(needed - *part, self.rate / (others + 1.0)));
+        let share = self.share.get_or_insert(first);
+        if short && *share < needed {
+            self.short_until = now + config.shortage_hold;
+            return Err(config.wait(needed - *share, self.rate / (others + 1.0)));
         }
-        *part = (*part - needed).max(0.0);
+        *share = (*share - needed).max(0.0);
         Ok(())
     }
 
     /// Returns the factor by which shares may grow because other entries leave some of theirs.
-    fn unused(&self, config: &Config) -> f64 {
+    fn share_boost(&self, config: &Config) -> f64 {
         let left = self.level / (self.burst * config.reserve).max(1.0);
-        1.0 + (config.unused - 1.0) * left.clamp(0.0, 1.0)
+        1.0 + (config.max_boost - 1.0) * left.clamp(0.0, 1.0)
     }
 }
 
 impl Peer {
     fn new(now: Time, counts: &Counts) -> Peer {
         Peer {
-            heard: now,
+            received_at: now,
             entries: 1,
             counts: counts.clone(),
             rates: BTreeMap::new(),
@@ -420,6 +420,6 @@
     }
 
     fn is_fresh(&self, now: Time, config: &Config) -> bool {
-        now.since(self.heard) < config.peer_timeout
+        now.since(self.received_at) < config.peer_timeout
     }
 }
--- a/crates/policy/src/scheduler/fleet.rs
+++ b/crates/policy/src/scheduler/fleet.rs
@@ -37,7 +37,7 @@
         if pool.members.remove(&key) {
             pool.monitor.remove(key);
             pool.warmup.remove(key);
-            pool.affinity.left(key);
+            pool.affinity.remove_replica(key);
         }
         self.stir(replica.spec.pool);
     }
--- a/crates/policy/tests/affinity.rs
+++ b/crates/policy/tests/affinity.rs
@@ -96,7 +96,7 @@
         affinity.choose(Time::ZERO, 7, &loaded),
         Some(Choice::Hinted(third))
     );
-    let late = Time::ZERO + Config::default().fresh + Span::from_millis(1);
+    let late = Time::ZERO + Config::default().hint_ttl + Span::from_millis(1);
     assert!(matches!(
         affinity.choose(late, 7, &loaded),
         Some(Choice::Spilled(_))
@@ -140,14 +140,14 @@
         for (candidate, (_, open)) in candidates.iter_mut().zip(&loads) {
             candidate.open = *open;
         }
-        let config = Config { hints: 16, ..Config::default() };
+        let config = Config { max_hints: 16, ..Config::default() };
         let mut affinity = Affinity::new(config, 3);
         let mean = loads.iter().map(|(load, _)| load).sum::<f64>() / loads.len() as f64;
-        let bound = (mean * config.factor).max(mean + config.slack);
+        let bound = (mean * config.load_factor).max(mean + config.slack);
         for prefix in prefixes {
             let choice = affinity.choose(Time::ZERO, prefix, &candidates);
             prop_assert_eq!(choice.is_some(), loads.iter().any(|(_, open)| *open));
-            prop_assert!(affinity.hints() <= config.hints);
+            prop_assert!(affinity.hint_count() <= config.max_hints);
             let Some(choice) = choice else { continue };
             let chosen = candidates[choice.replica().0 as usize];
             prop_assert!(chosen.open);
--- a/crates/policy/tests/charge.rs
+++ b/crates/policy/tests/charge.rs
@@ -372,7 +372,7 @@
     let Step::Ask(first) = charges.begin(Time::ZERO, 1, charge, &entries) else {
         panic!("another entry is the home");
     };
-    let late = Time::ZERO + config.answer;
+    let late = Time::ZERO + config.answer_timeout;
     assert_eq!(charges.overdue(late), [(1, first)]);
     let Some((_, Step::Ask(second))) = charges.unanswered(late, 1, first) else {
         panic!("the second home is asked");
--- a/crates/policy/tests/mix.rs
+++ b/crates/policy/tests/mix.rs
@@ -126,7 +126,7 @@
 fn any_zone_may_go() {
     let mut cloud = Cloud::new();
     let plan = cloud.run(6, 20);
-    assert!(plan.survives_zone);
+    assert!(plan.survives_zone_loss);
     assert_eq!(cloud.started, 9);
     for zone in ZONES {
         assert_eq!(cloud.count(|kind| kind.zone != zone), 6);
@@ -143,7 +143,7 @@
     cloud.refuses = ZONES.map(|zone| kind(zone, Market::Reclaimable)).to_vec();
     cloud.instances.retain(|instance| instance.kind.zone != "a");
     let plan = cloud.run(6, 20);
-    assert!(plan.survives_zone);
+    assert!(plan.survives_zone_loss);
     assert_eq!(cloud.on_demand(), 3);
     assert_eq!(cloud.started, 12);
 
@@ -182,7 +182,7 @@
     let mut cloud = Cloud::new();
     cloud.offers.truncate(2);
     let plan = cloud.run(6, 20);
-    assert!(!plan.survives_zone);
+    assert!(!plan.survives_zone_loss);
     assert_eq!(cloud.instances.len(), 6);
 }
 
@@ -218,7 +218,7 @@
                 }
             }
         }
-        prop_assert!(plan.survives_zone);
+        prop_assert!(plan.survives_zone_loss);
         prop_assert!(plan.per_hour <= best + 1e-9, "{} over {}", plan.per_hour, best);
     }
 
