--- a/crates/policy/src/affinity/mod.rs
+++ b/crates/policy/src/affinity/mod.rs
@@ -87,20 +87,26 @@
     pub fn choose(&mut self, now: Time, prefix: u64, candidates: &[Candidate]) -> Option<Choice> {
         let bound = self.bound(candidates);
         let fits = |candidate: &Candidate| candidate.open && candidate.load <= bound;
-        let nodes = || candidates.iter().map(|node| (node, node.identity));
-        let (home, second) = rendezvous::top_two(prefix, nodes());
-        if let Some(home) = home.filter(|node| fits(node)) {
+        let with_identity = || {
+            candidates
+                .iter()
+                .map(|candidate| (candidate, candidate.identity))
+        };
+        let (home, second) = rendezvous::top_two(prefix, with_identity());
+        if let Some(home) = home.filter(|candidate| fits(candidate)) {
             return Some(Choice::Home(home.key));
         }
-        if let Some(second) = second.filter(|node| fits(node)) {
+        if let Some(second) = second.filter(|candidate| fits(candidate)) {
             return Some(Choice::Second(second.key));
         }
         let hint = self.hints.get(now, prefix);
-        let hinted = candidates.iter().find(|node| Some(node.key) == hint);
-        if let Some(hinted) = hinted.filter(|node| fits(node)) {
+        let hinted = candidates
+            .iter()
+            .find(|candidate| Some(candidate.key) == hint);
+        if let Some(hinted) = hinted.filter(|candidate| fits(candidate)) {
             return Some(Choice::Hinted(hinted.key));
         }
-        let fitting = nodes().filter(|(node, _)| fits(node));
+        let fitting = with_identity().filter(|(candidate, _)| fits(candidate));
         let spilled = match rendezvous::top_two(prefix, fitting).0 {
             Some(next) => next.key,
             None => self.balance(candidates)?,
@@ -111,7 +117,10 @@
 
     /// Chooses the less loaded of two random open replicas.
     pub fn balance(&mut self, candidates: &[Candidate]) -> Option<replica::Key> {
-        let open: Vec<&Candidate> = candidates.iter().filter(|node| node.open).collect();
+        let open: Vec<&Candidate> = candidates
+            .iter()
+            .filter(|candidate| candidate.open)
+            .collect();
         if open.is_empty() {
             return None;
         }
--- a/crates/policy/src/scheduler/ends.rs
+++ b/crates/policy/src/scheduler/ends.rs
@@ -10,17 +10,17 @@
 use crate::scheduler::state::level;
 
 /// Gaps between tokens in one latency sample of a replica.
-const ROUND: u32 = 32;
+const GAPS_PER_SAMPLE: u32 = 32;
 
 impl Scheduler {
     /// Records the first token of an attempt.
-    pub(super) fn note_first(&mut self, now: Time, id: job::Id) {
+    pub(super) fn record_first_token(&mut self, now: Time, id: job::Id) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
         let took = now.since(open.started);
-        let again = std::mem::replace(&mut open.streaming, true);
-        if again || open.moved || open.tried.len() > 1 {
+        let had_streamed = std::mem::replace(&mut open.streaming, true);
+        if had_streamed || open.moved || open.tried.len() > 1 {
             return;
         }
         if let Some(pool) = self.pools.get_mut(&open.job.pool) {
@@ -34,27 +34,27 @@
     }
 
     /// Records tokens that arrived: the gap between them, and the work that is left.
-    pub(super) fn note_progress(&mut self, now: Time, id: job::Id, tokens: u32) {
+    pub(super) fn record_progress(&mut self, now: Time, id: job::Id, tokens: u32) {
         let weight = self.settings.fair.output_weight;
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        let gap = now.since(open.spoke).as_millis() as f64 / f64::from(tokens.max(1));
-        let begun = open.streaming && open.spoke > open.started;
-        open.spoke = now;
-        open.made = open.made.saturating_add(tokens);
+        let gap = now.since(open.last_token_at).as_millis() as f64 / f64::from(tokens.max(1));
+        let has_gap = open.streaming && open.last_token_at > open.started;
+        open.last_token_at = now;
+        open.generated = open.generated.saturating_add(tokens);
         let done = open.outstanding.min(u64::from(tokens) * weight);
         open.outstanding -= done;
-        let strain = round(open, now, tokens);
+        let latency_ratio = sample_round(open, now, tokens);
         let Some(key) = open.replica else {
             return;
         };
         // The first token of an attempt follows its prefill: it is no sample of the gap.
-        let gap = begun.then_some(gap);
+        let gap = has_gap.then_some(gap);
         if let Some(replica) = self.replicas.get_mut(&key) {
             replica.load.progressed(done);
-            if let Some(strain) = strain {
-                replica.load.sample(now, strain);
+            if let Some(latency_ratio) = latency_ratio {
+                replica.load.sample(now, latency_ratio);
             }
         }
         if let Some(pool) = self.pools.get_mut(&open.job.pool) {
@@ -63,7 +63,7 @@
     }
 
     /// Closes the job or retries it.
-    pub(super) fn note_end(
+    pub(super) fn record_end(
         &mut self,
         now: Time,
         id: job::Id,
@@ -72,22 +72,22 @@
         out: &mut Vec<Decision>,
     ) {
         if end == job::End::Finished {
-            self.judge_plain(now, id);
+            self.sample_plain_call(now, id);
         }
         // Before the job is detached: a lost replica is removed with its last job.
         if end == job::End::Crashed {
-            self.blame(now, id);
+            self.record_crash(now, id);
         }
-        if self.take_off(now, id, end).is_none() {
+        if self.detach(now, id, end).is_none() {
             return;
         }
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        open.made = open.made.max(tokens);
+        open.generated = open.generated.max(tokens);
         match end {
             job::End::Finished => {
-                self.learn(now, id, tokens);
+                self.record_completion(now, id, tokens);
                 self.close(now, id);
                 return;
             }
@@ -99,32 +99,35 @@
             job::End::NotSent => open.sent -= 1,
             job::End::Failed | job::End::Crashed => open.may_have_run = true,
         }
-        self.try_again(now, id, end != job::End::NotSent, out);
+        self.retry(now, id, end != job::End::NotSent, out);
     }
 
     /// Queues the job ahead of its account's others, or refuses it. If something of it `reached` a replica,
     /// another attempt draws on the retry budget.
-    fn try_again(&mut self, now: Time, id: job::Id, reached: bool, out: &mut Vec<Decision>) {
+    fn retry(&mut self, now: Time, id: job::Id, reached: bool, out: &mut Vec<Decision>) {
         let settings = self.settings.retry;
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        let repeatable = open.job.idempotent || !open.may_have_run;
+        let retryable = open.job.idempotent || !open.may_have_run;
         // The caller holds the head of the answer: it gets the rest, whatever the budget allows.
         let left = open.sent < open.job.terms.attempts;
-        let owed = open.streaming && repeatable && left;
+        let resumable = open.streaming && retryable && left;
         let attempts = open.sent as usize;
         let Some(pool) = self.pools.get_mut(&open.job.pool) else {
             return;
         };
         let tried_everywhere = pool.members.iter().all(|key| open.tried.contains(key));
-        let within = !reached || pool.budget.spend(&settings);
-        let allowed =
-            repeatable && left && attempts < settings.max_attempts && !tried_everywhere && within;
-        if owed && tried_everywhere {
+        let within_budget = !reached || pool.budget.spend(&settings);
+        let allowed = retryable
+            && left
+            && attempts < settings.max_attempts
+            && !tried_everywhere
+            && within_budget;
+        if resumable && tried_everywhere {
             self.forget_tried(id);
         }
-        if !allowed && !owed {
+        if !allowed && !resumable {
             self.refuse(
                 now,
                 id,
@@ -144,7 +147,7 @@
         }
     }
 
-    fn learn(&mut self, now: Time, id: job::Id, tokens: u32) {
+    fn record_completion(&mut self, now: Time, id: job::Id, tokens: u32) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -168,7 +171,7 @@
     }
 
     /// Samples the latency of a plain call, whose whole duration counts as its gap.
-    fn judge_plain(&mut self, now: Time, id: job::Id) {
+    fn sample_plain_call(&mut self, now: Time, id: job::Id) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -187,16 +190,16 @@
 
     /// Removes a job, whatever its state.
     pub(super) fn close(&mut self, now: Time, id: job::Id) {
-        self.take_off(now, id, job::End::Left);
+        self.detach(now, id, job::End::Left);
         self.unqueue(id);
         self.drop_trial(id);
         let Some(open) = self.open.remove(&id) else {
             return;
         };
-        self.expiry.remove(&(open.until, id));
+        self.expiry.remove(&(open.start_deadline, id));
         let actual = match open.tried.is_empty() {
             true => 0,
-            false => u64::from(open.job.prompt_tokens) + u64::from(open.made),
+            false => u64::from(open.job.prompt_tokens) + u64::from(open.generated),
         };
         self.limits.release(open.job.account, open.tokens, actual);
     }
@@ -206,17 +209,17 @@
 ///
 /// The limit on a replica's jobs rises with each sample: one sample per token would raise it many times for
 /// the same information.
-fn round(open: &mut Open, now: Time, tokens: u32) -> Option<f64> {
+fn sample_round(open: &mut Open, now: Time, tokens: u32) -> Option<f64> {
     if open.round.tokens == 0 {
-        open.round.begun = now;
+        open.round.started = now;
     }
     open.round.tokens += tokens;
     let gaps = open.round.tokens.saturating_sub(1);
-    if gaps < ROUND {
+    if gaps < GAPS_PER_SAMPLE {
         return None;
     }
-    let gap = now.since(open.round.begun).as_millis() as f64 / f64::from(gaps);
+    let gap = now.since(open.round.started).as_millis() as f64 / f64::from(gaps);
     open.round.tokens = 1;
-    open.round.begun = now;
+    open.round.started = now;
     Some(gap / open.job.token_gap.as_millis().max(1) as f64)
 }
--- a/crates/policy/src/scheduler/fleet.rs
+++ b/crates/policy/src/scheduler/fleet.rs
@@ -13,7 +13,7 @@
 
 impl Scheduler {
     /// Adds a replica.
-    pub(super) fn join(&mut self, now: Time, spec: replica::Spec) -> replica::Key {
+    pub(super) fn add_replica(&mut self, now: Time, spec: replica::Spec) -> replica::Key {
         let key = replica::Key(self.next_replica);
         self.next_replica += 1;
         let replica = Replica::new(spec, &self.settings);
@@ -21,13 +21,13 @@
         pool.members.insert(key);
         pool.monitor.add(now, key);
         pool.warmup.add(now, key);
-        self.stir(replica.spec.pool);
+        self.mark_pool(replica.spec.pool);
         self.replicas.insert(key, replica);
         key
     }
 
     /// Removes a replica from its pool, if it still belongs to it.
-    pub(super) fn drop_member(&mut self, key: replica::Key) {
+    pub(super) fn remove_member(&mut self, key: replica::Key) {
         let Some(replica) = self.replicas.get(&key) else {
             return;
         };
@@ -39,10 +39,10 @@
             pool.warmup.remove(key);
             pool.affinity.remove_replica(key);
         }
-        self.stir(replica.spec.pool);
+        self.mark_pool(replica.spec.pool);
     }
 
-    pub(super) fn note_report(&mut self, now: Time, key: replica::Key, report: replica::Report) {
+    pub(super) fn record_report(&mut self, now: Time, key: replica::Key, report: replica::Report) {
         let drawn: f64 = self.random.random();
         let settings = &self.settings;
         let Some(replica) = self.replicas.get_mut(&key) else {
@@ -61,19 +61,19 @@
         if let Some(pool) = self.pools.get_mut(&pool) {
             pool.monitor.record_report(now, key);
         }
-        self.stir(pool);
+        self.mark_pool(pool);
     }
 
-    pub(super) fn doubt(&mut self, key: replica::Key, doubted: bool) {
+    pub(super) fn set_unconfirmed(&mut self, key: replica::Key, unconfirmed: bool) {
         let Some(replica) = self.replicas.get_mut(&key) else {
             return;
         };
-        replica.doubted = doubted;
+        replica.unconfirmed = unconfirmed;
         let pool = replica.spec.pool;
-        self.stir(pool);
+        self.mark_pool(pool);
     }
 
-    pub(super) fn note_cached(
+    pub(super) fn record_cache_event(
         &mut self,
         now: Time,
         key: replica::Key,
@@ -91,46 +91,46 @@
     }
 
     /// Evaluates the health of each pool that is due.
-    pub(super) fn judge(&mut self, now: Time) {
+    pub(super) fn evaluate_health(&mut self, now: Time) {
         for (key, pool) in &mut self.pools {
             if pool.monitor.next_wake() <= now {
                 pool.monitor.tick(now);
                 pool.full = false;
-                self.stirred.insert(*key);
+                self.pending_pools.insert(*key);
             }
         }
     }
 
     /// Marks a pool that changed: the next poll examines its queue.
-    pub(super) fn stir(&mut self, key: pool::Key) {
+    pub(super) fn mark_pool(&mut self, key: pool::Key) {
         if let Some(pool) = self.pools.get_mut(&key) {
             pool.full = false;
-            self.stirred.insert(key);
+            self.pending_pools.insert(key);
         }
     }
 
-    pub(super) fn stir_all(&mut self) {
+    pub(super) fn mark_all_pools(&mut self) {
         for (key, pool) in &mut self.pools {
             pool.full = false;
-            self.stirred.insert(*key);
+            self.pending_pools.insert(*key);
         }
     }
 
     /// Returns every member of the pool with its load, and whether it may take one more short job.
     pub(super) fn candidates(&self, now: Time, pool: &Pool) -> Vec<Candidate> {
-        let usual = pool.usual();
+        let mean_own = pool.mean_own();
         let candidate = |key: &replica::Key| {
             let replica = self.replicas.get(key)?;
             Some(Candidate {
                 key: *key,
                 identity: replica.identity,
-                load: self.load(now, pool, *key, replica, usual),
-                open: self.is_open(now, pool, *key, replica, usual),
+                load: self.load(now, pool, *key, replica, mean_own),
+                open: self.is_open(now, pool, *key, replica, mean_own),
             })
         };
         let mut candidates: Vec<Candidate> = pool.members.iter().filter_map(candidate).collect();
-        self.spare_reserved(now, &mut candidates);
-        self.spare_doubted(&mut candidates);
+        self.avoid_reserved(now, &mut candidates);
+        self.avoid_unconfirmed(&mut candidates);
         candidates
     }
 
@@ -139,21 +139,21 @@
     /// A replica may leave unnoticed during a partition: requests were sent to it until its absence was
     /// confirmed, and would have been lost with it. If all replicas are unconfirmed, or the others are full, they
     /// still get work: most of them are probably alive.
-    fn spare_doubted(&self, candidates: &mut [Candidate]) {
-        let doubted = |candidate: &Candidate| {
+    fn avoid_unconfirmed(&self, candidates: &mut [Candidate]) {
+        let unconfirmed = |candidate: &Candidate| {
             let replica = self.replicas.get(&candidate.key);
-            replica.is_some_and(|replica| replica.doubted)
+            replica.is_some_and(|replica| replica.unconfirmed)
         };
-        spare(candidates, doubted);
+        avoid(candidates, unconfirmed);
     }
 
     /// Avoids replicas that run suspects, as long as there is room elsewhere: work that is refused for lack of
     /// room suffers more surely than work that shares a crash.
-    fn spare_reserved(&self, now: Time, candidates: &mut [Candidate]) {
+    fn avoid_reserved(&self, now: Time, candidates: &mut [Candidate]) {
         if !self.settings.placement.quarantine || self.quarantine.reserved_count(now) == 0 {
             return;
         }
-        spare(candidates, |candidate| {
+        avoid(candidates, |candidate| {
             self.quarantine.is_reserved(now, candidate.identity)
         });
     }
@@ -164,10 +164,10 @@
         pool: &Pool,
         key: replica::Key,
         replica: &Replica,
-        usual: f64,
+        mean_own: f64,
     ) -> f64 {
         let load = match self.settings.placement.concurrency {
-            true => replica.load.jobs(now, usual),
+            true => replica.load.jobs(now, mean_own),
             false => f64::from(replica.running()),
         };
         match self.settings.placement.warmup {
@@ -182,7 +182,7 @@
         pool: &Pool,
         key: replica::Key,
         replica: &Replica,
-        usual: f64,
+        mean_own: f64,
     ) -> bool {
         let settings = &self.settings.placement;
         let healthy = match pool.monitor.allowance(key) {
@@ -191,17 +191,17 @@
             Allowance::Jobs(jobs) => replica.running() < jobs,
             Allowance::Full => true,
         };
-        let has_slots = self.has_slots(now, replica, usual);
+        let has_slots = self.has_slots(now, replica, mean_own);
         let warm = !settings.warmup
             || replica.running() == 0
-            || replica.load.jobs(now, usual)
+            || replica.load.jobs(now, mean_own)
                 < f64::from(pool.warmup.max_jobs(now, key, replica.spec.slots));
         healthy && has_slots && warm && replica.gate.is_open(now)
     }
 
     /// Returns whether one more own job may run there, within the limit from its latency and within this entry's
     /// share of its slots. The entry's own slots don't depend on what others seem to run.
-    fn has_slots(&self, now: Time, replica: &Replica, usual: f64) -> bool {
+    fn has_slots(&self, now: Time, replica: &Replica, mean_own: f64) -> bool {
         let settings = &self.settings;
         let entries = settings.concurrency.entries;
         let (slots, running) = (replica.spec.slots, replica.running());
@@ -212,21 +212,21 @@
         if !settings.placement.concurrency {
             return running < slots;
         }
-        let is_own = shared && replica.share.is_within_share(slots, entries, running);
-        let kept_up = running < replica.load.limit();
-        is_own && kept_up || replica.load.is_open(now, usual)
+        let owns_slot = shared && replica.share.is_within_share(slots, entries, running);
+        let within_limit = running < replica.load.limit();
+        owns_slot && within_limit || replica.load.is_open(now, mean_own)
     }
 }
 
 /// Closes the candidates to avoid, if any other is open.
-fn spare(candidates: &mut [Candidate], spared: impl Fn(&Candidate) -> bool) {
+fn avoid(candidates: &mut [Candidate], avoided: impl Fn(&Candidate) -> bool) {
     let other = candidates
         .iter()
-        .any(|candidate| candidate.open && !spared(candidate));
+        .any(|candidate| candidate.open && !avoided(candidate));
     if !other {
         return;
     }
     for candidate in candidates.iter_mut() {
-        candidate.open &= !spared(candidate);
+        candidate.open &= !avoided(candidate);
     }
 }
--- a/crates/policy/src/scheduler/intake.rs
+++ b/crates/policy/src/scheduler/intake.rs
@@ -21,14 +21,14 @@
 use crate::size::Class;
 
 /// Minimum wait of a job, in which it is placed if there is room.
-const ONE_LOOK: Span = Span::from_millis(1);
+const MIN_WAIT: Span = Span::from_millis(1);
 
 /// Maximum wait of a job when admission control is off.
-const UNBOUNDED: Span = Span::from_seconds(3_600);
+const MAX_WAIT: Span = Span::from_seconds(3_600);
 
 impl Scheduler {
     /// Queues the job in its pool or refuses it.
-    pub(super) fn take_in(&mut self, now: Time, job: Job, out: &mut Vec<Decision>) {
+    pub(super) fn accept(&mut self, now: Time, job: Job, out: &mut Vec<Decision>) {
         let Some(cost) = self.estimate(&job) else {
             let refusal = Refusal::not_run(Reason::Unauthorized, "no such account");
             out.push(Decision::Refuse {
@@ -87,14 +87,14 @@
         cost: Cost,
         tokens: Cost,
     ) -> Result<(), (Reason, &'static str)> {
-        let (allowed, predicted) = self.enter(now, job, cost, tokens);
+        let (allowed, predicted) = self.register(now, job, cost, tokens);
         self.admit(now, &job, allowed, predicted)?;
         self.enqueue(now, job.id, false);
         Ok(())
     }
 
     /// Registers the job as open; returns the time allowed until its first token and the predicted wait.
-    fn enter(&mut self, now: Time, job: Job, cost: Cost, tokens: Cost) -> (Span, Span) {
+    fn register(&mut self, now: Time, job: Job, cost: Cost, tokens: Cost) -> (Span, Span) {
         let sizes = self.settings.size;
         let class = self.pool_mut(job.pool).classes.classify(&sizes, cost);
         let allowed = self.allowed(&job);
@@ -106,22 +106,22 @@
                 class,
                 cost,
                 tokens,
-                due: now + allowed,
+                first_token_due: now + allowed,
                 place: None,
-                until: now,
+                start_deadline: now,
                 replica: None,
                 started: now,
-                spoke: now,
+                last_token_at: now,
                 round: Round::default(),
                 outstanding: 0,
                 streaming: false,
                 moved: false,
-                made: 0,
+                generated: 0,
                 may_have_run: false,
                 claim: None,
                 tried: Vec::new(),
                 sent: 0,
-                patience: now + job.terms.queue_timeout,
+                queue_deadline: now + job.terms.queue_timeout,
                 predicted,
             },
         );
@@ -129,19 +129,19 @@
     }
 
     /// Registers a job that runs already and whose caller holds the head of its answer.
-    pub(super) fn take_over(&mut self, now: Time, job: Job, replica: replica::Key) {
+    pub(super) fn register_running(&mut self, now: Time, job: Job, replica: replica::Key) {
         let Some(cost) = self.estimate(&job) else {
             return;
         };
         let output = self.expected_output(&job).unwrap_or(0);
         let tokens = u64::from(job.prompt_tokens) + u64::from(output);
         self.limits.take_over(job.account, tokens);
-        self.enter(now, job, cost, tokens);
+        self.register(now, job, cost, tokens);
         self.start(now, job.id, replica);
         if let Some(open) = self.open.get_mut(&job.id) {
             open.streaming = true;
         }
-        self.leave_with(now, replica);
+        self.include_in_wave(now, replica);
     }
 
     /// Checks whether the job may wait.
@@ -233,10 +233,10 @@
             return false;
         }
         let lanes = self.lanes(pool);
-        let fits = |node: &Candidate| class == Class::Short || lanes.contains(&node.key);
+        let fits = |candidate: &Candidate| class == Class::Short || lanes.contains(&candidate.key);
         self.candidates(now, pool)
             .iter()
-            .any(|node| node.open && fits(node))
+            .any(|candidate| candidate.open && fits(candidate))
     }
 
     /// Removes a job from its queue for any reason but its start.
@@ -276,25 +276,28 @@
             false => pool.queue.push(&entrant),
         };
         open.place = Some(place);
-        self.expiry.remove(&(open.until, id));
-        open.until = match (open.streaming, settings.admission.enabled) {
+        self.expiry.remove(&(open.start_deadline, id));
+        open.start_deadline = match (open.streaming, settings.admission.enabled) {
             // The caller already reads the answer: the target for the first token is behind it.
             (true, _) => now + settings.placement.resume_timeout,
             (false, true) => last_start(
                 now,
-                open.due,
+                open.first_token_due,
                 pool.service
                     .first_token_time(open.class, open.job.prompt_tokens),
             ),
-            (false, false) => now + UNBOUNDED,
+            (false, false) => now + MAX_WAIT,
         };
         // Whatever is predicted, a job is given up only after one attempt to place it. Predictions learnt in an
         // overload would otherwise refuse all jobs beside idle replicas for good, since nothing would run that
         // could correct them.
-        open.until = open.until.min(open.patience).max(now + ONE_LOOK);
-        self.expiry.insert((open.until, id));
+        open.start_deadline = open
+            .start_deadline
+            .min(open.queue_deadline)
+            .max(now + MIN_WAIT);
+        self.expiry.insert((open.start_deadline, id));
         let pool = open.job.pool;
-        self.stir(pool);
+        self.mark_pool(pool);
     }
 }
 
--- a/crates/policy/src/scheduler/mod.rs
+++ b/crates/policy/src/scheduler/mod.rs
@@ -51,17 +51,17 @@
     /// Start deadlines of waiting jobs. Invariant: holds exactly the open jobs without a replica.
     expiry: BTreeSet<(Time, job::Id)>,
     /// Planned moves off leaving replicas.
-    steps: BTreeMap<job::Id, wave::Step>,
+    planned_moves: BTreeMap<job::Id, wave::Step>,
     /// Leaving replicas that still run own jobs.
     leaving: BTreeSet<replica::Key>,
     /// Time of the next planning of moves.
-    review: Option<Time>,
+    next_review: Option<Time>,
     /// Replicas that set a rate limit.
     limited: BTreeSet<replica::Key>,
     /// Last check whether one of them accepts requests again.
-    paces_seen: Time,
+    paces_checked: Time,
     /// Pools whose queues are examined in the next poll.
-    stirred: BTreeSet<pool::Key>,
+    pending_pools: BTreeSet<pool::Key>,
     /// Suspects that wait outside their queues, and until when.
     held: BTreeSet<(Time, job::Id)>,
     limits: limit::Limits,
@@ -115,12 +115,12 @@
             replicas: BTreeMap::new(),
             open: BTreeMap::new(),
             expiry: BTreeSet::new(),
-            steps: BTreeMap::new(),
+            planned_moves: BTreeMap::new(),
             leaving: BTreeSet::new(),
-            review: None,
+            next_review: None,
             limited: BTreeSet::new(),
-            paces_seen: Time::ZERO,
-            stirred: BTreeSet::new(),
+            paces_checked: Time::ZERO,
+            pending_pools: BTreeSet::new(),
             random: Pcg64::seed_from_u64(seed),
             seed,
             next_replica: 0,
@@ -154,14 +154,14 @@
         spec: replica::Spec,
         out: &mut Vec<Decision>,
     ) -> replica::Key {
-        let key = self.join(now, spec);
+        let key = self.add_replica(now, spec);
         self.poll(now, out);
         key
     }
 
     /// Records a load report.
     pub fn replica_reported(&mut self, now: Time, key: replica::Key, report: replica::Report) {
-        self.note_report(now, key, report);
+        self.record_report(now, key, report);
     }
 
     /// Records a cache event: the replica holds a prefix, or no longer does. Events may arrive late and with
@@ -174,7 +174,7 @@
         prefix: u64,
         stored: bool,
     ) {
-        self.note_cached(now, key, sequence, prefix, stored);
+        self.record_cache_event(now, key, sequence, prefix, stored);
     }
 
     /// Returns another replica that probably caches the job's prefix, for `chosen` to fetch it from instead of
@@ -202,7 +202,7 @@
         deadline: Time,
         out: &mut Vec<Decision>,
     ) {
-        self.leave(now, key, deadline);
+        self.begin_leave(now, key, deadline);
         self.poll(now, out);
     }
 
@@ -212,10 +212,10 @@
         &mut self,
         now: Time,
         key: replica::Key,
-        doubted: bool,
+        unconfirmed: bool,
         out: &mut Vec<Decision>,
     ) {
-        self.doubt(key, doubted);
+        self.set_unconfirmed(key, unconfirmed);
         self.poll(now, out);
     }
 
@@ -234,12 +234,12 @@
 
     /// Removes a replica that is gone; the embedder reports the end of each attempt on it separately.
     pub fn replica_lost(&mut self, _now: Time, key: replica::Key) {
-        self.forget(key);
+        self.remove_replica(key);
     }
 
     /// Takes a request that arrived: it is started, queued or refused.
     pub fn offer(&mut self, now: Time, job: Job, out: &mut Vec<Decision>) {
-        self.take_in(now, job, out);
+        self.accept(now, job, out);
         self.poll(now, out);
     }
 
@@ -247,18 +247,18 @@
     ///
     /// The job is not refused: its caller was promised the rest of its answer.
     pub fn adopt(&mut self, now: Time, job: Job, replica: replica::Key, out: &mut Vec<Decision>) {
-        self.take_over(now, job, replica);
+        self.register_running(now, job, replica);
         self.poll(now, out);
     }
 
     /// Records the first token of an attempt, or the head of a plain answer.
     pub fn first_token(&mut self, now: Time, id: job::Id) {
-        self.note_first(now, id);
+        self.record_first_token(now, id);
     }
 
     /// Records the tokens that arrived since the last call.
     pub fn progressed(&mut self, now: Time, id: job::Id, tokens: u32) {
-        self.note_progress(now, id, tokens);
+        self.record_progress(now, id, tokens);
     }
 
     /// Records the end of an attempt that generated `tokens`.
@@ -273,7 +273,7 @@
         tokens: u32,
         out: &mut Vec<Decision>,
     ) {
-        self.note_end(now, id, end, tokens, out);
+        self.record_end(now, id, end, tokens, out);
         self.poll(now, out);
     }
 
@@ -289,30 +289,37 @@
     /// Takes all decisions that are due.
     pub fn poll(&mut self, now: Time, out: &mut Vec<Decision>) {
         self.expire(now, out);
-        self.judge(now);
-        self.recall_suspects(now, out);
+        self.evaluate_health(now);
+        self.stop_suspects(now, out);
         self.release_held(now, out);
-        self.move_on(now, out);
-        self.stir_paced(now);
-        while let Some(pool) = self.stirred.pop_first() {
+        self.run_moves(now, out);
+        self.mark_paced_pools(now);
+        while let Some(pool) = self.pending_pools.pop_first() {
             self.dispatch(now, pool, out);
         }
     }
 
     /// Returns when [`Scheduler::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Time> {
-        if !self.stirred.is_empty() {
+        if !self.pending_pools.is_empty() {
             return Some(Time::ZERO);
         }
         let judged = self.pools.values().filter(|pool| pool.running > 0);
         let judged = judged.map(|pool| pool.monitor.next_wake()).min();
         let expiry = self.expiry.first().map(|(at, _)| *at);
         let held = self.held.first().map(|(at, _)| *at);
-        let step = self.next_step();
-        [judged, expiry, held, step, self.review, self.next_paced()]
-            .into_iter()
-            .flatten()
-            .min()
+        let step = self.next_move();
+        [
+            judged,
+            expiry,
+            held,
+            step,
+            self.next_review,
+            self.next_paced(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     /// Returns the state for the other entries; called once a period of [`crate::configs::limit::Config`].
@@ -329,7 +336,7 @@
         self.limits.merge(now, peer, &digest.limit);
         self.quarantine.merge(now, &digest.quarantine);
         self.review_held();
-        self.stir_all();
+        self.mark_all_pools();
         self.poll(now, out);
     }
 
--- a/crates/policy/src/scheduler/moves.rs
+++ b/crates/policy/src/scheduler/moves.rs
@@ -15,8 +15,8 @@
 
 impl Scheduler {
     /// Excludes a leaving replica from new work; moves of its jobs are planned once the wave is gathered.
-    pub(super) fn leave(&mut self, now: Time, key: replica::Key, deadline: Time) {
-        self.drop_member(key);
+    pub(super) fn begin_leave(&mut self, now: Time, key: replica::Key, deadline: Time) {
+        self.remove_member(key);
         let Some(replica) = self.replicas.get_mut(&key) else {
             return;
         };
@@ -26,11 +26,11 @@
             return;
         }
         replica.leaving = Some(deadline);
-        self.leave_with(now, key);
+        self.include_in_wave(now, key);
     }
 
     /// Includes the jobs of the replica in the wave's plan, if it is leaving.
-    pub(super) fn leave_with(&mut self, now: Time, key: replica::Key) {
+    pub(super) fn include_in_wave(&mut self, now: Time, key: replica::Key) {
         let Some(replica) = self.replicas.get(&key) else {
             return;
         };
@@ -39,14 +39,14 @@
         }
         if self.settings.placement.wave && !replica.jobs.is_empty() {
             self.leaving.insert(key);
-            self.review
+            self.next_review
                 .get_or_insert(now + self.settings.placement.gather_window);
         }
     }
 
     /// Removes a replica that is gone.
-    pub(super) fn forget(&mut self, key: replica::Key) {
-        self.drop_member(key);
+    pub(super) fn remove_replica(&mut self, key: replica::Key) {
+        self.remove_member(key);
         self.leaving.remove(&key);
         self.limited.remove(&key);
         let Some(replica) = self.replicas.get_mut(&key) else {
@@ -59,25 +59,25 @@
     }
 
     /// Plans moves if a review is due, and makes the moves that are due.
-    pub(super) fn move_on(&mut self, now: Time, out: &mut Vec<Decision>) {
-        if self.review.is_some_and(|review| review <= now) {
+    pub(super) fn run_moves(&mut self, now: Time, out: &mut Vec<Decision>) {
+        if self.next_review.is_some_and(|review| review <= now) {
             self.plan_moves(now);
         }
         let due: Vec<wave::Step> = self
-            .steps
+            .planned_moves
             .values()
             .filter(|step| start_of(step).is_some_and(|at| at <= now))
             .copied()
             .collect();
         for step in due {
-            self.steps.remove(&step.job);
+            self.planned_moves.remove(&step.job);
             self.make_move(now, step, out);
         }
     }
 
     /// Returns when the next planned move is due.
-    pub(super) fn next_step(&self) -> Option<Time> {
-        self.steps.values().filter_map(start_of).min()
+    pub(super) fn next_move(&self) -> Option<Time> {
+        self.planned_moves.values().filter_map(start_of).min()
     }
 
     fn plan_moves(&mut self, now: Time) {
@@ -88,7 +88,7 @@
                 .is_some_and(|replica| !replica.jobs.is_empty())
         });
         let again = now + self.settings.placement.replan_interval;
-        self.review = (!self.leaving.is_empty()).then_some(again);
+        self.next_review = (!self.leaving.is_empty()).then_some(again);
         let mut planned = Vec::new();
         for pool in self.pools.values() {
             let sources = self.sources(pool);
@@ -106,7 +106,8 @@
             ));
         }
         let moves = planned.into_iter().filter(|step| start_of(step).is_some());
-        self.steps.extend(moves.map(|step| (step.job, step)));
+        self.planned_moves
+            .extend(moves.map(|step| (step.job, step)));
     }
 
     /// Returns the pool's leaving replicas.
@@ -116,7 +117,7 @@
             let same = self
                 .pools
                 .get(&replica.spec.pool)
-                .is_some_and(|of| std::ptr::eq(of, pool));
+                .is_some_and(|other| std::ptr::eq(other, pool));
             let deadline = replica.leaving.filter(|_| same)?;
             Some(wave::Source {
                 key: *key,
@@ -132,26 +133,30 @@
             .iter()
             .filter_map(|source| self.replicas.get(&source.key))
             .flat_map(|replica| &replica.jobs)
-            .filter(|id| !self.steps.contains_key(id));
-        ids.filter_map(|id| self.running(self.open.get(id)?))
+            .filter(|id| !self.planned_moves.contains_key(id));
+        ids.filter_map(|id| self.running_job(self.open.get(id)?))
             .collect()
     }
 
-    fn running(&self, open: &Open) -> Option<wave::Running> {
+    fn running_job(&self, open: &Open) -> Option<wave::Running> {
         let account = self.accounts.get(&open.job.account)?;
         let expected = account.estimate.expect(open.job.max_new_tokens);
         // An answer that has outgrown the mean goes on: what is left of it isn't next to nothing.
-        let most = open.job.max_new_tokens.saturating_sub(open.made).max(1);
+        let most = open
+            .job
+            .max_new_tokens
+            .saturating_sub(open.generated)
+            .max(1);
         let left = expected
-            .saturating_sub(open.made)
+            .saturating_sub(open.generated)
             .max(expected / 2)
             .min(most);
         Some(wave::Running {
             id: open.job.id,
             from: open.replica?,
             kind: open.job.kind,
-            tokens: open.job.prompt_tokens.saturating_add(open.made),
-            remaining: gap(open).times(u64::from(left)),
+            tokens: open.job.prompt_tokens.saturating_add(open.generated),
+            remaining: expected_gap(open).times(u64::from(left)),
             idempotent: open.job.idempotent,
         })
     }
@@ -187,7 +192,7 @@
                 slots,
                 tokens: u64::MAX,
             };
-            match zones.contains(&replica.zone) || replica.doubted {
+            match zones.contains(&replica.zone) || replica.unconfirmed {
                 true => inside.push(target),
                 false => outside.push(target),
             }
@@ -202,22 +207,22 @@
         else {
             return;
         };
-        let stays =
+        let is_usable =
             |replica: &crate::scheduler::state::Replica| replica.leaving.is_none() && !replica.lost;
         // If the target is gone by now, the next review plans the job again.
-        if !self.replicas.get(&to).is_some_and(stays) {
+        if !self.replicas.get(&to).is_some_and(is_usable) {
             return;
         }
-        let Some(from) = self.take_off(now, step.job, job::End::Left) else {
+        let Some(from) = self.detach(now, step.job, job::End::Left) else {
             return;
         };
         if let Some(open) = self.open.get_mut(&step.job) {
             open.moved = true;
             open.started = now;
-            open.spoke = now;
+            open.last_token_at = now;
             open.round = Round::default();
         }
-        self.put_on(now, step.job, to);
+        self.attach(now, step.job, to);
         out.push(Decision::Move {
             job: step.job,
             from,
@@ -236,9 +241,10 @@
 }
 
 /// Returns the expected time per token: the mean so far, or the target.
-fn gap(open: &Open) -> Span {
-    let measured = open.spoke.since(open.started).as_millis() / u64::from(open.made.max(1));
-    match open.made {
+fn expected_gap(open: &Open) -> Span {
+    let measured =
+        open.last_token_at.since(open.started).as_millis() / u64::from(open.generated.max(1));
+    match open.generated {
         0 => open.job.token_gap,
         _ => Span::from_millis(measured.max(1)),
     }
--- a/crates/policy/src/scheduler/paces.rs
+++ b/crates/policy/src/scheduler/paces.rs
@@ -10,7 +10,7 @@
 use crate::scheduler::state::Pool;
 
 /// Predicted wait where the replicas accept nothing from this entry.
-const NEVER: Span = Span::from_seconds(3_600);
+const CLOSED_WAIT: Span = Span::from_seconds(3_600);
 
 impl Scheduler {
     /// Sets this entry's share of a replica's limit; returns whether the replica is or was limited.
@@ -28,34 +28,34 @@
             }
         };
         if changed {
-            self.stir(pool);
+            self.mark_pool(pool);
         }
         changed
     }
 
     /// Marks pools in which a limited replica accepts requests again.
-    pub(super) fn stir_paced(&mut self, now: Time) {
-        let paced = self.paced().filter(|(opens, _)| *opens <= now);
+    pub(super) fn mark_paced_pools(&mut self, now: Time) {
+        let paced = self.paced_wakes().filter(|(opens, _)| *opens <= now);
         let pools: Vec<pool::Key> = paced.map(|(_, pool)| pool).collect();
-        self.paces_seen = now;
+        self.paces_checked = now;
         for pool in pools {
-            self.stir(pool);
+            self.mark_pool(pool);
         }
     }
 
     /// Returns when a limited replica accepts requests again next.
     pub(super) fn next_paced(&self) -> Option<Time> {
-        self.paced().map(|(opens, _)| opens).min()
+        self.paced_wakes().map(|(opens, _)| opens).min()
     }
 
     /// Returns when limited replicas accept requests again, with the pools whose jobs wait for that.
-    fn paced(&self) -> impl Iterator<Item = (Time, pool::Key)> {
+    fn paced_wakes(&self) -> impl Iterator<Item = (Time, pool::Key)> {
         self.limited.iter().filter_map(|key| {
             let replica = self.replicas.get(key)?;
             let pool = self.pools.get(&replica.spec.pool)?;
             let waits = pool.members.contains(key) && !pool.queue.is_empty();
             let opens = replica.gate.opens_at().filter(|_| waits)?;
-            (opens > self.paces_seen).then_some((opens, replica.spec.pool))
+            (opens > self.paces_checked).then_some((opens, replica.spec.pool))
         })
     }
 
@@ -73,8 +73,8 @@
         };
         let ahead = pool.queue.len() as f64 / (rate / 1_000.0);
         match ahead.is_finite() && rate > 0.0 {
-            true => Span::from_millis(ahead as u64).min(NEVER),
-            false => NEVER,
+            true => Span::from_millis(ahead as u64).min(CLOSED_WAIT),
+            false => CLOSED_WAIT,
         }
     }
 }
--- a/crates/policy/src/scheduler/placement.rs
+++ b/crates/policy/src/scheduler/placement.rs
@@ -26,7 +26,7 @@
         {
             return;
         }
-        self.set_suspects_aside(now, key, out);
+        self.hold_suspects(now, key, out);
         while let Some(pool) = self.pools.get(&key).filter(|pool| !pool.queue.is_empty()) {
             let candidates = self.candidates(now, pool);
             let lanes = self.lanes(pool);
@@ -61,19 +61,20 @@
     ) -> Option<replica::Key> {
         let open = self.open.get(&id)?;
         let (job, class) = (open.job, open.class);
-        let free = |node: &Candidate| node.open && !open.tried.contains(&node.key);
-        let in_lane = |node: &Candidate| lanes.contains(&node.key);
-        let fits = |node: &Candidate| free(node) && in_lane(node) == (class == Class::Long);
+        let free = |candidate: &Candidate| candidate.open && !open.tried.contains(&candidate.key);
+        let in_lane = |candidate: &Candidate| lanes.contains(&candidate.key);
+        let fits =
+            |candidate: &Candidate| free(candidate) && in_lane(candidate) == (class == Class::Long);
         let narrow = |fits: &dyn Fn(&Candidate) -> bool| -> Vec<Candidate> {
-            let narrowed = |node: &Candidate| Candidate {
-                open: fits(node),
-                ..*node
+            let narrowed = |candidate: &Candidate| Candidate {
+                open: fits(candidate),
+                ..*candidate
             };
             candidates.iter().map(narrowed).collect()
         };
         let mut narrowed = narrow(&fits);
         // Short jobs take a lane if nothing else is open; long ones leave the other replicas to them.
-        if class == Class::Short && !narrowed.iter().any(|node| node.open) {
+        if class == Class::Short && !narrowed.iter().any(|candidate| candidate.open) {
             narrowed = narrow(&free);
         }
         self.choose_by_prefix(now, &job, &narrowed)
@@ -85,14 +86,14 @@
         job: &Job,
         candidates: &[Candidate],
     ) -> Option<replica::Key> {
-        if !candidates.iter().any(|node| node.open) {
+        if !candidates.iter().any(|candidate| candidate.open) {
             return None;
         }
         if !self.settings.placement.affinity {
-            let open = candidates.iter().filter(|node| node.open);
+            let open = candidates.iter().filter(|candidate| candidate.open);
             return open
                 .min_by(|a, b| a.load.total_cmp(&b.load))
-                .map(|node| node.key);
+                .map(|candidate| candidate.key);
         }
         let affinity = &mut self.pools.get_mut(&job.pool)?.affinity;
         // Plain calls share no cache: affinity would only queue all of them on one replica.
@@ -114,8 +115,8 @@
         }
         let usable = pool.members.iter().filter_map(|key| {
             let replica = self.replicas.get(key)?;
-            let sound = pool.monitor.allowance(*key) == Allowance::Full && !replica.doubted;
-            (sound && *key != chosen).then_some((*key, replica.identity))
+            let healthy = pool.monitor.allowance(*key) == Allowance::Full && !replica.unconfirmed;
+            (healthy && *key != chosen).then_some((*key, replica.identity))
         });
         rendezvous::top_two(job.prefix, usable).0
     }
@@ -124,12 +125,16 @@
     /// those beside free replicas.
     pub(super) fn lanes(&self, pool: &Pool) -> Vec<replica::Key> {
         let known = |key: &replica::Key| Some((*key, self.replicas.get(key)?));
-        let (sound, doubted): (Vec<_>, Vec<_>) = pool
+        let (confirmed, unconfirmed): (Vec<_>, Vec<_>) = pool
             .members
             .iter()
             .filter_map(known)
-            .partition(|(_, replica)| !replica.doubted);
-        let members = if sound.is_empty() { doubted } else { sound };
+            .partition(|(_, replica)| !replica.unconfirmed);
+        let members = if confirmed.is_empty() {
+            unconfirmed
+        } else {
+            confirmed
+        };
         let count = pool.classes.lane_count(&self.settings.size, members.len());
         let ranked = members
             .into_iter()
@@ -141,10 +146,10 @@
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        self.expiry.remove(&(open.until, id));
+        self.expiry.remove(&(open.start_deadline, id));
         open.place = None;
         open.started = now;
-        open.spoke = now;
+        open.last_token_at = now;
         open.round = Round::default();
         open.outstanding = open.cost;
         open.moved = false;
@@ -153,11 +158,11 @@
         if let Some(replica) = self.replicas.get_mut(&replica) {
             replica.gate.take(now);
         }
-        self.put_on(now, id, replica);
+        self.attach(now, id, replica);
     }
 
     /// Assigns the job to a replica.
-    pub(super) fn put_on(&mut self, now: Time, id: job::Id, key: replica::Key) {
+    pub(super) fn attach(&mut self, now: Time, id: job::Id, key: replica::Key) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
@@ -173,12 +178,7 @@
     }
 
     /// Detaches the job from its replica after `end`; returns the replica, if there was one.
-    pub(super) fn take_off(
-        &mut self,
-        now: Time,
-        id: job::Id,
-        end: job::End,
-    ) -> Option<replica::Key> {
+    pub(super) fn detach(&mut self, now: Time, id: job::Id, end: job::End) -> Option<replica::Key> {
         let open = self.open.get_mut(&id)?;
         let key = open.replica.take()?;
         if let Some(pool) = self.pools.get_mut(&open.job.pool) {
@@ -189,10 +189,10 @@
             replica.load.ended(now, open.outstanding);
             replica.jobs.remove(&id);
         }
-        self.steps.remove(&id);
+        self.planned_moves.remove(&id);
         let pool = open.job.pool;
         self.end_trial(id, key);
-        self.stir(pool);
+        self.mark_pool(pool);
         let gone = self.replicas.get(&key);
         if gone.is_some_and(|replica| replica.lost && replica.jobs.is_empty()) {
             self.replicas.remove(&key);
--- a/crates/policy/src/scheduler/refusals.rs
+++ b/crates/policy/src/scheduler/refusals.rs
@@ -37,7 +37,7 @@
         // A caller that must not repeat its request has no use for a retry time, nor has one whose request crashes
         // replicas.
         if reason != Reason::Quarantined && (!may_have_run || job.idempotent) {
-            refusal.retry_after = Some(self.appoint(now, &job, cost));
+            refusal.retry_after = Some(self.retry_time(now, &job, cost));
         }
         self.close(now, id);
         out.push(Decision::Refuse { job: id, refusal });
@@ -49,12 +49,12 @@
             if until > now {
                 return;
             }
-            let lonely = self
+            let no_members = self
                 .open
                 .get(&id)
                 .and_then(|open| self.pools.get(&open.job.pool))
                 .is_none_or(|pool| pool.members.is_empty());
-            let reason = if lonely {
+            let reason = if no_members {
                 Reason::NoBackend
             } else {
                 Reason::Overloaded
@@ -64,7 +64,7 @@
     }
 
     /// Returns the time after which a refused caller should retry.
-    fn appoint(&mut self, now: Time, job: &Job, cost: Cost) -> Span {
+    fn retry_time(&mut self, now: Time, job: &Job, cost: Cost) -> Span {
         let settings = self.settings.retry;
         let spec = self.accounts.get(&job.account).map(|account| &account.spec);
         let (weight, priority) = spec.map_or((1, 0), |spec| (spec.weight, level(spec, job)));
--- a/crates/policy/src/scheduler/state.rs
+++ b/crates/policy/src/scheduler/state.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns the mean number of own attempts per member.
-    pub fn usual(&self) -> f64 {
+    pub fn mean_own(&self) -> f64 {
         f64::from(self.running) / self.members.len().max(1) as f64
     }
 }
@@ -108,7 +108,7 @@
     /// Whether the replica is gone and kept only until the ends of its attempts are reported.
     pub lost: bool,
     /// Whether the replica may be gone.
-    pub doubted: bool,
+    pub unconfirmed: bool,
     /// Admits requests within the rate limit that the replica sets.
     pub gate: pace::Gate,
     pub load: Load,
@@ -129,7 +129,7 @@
             spec,
             leaving: None,
             lost: false,
-            doubted: false,
+            unconfirmed: false,
             gate: pace::Gate::default(),
             jobs: BTreeSet::new(),
             trial: None,
@@ -145,7 +145,7 @@
 /// Tokens that make up one latency sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Round {
-    pub begun: Time,
+    pub started: Time,
     pub tokens: u32,
 }
 
@@ -154,7 +154,7 @@
 pub(super) struct Claim {
     pub replica: replica::Key,
     /// Time from which the claim is beyond dispute.
-    pub stands: Time,
+    pub valid_from: Time,
 }
 
 /// An open job.
@@ -167,17 +167,17 @@
     /// Tokens charged to its account's limit.
     pub tokens: Cost,
     /// Deadline of the first token.
-    pub due: Time,
+    pub first_token_due: Time,
     /// Place in the queue. Invariant: not set while `replica` is.
     pub place: Option<Place>,
     /// Deadline of the start. Invariant: in `expiry` while `replica` isn't set.
-    pub until: Time,
+    pub start_deadline: Time,
     pub replica: Option<replica::Key>,
     pub started: Time,
     /// Tokens since the last latency sample.
     pub round: Round,
     /// Arrival of the last tokens of this attempt.
-    pub spoke: Time,
+    pub last_token_at: Time,
     /// Estimated cost at the start of this attempt, less that of the tokens received.
     pub outstanding: u64,
     /// Whether the caller has received the first token.
@@ -185,7 +185,7 @@
     /// Whether the job was moved since its start, so that its duration is no valid sample.
     pub moved: bool,
     /// Tokens generated in all attempts.
-    pub made: u32,
+    pub generated: u32,
     /// Whether bytes of it were handed to a replica that did not report "not started".
     pub may_have_run: bool,
     /// Replica claimed for a waiting suspect. Invariant: not set while `replica` is.
@@ -195,7 +195,7 @@
     /// Attempts that may have reached a replica.
     pub sent: u32,
     /// End of its own queue timeout; it isn't started later.
-    pub patience: Time,
+    pub queue_deadline: Time,
     /// Wait predicted at its arrival.
     pub predicted: Span,
 }
@@ -208,7 +208,7 @@
             predicted_wait: self.predicted,
             replica: self.replica,
             attempts: self.sent as usize,
-            given_up_at: self.replica.is_none().then_some(self.until),
+            given_up_at: self.replica.is_none().then_some(self.start_deadline),
         }
     }
 }
--- a/crates/policy/src/scheduler/suspects.rs
+++ b/crates/policy/src/scheduler/suspects.rs
@@ -24,7 +24,7 @@
     }
 
     /// Records that a replica crashed, or seems to have, while the job ran there.
-    pub(super) fn blame(&mut self, now: Time, id: job::Id) {
+    pub(super) fn record_crash(&mut self, now: Time, id: job::Id) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -48,7 +48,7 @@
     /// Stops running copies of new suspects that may be repeated: copies sent through several entries at once
     /// would each crash a replica of their own before the first crash is known. Plain calls can't be stopped once
     /// they are sent.
-    pub(super) fn recall_suspects(&mut self, now: Time, out: &mut Vec<Decision>) {
+    pub(super) fn stop_suspects(&mut self, now: Time, out: &mut Vec<Decision>) {
         let accused = self.quarantine.take_suspects();
         if accused.is_empty() || !self.settings.placement.quarantine {
             return;
@@ -65,8 +65,8 @@
             .collect();
         for id in copies {
             // Before the job is detached: a lost replica is removed with its last job.
-            self.note_stopped(now, id);
-            let Some(replica) = self.take_off(now, id, job::End::Left) else {
+            self.record_stopped(now, id);
+            let Some(replica) = self.detach(now, id, job::End::Left) else {
                 continue;
             };
             if let Some(open) = self.open.get_mut(&id) {
@@ -77,7 +77,7 @@
         }
     }
 
-    fn note_stopped(&mut self, now: Time, id: job::Id) {
+    fn record_stopped(&mut self, now: Time, id: job::Id) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -90,17 +90,12 @@
     }
 
     /// Moves suspects from the heads of the queue to the held jobs, so that the others don't wait behind them.
-    pub(super) fn set_suspects_aside(
-        &mut self,
-        now: Time,
-        key: pool::Key,
-        out: &mut Vec<Decision>,
-    ) {
+    pub(super) fn hold_suspects(&mut self, now: Time, key: pool::Key, out: &mut Vec<Decision>) {
         if !self.settings.placement.quarantine {
             return;
         }
         while let Some((id, standing)) = self.first_suspect(now, key) {
-            if matches!(standing, Standing::Quarantined(_)) && !self.is_owed_a_trial(id) {
+            if matches!(standing, Standing::Quarantined(_)) && !self.may_try_quarantined(id) {
                 self.refuse(
                     now,
                     id,
@@ -137,7 +132,7 @@
                 Standing::Held(until) => {
                     self.held.insert((until, id));
                 }
-                Standing::Quarantined(_) if !self.is_owed_a_trial(id) => {
+                Standing::Quarantined(_) if !self.may_try_quarantined(id) => {
                     self.refuse(
                         now,
                         id,
@@ -146,7 +141,7 @@
                         out,
                     );
                 }
-                Standing::Quarantined(_) | Standing::Trial => self.try_apart(now, id, out),
+                Standing::Quarantined(_) | Standing::Trial => self.run_trial(now, id, out),
             }
         }
     }
@@ -156,11 +151,11 @@
     /// An innocent stream that ran beside a killer twice was refused in mid-answer. A killer crashes the replica
     /// that starts to run it, so a job that has generated tokens is hardly one; if it is, the number of trials
     /// bounds the damage.
-    fn is_owed_a_trial(&self, id: job::Id) -> bool {
+    fn may_try_quarantined(&self, id: job::Id) -> bool {
         let most = self.settings.retry.max_attempts as u32 + STREAM_TRIALS;
         self.open
             .get(&id)
-            .is_some_and(|open| open.streaming && open.made > 0 && open.sent < most)
+            .is_some_and(|open| open.streaming && open.generated > 0 && open.sent < most)
     }
 
     /// Ends a trial and frees the replica for other jobs.
@@ -211,13 +206,13 @@
     ///
     /// Jobs that already run there are not waited for: hardly any suspect is a killer, and suspects that waited
     /// for an empty replica would all miss their targets.
-    fn try_apart(&mut self, now: Time, id: job::Id, out: &mut Vec<Decision>) {
+    fn run_trial(&mut self, now: Time, id: job::Id, out: &mut Vec<Decision>) {
         if let Some(claim) = self.open.get(&id).and_then(|open| open.claim) {
-            return self.use_claim(now, id, claim, out);
+            return self.start_trial(now, id, claim, out);
         }
-        let stands = now + self.settings.quarantine.claim_delay;
+        let valid_from = now + self.settings.quarantine.claim_delay;
         let again = now + self.settings.health.period;
-        let place = self.place_for(now, id);
+        let place = self.trial_replica(now, id);
         let replica = place.and_then(|key| self.replicas.get_mut(&key));
         let (Some(open), Some(key), Some(replica)) = (self.open.get_mut(&id), place, replica)
         else {
@@ -227,20 +222,20 @@
         replica.trial = Some(id);
         open.claim = Some(Claim {
             replica: key,
-            stands,
+            valid_from,
         });
         self.quarantine
             .reserve(open.job.fingerprint, replica.identity);
-        self.held.insert((stands, id));
+        self.held.insert((valid_from, id));
     }
 
     /// Starts the suspect if its claim is beyond dispute; drops a claim that was lost.
-    fn use_claim(&mut self, now: Time, id: job::Id, claim: Claim, out: &mut Vec<Decision>) {
-        if now < claim.stands {
-            self.held.insert((claim.stands, id));
+    fn start_trial(&mut self, now: Time, id: job::Id, claim: Claim, out: &mut Vec<Decision>) {
+        if now < claim.valid_from {
+            self.held.insert((claim.valid_from, id));
             return;
         }
-        if !self.may_use(id, claim.replica) {
+        if !self.is_claim_valid(id, claim.replica) {
             self.drop_trial(id);
             self.held.insert((now + self.settings.health.period, id));
             return;
@@ -259,7 +254,7 @@
     }
 
     /// Returns whether a claim holds and its replica is still usable.
-    fn may_use(&self, id: job::Id, key: replica::Key) -> bool {
+    fn is_claim_valid(&self, id: job::Id, key: replica::Key) -> bool {
         let open = self.open.get(&id);
         let replica = self.replicas.get(&key);
         open.zip(replica).is_some_and(|(open, replica)| {
@@ -274,7 +269,7 @@
     ///
     /// Replicas where it was tried are skipped: one that crashed stays in a lagging instance list, and a suspect
     /// assigned to it would wait for ever.
-    fn place_for(&self, now: Time, id: job::Id) -> Option<replica::Key> {
+    fn trial_replica(&self, now: Time, id: job::Id) -> Option<replica::Key> {
         let open = self.open.get(&id)?;
         let pool = self.pools.get(&open.job.pool)?;
         let free = pool.members.iter().filter_map(|key| {
