--- a/crates/policy/tests/affinity.rs
+++ b/crates/policy/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity under a hot key, with late and gapped cache events.
+//! Prefix affinity under a hot key, with late and lost cache events.
 
 use clock::Span;
 use clock::Time;
@@ -25,8 +25,8 @@
         .collect()
 }
 
-/// One prompt is asked for by everyone. Its home would be overrun while eight replicas idle; its
-/// second choice takes the rest, always the same one, so that only two compute the prefix.
+/// Every request has the same prefix. Its home would be overloaded while eight replicas idle; the second choice
+/// takes the rest, always the same one, so that only two compute the prefix.
 #[test]
 fn hot_key_fills_two_replicas_and_only_then_spills() {
     let mut candidates = pool(&[4.0; 9]);
@@ -35,16 +35,16 @@
         ..Config::default()
     };
     let mut affinity = Affinity::new(config, 1);
-    let mut entry = Affinity::new(config, 2);
-    let mut used = Vec::new();
+    let mut other_entry = Affinity::new(config, 2);
+    let mut choices = Vec::new();
     for _ in 0..4 {
         let choice = affinity.choose(Time::ZERO, 7, &candidates).expect("room");
-        assert_eq!(entry.choose(Time::ZERO, 7, &candidates), Some(choice));
+        assert_eq!(other_entry.choose(Time::ZERO, 7, &candidates), Some(choice));
         candidates[choice.replica().0 as usize].load += 1.0;
-        used.push(choice);
+        choices.push(choice);
     }
     assert!(matches!(
-        used[..],
+        choices[..],
         [
             Choice::Home(_),
             Choice::Home(_),
@@ -54,16 +54,16 @@
     ));
 }
 
-/// A very hot key needs a third replica. The first spill warms it; later spills go there again
-/// instead of warming all the others.
+/// A very hot key needs a third replica. The first spill warms it; later spills go there again instead of
+/// warming all the others.
 #[test]
 fn spill_comes_back_to_the_replica_it_warmed() {
     let mut candidates = pool(&[4.0; 9]);
     let mut affinity = Affinity::new(Config::default(), 1);
-    for choice in [0, 1] {
-        let taken = affinity.choose(Time::ZERO, 7, &candidates).expect("room");
-        assert!(choice < 2);
-        candidates[taken.replica().0 as usize].load = 20.0;
+    for index in [0, 1] {
+        let choice = affinity.choose(Time::ZERO, 7, &candidates).expect("room");
+        assert!(index < 2);
+        candidates[choice.replica().0 as usize].load = 20.0;
     }
     let third = affinity.choose(Time::ZERO, 7, &candidates).expect("room");
     assert!(matches!(third, Choice::Spilled(_)));
@@ -71,22 +71,26 @@
     assert_eq!(again, Some(Choice::Hinted(third.replica())));
 }
 
-/// Cache events come late and with gaps: a prefix told as cached may be gone long since. A hint
-/// never goes before the two choices, is void after a gap or an eviction, and grows old.
+/// Cache events arrive late and with gaps, so a reported prefix may be evicted already. A hint never precedes
+/// the two choices, is invalid after a gap or an eviction, and expires.
 #[test]
 fn cache_events_are_only_hints() {
     let candidates = pool(&[0.0; 9]);
     let mut affinity = Affinity::new(Config::default(), 1);
     let home = affinity.choose(Time::ZERO, 7, &candidates).expect("room");
     let mut loaded = candidates.clone();
-    let (first, second) =
-        rendezvous::top_two(7, candidates.iter().map(|node| (node.key, node.identity)));
+    let (first, second) = rendezvous::top_two(
+        7,
+        candidates
+            .iter()
+            .map(|candidate| (candidate.key, candidate.identity)),
+    );
     for key in [first, second].into_iter().flatten() {
         loaded[key.0 as usize].load = 20.0;
     }
     let third = candidates
         .iter()
-        .map(|node| node.key)
+        .map(|candidate| candidate.key)
         .find(|key| Some(*key) != first && Some(*key) != second);
     let third = third.expect("nine replicas");
 
@@ -129,8 +133,8 @@
         ..Proptest::default()
     })]
 
-    /// Work conserving: while any replica is open one is chosen, and it is open. No affinity choice
-    /// goes beyond the bound, and hints stay bounded.
+    /// While any replica is open one is chosen, and it is open. No affinity choice exceeds the bound, and the
+    /// number of hints is bounded.
     #[test]
     fn choices_are_open_and_bounded(
         loads in proptest::collection::vec((0.0_f64..30.0, any::<bool>()), 1..20),
--- a/crates/policy/tests/charge.rs
+++ b/crates/policy/tests/charge.rs
@@ -1,4 +1,4 @@
-//! Quotas that one entry decides on for many, by what an account gets through all of them together.
+//! Quotas decided by a home entry, by what an account gets through all entries together.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,21 +16,21 @@
 
 const ACCOUNT: u64 = 7;
 const RATE: u64 = 450_000;
-/// A burst of one second of the rate.
+/// One second of the rate.
 const SHORT_BURST: u64 = RATE;
-const ALLOWANCE: u64 = 110_000;
-/// Costs of requests, in turn.
+const OVERRUN_BURST: u64 = 110_000;
+/// Costs of requests, in rotation.
 const COSTS: [u64; 3] = [9_190, 2_368, 715];
-const STEP_MILLIS: u64 = 2;
-/// From an entry to another.
-const WAY_MILLIS: u64 = 4;
-/// Time between two tellings of counts to the hub, and between two sums.
-const PACE_MILLIS: u64 = 500;
-/// From a home's end until everybody has another one.
-const NOTICE_MILLIS: u64 = 5_000;
+const TICK_MILLIS: u64 = 2;
+/// Latency of a message between entries.
+const LATENCY_MILLIS: u64 = 4;
+/// Interval of the counts sent to the hub, and of its sums.
+const EXCHANGE_MILLIS: u64 = 500;
+/// Time from the end of a home until every entry knows its replacement.
+const DETECTION_MILLIS: u64 = 5_000;
 const WINDOW_MILLIS: u64 = 8_000;
 
-/// What is under way between two entries.
+/// A message in flight between two entries.
 enum Message {
     Ask {
         from: usize,
@@ -44,22 +44,21 @@
     },
 }
 
-/// Entries that charge an account at its home. Counts come round as sums of a hub, between a quarter and one and a
-/// quarter seconds old.
+/// Entries that charge an account at its home. Counts arrive as sums of a hub, between 250 and 1250 ms old.
 struct World {
     now: u64,
     quotas: Vec<Quotas>,
     charges: Vec<Charges>,
-    /// Messages by the time of their arrival.
-    under_way: BTreeMap<u64, Vec<(usize, Message)>>,
-    /// What each has told the hub last.
-    told: Vec<Counts>,
-    /// The sums on their way.
+    /// Messages in flight by the time of their arrival.
+    in_flight: BTreeMap<u64, Vec<(usize, Message)>>,
+    /// Last counts that each entry sent to the hub.
+    sent_counts: Vec<Counts>,
+    /// Sums in flight.
     sum: Counts,
     /// Entries that ended, and when.
     ended: BTreeMap<usize, u64>,
-    /// Entries that no message reaches or leaves.
-    cut: BTreeSet<usize>,
+    /// Partitioned entries, which no message reaches or leaves.
+    partitioned: BTreeSet<usize>,
     next_serial: u64,
     served: Vec<(u64, u64)>,
     refused: usize,
@@ -68,26 +67,26 @@
 impl World {
     fn new(entries: usize, burst: u64) -> World {
         let config = quota::Config {
-            overrun_burst: ALLOWANCE,
+            overrun_burst: OVERRUN_BURST,
             ..quota::Config::default()
         };
         let mut quotas = Vec::new();
         for _ in 0..entries {
-            let mut one = Quotas::new(config);
-            one.set_entries(Time::ZERO, entries as u32);
-            one.set_quota(Time::ZERO, ACCOUNT, RATE, burst);
-            quotas.push(one);
+            let mut quota = Quotas::new(config);
+            quota.set_entries(Time::ZERO, entries as u32);
+            quota.set_quota(Time::ZERO, ACCOUNT, RATE, burst);
+            quotas.push(quota);
         }
         let charges = (0..entries).map(|me| Charges::new(charge::Config::default(), me as Entry));
         World {
             now: 0,
             charges: charges.collect(),
             quotas,
-            under_way: BTreeMap::new(),
-            told: vec![Counts::new(); entries],
+            in_flight: BTreeMap::new(),
+            sent_counts: vec![Counts::new(); entries],
             sum: Counts::new(),
             ended: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             next_serial: 0,
             served: Vec::new(),
             refused: 0,
@@ -98,24 +97,24 @@
         Time::from_millis(self.now)
     }
 
-    /// For a while as many tokens a second are asked for, through all entries.
+    /// Sends that many tokens per second through all entries.
     fn run(&mut self, millis: u64, tokens: u64) {
-        let (begun, mut asked, mut turn) = (self.now, 0, 0);
-        while self.now < begun + millis {
-            self.now += STEP_MILLIS;
+        let (started, mut asked, mut request) = (self.now, 0, 0);
+        while self.now < started + millis {
+            self.now += TICK_MILLIS;
             self.deliver();
-            while asked < tokens * (self.now - begun) / 1_000 {
-                turn += 1;
-                let cost = COSTS[turn % COSTS.len()];
+            while asked < tokens * (self.now - started) / 1_000 {
+                request += 1;
+                let cost = COSTS[request % COSTS.len()];
                 asked += cost;
-                self.arrive((turn * 31) % self.quotas.len(), cost);
+                self.arrive((request * 31) % self.quotas.len(), cost);
             }
-            self.pass_over();
-            self.tell();
+            self.skip_silent_homes();
+            self.exchange_counts();
         }
     }
 
-    /// A request comes to an entry; one that has ended refuses its connection.
+    /// A request arrives at an entry; one that has ended refuses its connection.
     fn arrive(&mut self, entry: usize, cost: u64) {
         if self.ended.contains_key(&entry) {
             return;
@@ -125,16 +124,16 @@
             name: ACCOUNT,
             cost,
         };
-        let homes = self.present();
+        let entries = self.known_entries();
         let now = self.time();
-        let step = self.charges[entry].begin(now, self.next_serial, charge, &homes);
-        self.follow(entry, self.next_serial, charge, step);
+        let step = self.charges[entry].begin(now, self.next_serial, charge, &entries);
+        self.decide(entry, self.next_serial, charge, step);
     }
 
-    /// Entries as the others know them.
-    fn present(&self) -> Vec<Entry> {
+    /// Returns the entries as the others know them.
+    fn known_entries(&self) -> Vec<Entry> {
         let known = |entry: &usize| match self.ended.get(entry) {
-            Some(at) => self.now < at + NOTICE_MILLIS,
+            Some(ended_at) => self.now < ended_at + DETECTION_MILLIS,
             None => true,
         };
         (0..self.quotas.len())
@@ -143,7 +142,7 @@
             .collect()
     }
 
-    fn follow(&mut self, entry: usize, serial: u64, charge: Charge, step: Step) {
+    fn decide(&mut self, entry: usize, serial: u64, charge: Charge, step: Step) {
         let now = self.time();
         let result = match step {
             Step::Ask(home) => {
@@ -157,10 +156,10 @@
             Step::Home => self.quotas[entry].charge_as_home(now, ACCOUNT, charge.cost),
             Step::Alone => self.quotas[entry].charge(now, ACCOUNT, charge.cost),
         };
-        self.count(charge.cost, result.is_ok());
+        self.record(charge.cost, result.is_ok());
     }
 
-    fn count(&mut self, cost: u64, granted: bool) {
+    fn record(&mut self, cost: u64, granted: bool) {
         match granted {
             true => self.served.push((self.now, cost)),
             false => self.refused += 1,
@@ -168,15 +167,15 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        if !self.cut.contains(&from) && !self.cut.contains(&to) {
-            let at = self.now + WAY_MILLIS;
-            self.under_way.entry(at).or_default().push((to, message));
+        if !self.partitioned.contains(&from) && !self.partitioned.contains(&to) {
+            let at = self.now + LATENCY_MILLIS;
+            self.in_flight.entry(at).or_default().push((to, message));
         }
     }
 
     fn deliver(&mut self) {
-        let later = self.under_way.split_off(&(self.now + 1));
-        let due = std::mem::replace(&mut self.under_way, later);
+        let later = self.in_flight.split_off(&(self.now + 1));
+        let due = std::mem::replace(&mut self.in_flight, later);
         for (to, message) in due.into_values().flatten() {
             if self.ended.contains_key(&to) {
                 continue;
@@ -198,15 +197,15 @@
                     granted,
                 } => {
                     if let Some(charge) = self.charges[to].answered(serial, by as Entry) {
-                        self.count(charge.cost, granted);
+                        self.record(charge.cost, granted);
                     }
                 }
             }
         }
     }
 
-    /// Entries pass over homes that are silent.
-    fn pass_over(&mut self) {
+    /// Lets entries skip homes that don't answer.
+    fn skip_silent_homes(&mut self) {
         for entry in 0..self.charges.len() {
             if self.charges[entry]
                 .next_wake()
@@ -217,36 +216,38 @@
             let now = self.time();
             for (serial, home) in self.charges[entry].overdue(now) {
                 if let Some((charge, step)) = self.charges[entry].unanswered(now, serial, home) {
-                    self.follow(entry, serial, charge, step);
+                    self.decide(entry, serial, charge, step);
                 }
             }
         }
     }
 
-    /// Each entry tells its counts at a moment of its own; the sum goes out later, and arrives later still.
-    fn tell(&mut self) {
+    /// Exchanges counts: each entry sends them at its own time; the sum goes out later and arrives later still.
+    fn exchange_counts(&mut self) {
         let now = self.time();
         for entry in 0..self.quotas.len() {
-            if (self.now + entry as u64 * 6).is_multiple_of(PACE_MILLIS) && !self.is_away(entry) {
-                self.told[entry] = self.quotas[entry].counts();
+            if (self.now + entry as u64 * 6).is_multiple_of(EXCHANGE_MILLIS)
+                && !self.is_unreachable(entry)
+            {
+                self.sent_counts[entry] = self.quotas[entry].counts();
             }
         }
-        if self.now.is_multiple_of(PACE_MILLIS) {
+        if self.now.is_multiple_of(EXCHANGE_MILLIS) {
             self.sum = Counts::new();
-            for (name, count) in self.told.iter().flatten() {
+            for (name, count) in self.sent_counts.iter().flatten() {
                 *self.sum.entry(*name).or_default() += count;
             }
         }
-        if !(self.now + PACE_MILLIS / 2).is_multiple_of(PACE_MILLIS) {
+        if !(self.now + EXCHANGE_MILLIS / 2).is_multiple_of(EXCHANGE_MILLIS) {
             return;
         }
-        let others = self.quotas.len() as u32 - 1 - self.cut.len() as u32;
+        let others = self.quotas.len() as u32 - 1 - self.partitioned.len() as u32;
         for entry in 0..self.quotas.len() {
-            if self.is_away(entry) {
+            if self.is_unreachable(entry) {
                 continue;
             }
             let mut rest = self.sum.clone();
-            for (name, count) in &self.told[entry] {
+            for (name, count) in &self.sent_counts[entry] {
                 let total = rest.entry(*name).or_default();
                 *total = total.saturating_sub(*count);
             }
@@ -254,11 +255,11 @@
         }
     }
 
-    fn is_away(&self, entry: usize) -> bool {
-        self.cut.contains(&entry) || self.ended.contains_key(&entry)
+    fn is_unreachable(&self, entry: usize) -> bool {
+        self.partitioned.contains(&entry) || self.ended.contains_key(&entry)
     }
 
-    /// The first home of the account.
+    /// Returns the first home of the account.
     fn home(&self) -> usize {
         let asker = (0..self.quotas.len()).find_map(|entry| {
             let charge = Charge {
@@ -266,7 +267,7 @@
                 cost: 1,
             };
             let mut charges = Charges::new(charge::Config::default(), entry as Entry);
-            match charges.begin(Time::ZERO, 1, charge, &self.present()) {
+            match charges.begin(Time::ZERO, 1, charge, &self.known_entries()) {
                 Step::Ask(home) => Some(home as usize),
                 _ => None,
             }
@@ -274,8 +275,8 @@
         asker.expect("one entry isn't the home")
     }
 
-    /// The most that was served in any eight seconds.
-    fn most(&self) -> u64 {
+    /// Returns the most tokens that were served in any eight seconds.
+    fn max_served(&self) -> u64 {
         let (mut first, mut within, mut most) = (0, 0, 0);
         for (at, cost) in &self.served {
             within += cost;
@@ -289,15 +290,15 @@
     }
 
     fn assert_within(&self, burst: u64, case: &str) {
-        let allowed = (RATE * WINDOW_MILLIS / 1_000 + burst) * 11 / 10 + ALLOWANCE;
-        let most = self.most();
+        let allowed = (RATE * WINDOW_MILLIS / 1_000 + burst) * 11 / 10 + OVERRUN_BURST;
+        let most = self.max_served();
         assert!(most <= allowed, "{case}: {most} of {allowed}");
     }
 }
 
-/// An account whose burst is a second of its rate sends several times its quota through 75 entries: 4.9 to 5.1 million
-/// tokens were served in eight seconds where 4.7 million were allowed. Each entry decided by counts up to a second
-/// old, in which all of the burst was given away more than once.
+/// An account whose burst is a second of its rate sends several times its quota through 75 entries. Each entry
+/// decided by counts up to a second old, and together they granted the burst more than once: 4.9 to 5.1
+/// million tokens in eight seconds where 4.7 million were allowed.
 #[test]
 fn a_flood_on_a_short_burst_stays_within_the_quota() {
     for entries in [8, 75, 79, 295, 840] {
@@ -314,42 +315,45 @@
     }
 }
 
-/// The home ends, or is cut off, while an account floods all entries. The one that takes its place has counts that
-/// are up to a second old, and would give a second burst.
+/// The home ends, or is cut off, while an account floods all entries. Its replacement has counts that are up to
+/// a second old, and would grant a second burst.
 #[test]
 fn a_home_that_is_lost_gives_no_second_burst() {
     for entries in [75, 295] {
-        for cut in [false, true] {
+        for partitioned in [false, true] {
             let mut world = World::new(entries, SHORT_BURST);
             world.run(4_000, RATE / 2);
             world.run(6_000, RATE * 4);
             let home = world.home();
-            match cut {
-                true => drop(world.cut.insert(home)),
+            match partitioned {
+                true => drop(world.partitioned.insert(home)),
                 false => drop(world.ended.insert(home, world.now)),
             }
             world.run(4_000, RATE * 4);
-            world.cut.clear();
+            world.partitioned.clear();
             world.run(10_000, RATE * 4);
-            world.assert_within(SHORT_BURST, &format!("{entries} entries, cut off {cut}"));
+            world.assert_within(
+                SHORT_BURST,
+                &format!("{entries} entries, cut off {partitioned}"),
+            );
         }
     }
 }
 
-/// A fifth of the entries reaches no other while an account floods all of them: each decides by itself, of its part.
+/// A fifth of the entries reaches no other while an account floods them all: each decides alone, by its share.
 #[test]
 fn entries_that_reach_no_home_give_their_parts() {
     for entries in [75, 295] {
         let mut world = World::new(entries, SHORT_BURST);
         world.run(4_000, RATE / 2);
         world.run(4_000, RATE * 4);
-        world.cut = (0..entries).step_by(5).collect();
+        world.partitioned = (0..entries).step_by(5).collect();
         world.run(8_000, RATE * 4);
         world.assert_within(SHORT_BURST, &format!("{entries} entries"));
     }
 }
 
-/// An account below its quota is refused nothing, however many entries there are.
+/// An account below its quota is never refused, however many entries there are.
 #[test]
 fn an_account_below_its_quota_is_refused_nothing() {
     for entries in [75, 295, 840] {
@@ -359,7 +363,7 @@
     }
 }
 
-/// A grant that comes after somebody else has decided is nobody's: its tokens must be given back.
+/// A grant that arrives after another entry has decided is unused: its tokens must be refunded.
 #[test]
 fn a_late_grant_is_known_as_late() {
     let config = charge::Config::default();
@@ -379,7 +383,7 @@
     };
     assert_eq!(charges.answered(1, first), None);
     assert_eq!(charges.answered(1, second), Some(charge));
-    // The next request doesn't wait for the silent home.
+    // The next request skips the home that timed out.
     let next = charges.begin(late + Span::from_millis(1), 2, charge, &entries);
     assert_eq!(next, Step::Ask(second));
 }
--- a/crates/policy/tests/concurrency.rs
+++ b/crates/policy/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! Load estimates from lagging reports, and limits that entries share untold.
+//! Load estimates from lagging reports, and limits that entries share without communication.
 
 use clock::Span;
 use clock::Time;
@@ -18,12 +18,12 @@
     }
 }
 
-fn at(millis: u64) -> Time {
+fn time(millis: u64) -> Time {
     Time::from_millis(millis)
 }
 
-/// A report that was made before our last four starts doesn't hold them. Taken as it is, it would
-/// count the others' six jobs as ours, and the replica would look half as loaded as it is.
+/// A report that was made before the last four own starts doesn't include them. Subtracting them from it would
+/// count the jobs of others as own ones and underestimate the load.
 #[test]
 fn report_is_corrected_for_what_was_started_since() {
     let config = Config {
@@ -32,49 +32,48 @@
     };
     let mut load = Load::new(config, 32);
     for start in [100, 200, 900, 920, 940, 960] {
-        load.started(at(start), 10);
+        load.started(time(start), 10);
     }
-    load.reported(at(1_000), &report(8, 500));
+    load.reported(time(1_000), &report(8, 500));
     assert_eq!(load.own(), 6);
-    let others = load.jobs(at(500), 0.0) - f64::from(load.own());
+    let others = load.jobs(time(500), 0.0) - f64::from(load.own());
     assert!((others - 6.0).abs() < 1e-9, "others {others}");
 }
 
-/// Reports overtake each other; the older one must not undo the newer.
+/// Reports overtake each other; the older one must not replace the newer.
 #[test]
 fn late_report_is_dropped() {
     let mut load = Load::new(Config::default(), 32);
-    load.reported(at(2_000), &report(20, 100));
-    load.reported(at(2_100), &report(3, 900));
-    assert!(load.jobs(at(2_000), 0.0) > 19.0);
+    load.reported(time(2_000), &report(20, 100));
+    load.reported(time(2_100), &report(3, 900));
+    assert!(load.jobs(time(2_000), 0.0) > 19.0);
 }
 
-/// Reports stop for a minute. The last one said "idle"; if it were believed for ever, every entry
-/// would fill that replica without end. The estimate goes over to what we have there ourselves,
-/// times the entries.
+/// Reports stop for a minute after one that said "idle". If it stayed valid, every entry would fill that
+/// replica without end. The estimate converges to the own jobs there times the number of entries.
 #[test]
 fn stale_report_gives_way_to_what_others_must_have() {
     let mut load = Load::new(Config::default(), 32);
-    load.reported(at(1_000), &report(0, 0));
-    let fresh = load.jobs(at(1_000), 2.0);
-    let stale = load.jobs(at(61_000), 2.0);
+    load.reported(time(1_000), &report(0, 0));
+    let fresh = load.jobs(time(1_000), 2.0);
+    let stale = load.jobs(time(61_000), 2.0);
     assert!(fresh < 0.1 && (stale - 14.0).abs() < 0.1, "{fresh} {stale}");
 }
 
-/// Eight entries share a replica whose token gap doubles beyond 16 jobs; one had it to itself at
-/// first. Nobody tells the others anything, yet callers of all entries get about equal parts.
+/// Eight entries share a replica whose token gap doubles beyond 16 jobs; at first one has it to itself. Without
+/// communication all entries get about equal shares.
 #[test]
 fn limits_of_entries_become_equal() {
     let mut loads = vec![Load::new(Config::default(), 64); 8];
     for _ in 0..40 {
-        loads[0].started(at(1), 10);
+        loads[0].started(time(1), 10);
     }
     for round in 0..20_000_u64 {
-        let now = at(round * 20);
+        let now = time(round * 20);
         let total: u32 = loads.iter().map(Load::own).sum();
-        let strain = if total > 16 { 1.6 } else { 0.8 };
+        let latency_ratio = if total > 16 { 1.6 } else { 0.8 };
         for load in &mut loads {
-            load.sample(now, strain);
+            load.sample(now, latency_ratio);
             while load.own() < load.limit() {
                 load.started(now, 10);
             }
@@ -96,8 +95,8 @@
         ..Proptest::default()
     })]
 
-    /// In any order of events: the limit stays from 1 to the slots, estimates are finite and never
-    /// below our own jobs, and an entry without a job there may always start one.
+    /// In any order of events the limit stays from 1 to the slots, estimates are finite and never below the own
+    /// jobs, and an entry without a job there may always start one.
     #[test]
     fn estimates_stay_within_bounds(events in proptest::collection::vec((0_u8..5, 0_u32..50, 0_u64..3_000), 1..200)) {
         let mut load = Load::new(Config::default(), 16);
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds whatever happens: property tests over one scheduler.
+//! Property tests of invariants of one scheduler.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,7 +7,6 @@
 use clock::Time;
 use policy::account;
 use policy::decision::Decision;
-
 use policy::job::End;
 use policy::job::Id;
 use policy::job::Job;
@@ -22,7 +21,7 @@
 
 const POOL: pool::Key = pool::Key(0);
 
-/// One thing that happens.
+/// A random event.
 #[derive(Clone, Debug)]
 enum Step {
     Offer {
@@ -31,21 +30,21 @@
         idempotent: bool,
     },
     End {
-        which: usize,
+        index: usize,
         end: End,
     },
     Token {
-        which: usize,
+        index: usize,
     },
     Cancel {
-        which: usize,
+        index: usize,
     },
     Join,
     Leave {
-        which: usize,
+        index: usize,
     },
     Lose {
-        which: usize,
+        index: usize,
     },
     Wait {
         ms: u64,
@@ -62,21 +61,21 @@
     prop_oneof![
         8 => (0..4_u32, 1..8_000_u32, any::<bool>())
             .prop_map(|(account, prompt, idempotent)| Step::Offer { account, prompt, idempotent }),
-        6 => (any::<usize>(), end).prop_map(|(which, end)| Step::End { which, end }),
-        4 => any::<usize>().prop_map(|which| Step::Token { which }),
-        1 => any::<usize>().prop_map(|which| Step::Cancel { which }),
+        6 => (any::<usize>(), end).prop_map(|(index, end)| Step::End { index, end }),
+        4 => any::<usize>().prop_map(|index| Step::Token { index }),
+        1 => any::<usize>().prop_map(|index| Step::Cancel { index }),
         1 => Just(Step::Join),
-        1 => any::<usize>().prop_map(|which| Step::Leave { which }),
-        1 => any::<usize>().prop_map(|which| Step::Lose { which }),
+        1 => any::<usize>().prop_map(|index| Step::Leave { index }),
+        1 => any::<usize>().prop_map(|index| Step::Lose { index }),
         4 => (1..600_u64).prop_map(|ms| Step::Wait { ms }),
     ]
 }
 
-/// A scheduler and what its decisions brought about.
-struct Bench {
+/// A scheduler and the effects of its decisions.
+struct Harness {
     scheduler: Scheduler,
     now: Time,
-    next: u64,
+    last_id: u64,
     jobs: BTreeMap<Id, Job>,
     open: BTreeSet<Id>,
     running: BTreeMap<Id, replica::Key>,
@@ -88,8 +87,8 @@
     refused: Vec<Decision>,
 }
 
-impl Bench {
-    fn new(replicas: usize) -> Bench {
+impl Harness {
+    fn new(replicas: usize) -> Harness {
         let mut scheduler = Scheduler::new(7);
         scheduler.set_entries(1);
         for key in 0..4 {
@@ -102,10 +101,10 @@
             };
             scheduler.set_account(account::Key(key), spec);
         }
-        let mut bench = Bench {
+        let mut harness = Harness {
             scheduler,
             now: Time::ZERO,
-            next: 0,
+            last_id: 0,
             jobs: BTreeMap::new(),
             open: BTreeSet::new(),
             running: BTreeMap::new(),
@@ -117,21 +116,21 @@
             refused: Vec::new(),
         };
         for _ in 0..replicas {
-            bench.join();
+            harness.join();
         }
-        bench
+        harness
     }
 
-    fn act(&mut self, act: impl FnOnce(&mut Scheduler, Time, &mut Vec<Decision>)) {
+    fn apply(&mut self, action: impl FnOnce(&mut Scheduler, Time, &mut Vec<Decision>)) {
         let mut out = Vec::new();
-        act(&mut self.scheduler, self.now, &mut out);
+        action(&mut self.scheduler, self.now, &mut out);
         for decision in out {
-            self.check(decision);
+            self.carry_out(decision);
         }
     }
 
-    /// Carries one decision out, having checked that it may be taken.
-    fn check(&mut self, decision: Decision) {
+    /// Checks that a decision is allowed and carries it out.
+    fn carry_out(&mut self, decision: Decision) {
         match decision {
             Decision::Start { job, replica } => {
                 assert!(self.open.contains(&job), "started after its end");
@@ -140,10 +139,10 @@
                     self.usable.contains(&replica),
                     "started on a replica that leaves or is lost"
                 );
-                let again = !self.tried.entry(job).or_default().insert(replica);
-                assert!(!again, "tried again on the same replica");
-                let repeatable = self.jobs[&job].idempotent || !self.may_have_run.contains(&job);
-                assert!(repeatable, "a non-idempotent job was started again");
+                let repeated = !self.tried.entry(job).or_default().insert(replica);
+                assert!(!repeated, "tried again on the same replica");
+                let retryable = self.jobs[&job].idempotent || !self.may_have_run.contains(&job);
+                assert!(retryable, "a non-idempotent job was started again");
                 self.running.insert(job, replica);
             }
             Decision::Refuse { job, ref refusal } => {
@@ -151,9 +150,9 @@
                 assert!(!self.running.contains_key(&job), "refused while it runs");
                 let ran = self.may_have_run.contains(&job);
                 assert_eq!(refusal.verdict == Verdict::MayHaveRun, ran, "{refusal:?}");
-                let helps =
+                let may_retry =
                     refusal.reason != Reason::Quarantined && (!ran || self.jobs[&job].idempotent);
-                assert_eq!(refusal.retry_after.is_some(), helps, "{refusal:?}");
+                assert_eq!(refusal.retry_after.is_some(), may_retry, "{refusal:?}");
                 self.refused.push(decision);
             }
             Decision::Move { job, from, to, .. } => {
@@ -176,37 +175,37 @@
                 prompt,
                 idempotent,
             } => self.offer(account, prompt, idempotent),
-            Step::End { which, end } => {
-                if let Some(id) = nth(self.running.keys(), which) {
+            Step::End { index, end } => {
+                if let Some(id) = nth(self.running.keys(), index) {
                     self.end(id, end);
                 }
             }
-            Step::Token { which } => {
-                if let Some(id) = nth(self.running.keys(), which) {
+            Step::Token { index } => {
+                if let Some(id) = nth(self.running.keys(), index) {
                     self.streaming.insert(id);
                     self.scheduler.first_token(self.now, id);
                     self.scheduler.progressed(self.now, id, 1);
                 }
             }
-            Step::Cancel { which } => {
-                if let Some(id) = nth(self.open.iter(), which) {
-                    self.act(|scheduler, now, out| scheduler.cancel(now, id, out));
+            Step::Cancel { index } => {
+                if let Some(id) = nth(self.open.iter(), index) {
+                    self.apply(|scheduler, now, out| scheduler.cancel(now, id, out));
                     self.running.remove(&id);
                     self.open.remove(&id);
                 }
             }
             Step::Join => self.join(),
-            Step::Leave { which } => {
-                if let Some(key) = nth(self.usable.iter(), which) {
-                    self.usable.retain(|held| *held != key);
+            Step::Leave { index } => {
+                if let Some(key) = nth(self.usable.iter(), index) {
+                    self.usable.retain(|other| *other != key);
                     let deadline = self.now + Span::from_seconds(5);
-                    self.act(|scheduler, now, out| {
+                    self.apply(|scheduler, now, out| {
                         scheduler.replica_leaving(now, key, deadline, out);
                     });
                 }
             }
-            Step::Lose { which } => {
-                if let Some(key) = nth(self.usable.iter(), which) {
+            Step::Lose { index } => {
+                if let Some(key) = nth(self.usable.iter(), index) {
                     self.lose(key);
                 }
             }
@@ -215,16 +214,16 @@
     }
 
     fn offer(&mut self, account: u32, prompt: u32, idempotent: bool) {
-        self.next += 1;
+        self.last_id += 1;
         let job = Job {
-            id: Id(self.next),
+            id: Id(self.last_id),
             account: account::Key(account),
             pool: POOL,
             kind: Kind::Model,
             prompt_tokens: prompt,
             max_new_tokens: 100,
             prefix: u64::from(prompt % 10),
-            fingerprint: self.next,
+            fingerprint: self.last_id,
             idempotent,
             first_token: Span::from_seconds(1),
             token_gap: Span::from_millis(60),
@@ -232,13 +231,13 @@
         };
         self.jobs.insert(job.id, job);
         self.open.insert(job.id);
-        self.act(|scheduler, now, out| scheduler.offer(now, job, out));
+        self.apply(|scheduler, now, out| scheduler.offer(now, job, out));
     }
 
     fn end(&mut self, id: Id, end: End) {
         self.running.remove(&id);
-        // A caller that has the head of its answer is owed the rest: when all usable replicas have
-        // failed it, and only then, they may be tried once more.
+        // A caller that holds the head of its answer gets the rest: once all usable replicas have failed the
+        // job, and only then, they may be tried again.
         let tried = self.tried.entry(id).or_default();
         if self.streaming.contains(&id) && self.usable.iter().all(|key| tried.contains(key)) {
             tried.clear();
@@ -252,7 +251,7 @@
             }
             End::NotStarted | End::NotSent => {}
         }
-        self.act(|scheduler, now, out| scheduler.attempt_ended(now, id, end, 10, out));
+        self.apply(|scheduler, now, out| scheduler.attempt_ended(now, id, end, 10, out));
     }
 
     fn join(&mut self) {
@@ -266,18 +265,18 @@
         let key = self.scheduler.replica_joined(self.now, spec, &mut out);
         self.usable.push(key);
         for decision in out {
-            self.check(decision);
+            self.carry_out(decision);
         }
     }
 
     fn lose(&mut self, key: replica::Key) {
-        self.usable.retain(|held| *held != key);
+        self.usable.retain(|other| *other != key);
         self.gone.insert(key);
         self.scheduler.replica_lost(self.now, key);
         let lost: Vec<Id> = self
             .running
             .iter()
-            .filter(|(_, at)| **at == key)
+            .filter(|(_, replica)| **replica == key)
             .map(|(id, _)| *id)
             .collect();
         for id in lost {
@@ -285,27 +284,27 @@
         }
     }
 
-    /// Polls whenever the scheduler wants it.
+    /// Polls at each wake-up time of the scheduler.
     fn wait(&mut self, ms: u64) {
         let end = self.now + Span::from_millis(ms);
         while let Some(wake) = self.scheduler.next_wake().filter(|wake| *wake <= end) {
             self.now = self.now.max(wake);
-            self.act(|scheduler, now, out| scheduler.poll(now, out));
+            self.apply(|scheduler, now, out| scheduler.poll(now, out));
             if wake == self.scheduler.next_wake().unwrap_or(Time::ZERO) {
                 self.now = self.now + Span::from_millis(1);
             }
         }
         self.now = self.now.max(end);
-        self.act(|scheduler, now, out| scheduler.poll(now, out));
+        self.apply(|scheduler, now, out| scheduler.poll(now, out));
     }
 }
 
-fn nth<'a, T: Copy + 'a>(items: impl ExactSizeIterator<Item = &'a T>, which: usize) -> Option<T> {
+fn nth<'a, T: Copy + 'a>(items: impl ExactSizeIterator<Item = &'a T>, index: usize) -> Option<T> {
     let count = items.len();
     if count == 0 {
         return None;
     }
-    items.copied().nth(which % count)
+    items.copied().nth(index % count)
 }
 
 proptest! {
@@ -316,50 +315,50 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens, each job ends exactly once, with a true verdict, and none is forgotten: at the
-    /// end everything that is left runs or is refused in time.
+    /// Each job ends exactly once with a true verdict, and none is forgotten: at the end everything that is left
+    /// runs or is refused in time.
     #[test]
-    fn every_job_ends_once_and_truly(steps in prop::collection::vec(step(), 1..120)) {
-        let mut bench = Bench::new(3);
+    fn every_job_ends_once_with_a_true_verdict(steps in prop::collection::vec(step(), 1..120)) {
+        let mut harness = Harness::new(3);
         for step in steps {
-            bench.step(step);
-            for id in bench.open.clone() {
-                let known = bench.scheduler.explain(id).is_some();
+            harness.step(step);
+            for id in harness.open.clone() {
+                let known = harness.scheduler.explain(id).is_some();
                 prop_assert!(known, "{id:?} is open and forgotten");
             }
         }
-        // No replica answers any more; what waits must be refused within its time and patience.
-        let running: Vec<Id> = bench.running.keys().copied().collect();
+        // Running jobs finish; the rest must be refused by its deadline and queue timeout.
+        let running: Vec<Id> = harness.running.keys().copied().collect();
         for id in running {
-            if bench.running.contains_key(&id) {
-                bench.end(id, End::Finished);
+            if harness.running.contains_key(&id) {
+                harness.end(id, End::Finished);
             }
         }
-        while let Some(id) = bench.running.keys().next().copied() {
-            bench.end(id, End::Finished);
+        while let Some(id) = harness.running.keys().next().copied() {
+            harness.end(id, End::Finished);
         }
-        bench.wait(40_000);
-        while let Some(id) = bench.running.keys().next().copied() {
-            bench.end(id, End::Finished);
-            bench.wait(1_000);
+        harness.wait(40_000);
+        while let Some(id) = harness.running.keys().next().copied() {
+            harness.end(id, End::Finished);
+            harness.wait(1_000);
         }
-        prop_assert!(bench.open.is_empty(), "left open: {:?}", bench.open);
+        prop_assert!(harness.open.is_empty(), "left open: {:?}", harness.open);
     }
 
-    /// Nothing waits while a replica idles: jobs of one size, no failures.
+    /// Nothing waits while a replica idles, for jobs of one size without failures.
     #[test]
     fn work_is_conserved(
         steps in prop::collection::vec((0..4_u32, any::<usize>(), any::<bool>()), 1..150),
     ) {
-        let mut bench = Bench::new(3);
-        // Warm-up compares replicas that joined together: none is held back.
-        for (account, which, offer) in steps {
+        let mut harness = Harness::new(3);
+        // Warm-up compares replicas that joined together, so it holds none back.
+        for (account, index, offer) in steps {
             match offer {
-                true => bench.offer(account, 500, true),
-                false => bench.step(Step::End { which, end: End::Finished }),
+                true => harness.offer(account, 500, true),
+                false => harness.step(Step::End { index, end: End::Finished }),
             }
-            let busy: BTreeSet<replica::Key> = bench.running.values().copied().collect();
-            let waits = bench.scheduler.waiting(POOL) > 0;
+            let busy: BTreeSet<replica::Key> = harness.running.values().copied().collect();
+            let waits = harness.scheduler.waiting(POOL) > 0;
             prop_assert!(!waits || busy.len() == 3, "{busy:?} with work waiting");
         }
     }
@@ -367,19 +366,19 @@
     /// However much another account sends, an account's job starts before a bounded number of others.
     #[test]
     fn nobody_starves(flood in 20..60_u32, heavy in 1..4_u32) {
-        let mut bench = Bench::new(1);
+        let mut harness = Harness::new(1);
         for _ in 0..flood {
-            bench.offer(heavy, 500, true);
+            harness.offer(heavy, 500, true);
         }
-        bench.offer(0, 500, true);
-        let lone = Id(bench.next);
+        harness.offer(0, 500, true);
+        let lone_job = Id(harness.last_id);
         let mut ended = 0;
-        while !bench.running.contains_key(&lone) && bench.open.contains(&lone) {
-            bench.step(Step::End { which: 0, end: End::Finished });
-            bench.offer(heavy, 500, true);
+        while !harness.running.contains_key(&lone_job) && harness.open.contains(&lone_job) {
+            harness.step(Step::End { index: 0, end: End::Finished });
+            harness.offer(heavy, 500, true);
             ended += 1;
             prop_assert!(ended <= 2 * (heavy + 1), "passed over {ended} times");
         }
-        prop_assert!(bench.running.contains_key(&lone));
+        prop_assert!(harness.running.contains_key(&lone_job));
     }
 }
--- a/crates/policy/tests/mix.rs
+++ b/crates/policy/tests/mix.rs
@@ -1,4 +1,4 @@
-//! The mix of zones, classes and markets.
+//! Choice of zones, machine classes and markets.
 
 use clock::Span;
 use clock::Time;
@@ -32,18 +32,18 @@
     }
 }
 
-/// A cloud that starts what is ordered unless it refuses the kind, and a pool planned on it.
+/// A cloud that starts what is ordered, except for refused kinds, and a pool planned on it.
 struct Cloud {
     now: Time,
     mix: Mix,
     offers: Vec<Offer>,
     instances: Vec<Instance>,
-    refuses: Vec<Kind>,
+    unavailable: Vec<Kind>,
     started: u32,
 }
 
 impl Cloud {
-    /// Three zones, reclaimable at 1.0, 1.1 and 1.2, on-demand at 3.0.
+    /// Three zones: reclaimable at 1.0, 1.1 and 1.2, on-demand at 3.0.
     fn new() -> Cloud {
         let mut offers = Vec::new();
         for (zone, price) in ZONES.iter().zip([1.0, 1.1, 1.2]) {
@@ -55,21 +55,21 @@
             mix: Mix::new(Config::default()),
             offers,
             instances: Vec::new(),
-            refuses: Vec::new(),
+            unavailable: Vec::new(),
             started: 0,
         }
     }
 
-    /// Plans once a minute; what was ordered a minute ago is live.
+    /// Plans once a minute; instances ordered a minute ago are live.
     fn run(&mut self, demand: u32, minutes: u64) -> Plan {
-        let mut plan = self.minute(demand);
+        let mut plan = self.plan_minute(demand);
         for _ in 1..minutes {
-            plan = self.minute(demand);
+            plan = self.plan_minute(demand);
         }
         plan
     }
 
-    fn minute(&mut self, demand: u32) -> Plan {
+    fn plan_minute(&mut self, demand: u32) -> Plan {
         self.now = self.now + Span::from_seconds(60);
         for instance in &mut self.instances {
             instance.live = true;
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Whether something was refused.
+    /// Carries out orders; returns whether one was refused.
     fn carry_out(&mut self, orders: &[Order]) -> bool {
         let mut refused = false;
         for order in orders {
             match order {
                 Order::Stop(id) => self.instances.retain(|instance| instance.id != *id),
-                Order::Start(kind, _) if self.refuses.contains(kind) => {
+                Order::Start(kind, _) if self.unavailable.contains(kind) => {
                     self.mix.refused(self.now, kind.clone());
                     refused = true;
                 }
@@ -110,9 +110,9 @@
         }
     }
 
-    fn count(&self, wanted: impl Fn(&Kind) -> bool) -> usize {
-        let is_wanted = |instance: &&Instance| wanted(&instance.kind);
-        self.instances.iter().filter(is_wanted).count()
+    fn count(&self, predicate: impl Fn(&Kind) -> bool) -> usize {
+        let matches = |instance: &&Instance| predicate(&instance.kind);
+        self.instances.iter().filter(matches).count()
     }
 
     fn on_demand(&self) -> usize {
@@ -120,8 +120,8 @@
     }
 }
 
-/// The cheapest zone alone would be cheapest, and gone at once; callers of the whole pool would
-/// miss their targets until replacements have loaded. Any two zones must be enough.
+/// The cheapest zone alone would be cheapest, but losing it would leave nothing until replacements have
+/// loaded. Any two zones must be enough.
 #[test]
 fn any_zone_may_go() {
     let mut cloud = Cloud::new();
@@ -133,23 +133,22 @@
     }
 }
 
-/// A zone is reclaimed and the cloud refuses replacements of its kind everywhere. On-demand
-/// instances fill the gap; when reclaimable ones are granted again they are given back, but only
-/// after their replacements are live, and nothing swings to and fro meanwhile.
+/// A zone is reclaimed and the cloud refuses replacements of its kind everywhere. On-demand instances fill the
+/// gap and are stopped after reclaimable replacements are live, without oscillation in between.
 #[test]
 fn on_demand_fills_the_gap_and_is_given_back() {
     let mut cloud = Cloud::new();
     cloud.run(6, 20);
-    cloud.refuses = ZONES.map(|zone| kind(zone, Market::Reclaimable)).to_vec();
+    cloud.unavailable = ZONES.map(|zone| kind(zone, Market::Reclaimable)).to_vec();
     cloud.instances.retain(|instance| instance.kind.zone != "a");
     let plan = cloud.run(6, 20);
     assert!(plan.survives_zone_loss);
     assert_eq!(cloud.on_demand(), 3);
     assert_eq!(cloud.started, 12);
 
-    cloud.refuses.clear();
+    cloud.unavailable.clear();
     for _ in 0..20 {
-        cloud.minute(6);
+        cloud.plan_minute(6);
         let live = |instance: &&Instance| instance.live;
         assert!(cloud.instances.iter().filter(live).count() >= 9);
     }
@@ -158,8 +157,8 @@
     assert_eq!(cloud.started, 15);
 }
 
-/// Prices swing by a few per cent each minute. Following them, the pool would start and stop
-/// instances all day, each of which loads a model before it serves anyone.
+/// Prices swing by a few per cent each minute. A pool that followed them would keep restarting instances, each
+/// of which loads a model before it serves anyone.
 #[test]
 fn small_swings_of_price_move_nothing() {
     let mut cloud = Cloud::new();
@@ -167,16 +166,15 @@
     let before = cloud.instances.clone();
     for minute in 0..200_u32 {
         for (index, offer) in cloud.offers.iter_mut().enumerate() {
-            let up = (minute + index as u32).is_multiple_of(3);
-            offer.per_hour = if up { 1.1 } else { 1.0 };
+            let is_high = (minute + index as u32).is_multiple_of(3);
+            offer.per_hour = if is_high { 1.1 } else { 1.0 };
         }
-        cloud.minute(6);
+        cloud.plan_minute(6);
     }
     assert_eq!(cloud.instances, before);
 }
 
-/// Only one zone is left in the whole cloud: no plan survives its loss, but to keep nothing for
-/// that reason would be worst of all.
+/// Only one zone is left in the whole cloud. No plan survives its loss, but an empty pool would be worse.
 #[test]
 fn one_zone_is_better_than_none() {
     let mut cloud = Cloud::new();
@@ -194,7 +192,7 @@
         ..Proptest::default()
     })]
 
-    /// With instances of one size the plan costs what the best of all choices costs.
+    /// With instances of one size the plan costs as much as the best of all choices.
     #[test]
     fn plan_is_the_cheapest(
         need in 1_u32..7,
@@ -222,9 +220,9 @@
         prop_assert!(plan.per_hour <= best + 1e-9, "{} over {}", plan.per_hour, best);
     }
 
-    /// Whatever the sizes and prices, a plan carried out leaves nothing more to do.
+    /// For any sizes and prices, a plan that was carried out leaves nothing more to do.
     #[test]
-    fn plans_come_to_rest(
+    fn plans_converge(
         need in 1_u32..40,
         kinds in proptest::collection::vec((0_usize..3, 0_u8..3, any::<bool>(), 0.5_f64..6.0, 1_u32..5), 1..12),
     ) {
@@ -238,11 +236,11 @@
             capacity: *capacity,
         }).collect();
         cloud.run(need, 30);
-        let rest = cloud.run(need, 1);
-        prop_assert_eq!(rest.orders, vec![]);
-        let all: u32 = cloud.instances.iter().map(|instance| {
+        let last = cloud.run(need, 1);
+        prop_assert_eq!(last.orders, vec![]);
+        let total: u32 = cloud.instances.iter().map(|instance| {
             cloud.offers.iter().rfind(|offer| offer.kind == instance.kind).expect("a price").capacity
         }).sum();
-        prop_assert!(all >= need);
+        prop_assert!(total >= need);
     }
 }
--- a/crates/policy/tests/pace.rs
+++ b/crates/policy/tests/pace.rs
@@ -1,4 +1,4 @@
-//! Replicas that name how many requests they take.
+//! Replicas that set rate limits.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,14 +22,14 @@
 const ACCOUNT: account::Key = account::Key(0);
 const POOL: pool::Key = pool::Key(0);
 
-/// What all entries together may send.
-fn dealt(limit: f64, entries: u64) -> (f64, usize) {
+/// Returns the rate that all entries together may send, and the number of senders.
+fn total_share(limit: f64, entries: u64) -> (f64, usize) {
     let config = Config::default();
-    let all: Vec<u64> = (0..entries).map(|entry| entry * 7 + 3).collect();
+    let all_entries: Vec<u64> = (0..entries).map(|entry| entry * 7 + 3).collect();
     let limit = Rate::per_second(limit).unwrap();
-    let shares = all
+    let shares = all_entries
         .iter()
-        .map(|me| share(&config, 99, limit, &all, *me))
+        .map(|me| share(&config, 99, limit, &all_entries, *me))
         .filter_map(|share| match share {
             Share::Part(rate) => Some(rate.requests_per_second()),
             _ => None,
@@ -39,28 +39,28 @@
 }
 
 #[test]
-fn a_limit_is_dealt_whole_and_never_twice() {
+fn shares_add_up_to_the_limit() {
     for entries in [1, 8, 75, 300, 840] {
         for limit in [0.2, 1.0, 1.9, 7.0, 250.0] {
-            let (sum, senders) = dealt(limit, entries);
+            let (sum, senders) = total_share(limit, entries);
             assert!(sum <= limit + 1e-9, "{sum} of {limit}, {entries} entries");
             assert!(sum >= 0.99 * limit - 0.002 * senders as f64);
             assert!((1..=entries as usize).contains(&senders));
-            // What each may send at once doesn't add up to more than the limit of a second, or one request.
+            // The bursts of all senders add up to no more than one second of the limit, or one request.
             assert!(senders <= limit.max(1.0) as usize);
         }
     }
 }
 
 #[test]
-fn texts_that_are_no_rates_are_none() {
-    for text in [f64::NAN, f64::INFINITY, -1.0] {
-        assert_eq!(Rate::per_second(text), None);
+fn invalid_rates_are_rejected() {
+    for requests in [f64::NAN, f64::INFINITY, -1.0] {
+        assert_eq!(Rate::per_second(requests), None);
     }
     assert_eq!(Rate::per_second(1.2), Some(Rate(1_200)));
 }
 
-/// A scheduler with this many replicas.
+/// Creates a scheduler with that many replicas.
 fn scheduler(replicas: u32) -> (Scheduler, Vec<replica::Key>) {
     let mut scheduler = Scheduler::with_settings(7, Settings::default());
     let account = account::Spec {
@@ -85,7 +85,7 @@
     (scheduler, keys)
 }
 
-fn job(id: u64, patience: Span) -> Job {
+fn job(id: u64, timeout: Span) -> Job {
     Job {
         id: job::Id(id),
         account: ACCOUNT,
@@ -96,12 +96,12 @@
         prefix: 0,
         fingerprint: id,
         idempotent: true,
-        first_token: patience,
-        token_gap: patience,
+        first_token: timeout,
+        token_gap: timeout,
         terms: job::Terms {
             rank: 0,
             attempts: 2,
-            queue_timeout: patience,
+            queue_timeout: timeout,
         },
     }
 }
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn other_replicas_take_what_one_in_need_does_not() {
+fn other_replicas_take_what_a_limited_one_does_not() {
     let (mut scheduler, keys) = scheduler(2);
     let mut out = Vec::new();
     scheduler.replica_paced(Time::ZERO, keys[0], Share::Nothing, &mut out);
@@ -127,9 +127,9 @@
     assert!(started.iter().all(|replica| *replica == keys[1]));
 }
 
-/// Without a wake-up at that time, a request would wait until something else happens.
+/// Without a wake-up at that time, the request would wait for the next unrelated event.
 #[test]
-fn a_waiting_request_goes_out_when_its_replica_takes_one_again() {
+fn a_waiting_request_starts_when_its_replica_accepts_one_again() {
     let (mut scheduler, keys) = scheduler(1);
     let mut out = Vec::new();
     let rate = Rate::per_second(2.0).unwrap();
@@ -151,9 +151,9 @@
     assert_eq!((started(&out).len(), now), (2, Time::from_millis(500)));
 }
 
-/// Callers that can't be served in time were held until their deadlines.
+/// Requests that can't be served in time were held until their deadlines.
 #[test]
-fn requests_that_no_replica_in_need_can_take_in_time_are_refused_at_once() {
+fn requests_that_no_limited_replica_can_take_in_time_are_refused_at_once() {
     let (mut scheduler, keys) = scheduler(3);
     let mut out = Vec::new();
     let rate = Rate::per_second(1.0).unwrap();
@@ -165,7 +165,7 @@
     }
     let refused = out
         .iter()
-        .filter(|one| matches!(one, Decision::Refuse { .. }));
-    // Three go at once, six more in two seconds.
+        .filter(|decision| matches!(decision, Decision::Refuse { .. }));
+    // Three are started at once, six more within two seconds.
     assert!(refused.count() >= 30 - 3 - 6);
 }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -12,10 +12,10 @@
 const RATE: u64 = 10_000;
 const BURST: u64 = 10_000;
 const COST: u64 = 500;
-const STEP_MILLIS: u64 = 5;
-const TELL_MILLIS: u64 = 250;
+const TICK_MILLIS: u64 = 5;
+const EXCHANGE_MILLIS: u64 = 250;
 
-/// Entries that tell each other their counts every [`TELL_MILLIS`], unless they are cut off.
+/// Entries that exchange their counts every [`EXCHANGE_MILLIS`], unless they are partitioned.
 struct World {
     now: u64,
     entries: Vec<Quotas>,
@@ -44,11 +44,11 @@
         Time::from_millis(self.now)
     }
 
-    /// Lets a request arrive each `every` milliseconds for a while, at the entry that `pick` names.
+    /// Sends a request every `every` milliseconds to the entry that `pick` returns.
     fn run(&mut self, millis: u64, every: u64, pick: impl Fn(u64) -> usize) {
         let end = self.now + millis;
         while self.now < end {
-            self.now += STEP_MILLIS;
+            self.now += TICK_MILLIS;
             if self.now.is_multiple_of(every) {
                 let now = self.time();
                 let entry = pick(self.now / every);
@@ -56,17 +56,17 @@
                     self.served.push((self.now, COST));
                 }
             }
-            if self.connected && self.now.is_multiple_of(TELL_MILLIS) {
-                self.tell();
+            if self.connected && self.now.is_multiple_of(EXCHANGE_MILLIS) {
+                self.exchange_counts();
             }
         }
     }
 
-    fn tell(&mut self) {
+    fn exchange_counts(&mut self) {
         let now = self.time();
         let counts: Vec<BTreeMap<u64, u64>> = self.entries.iter().map(Quotas::counts).collect();
-        for (at, quotas) in self.entries.iter_mut().enumerate() {
-            for (peer, counts) in counts.iter().enumerate().filter(|(peer, _)| *peer != at) {
+        for (entry, quotas) in self.entries.iter_mut().enumerate() {
+            for (peer, counts) in counts.iter().enumerate().filter(|(peer, _)| *peer != entry) {
                 quotas.absorb(now, peer as u64, counts);
             }
         }
@@ -78,21 +78,20 @@
     }
 }
 
-/// An account sends five times its quota through all eight entries in turn. Each entry only knows what the
-/// others had charged a quarter of a second ago; without what it holds back for them, all eight would
-/// give the same tokens away.
+/// An account sends five times its quota through all eight entries in turn. Each entry knows only what the
+/// others had charged 250 ms ago; unless it holds back their likely charges, all eight grant the same tokens.
 #[test]
 fn a_flood_through_all_entries_stays_within_the_quota() {
     let mut world = World::new();
-    world.run(12_000, 10, |turn| turn as usize % ENTRIES);
+    world.run(12_000, 10, |request| request as usize % ENTRIES);
     let served = world.served_between(4_000, 12_000);
     let quota = RATE * 8 + BURST;
     assert!(served <= quota, "{served} of {quota}");
     assert!(served >= RATE * 8 * 9 / 10, "{served} of {quota}");
 }
 
-/// An account within its quota sends everything through one entry, as a caller does that keeps its
-/// connection. An equal part for each entry would refuse seven of eight requests.
+/// An account within its quota sends everything through one entry, as a caller with a persistent connection
+/// does. Equal shares would refuse seven of eight requests.
 #[test]
 fn an_account_within_its_quota_may_use_one_entry_alone() {
     let mut world = World::new();
@@ -103,22 +102,22 @@
     assert!(world.served_between(0, 20_000) >= sent);
 }
 
-/// Entries are cut off from each other while an account floods all of them. Nobody hears what the others
-/// charge; each falls back to its equal part and the sum still holds.
+/// Entries are partitioned while an account floods all of them. Each falls back to its equal share, so the sum
+/// still holds.
 #[test]
 fn entries_that_are_cut_off_give_equal_parts() {
     let mut world = World::new();
-    world.run(2_000, 10, |turn| turn as usize % ENTRIES);
+    world.run(2_000, 10, |request| request as usize % ENTRIES);
     world.connected = false;
-    world.run(12_000, 10, |turn| turn as usize % ENTRIES);
+    world.run(12_000, 10, |request| request as usize % ENTRIES);
     let served = world.served_between(6_000, 14_000);
     assert!(served <= RATE * 8 + BURST, "{served}");
     assert!(served >= RATE * 8 / 2, "{served}");
 }
 
-/// A refused request comes back when it was told to and finds room, if nobody else asks.
+/// A refused request that is retried after the returned time is granted, if nobody else asks.
 #[test]
-fn the_time_to_come_back_holds() {
+fn a_retry_after_the_returned_time_is_granted() {
     let mut quotas = Quotas::new(Config::default());
     quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
     let now = Time::from_millis(5_000);
@@ -127,7 +126,7 @@
     assert!(quotas.charge(now + after, ACCOUNT, 4 * COST).is_ok());
 }
 
-/// A request that a replica turned away is not held against its account.
+/// A request that a replica turned away is not charged to its account.
 #[test]
 fn a_refund_gives_the_tokens_back() {
     let mut quotas = Quotas::new(Config::default());
@@ -138,8 +137,8 @@
     assert!(quotas.charge(now, ACCOUNT, BURST).is_ok());
 }
 
-/// All entries are replaced one after the other, as in a rolling restart. Those that ended say nothing more,
-/// but their successors do: an account within its quota must not lose a part of it for each that ended.
+/// All entries are replaced one after the other, as in a rolling restart. Their successors report counts in
+/// their place: an account must not lose a share of its quota for each entry that ended.
 #[test]
 fn replaced_entries_take_no_part_of_the_quota() {
     let mut quotas = Quotas::new(Config::default());
@@ -149,8 +148,8 @@
     let mut now = 0;
     let mut served = 0;
     for round in 0..200_u64 {
-        now += TELL_MILLIS;
-        // Each second round ends one entry and starts another in its place.
+        now += EXCHANGE_MILLIS;
+        // Every second round ends one entry and starts another in its place.
         let first = (round / 2).min(others);
         for peer in first..first + others {
             quotas.absorb(
@@ -159,14 +158,14 @@
                 &BTreeMap::from([(ACCOUNT, 0)]),
             );
         }
-        let cost = RATE * TELL_MILLIS / 1_000 * 9 / 10;
+        let cost = RATE * EXCHANGE_MILLIS / 1_000 * 9 / 10;
         served += u64::from(quotas.charge(Time::from_millis(now), ACCOUNT, cost).is_ok());
     }
     assert!(served >= 195, "{served} of 200");
 }
 
-/// One entry tells the sum of many. An entry falls out of the sum and comes back into it: what it had
-/// charged is not charged a second time, and nothing is given back for it either.
+/// A peer reports the sum of many entries. If an entry drops out of the sum and returns, its charges are neither
+/// charged again nor refunded.
 #[test]
 fn a_sum_that_falls_and_rises_is_charged_once() {
     let mut quotas = Quotas::new(Config::default());
@@ -187,9 +186,9 @@
 
 #[test]
 fn messages_that_come_in_a_bunch_make_no_rush() {
-    // Accounts far below their quotas were refused for half a minute after a neighbour's messages had been held
-    // up on a slow link. Two came within a millisecond; what the second told beyond the first was taken for the
-    // charge of one millisecond, and so much was held back for what the neighbour would charge until it spoke.
+    // Two messages delayed by a slow link arrived within a millisecond. The counts of the second were taken for
+    // the charges of one millisecond, and as much was held back until the next message: accounts far below
+    // their quotas were refused for half a minute.
     let mut quotas = Quotas::new(Config::default());
     quotas.set_entries(Time::ZERO, 2);
     quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
@@ -206,50 +205,49 @@
     assert_eq!(refused, Ok(ACCOUNT));
 }
 
-/// As many entries as a large system has, whose counts come as sums by way of another one: what an entry hears
-/// of was charged between a quarter and one and a quarter seconds ago.
-struct Large {
+/// A large system, whose counts arrive as sums of a hub: they were charged between 250 and 1250 ms ago.
+struct LargeWorld {
     now: u64,
     burst: u64,
     entries: Vec<Quotas>,
-    /// What each had charged, as it told last.
-    told: Vec<Counts>,
-    /// The sum of that, on its way.
-    sum: Vec<Counts>,
+    /// Last counts that each entry sent.
+    sent_counts: Vec<Counts>,
+    /// Sums of the other entries' counts, in flight.
+    sums: Vec<Counts>,
     served: Vec<(u64, u64)>,
 }
 
-impl Large {
+impl LargeWorld {
     const ENTRIES: usize = 79;
     const RATE: u64 = 450_000;
     const BURST: u64 = 900_000;
-    const GRACE: u64 = 110_000;
-    /// Costs of requests, in turn.
+    const OVERRUN_BURST: u64 = 110_000;
+    /// Costs of requests, in rotation.
     const COSTS: [u64; 3] = [9_190, 2_368, 715];
-    const STEP: u64 = 2;
-    const PACE: u64 = 500;
+    const TICK_MILLIS: u64 = 2;
+    const EXCHANGE_MILLIS: u64 = 500;
 
-    fn new() -> Large {
-        Large::with_burst(Large::BURST)
+    fn new() -> LargeWorld {
+        LargeWorld::with_burst(LargeWorld::BURST)
     }
 
-    fn with_burst(burst: u64) -> Large {
-        Large {
+    fn with_burst(burst: u64) -> LargeWorld {
+        LargeWorld {
             now: 0,
             burst,
-            entries: Large::entries(0, burst),
-            told: vec![Counts::new(); Large::ENTRIES],
-            sum: vec![Counts::new(); Large::ENTRIES],
+            entries: LargeWorld::entries(0, burst),
+            sent_counts: vec![Counts::new(); LargeWorld::ENTRIES],
+            sums: vec![Counts::new(); LargeWorld::ENTRIES],
             served: Vec::new(),
         }
     }
 
-    /// After four calm seconds so many times the quota was asked for, and no more was served than is allowed.
-    fn flooded(burst: u64, times: u64) -> Large {
-        let mut world = Large::with_burst(burst);
-        world.run(4_000, Large::RATE / 2);
-        world.run(20_000, Large::RATE * times);
-        let (most, allowed) = (world.most(), Large::allowed(burst));
+    /// Sends `times` the quota after four calm seconds and checks that no more than allowed was served.
+    fn run_flood(burst: u64, times: u64) -> LargeWorld {
+        let mut world = LargeWorld::with_burst(burst);
+        world.run(4_000, LargeWorld::RATE / 2);
+        world.run(20_000, LargeWorld::RATE * times);
+        let (most, allowed) = (world.max_served(), LargeWorld::allowed(burst));
         assert!(
             most <= allowed,
             "{times} times the quota: {most} of {allowed}"
@@ -257,84 +255,85 @@
         world
     }
 
-    /// The most that may be served in eight seconds.
+    /// Returns the most tokens that may be served in eight seconds.
     fn allowed(burst: u64) -> u64 {
-        (Large::RATE * 8 + burst) * 11 / 10 + Large::GRACE
+        (LargeWorld::RATE * 8 + burst) * 11 / 10 + LargeWorld::OVERRUN_BURST
     }
 
-    /// All entries are killed, and others take their place.
+    /// Kills all entries and starts others in their place.
     fn replace_all(&mut self) {
-        *self = Large {
+        *self = LargeWorld {
             now: self.now,
-            entries: Large::entries(self.now, self.burst),
+            entries: LargeWorld::entries(self.now, self.burst),
             served: std::mem::take(&mut self.served),
-            ..Large::with_burst(self.burst)
+            ..LargeWorld::with_burst(self.burst)
         };
     }
 
     fn entries(now: u64, burst: u64) -> Vec<Quotas> {
         let now = Time::from_millis(now);
         let config = Config {
-            overrun_burst: Large::GRACE,
+            overrun_burst: LargeWorld::OVERRUN_BURST,
             ..Config::default()
         };
         let mut entries = Vec::new();
-        for _ in 0..Large::ENTRIES {
+        for _ in 0..LargeWorld::ENTRIES {
             let mut quotas = Quotas::new(config);
-            quotas.set_entries(now, Large::ENTRIES as u32);
-            quotas.set_quota(now, ACCOUNT, Large::RATE, burst);
+            quotas.set_entries(now, LargeWorld::ENTRIES as u32);
+            quotas.set_quota(now, ACCOUNT, LargeWorld::RATE, burst);
             entries.push(quotas);
         }
         entries
     }
 
-    /// For a while as many tokens a second are asked for, through all entries; how many requests were refused.
+    /// Sends that many tokens per second through all entries; returns the number of refused requests.
     fn run(&mut self, millis: u64, tokens: u64) -> u64 {
-        let (end, mut asked, mut turn, mut refused) = (self.now + millis, 0, 0, 0);
-        let begun = self.now;
+        let (end, mut asked, mut request, mut refused) = (self.now + millis, 0, 0, 0);
+        let started = self.now;
         while self.now < end {
-            self.now += Large::STEP;
+            self.now += LargeWorld::TICK_MILLIS;
             let now = Time::from_millis(self.now);
-            while asked < tokens * (self.now - begun) / 1_000 {
-                turn += 1;
-                let cost = Large::COSTS[turn % Large::COSTS.len()];
+            while asked < tokens * (self.now - started) / 1_000 {
+                request += 1;
+                let cost = LargeWorld::COSTS[request % LargeWorld::COSTS.len()];
                 asked += cost;
-                let entry = (turn * 31) % Large::ENTRIES;
+                let entry = (request * 31) % LargeWorld::ENTRIES;
                 match self.entries[entry].charge(now, ACCOUNT, cost) {
                     Ok(_) => self.served.push((self.now, cost)),
                     Err(_) => refused += 1,
                 }
             }
-            self.tell(now);
+            self.exchange_counts(now);
         }
         refused
     }
 
-    /// Each entry tells its counts at a moment of its own; the sum goes out later, and arrives later still.
-    fn tell(&mut self, now: Time) {
-        for entry in 0..Large::ENTRIES {
-            if (self.now + entry as u64 * 6).is_multiple_of(Large::PACE) {
-                self.told[entry] = self.entries[entry].counts();
+    /// Exchanges counts: each entry sends them at its own time; the sum goes out later and arrives later still.
+    fn exchange_counts(&mut self, now: Time) {
+        for entry in 0..LargeWorld::ENTRIES {
+            if (self.now + entry as u64 * 6).is_multiple_of(LargeWorld::EXCHANGE_MILLIS) {
+                self.sent_counts[entry] = self.entries[entry].counts();
             }
         }
-        if self.now.is_multiple_of(Large::PACE) {
-            let all = || self.told.iter().enumerate();
+        if self.now.is_multiple_of(LargeWorld::EXCHANGE_MILLIS) {
+            let all = || self.sent_counts.iter().enumerate();
             let others = |entry| all().filter(move |(other, _)| *other != entry);
-            let ranks = 0..Large::ENTRIES;
-            self.sum = ranks
+            let entries = 0..LargeWorld::ENTRIES;
+            self.sums = entries
                 .map(|entry| total(others(entry).map(|(_, counts)| counts)))
                 .collect();
         }
-        if (self.now + Large::PACE / 2).is_multiple_of(Large::PACE) {
-            for (entry, others) in self.sum.iter().enumerate() {
-                let spoken_for = Large::ENTRIES as u32 - 1;
-                self.entries[entry].absorb_sum(now, u64::MAX, others, spoken_for);
+        if (self.now + LargeWorld::EXCHANGE_MILLIS / 2).is_multiple_of(LargeWorld::EXCHANGE_MILLIS)
+        {
+            for (entry, others) in self.sums.iter().enumerate() {
+                let summed_entries = LargeWorld::ENTRIES as u32 - 1;
+                self.entries[entry].absorb_sum(now, u64::MAX, others, summed_entries);
             }
         }
     }
 
-    /// The most that was served in any eight seconds.
-    fn most(&self) -> u64 {
+    /// Returns the most tokens that were served in any eight seconds.
+    fn max_served(&self) -> u64 {
         let ends = (8_000..=self.now).step_by(50);
         let sums = ends.map(|end| {
             let within = |(at, _): &&(u64, u64)| (end - 8_000..end).contains(at);
@@ -348,16 +347,15 @@
     }
 }
 
-/// An account sends several times its quota through 79 entries, and more than allowed was served in some eight
-/// seconds. What one entry hears of the others is up to a second old: whenever the debt was paid off, all of them
-/// found room at the same moment and each let its next requests through.
+/// An account sends several times its quota through 79 entries. Counts of other entries are up to a second old:
+/// whenever the debt was paid off, all entries found room at the same moment and served more than allowed.
 #[test]
 fn a_flood_through_a_large_system_stays_within_the_quota() {
     for times in [2, 4, 8] {
-        let world = Large::flooded(Large::BURST, times);
+        let world = LargeWorld::run_flood(LargeWorld::BURST, times);
         let late = world.served.iter().filter(|(at, _)| *at >= 14_000);
         let served: u64 = late.map(|(_, cost)| cost).sum();
-        let due = Large::RATE * 10;
+        let due = LargeWorld::RATE * 10;
         assert!(
             served >= due * 8 / 10,
             "{times} times the quota: {served} of {due}"
@@ -365,28 +363,28 @@
     }
 }
 
-/// All entries are killed while an account sends several times its quota. Each of those that take their place
-/// took half of the burst to be left, and heard of the others' charges a second later.
+/// All entries are killed while an account sends several times its quota. Their replacements assumed that half
+/// of the burst was left, and received each other's counts a second later.
 #[test]
 fn entries_killed_together_give_no_burst_each() {
-    let allowed = Large::allowed(Large::BURST);
-    let mut world = Large::new();
-    world.run(12_000, Large::RATE * 4);
+    let allowed = LargeWorld::allowed(LargeWorld::BURST);
+    let mut world = LargeWorld::new();
+    world.run(12_000, LargeWorld::RATE * 4);
     world.now += 500;
     world.replace_all();
-    world.run(8_000, Large::RATE * 4);
-    let most = world.most();
+    world.run(8_000, LargeWorld::RATE * 4);
+    let most = world.max_served();
     assert!(most <= allowed, "{most} of {allowed}");
 }
 
-/// An account that stays below its quota is refused nothing, however many entries there are.
+/// An account below its quota is never refused, however many entries there are.
 #[test]
 fn a_large_system_refuses_nobody_below_the_quota() {
-    let mut world = Large::new();
-    assert_eq!(world.run(12_000, Large::RATE * 8 / 10), 0);
+    let mut world = LargeWorld::new();
+    assert_eq!(world.run(12_000, LargeWorld::RATE * 8 / 10), 0);
 }
 
-/// What all have charged together.
+/// Returns the sum of all counts.
 fn total<'a>(all: impl Iterator<Item = &'a Counts>) -> Counts {
     let mut total = Counts::new();
     for (name, count) in all.flatten() {
@@ -395,39 +393,38 @@
     total
 }
 
-/// A request comes back refused by its replica, among many entries of a short account. Its tokens went back to the
-/// account but not to the entry's part of it, and the next request was refused for want of a part.
+/// A replica refuses a request of a short account among many entries. The refund went to the account but not to
+/// the entry's share, so the next request was refused.
 #[test]
-fn a_refund_gives_the_part_back() {
+fn a_refund_restores_the_share() {
     let mut quotas = Quotas::new(Config::default());
     quotas.set_entries(Time::ZERO, 20);
     quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
     let now = Time::from_millis(250);
-    let part = BURST / 20;
-    let charged = quotas.charge(now, ACCOUNT, part).expect("its first part");
-    quotas.refund(charged, part);
-    assert_eq!(quotas.charge(now, ACCOUNT, part), Ok(ACCOUNT));
+    let share = BURST / 20;
+    let charged = quotas.charge(now, ACCOUNT, share).expect("its first share");
+    quotas.refund(charged, share);
+    assert_eq!(quotas.charge(now, ACCOUNT, share), Ok(ACCOUNT));
 }
 
-/// An account asks for three times its quota in small requests, and now and then sends a large one that fits into
-/// the quota by itself. What the platform lets pass beyond the quota goes to those that don't fit, so that it is there
-/// for no one else; what fits is served.
+/// An account sends three times its quota in small requests, and sometimes a large one that fits into the quota
+/// by itself. The allowed overrun goes only to requests that don't fit; what fits is served.
 #[test]
 fn requests_beyond_the_quota_take_nothing_from_those_within() {
-    let grace = 5_000;
+    let overrun_burst = 5_000;
     let config = Config {
-        overrun_burst: grace,
+        overrun_burst,
         ..Config::default()
     };
     let mut quotas = Quotas::new(config);
     quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
     let mut now = Time::from_millis(2_000);
-    let mut beyond = 0;
+    let mut granted = 0;
     while quotas.charge(now, ACCOUNT, COST).is_ok() {
-        beyond += COST;
+        granted += COST;
     }
-    assert!(beyond <= BURST + grace, "{beyond}");
-    // What comes in is the quota's, to the token.
+    assert!(granted <= BURST + overrun_burst, "{granted}");
+    // The refill goes to the quota, to the token.
     let mut within = 0;
     for _ in 0..100 {
         now = now + clock::Span::from_millis(50);
