--- a/crates/policy/src/concurrency/limit.rs
+++ b/crates/policy/src/concurrency/limit.rs
@@ -18,8 +18,8 @@
 }
 
 impl Limit {
-    /// Starts with the replica's whole capacity: the use of others is subtracted elsewhere, and the first late
-    /// samples cut the limit.
+    /// Starts with the replica's whole capacity: the use of others is subtracted elsewhere, and the first
+    /// late samples cut the limit.
     pub fn new(slots: u32) -> Limit {
         let max = f64::from(slots.max(1));
         Limit {
--- a/crates/policy/src/concurrency/mod.rs
+++ b/crates/policy/src/concurrency/mod.rs
@@ -113,8 +113,8 @@
         self.own.jobs()
     }
 
-    /// Estimates the jobs of all entries. `mean_own` is this entry's mean number of jobs per replica of the pool,
-    /// which is assumed for each other entry where nothing is known.
+    /// Estimates the jobs of all entries. `mean_own` is this entry's mean number of jobs per replica of the
+    /// pool, which is assumed for each other entry where nothing is known.
     pub fn jobs(&self, now: Time, mean_own: f64) -> f64 {
         f64::from(self.own.jobs()) + self.estimate_others(now, mean_own)
     }
@@ -127,7 +127,8 @@
     /// Returns whether one more own job may start, within the limit and the replica's slots.
     pub fn is_open(&self, now: Time, mean_own: f64) -> bool {
         let own = self.own.jobs();
-        // The first own job is always allowed: a wrong estimate of others must not exclude a replica for good.
+        // The first own job is always allowed: a wrong estimate of others must not exclude a replica for
+        // good.
         own == 0 || own < self.limit.value() && self.jobs(now, mean_own) < f64::from(self.slots)
     }
 
--- a/crates/policy/src/configs/affinity.rs
+++ b/crates/policy/src/configs/affinity.rs
@@ -10,9 +10,9 @@
     /// 1.25 after Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2016: the
     /// expected cost of spilling grows with 1/(load_factor - 1)^2, so a lower value buys little evenness.
     pub load_factor: f64,
-    /// Load above the mean that is always allowed, in jobs. One own job moves the estimate of all entries' load
-    /// by several: with less slack equal prefixes spill on the estimate's noise, and copies of one request reach
-    /// more replicas; with more, the home of a hot key is overloaded.
+    /// Load above the mean that is always allowed, in jobs. One own job moves the estimate of all entries'
+    /// load by several: with less slack equal prefixes spill on the estimate's noise, and copies of one
+    /// request reach more replicas; with more, the home of a hot key is overloaded.
     pub slack: f64,
     /// Maximum number of hints.
     pub max_hints: usize,
--- a/crates/policy/src/configs/concurrency.rs
+++ b/crates/policy/src/configs/concurrency.rs
@@ -14,8 +14,8 @@
     pub report_decay: Span,
     /// Weight of one latency sample in the moving average.
     pub smoothing: f64,
-    /// Factor applied to the limit when latency is above the target. With +1 for each full round below it, the
-    /// limits of entries that share a replica converge to equal values (Chiu and Jain, 1989).
+    /// Factor applied to the limit when latency is above the target. With +1 for each full round below it,
+    /// the limits of entries that share a replica converge to equal values (Chiu and Jain, 1989).
     pub decrease: f64,
     /// Minimum time between cuts, so that each takes effect before the next.
     pub cut_interval: Span,
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -246,8 +246,8 @@
         state.settled = false;
     }
 
-    /// Takes the sum of `entries` peers as the new baseline and charges nothing: it is not comparable with the
-    /// previous sum.
+    /// Takes the sum of `entries` peers as the new baseline and charges nothing: it is not comparable with
+    /// the previous sum.
     pub fn rebase(&mut self, now: Time, peer: u64, counts: &Counts, entries: u32) {
         self.refill(now);
         let state = self
@@ -260,7 +260,8 @@
         state.settled = false;
     }
 
-    /// Charges the sum of `entries` peers. A sum that falls no longer includes one of them and refunds nothing.
+    /// Charges the sum of `entries` peers. A sum that falls no longer includes one of them and refunds
+    /// nothing.
     pub fn absorb_sum(&mut self, now: Time, peer: u64, counts: &Counts, entries: u32) {
         let mut rising = counts.clone();
         if let Some(state) = self.peers.get(&peer) {
@@ -296,8 +297,8 @@
 
     /// Charges what newly silent peers are likely to have used before their timeout.
     ///
-    /// What was held back for them would otherwise become free at the timeout: every entry that was cut off in a
-    /// flood granted it a second time.
+    /// What was held back for them would otherwise become free at the timeout: every entry that was cut off
+    /// in a flood granted it a second time.
     fn charge_timed_out(&mut self, now: Time) {
         let config = self.config;
         let seconds = config.peer_timeout.as_millis() as f64 / 1_000.0;
--- a/crates/policy/src/scheduler/fleet.rs
+++ b/crates/policy/src/scheduler/fleet.rs
@@ -137,8 +137,8 @@
     /// Avoids replicas that may be gone, as long as there is room elsewhere.
     ///
     /// A replica may leave unnoticed during a partition: requests were sent to it until its absence was
-    /// confirmed, and would have been lost with it. If all replicas are unconfirmed, or the others are full, they
-    /// still get work: most of them are probably alive.
+    /// confirmed, and would have been lost with it. If all replicas are unconfirmed, or the others are
+    /// full, they still get work: most of them are probably alive.
     fn avoid_unconfirmed(&self, candidates: &mut [Candidate]) {
         let unconfirmed = |candidate: &Candidate| {
             let replica = self.replicas.get(&candidate.key);
@@ -147,8 +147,8 @@
         avoid(candidates, unconfirmed);
     }
 
-    /// Avoids replicas that run suspects, as long as there is room elsewhere: work that is refused for lack of
-    /// room suffers more surely than work that shares a crash.
+    /// Avoids replicas that run suspects, as long as there is room elsewhere: work that is refused for lack
+    /// of room suffers more surely than work that shares a crash.
     fn avoid_reserved(&self, now: Time, candidates: &mut [Candidate]) {
         if !self.settings.placement.quarantine || self.quarantine.reserved_count(now) == 0 {
             return;
@@ -199,8 +199,8 @@
         healthy && has_slots && warm && replica.gate.is_open(now)
     }
 
-    /// Returns whether one more own job may run there, within the limit from its latency and within this entry's
-    /// share of its slots. The entry's own slots don't depend on what others seem to run.
+    /// Returns whether one more own job may run there, within the limit from its latency and within this
+    /// entry's share of its slots. The entry's own slots don't depend on what others seem to run.
     fn has_slots(&self, now: Time, replica: &Replica, mean_own: f64) -> bool {
         let settings = &self.settings;
         let entries = settings.concurrency.entries;
--- a/crates/policy/src/scheduler/intake.rs
+++ b/crates/policy/src/scheduler/intake.rs
@@ -288,9 +288,9 @@
             ),
             (false, false) => now + MAX_WAIT,
         };
-        // Whatever is predicted, a job is given up only after one attempt to place it. Predictions learnt in an
-        // overload would otherwise refuse all jobs beside idle replicas for good, since nothing would run that
-        // could correct them.
+        // Whatever is predicted, a job is given up only after one attempt to place it. Predictions learnt
+        // in an overload would otherwise refuse all jobs beside idle replicas for good, since nothing would
+        // run that could correct them.
         open.start_deadline = open
             .start_deadline
             .min(open.queue_deadline)
--- a/crates/policy/src/scheduler/mod.rs
+++ b/crates/policy/src/scheduler/mod.rs
@@ -177,8 +177,8 @@
         self.record_cache_event(now, key, sequence, prefix, stored);
     }
 
-    /// Returns another replica that probably caches the job's prefix, for `chosen` to fetch it from instead of
-    /// computing it again; `None` if KV memory can't be moved.
+    /// Returns another replica that probably caches the job's prefix, for `chosen` to fetch it from instead
+    /// of computing it again; `None` if KV memory can't be moved.
     pub fn cache_source(&self, id: job::Id, chosen: replica::Key) -> Option<replica::Key> {
         match self.settings.placement.wave {
             true => self.other_home(id, chosen),
@@ -206,8 +206,8 @@
         self.poll(now, out);
     }
 
-    /// Marks a replica that may be gone, or clears the mark. A marked replica gets work only if no other of its
-    /// pool has room.
+    /// Marks a replica that may be gone, or clears the mark. A marked replica gets work only if no other of
+    /// its pool has room.
     pub fn replica_unconfirmed(
         &mut self,
         now: Time,
@@ -263,8 +263,8 @@
 
     /// Records the end of an attempt that generated `tokens`.
     ///
-    /// [`job::End::Finished`] and [`job::End::Left`] close the job. After any other end it is started elsewhere,
-    /// queued or refused, as idempotence and budgets allow.
+    /// [`job::End::Finished`] and [`job::End::Left`] close the job. After any other end it is started
+    /// elsewhere, queued or refused, as idempotence and budgets allow.
     pub fn attempt_ended(
         &mut self,
         now: Time,
--- a/crates/policy/src/scheduler/placement.rs
+++ b/crates/policy/src/scheduler/placement.rs
@@ -104,9 +104,9 @@
         Some(choice.replica())
     }
 
-    /// Returns the first replica other than `chosen` in the order of the job's prefix: its home or, if that is
-    /// `chosen`, its second choice, which was the home before `chosen` joined or took what the home had no room
-    /// for.
+    /// Returns the first replica other than `chosen` in the order of the job's prefix: its home or, if that
+    /// is `chosen`, its second choice, which was the home before `chosen` joined or took what the home had
+    /// no room for.
     pub(super) fn other_home(&self, id: job::Id, chosen: replica::Key) -> Option<replica::Key> {
         let job = self.open.get(&id)?.job;
         let pool = self.pools.get(&job.pool)?;
@@ -121,8 +121,8 @@
         rendezvous::top_two(job.prefix, usable).0
     }
 
-    /// Returns the replicas that run long jobs, without unconfirmed ones if possible: long jobs would wait for
-    /// those beside free replicas.
+    /// Returns the replicas that run long jobs, without unconfirmed ones if possible: long jobs would wait
+    /// for those beside free replicas.
     pub(super) fn lanes(&self, pool: &Pool) -> Vec<replica::Key> {
         let known = |key: &replica::Key| Some((*key, self.replicas.get(key)?));
         let (confirmed, unconfirmed): (Vec<_>, Vec<_>) = pool
--- a/crates/policy/src/scheduler/refusals.rs
+++ b/crates/policy/src/scheduler/refusals.rs
@@ -34,8 +34,8 @@
         if may_have_run {
             refusal.verdict = Verdict::MayHaveRun;
         }
-        // A caller that must not repeat its request has no use for a retry time, nor has one whose request crashes
-        // replicas.
+        // A caller that must not repeat its request has no use for a retry time, nor has one whose request
+        // crashes replicas.
         if reason != Reason::Quarantined && (!may_have_run || job.idempotent) {
             refusal.retry_after = Some(self.retry_time(now, &job, cost));
         }
--- a/crates/policy/src/scheduler/suspects.rs
+++ b/crates/policy/src/scheduler/suspects.rs
@@ -45,9 +45,9 @@
             .record_crash(now, identity, zone, &[open.job.fingerprint]);
     }
 
-    /// Stops running copies of new suspects that may be repeated: copies sent through several entries at once
-    /// would each crash a replica of their own before the first crash is known. Plain calls can't be stopped once
-    /// they are sent.
+    /// Stops running copies of new suspects that may be repeated: copies sent through several entries at
+    /// once would each crash a replica of their own before the first crash is known. Plain calls can't be
+    /// stopped once they are sent.
     pub(super) fn stop_suspects(&mut self, now: Time, out: &mut Vec<Decision>) {
         let accused = self.quarantine.take_suspects();
         if accused.is_empty() || !self.settings.placement.quarantine {
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Moves suspects from the heads of the queue to the held jobs, so that the others don't wait behind them.
+    /// Moves suspects from the heads of the queue to the held jobs, so that the others don't wait behind
+    /// them.
     pub(super) fn hold_suspects(&mut self, now: Time, key: pool::Key, out: &mut Vec<Decision>) {
         if !self.settings.placement.quarantine {
             return;
@@ -148,9 +149,9 @@
 
     /// Returns whether a quarantined job is still tried, because its caller already reads its answer.
     ///
-    /// An innocent stream that ran beside a killer twice was refused in mid-answer. A killer crashes the replica
-    /// that starts to run it, so a job that has generated tokens is hardly one; if it is, the number of trials
-    /// bounds the damage.
+    /// An innocent stream that ran beside a killer twice was refused in mid-answer. A killer crashes the
+    /// replica that starts to run it, so a job that has generated tokens is hardly one; if it is, the
+    /// number of trials bounds the damage.
     fn may_try_quarantined(&self, id: job::Id) -> bool {
         let most = self.settings.retry.max_attempts as u32 + STREAM_TRIALS;
         self.open
@@ -201,11 +202,11 @@
         })
     }
 
-    /// Claims a replica for the suspect, if no other suspect uses it, and schedules the start for when the claim
-    /// is beyond dispute.
+    /// Claims a replica for the suspect, if no other suspect uses it, and schedules the start for when the
+    /// claim is beyond dispute.
     ///
-    /// Jobs that already run there are not waited for: hardly any suspect is a killer, and suspects that waited
-    /// for an empty replica would all miss their targets.
+    /// Jobs that already run there are not waited for: hardly any suspect is a killer, and suspects that
+    /// waited for an empty replica would all miss their targets.
     fn run_trial(&mut self, now: Time, id: job::Id, out: &mut Vec<Decision>) {
         if let Some(claim) = self.open.get(&id).and_then(|open| open.claim) {
             return self.start_trial(now, id, claim, out);
@@ -264,11 +265,11 @@
         })
     }
 
-    /// Returns the first replica in the suspect's order that no other suspect uses. It may be overbooked by this
-    /// one job: a suspect that waited for a slot might never start.
+    /// Returns the first replica in the suspect's order that no other suspect uses. It may be overbooked by
+    /// this one job: a suspect that waited for a slot might never start.
     ///
-    /// Replicas where it was tried are skipped: one that crashed stays in a lagging instance list, and a suspect
-    /// assigned to it would wait for ever.
+    /// Replicas where it was tried are skipped: one that crashed stays in a lagging instance list, and a
+    /// suspect assigned to it would wait for ever.
     fn trial_replica(&self, now: Time, id: job::Id) -> Option<replica::Key> {
         let open = self.open.get(&id)?;
         let pool = self.pools.get(&open.job.pool)?;
--- a/crates/policy/tests/affinity.rs
+++ b/crates/policy/tests/affinity.rs
@@ -25,8 +25,8 @@
         .collect()
 }
 
-/// Every request has the same prefix. Its home would be overloaded while eight replicas idle; the second choice
-/// takes the rest, always the same one, so that only two compute the prefix.
+/// Every request has the same prefix. Its home would be overloaded while eight replicas idle; the second
+/// choice takes the rest, always the same one, so that only two compute the prefix.
 #[test]
 fn hot_key_fills_two_replicas_and_only_then_spills() {
     let mut candidates = pool(&[4.0; 9]);
--- a/crates/policy/tests/charge.rs
+++ b/crates/policy/tests/charge.rs
@@ -222,7 +222,8 @@
         }
     }
 
-    /// Exchanges counts: each entry sends them at its own time; the sum goes out later and arrives later still.
+    /// Exchanges counts: each entry sends them at its own time; the sum goes out later and arrives later
+    /// still.
     fn exchange_counts(&mut self) {
         let now = self.time();
         for entry in 0..self.quotas.len() {
@@ -296,9 +297,9 @@
     }
 }
 
-/// An account whose burst is a second of its rate sends several times its quota through 75 entries. Each entry
-/// decided by counts up to a second old, and together they granted the burst more than once: 4.9 to 5.1
-/// million tokens in eight seconds where 4.7 million were allowed.
+/// An account whose burst is a second of its rate sends several times its quota through 75 entries. Each
+/// entry decided by counts up to a second old, and together they granted the burst more than once: 4.9 to
+/// 5.1 million tokens in eight seconds where 4.7 million were allowed.
 #[test]
 fn a_flood_on_a_short_burst_stays_within_the_quota() {
     for entries in [8, 75, 79, 295, 840] {
@@ -315,8 +316,8 @@
     }
 }
 
-/// The home ends, or is cut off, while an account floods all entries. Its replacement has counts that are up to
-/// a second old, and would grant a second burst.
+/// The home ends, or is cut off, while an account floods all entries. Its replacement has counts that are
+/// up to a second old, and would grant a second burst.
 #[test]
 fn a_home_that_is_lost_gives_no_second_burst() {
     for entries in [75, 295] {
@@ -340,7 +341,8 @@
     }
 }
 
-/// A fifth of the entries reaches no other while an account floods them all: each decides alone, by its share.
+/// A fifth of the entries reaches no other while an account floods them all: each decides alone, by its
+/// share.
 #[test]
 fn entries_that_reach_no_home_give_their_parts() {
     for entries in [75, 295] {
--- a/crates/policy/tests/concurrency.rs
+++ b/crates/policy/tests/concurrency.rs
@@ -22,8 +22,8 @@
     Time::from_millis(millis)
 }
 
-/// A report that was made before the last four own starts doesn't include them. Subtracting them from it would
-/// count the jobs of others as own ones and underestimate the load.
+/// A report that was made before the last four own starts doesn't include them. Subtracting them from it
+/// would count the jobs of others as own ones and underestimate the load.
 #[test]
 fn report_is_corrected_for_what_was_started_since() {
     let config = Config {
@@ -60,8 +60,8 @@
     assert!(fresh < 0.1 && (stale - 14.0).abs() < 0.1, "{fresh} {stale}");
 }
 
-/// Eight entries share a replica whose token gap doubles beyond 16 jobs; at first one has it to itself. Without
-/// communication all entries get about equal shares.
+/// Eight entries share a replica whose token gap doubles beyond 16 jobs; at first one has it to itself.
+/// Without communication all entries get about equal shares.
 #[test]
 fn limits_of_entries_become_equal() {
     let mut loads = vec![Load::new(Config::default(), 64); 8];
@@ -95,8 +95,8 @@
         ..Proptest::default()
     })]
 
-    /// In any order of events the limit stays from 1 to the slots, estimates are finite and never below the own
-    /// jobs, and an entry without a job there may always start one.
+    /// In any order of events the limit stays from 1 to the slots, estimates are finite and never below the
+    /// own jobs, and an entry without a job there may always start one.
     #[test]
     fn estimates_stay_within_bounds(events in proptest::collection::vec((0_u8..5, 0_u32..50, 0_u64..3_000), 1..200)) {
         let mut load = Load::new(Config::default(), 16);
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -315,8 +315,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Each job ends exactly once with a true verdict, and none is forgotten: at the end everything that is left
-    /// runs or is refused in time.
+    /// Each job ends exactly once with a true verdict, and none is forgotten: at the end everything that is
+    /// left runs or is refused in time.
     #[test]
     fn every_job_ends_once_with_a_true_verdict(steps in prop::collection::vec(step(), 1..120)) {
         let mut harness = Harness::new(3);
--- a/crates/policy/tests/mix.rs
+++ b/crates/policy/tests/mix.rs
@@ -133,8 +133,8 @@
     }
 }
 
-/// A zone is reclaimed and the cloud refuses replacements of its kind everywhere. On-demand instances fill the
-/// gap and are stopped after reclaimable replacements are live, without oscillation in between.
+/// A zone is reclaimed and the cloud refuses replacements of its kind everywhere. On-demand instances fill
+/// the gap and are stopped after reclaimable replacements are live, without oscillation in between.
 #[test]
 fn on_demand_fills_the_gap_and_is_given_back() {
     let mut cloud = Cloud::new();
@@ -157,8 +157,8 @@
     assert_eq!(cloud.started, 15);
 }
 
-/// Prices swing by a few per cent each minute. A pool that followed them would keep restarting instances, each
-/// of which loads a model before it serves anyone.
+/// Prices swing by a few per cent each minute. A pool that followed them would keep restarting instances,
+/// each of which loads a model before it serves anyone.
 #[test]
 fn small_swings_of_price_move_nothing() {
     let mut cloud = Cloud::new();
--- a/crates/policy/tests/pace.rs
+++ b/crates/policy/tests/pace.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn shares_add_up_to_the_limit() {
+fn a_limit_is_dealt_whole_and_never_twice() {
     for entries in [1, 8, 75, 300, 840] {
         for limit in [0.2, 1.0, 1.9, 7.0, 250.0] {
             let (sum, senders) = total_share(limit, entries);
@@ -129,7 +129,7 @@
 
 /// Without a wake-up at that time, the request would wait for the next unrelated event.
 #[test]
-fn a_waiting_request_starts_when_its_replica_accepts_one_again() {
+fn a_waiting_request_goes_out_when_its_replica_takes_one_again() {
     let (mut scheduler, keys) = scheduler(1);
     let mut out = Vec::new();
     let rate = Rate::per_second(2.0).unwrap();
@@ -153,7 +153,7 @@
 
 /// Requests that can't be served in time were held until their deadlines.
 #[test]
-fn requests_that_no_limited_replica_can_take_in_time_are_refused_at_once() {
+fn requests_that_no_replica_in_need_can_take_in_time_are_refused_at_once() {
     let (mut scheduler, keys) = scheduler(3);
     let mut out = Vec::new();
     let rate = Rate::per_second(1.0).unwrap();
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -102,8 +102,8 @@
     assert!(world.served_between(0, 20_000) >= sent);
 }
 
-/// Entries are partitioned while an account floods all of them. Each falls back to its equal share, so the sum
-/// still holds.
+/// Entries are partitioned while an account floods all of them. Each falls back to its equal share, so the
+/// sum still holds.
 #[test]
 fn entries_that_are_cut_off_give_equal_parts() {
     let mut world = World::new();
@@ -164,8 +164,8 @@
     assert!(served >= 195, "{served} of 200");
 }
 
-/// A peer reports the sum of many entries. If an entry drops out of the sum and returns, its charges are neither
-/// charged again nor refunded.
+/// A peer reports the sum of many entries. If an entry drops out of the sum and returns, its charges are
+/// neither charged again nor refunded.
 #[test]
 fn a_sum_that_falls_and_rises_is_charged_once() {
     let mut quotas = Quotas::new(Config::default());
@@ -186,9 +186,9 @@
 
 #[test]
 fn messages_that_come_in_a_bunch_make_no_rush() {
-    // Two messages delayed by a slow link arrived within a millisecond. The counts of the second were taken for
-    // the charges of one millisecond, and as much was held back until the next message: accounts far below
-    // their quotas were refused for half a minute.
+    // Two messages delayed by a slow link arrived within a millisecond. The counts of the second were taken
+    // for the charges of one millisecond, and as much was held back until the next message: accounts far
+    // below their quotas were refused for half a minute.
     let mut quotas = Quotas::new(Config::default());
     quotas.set_entries(Time::ZERO, 2);
     quotas.set_quota(Time::ZERO, ACCOUNT, RATE, BURST);
@@ -308,7 +308,8 @@
         refused
     }
 
-    /// Exchanges counts: each entry sends them at its own time; the sum goes out later and arrives later still.
+    /// Exchanges counts: each entry sends them at its own time; the sum goes out later and arrives later
+    /// still.
     fn exchange_counts(&mut self, now: Time) {
         for entry in 0..LargeWorld::ENTRIES {
             if (self.now + entry as u64 * 6).is_multiple_of(LargeWorld::EXCHANGE_MILLIS) {
@@ -347,8 +348,9 @@
     }
 }
 
-/// An account sends several times its quota through 79 entries. Counts of other entries are up to a second old:
-/// whenever the debt was paid off, all entries found room at the same moment and served more than allowed.
+/// An account sends several times its quota through 79 entries. Counts of other entries are up to a second
+/// old: whenever the debt was paid off, all entries found room at the same moment and served more than
+/// allowed.
 #[test]
 fn a_flood_through_a_large_system_stays_within_the_quota() {
     for times in [2, 4, 8] {
@@ -363,8 +365,8 @@
     }
 }
 
-/// All entries are killed while an account sends several times its quota. Their replacements assumed that half
-/// of the burst was left, and received each other's counts a second later.
+/// All entries are killed while an account sends several times its quota. Their replacements assumed that
+/// half of the burst was left, and received each other's counts a second later.
 #[test]
 fn entries_killed_together_give_no_burst_each() {
     let allowed = LargeWorld::allowed(LargeWorld::BURST);
@@ -393,8 +395,8 @@
     total
 }
 
-/// A replica refuses a request of a short account among many entries. The refund went to the account but not to
-/// the entry's share, so the next request was refused.
+/// A replica refuses a request of a short account among many entries. The refund went to the account but
+/// not to the entry's share, so the next request was refused.
 #[test]
 fn a_refund_restores_the_share() {
     let mut quotas = Quotas::new(Config::default());
@@ -407,8 +409,8 @@
     assert_eq!(quotas.charge(now, ACCOUNT, share), Ok(ACCOUNT));
 }
 
-/// An account sends three times its quota in small requests, and sometimes a large one that fits into the quota
-/// by itself. The allowed overrun goes only to requests that don't fit; what fits is served.
+/// An account sends three times its quota in small requests, and sometimes a large one that fits into the
+/// quota by itself. The allowed overrun goes only to requests that don't fit; what fits is served.
 #[test]
 fn requests_beyond_the_quota_take_nothing_from_those_within() {
     let overrun_burst = 5_000;
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -1,5 +1,5 @@
-//! Routing under faults, judged by what callers receive, at both users' sizes: a pool of 9 replicas and one of
-//! 3, in three zones, behind 8 entries that each see only their own part.
+//! Routing under faults, judged by what callers receive, at both users' sizes: a pool of 9 replicas and one
+//! of 3, in three zones, behind 8 entries that each see only their own part.
 
 mod support;
 
@@ -23,8 +23,8 @@
 }
 
 impl Comparison {
-    /// Runs the pattern over all seeds. Under any fault each request ends, "not run" is true, and a job that must
-    /// not run twice doesn't.
+    /// Runs the pattern over all seeds. Under any fault each request ends, "not run" is true, and a job
+    /// that must not run twice doesn't.
     fn run(pattern: &Pattern) -> Comparison {
         let run_seeds = |contestant: Contestant| -> Vec<Tally> {
             SEEDS.map(|seed| contestant.run(pattern, seed)).collect()
@@ -113,8 +113,8 @@
     Comparison::run(&small(&patterns::hot_key())).assert_gain(0.0);
 }
 
-/// One replica becomes six times slower for a quarter of a minute. Its streams miss their token gap, and every
-/// request sent to it after that is late.
+/// One replica becomes six times slower for a quarter of a minute. Its streams miss their token gap, and
+/// every request sent to it after that is late.
 #[test]
 fn slow_replica() {
     let pattern = patterns::slow_replica(Health::Slow(6.0), "slow");
@@ -192,8 +192,8 @@
 #[test]
 fn killer_through_each_entry() {
     let pattern = with_killers(at_load("killer", 0.5), 1_500);
-    // In the pool of three a caller may use up its attempts while its request waits as a suspect; in the pool of
-    // nine each is refused for good.
+    // In the pool of three a caller may use up its attempts while its request waits as a suspect; in the
+    // pool of nine each is refused for good.
     for (pattern, least) in [(pattern.clone(), 8), (small(&pattern), 7)] {
         let comparison = Comparison::run(&pattern);
         assert!(comparison.killed() <= 2);
