--- a/crates/policy/examples/reports.rs
+++ b/crates/policy/examples/reports.rs
@@ -99,7 +99,11 @@
 }
 
 fn choose(loads: &[Load], now: Time, pick: Pick, random: &mut Pcg32) -> usize {
-    let usual = loads.iter().map(|load| f64::from(load.own())).sum::<f64>() / REPLICAS as f64;
+    let usual = loads
+        .iter()
+        .map(|load| f64::from(load.own_jobs()))
+        .sum::<f64>()
+        / REPLICAS as f64;
     let jobs = |replica: &usize| loads[*replica].jobs(now, usual);
     let candidates: Vec<usize> = match pick {
         Pick::Least => (0..REPLICAS).collect(),
@@ -112,7 +116,7 @@
 }
 
 fn count(loads: &[Vec<Load>]) -> Vec<u32> {
-    let at = |replica: usize| loads.iter().map(|entry| entry[replica].own()).sum();
+    let at = |replica: usize| loads.iter().map(|entry| entry[replica].own_jobs()).sum();
     (0..REPLICAS).map(at).collect()
 }
 
--- a/crates/policy/src/charge.rs
+++ b/crates/policy/src/charge.rs
@@ -86,22 +86,22 @@
     }
 
     /// Removes and returns the charge that a home's answer decides, or `None` if the answer is too late.
-    pub fn answered(&mut self, serial: u64, by: Entry) -> Option<Charge> {
-        if self.pending.get(&serial)?.asked != by {
+    pub fn answered(&mut self, serial: u64, home: Entry) -> Option<Charge> {
+        if self.pending.get(&serial)?.asked != home {
             return None;
         }
         self.pending.remove(&serial).map(|pending| pending.charge)
     }
 
     /// Handles a missing answer: returns who decides next, or `None` if the charge is decided.
-    pub fn unanswered(&mut self, now: Time, serial: u64, by: Entry) -> Option<(Charge, Step)> {
-        if self.pending.get(&serial)?.asked != by {
+    pub fn unanswered(&mut self, now: Time, serial: u64, home: Entry) -> Option<(Charge, Step)> {
+        if self.pending.get(&serial)?.asked != home {
             return None;
         }
         let Pending {
             charge, remaining, ..
         } = self.pending.remove(&serial)?;
-        self.skipped_until.insert(by, now + self.config.backoff);
+        self.skipped_until.insert(home, now + self.config.backoff);
         Some((charge, self.ask(now, serial, charge, remaining)))
     }
 
--- a/crates/policy/src/concurrency/mod.rs
+++ b/crates/policy/src/concurrency/mod.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Reported {
     /// Time at which the replica made it, by the local clock.
-    at: Time,
+    made_at: Time,
     /// Jobs of other entries.
     others: f64,
     /// Own jobs at that time.
@@ -94,14 +94,14 @@
 
     /// Records a load report, unless a newer one is known.
     pub fn reported(&mut self, now: Time, report: &Report) {
-        let at = Time::from_millis(now.since(Time::ZERO + report.age).as_millis());
-        if self.reported.is_some_and(|last| last.at > at) {
+        let made_at = Time::from_millis(now.since(Time::ZERO + report.age).as_millis());
+        if self.reported.is_some_and(|last| last.made_at > made_at) {
             return;
         }
-        let own = self.own.jobs_at(at);
+        let own = self.own.jobs_at(made_at);
         let total = f64::from(report.running + report.waiting);
         self.reported = Some(Reported {
-            at,
+            made_at,
             others: (total - f64::from(own)).max(0.0),
             own,
             kv_used: report.kv_used,
@@ -109,7 +109,7 @@
     }
 
     /// Returns the own jobs in flight.
-    pub fn own(&self) -> u32 {
+    pub fn own_jobs(&self) -> u32 {
         self.own.jobs()
     }
 
@@ -150,7 +150,7 @@
         };
         let added = f64::from(self.own.jobs().saturating_sub(reported.own));
         let known = reported.others + added * peers * self.config.herd;
-        let age = now.since(reported.at).as_millis() as f64;
+        let age = now.since(reported.made_at).as_millis() as f64;
         let weight = (-age / self.config.report_decay.as_millis().max(1) as f64).exp();
         weight * known + (1.0 - weight) * assumed
     }
--- a/crates/policy/src/mix/fill.rs
+++ b/crates/policy/src/mix/fill.rs
@@ -41,10 +41,10 @@
     let mut order: Vec<usize> = (0..tiers.len()).collect();
     order.sort_by(|one, other| by_unit_price(&tiers[*one], &tiers[*other]));
     let largest = tiers.iter().map(|tier| u64::from(tier.capacity)).max();
-    let least = need.div_ceil(zones.saturating_sub(1).max(1) as u64);
-    let most = need + largest.unwrap_or(0);
-    let step = (most - least).div_ceil(MAX_CAPS).max(1);
-    let caps = (least..=most).step_by(step as usize);
+    let min_cap = need.div_ceil(zones.saturating_sub(1).max(1) as u64);
+    let max_cap = need + largest.unwrap_or(0);
+    let step = (max_cap - min_cap).div_ceil(MAX_CAPS).max(1);
+    let caps = (min_cap..=max_cap).step_by(step as usize);
     let choices = caps.map(|cap| fill(tiers, &order, zones, need, cap));
     let preference = |one: &Choice, other: &Choice| by_preference(one, other, need);
     choices.min_by(preference).unwrap_or(Choice {
--- a/crates/policy/src/mix/mod.rs
+++ b/crates/policy/src/mix/mod.rs
@@ -127,8 +127,8 @@
         let held = listing.held(instances);
         let mut tiers = self.tiers(&listing, &held);
         let choice = fill::cheapest(&tiers, listing.zones.len(), demand);
-        let (old, new) = choice.counts.split_at(held.len());
-        let starts = new.iter().zip(tiers.split_off(held.len()));
+        let (existing, added) = choice.counts.split_at(held.len());
+        let starts = added.iter().zip(tiers.split_off(held.len()));
         let starts: Vec<Order> = starts
             .zip(self.startable(&listing))
             .filter(|((count, _), _)| **count > 0)
@@ -136,7 +136,7 @@
             .collect();
         let pending = !starts.is_empty() || instances.iter().any(|instance| !instance.live);
         let survives_zone_loss = choice.without_one >= u64::from(demand);
-        let stops = self.stops(now, &held, old, pending || !survives_zone_loss);
+        let stops = self.stops(now, &held, existing, pending || !survives_zone_loss);
         Plan {
             per_hour: self.price(&listing, &held, &choice.counts),
             orders: starts.into_iter().chain(stops).collect(),
@@ -146,13 +146,13 @@
 
     /// Returns tiers of existing instances, by kind, followed by those that can be started.
     fn tiers(&self, listing: &Listing, held: &[Held]) -> Vec<Tier> {
-        let old = held.iter().map(|held| Tier {
+        let existing = held.iter().map(|held| Tier {
             price: held.offer.per_hour * (1.0 - self.config.hysteresis),
             count: Some(held.instances.len() as u32),
             ..listing.tier(held.offer)
         });
-        let new = self.startable(listing).map(|offer| listing.tier(offer));
-        old.chain(new).collect()
+        let startable = self.startable(listing).map(|offer| listing.tier(offer));
+        existing.chain(startable).collect()
     }
 
     fn startable<'a>(&self, listing: &Listing<'a>) -> impl Iterator<Item = &'a Offer> {
@@ -187,8 +187,8 @@
     }
 
     fn price(&self, listing: &Listing, held: &[Held], counts: &[u32]) -> f64 {
-        let old = held.iter().map(|held| held.offer);
-        let offers = old.chain(self.startable(listing));
+        let existing = held.iter().map(|held| held.offer);
+        let offers = existing.chain(self.startable(listing));
         let price = |(offer, count): (&Offer, &u32)| offer.per_hour * f64::from(*count);
         offers.zip(counts).map(price).sum()
     }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -58,7 +58,7 @@
     /// Tokens left; negative while a debt is paid off.
     level: f64,
     /// Charged by this entry since its start, tokens.
-    own: Cost,
+    charged: Cost,
     /// Tokens that this entry may grant while the account is short; `None` before the first request.
     share: Option<f64>,
     /// Largest request so far, tokens; caps the saved share.
@@ -120,7 +120,7 @@
             rate,
             burst,
             level: burst * self.config.initial_level,
-            own: 0,
+            charged: 0,
             share: None,
             largest: 0.0,
             short_until: Time::ZERO,
@@ -132,8 +132,8 @@
 
     /// Removes the quotas of accounts that are not in `names`.
     pub fn retain(&mut self, names: &[Name]) {
-        let kept = |name| names.contains(&name) || names.contains(&overrun_of(name));
-        self.buckets.retain(|name, _| kept(*name));
+        let is_kept = |name| names.contains(&name) || names.contains(&overrun_of(name));
+        self.buckets.retain(|name, _| is_kept(*name));
     }
 
     /// Charges a request; returns the charged bucket, or the time after which to retry.
@@ -190,7 +190,7 @@
             bucket.take_share(now, &config, needed, left, others)?;
         }
         bucket.level -= cost as f64;
-        bucket.own += cost;
+        bucket.charged += cost;
         Ok(())
     }
 
@@ -211,14 +211,16 @@
         if let Some(bucket) = self.buckets.get_mut(&name) {
             bucket.level = (bucket.level + cost as f64).min(bucket.burst);
             bucket.share = bucket.share.map(|share| share + cost as f64);
-            bucket.own = bucket.own.saturating_sub(cost);
+            bucket.charged = bucket.charged.saturating_sub(cost);
         }
     }
 
     /// Returns the totals charged by this entry, for its peers.
     pub fn counts(&self) -> Counts {
         let counts = self.buckets.iter();
-        counts.map(|(name, bucket)| (*name, bucket.own)).collect()
+        counts
+            .map(|(name, bucket)| (*name, bucket.charged))
+            .collect()
     }
 
     /// Charges the totals of a peer.
--- a/crates/policy/src/scheduler/ends.rs
+++ b/crates/policy/src/scheduler/ends.rs
@@ -111,8 +111,8 @@
         };
         let retryable = open.job.idempotent || !open.may_have_run;
         // The caller holds the head of the answer: it gets the rest, whatever the budget allows.
-        let left = open.sent < open.job.terms.attempts;
-        let resumable = open.streaming && retryable && left;
+        let attempts_left = open.sent < open.job.terms.attempts;
+        let resumable = open.streaming && retryable && attempts_left;
         let attempts = open.sent as usize;
         let Some(pool) = self.pools.get_mut(&open.job.pool) else {
             return;
@@ -120,7 +120,7 @@
         let tried_everywhere = pool.members.iter().all(|key| open.tried.contains(key));
         let within_budget = !reached || pool.budget.spend(&settings);
         let allowed = retryable
-            && left
+            && attempts_left
             && attempts < settings.max_attempts
             && !tried_everywhere
             && within_budget;
--- a/crates/policy/src/scheduler/fleet.rs
+++ b/crates/policy/src/scheduler/fleet.rs
@@ -220,10 +220,10 @@
 
 /// Closes the candidates to avoid, if any other is open.
 fn avoid(candidates: &mut [Candidate], avoided: impl Fn(&Candidate) -> bool) {
-    let other = candidates
+    let has_alternative = candidates
         .iter()
         .any(|candidate| candidate.open && !avoided(candidate));
-    if !other {
+    if !has_alternative {
         return;
     }
     for candidate in candidates.iter_mut() {
--- a/crates/policy/src/scheduler/intake.rs
+++ b/crates/policy/src/scheduler/intake.rs
@@ -302,7 +302,7 @@
 }
 
 /// Returns the latest start at which the first token still arrives in time.
-fn last_start(now: Time, due: Time, first: Span) -> Time {
-    let left = due.since(now);
-    now + (left - first)
+fn last_start(now: Time, deadline: Time, first_token: Span) -> Time {
+    let remaining = deadline.since(now);
+    now + (remaining - first_token)
 }
--- a/crates/policy/src/scheduler/mod.rs
+++ b/crates/policy/src/scheduler/mod.rs
@@ -306,8 +306,8 @@
         }
         let judged = self.pools.values().filter(|pool| pool.running > 0);
         let judged = judged.map(|pool| pool.monitor.next_wake()).min();
-        let expiry = self.expiry.first().map(|(at, _)| *at);
-        let held = self.held.first().map(|(at, _)| *at);
+        let expiry = self.expiry.first().map(|(due, _)| *due);
+        let held = self.held.first().map(|(due, _)| *due);
         let step = self.next_move();
         [
             judged,
@@ -371,8 +371,10 @@
         let allowed = pool.members.iter().map(|key| pool.monitor.allowance(*key));
         Snapshot {
             members: pool.members.len(),
-            open: candidates.iter().filter(|one| one.open).count(),
-            ejected: allowed.filter(|one| *one == Allowance::None).count(),
+            open: candidates.iter().filter(|candidate| candidate.open).count(),
+            ejected: allowed
+                .filter(|allowance| *allowance == Allowance::None)
+                .count(),
             running: pool.running,
             waiting: pool.queue.len(),
             held: self.held.len(),
--- a/crates/policy/src/scheduler/moves.rs
+++ b/crates/policy/src/scheduler/moves.rs
@@ -21,8 +21,8 @@
             return;
         };
         // Several sources report the same departure; the earliest deadline counts.
-        let sooner = replica.leaving.is_none_or(|known| deadline < known);
-        if !sooner {
+        let is_earlier = replica.leaving.is_none_or(|known| deadline < known);
+        if !is_earlier {
             return;
         }
         replica.leaving = Some(deadline);
@@ -87,8 +87,8 @@
                 .get(key)
                 .is_some_and(|replica| !replica.jobs.is_empty())
         });
-        let again = now + self.settings.placement.replan_interval;
-        self.next_review = (!self.leaving.is_empty()).then_some(again);
+        let next = now + self.settings.placement.replan_interval;
+        self.next_review = (!self.leaving.is_empty()).then_some(next);
         let mut planned = Vec::new();
         for pool in self.pools.values() {
             let sources = self.sources(pool);
@@ -114,11 +114,11 @@
     fn sources(&self, pool: &Pool) -> Vec<wave::Source> {
         let source = |key: &replica::Key| {
             let replica = self.replicas.get(key)?;
-            let same = self
+            let is_member = self
                 .pools
                 .get(&replica.spec.pool)
                 .is_some_and(|other| std::ptr::eq(other, pool));
-            let deadline = replica.leaving.filter(|_| same)?;
+            let deadline = replica.leaving.filter(|_| is_member)?;
             Some(wave::Source {
                 key: *key,
                 deadline,
@@ -142,7 +142,7 @@
         let account = self.accounts.get(&open.job.account)?;
         let expected = account.estimate.expect(open.job.max_new_tokens);
         // An answer that has outgrown the mean goes on: what is left of it isn't next to nothing.
-        let most = open
+        let max_left = open
             .job
             .max_new_tokens
             .saturating_sub(open.generated)
@@ -150,7 +150,7 @@
         let left = expected
             .saturating_sub(open.generated)
             .max(expected / 2)
-            .min(most);
+            .min(max_left);
         Some(wave::Running {
             id: open.job.id,
             from: open.replica?,
@@ -173,8 +173,8 @@
             .iter()
             .map(|source| source.deadline.since(now))
             .min();
-        let call = settings.wave.margin + settings.placement.overbook_window;
-        let last_call = soonest.is_some_and(|left| left <= call);
+        let window = settings.wave.margin + settings.placement.overbook_window;
+        let overbook = soonest.is_some_and(|left| left <= window);
         let (mut outside, mut inside) = (Vec::new(), Vec::new());
         for candidate in self.candidates(now, pool) {
             let replica = self.replicas.get(&candidate.key);
@@ -182,7 +182,7 @@
                 continue;
             };
             let free = (f64::from(replica.spec.slots) - candidate.load).max(0.0) as u32;
-            let slots = match (last_call, candidate.open) {
+            let slots = match (overbook, candidate.open) {
                 (true, _) => replica.spec.slots,
                 (false, true) => free.div_ceil(settings.concurrency.entries).max(1),
                 (false, false) => 0,
--- a/crates/policy/src/scheduler/placement.rs
+++ b/crates/policy/src/scheduler/placement.rs
@@ -124,11 +124,11 @@
     /// Returns the replicas that run long jobs, without unconfirmed ones if possible: long jobs would wait
     /// for those beside free replicas.
     pub(super) fn lanes(&self, pool: &Pool) -> Vec<replica::Key> {
-        let known = |key: &replica::Key| Some((*key, self.replicas.get(key)?));
+        let with_replica = |key: &replica::Key| Some((*key, self.replicas.get(key)?));
         let (confirmed, unconfirmed): (Vec<_>, Vec<_>) = pool
             .members
             .iter()
-            .filter_map(known)
+            .filter_map(with_replica)
             .partition(|(_, replica)| !replica.unconfirmed);
         let members = if confirmed.is_empty() {
             unconfirmed
@@ -193,8 +193,8 @@
         let pool = open.job.pool;
         self.end_trial(id, key);
         self.mark_pool(pool);
-        let gone = self.replicas.get(&key);
-        if gone.is_some_and(|replica| replica.lost && replica.jobs.is_empty()) {
+        let detached = self.replicas.get(&key);
+        if detached.is_some_and(|replica| replica.lost && replica.jobs.is_empty()) {
             self.replicas.remove(&key);
         }
         Some(key)
--- a/crates/policy/src/scheduler/suspects.rs
+++ b/crates/policy/src/scheduler/suspects.rs
@@ -153,10 +153,10 @@
     /// replica that starts to run it, so a job that has generated tokens is hardly one; if it is, the
     /// number of trials bounds the damage.
     fn may_try_quarantined(&self, id: job::Id) -> bool {
-        let most = self.settings.retry.max_attempts as u32 + STREAM_TRIALS;
+        let max_attempts = self.settings.retry.max_attempts as u32 + STREAM_TRIALS;
         self.open
             .get(&id)
-            .is_some_and(|open| open.streaming && open.generated > 0 && open.sent < most)
+            .is_some_and(|open| open.streaming && open.generated > 0 && open.sent < max_attempts)
     }
 
     /// Ends a trial and frees the replica for other jobs.
@@ -212,12 +212,12 @@
             return self.start_trial(now, id, claim, out);
         }
         let valid_from = now + self.settings.quarantine.claim_delay;
-        let again = now + self.settings.health.period;
-        let place = self.trial_replica(now, id);
-        let replica = place.and_then(|key| self.replicas.get_mut(&key));
-        let (Some(open), Some(key), Some(replica)) = (self.open.get_mut(&id), place, replica)
+        let retry_at = now + self.settings.health.period;
+        let target = self.trial_replica(now, id);
+        let replica = target.and_then(|key| self.replicas.get_mut(&key));
+        let (Some(open), Some(key), Some(replica)) = (self.open.get_mut(&id), target, replica)
         else {
-            self.held.insert((again, id));
+            self.held.insert((retry_at, id));
             return;
         };
         replica.trial = Some(id);
@@ -259,9 +259,9 @@
         let open = self.open.get(&id);
         let replica = self.replicas.get(&key);
         open.zip(replica).is_some_and(|(open, replica)| {
-            let gone = replica.lost || replica.leaving.is_some();
+            let leaving = replica.lost || replica.leaving.is_some();
             let fingerprint = open.job.fingerprint;
-            !gone && self.quarantine.holds_claim(fingerprint, replica.identity)
+            !leaving && self.quarantine.holds_claim(fingerprint, replica.identity)
         })
     }
 
@@ -277,10 +277,10 @@
             let replica = self.replicas.get(key)?;
             let usable =
                 pool.monitor.allowance(*key) != Allowance::None && replica.gate.is_open(now);
-            let taken = replica.trial.is_some()
+            let excluded = replica.trial.is_some()
                 || self.quarantine.is_reserved(now, replica.identity)
                 || open.tried.contains(key);
-            (usable && !taken).then_some((*key, replica.identity))
+            (usable && !excluded).then_some((*key, replica.identity))
         });
         self.quarantine.choose_replica(open.job.fingerprint, free)
     }
--- a/crates/policy/tests/affinity.rs
+++ b/crates/policy/tests/affinity.rs
@@ -67,8 +67,8 @@
     }
     let third = affinity.choose(Time::ZERO, 7, &candidates).expect("room");
     assert!(matches!(third, Choice::Spilled(_)));
-    let again = affinity.choose(Time::ZERO, 7, &candidates);
-    assert_eq!(again, Some(Choice::Hinted(third.replica())));
+    let repeated = affinity.choose(Time::ZERO, 7, &candidates);
+    assert_eq!(repeated, Some(Choice::Hinted(third.replica())));
 }
 
 /// Cache events arrive late and with gaps, so a reported prefix may be evicted already. A hint never precedes
--- a/crates/policy/tests/charge.rs
+++ b/crates/policy/tests/charge.rs
@@ -38,7 +38,7 @@
         cost: u64,
     },
     Answer {
-        by: usize,
+        home: usize,
         serial: u64,
         granted: bool,
     },
@@ -99,14 +99,14 @@
 
     /// Sends that many tokens per second through all entries.
     fn run(&mut self, millis: u64, tokens: u64) {
-        let (started, mut asked, mut request) = (self.now, 0, 0);
+        let (started, mut sent, mut request) = (self.now, 0, 0);
         while self.now < started + millis {
             self.now += TICK_MILLIS;
             self.deliver();
-            while asked < tokens * (self.now - started) / 1_000 {
+            while sent < tokens * (self.now - started) / 1_000 {
                 request += 1;
                 let cost = COSTS[request % COSTS.len()];
-                asked += cost;
+                sent += cost;
                 self.arrive((request * 31) % self.quotas.len(), cost);
             }
             self.skip_silent_homes();
@@ -132,12 +132,12 @@
 
     /// Returns the entries as the others know them.
     fn known_entries(&self) -> Vec<Entry> {
-        let known = |entry: &usize| match self.ended.get(entry) {
+        let is_known = |entry: &usize| match self.ended.get(entry) {
             Some(ended_at) => self.now < ended_at + DETECTION_MILLIS,
             None => true,
         };
         (0..self.quotas.len())
-            .filter(known)
+            .filter(is_known)
             .map(|entry| entry as Entry)
             .collect()
     }
@@ -168,8 +168,11 @@
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         if !self.partitioned.contains(&from) && !self.partitioned.contains(&to) {
-            let at = self.now + LATENCY_MILLIS;
-            self.in_flight.entry(at).or_default().push((to, message));
+            let arrival = self.now + LATENCY_MILLIS;
+            self.in_flight
+                .entry(arrival)
+                .or_default()
+                .push((to, message));
         }
     }
 
@@ -185,18 +188,18 @@
                     let now = self.time();
                     let result = self.quotas[to].charge_as_home(now, ACCOUNT, cost);
                     let answer = Message::Answer {
-                        by: to,
+                        home: to,
                         serial,
                         granted: result.is_ok(),
                     };
                     self.send(to, from, answer);
                 }
                 Message::Answer {
-                    by,
+                    home,
                     serial,
                     granted,
                 } => {
-                    if let Some(charge) = self.charges[to].answered(serial, by as Entry) {
+                    if let Some(charge) = self.charges[to].answered(serial, home as Entry) {
                         self.record(charge.cost, granted);
                     }
                 }
@@ -278,22 +281,22 @@
 
     /// Returns the most tokens that were served in any eight seconds.
     fn max_served(&self) -> u64 {
-        let (mut first, mut within, mut most) = (0, 0, 0);
-        for (at, cost) in &self.served {
+        let (mut first, mut within, mut max) = (0, 0, 0);
+        for (time, cost) in &self.served {
             within += cost;
-            while self.served[first].0 + WINDOW_MILLIS <= *at {
+            while self.served[first].0 + WINDOW_MILLIS <= *time {
                 within -= self.served[first].1;
                 first += 1;
             }
-            most = most.max(within);
+            max = max.max(within);
         }
-        most
+        max
     }
 
     fn assert_within(&self, burst: u64, case: &str) {
         let allowed = (RATE * WINDOW_MILLIS / 1_000 + burst) * 11 / 10 + OVERRUN_BURST;
-        let most = self.max_served();
-        assert!(most <= allowed, "{case}: {most} of {allowed}");
+        let max = self.max_served();
+        assert!(max <= allowed, "{case}: {max} of {allowed}");
     }
 }
 
@@ -309,7 +312,7 @@
             world.run(20_000, RATE * times);
             let case = format!("{entries} entries, {times} times the quota");
             world.assert_within(SHORT_BURST, &case);
-            let late = world.served.iter().filter(|(at, _)| *at >= 14_000);
+            let late = world.served.iter().filter(|(time, _)| *time >= 14_000);
             let served: u64 = late.map(|(_, cost)| cost).sum();
             assert!(served >= RATE * 10 * 9 / 10, "{case}: {served} served");
         }
--- a/crates/policy/tests/concurrency.rs
+++ b/crates/policy/tests/concurrency.rs
@@ -35,8 +35,8 @@
         load.started(time(start), 10);
     }
     load.reported(time(1_000), &report(8, 500));
-    assert_eq!(load.own(), 6);
-    let others = load.jobs(time(500), 0.0) - f64::from(load.own());
+    assert_eq!(load.own_jobs(), 6);
+    let others = load.jobs(time(500), 0.0) - f64::from(load.own_jobs());
     assert!((others - 6.0).abs() < 1e-9, "others {others}");
 }
 
@@ -70,19 +70,19 @@
     }
     for round in 0..20_000_u64 {
         let now = time(round * 20);
-        let total: u32 = loads.iter().map(Load::own).sum();
+        let total: u32 = loads.iter().map(Load::own_jobs).sum();
         let latency_ratio = if total > 16 { 1.6 } else { 0.8 };
         for load in &mut loads {
             load.sample(now, latency_ratio);
-            while load.own() < load.limit() {
+            while load.own_jobs() < load.limit() {
                 load.started(now, 10);
             }
-            while load.own() > load.limit() {
+            while load.own_jobs() > load.limit() {
                 load.ended(now, 10);
             }
         }
     }
-    let own: Vec<u32> = loads.iter().map(Load::own).collect();
+    let own: Vec<u32> = loads.iter().map(Load::own_jobs).collect();
     let spread = own.iter().max().copied().unwrap_or(0) - own.iter().min().copied().unwrap_or(0);
     assert!(spread <= 1, "own jobs {own:?}");
 }
@@ -112,8 +112,8 @@
             }
             prop_assert!((1..=16).contains(&load.limit()));
             let jobs = load.jobs(now, 1.0);
-            prop_assert!(jobs.is_finite() && jobs >= f64::from(load.own()));
-            prop_assert!(load.own() > 0 || load.is_open(now, 100.0));
+            prop_assert!(jobs.is_finite() && jobs >= f64::from(load.own_jobs()));
+            prop_assert!(load.own_jobs() > 0 || load.is_open(now, 100.0));
         }
     }
 }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -73,7 +73,10 @@
     }
 
     fn served_between(&self, from: u64, to: u64) -> u64 {
-        let within = self.served.iter().filter(|(at, _)| (from..to).contains(at));
+        let within = self
+            .served
+            .iter()
+            .filter(|(time, _)| (from..to).contains(time));
         within.map(|(_, cost)| cost).sum()
     }
 }
@@ -247,10 +250,10 @@
         let mut world = LargeWorld::with_burst(burst);
         world.run(4_000, LargeWorld::RATE / 2);
         world.run(20_000, LargeWorld::RATE * times);
-        let (most, allowed) = (world.max_served(), LargeWorld::allowed(burst));
+        let (max, allowed) = (world.max_served(), LargeWorld::allowed(burst));
         assert!(
-            most <= allowed,
-            "{times} times the quota: {most} of {allowed}"
+            max <= allowed,
+            "{times} times the quota: {max} of {allowed}"
         );
         world
     }
@@ -288,15 +291,15 @@
 
     /// Sends that many tokens per second through all entries; returns the number of refused requests.
     fn run(&mut self, millis: u64, tokens: u64) -> u64 {
-        let (end, mut asked, mut request, mut refused) = (self.now + millis, 0, 0, 0);
+        let (end, mut sent, mut request, mut refused) = (self.now + millis, 0, 0, 0);
         let started = self.now;
         while self.now < end {
             self.now += LargeWorld::TICK_MILLIS;
             let now = Time::from_millis(self.now);
-            while asked < tokens * (self.now - started) / 1_000 {
+            while sent < tokens * (self.now - started) / 1_000 {
                 request += 1;
                 let cost = LargeWorld::COSTS[request % LargeWorld::COSTS.len()];
-                asked += cost;
+                sent += cost;
                 let entry = (request * 31) % LargeWorld::ENTRIES;
                 match self.entries[entry].charge(now, ACCOUNT, cost) {
                     Ok(_) => self.served.push((self.now, cost)),
@@ -337,7 +340,7 @@
     fn max_served(&self) -> u64 {
         let ends = (8_000..=self.now).step_by(50);
         let sums = ends.map(|end| {
-            let within = |(at, _): &&(u64, u64)| (end - 8_000..end).contains(at);
+            let within = |(time, _): &&(u64, u64)| (end - 8_000..end).contains(time);
             self.served
                 .iter()
                 .filter(within)
@@ -355,12 +358,12 @@
 fn a_flood_through_a_large_system_stays_within_the_quota() {
     for times in [2, 4, 8] {
         let world = LargeWorld::run_flood(LargeWorld::BURST, times);
-        let late = world.served.iter().filter(|(at, _)| *at >= 14_000);
+        let late = world.served.iter().filter(|(time, _)| *time >= 14_000);
         let served: u64 = late.map(|(_, cost)| cost).sum();
-        let due = LargeWorld::RATE * 10;
+        let expected = LargeWorld::RATE * 10;
         assert!(
-            served >= due * 8 / 10,
-            "{times} times the quota: {served} of {due}"
+            served >= expected * 8 / 10,
+            "{times} times the quota: {served} of {expected}"
         );
     }
 }
@@ -375,8 +378,8 @@
     world.now += 500;
     world.replace_all();
     world.run(8_000, LargeWorld::RATE * 4);
-    let most = world.max_served();
-    assert!(most <= allowed, "{most} of {allowed}");
+    let max = world.max_served();
+    assert!(max <= allowed, "{max} of {allowed}");
 }
 
 /// An account below its quota is never refused, however many entries there are.
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -104,12 +104,12 @@
     large.assert_gain(0.3);
     let computed =
         |tallies: &[Tally]| mean(tallies, |tally| tally.computed as f64 / tally.goodput());
-    let least = large
+    let min_computed = large
         .plain
         .iter()
         .map(|runs| computed(runs))
         .fold(f64::INFINITY, f64::min);
-    assert!(computed(&large.ours) < 0.7 * least);
+    assert!(computed(&large.ours) < 0.7 * min_computed);
     Comparison::run(&small(&patterns::hot_key())).assert_gain(0.0);
 }
 
@@ -194,7 +194,7 @@
     let pattern = with_killers(at_load("killer", 0.5), 1_500);
     // In the pool of three a caller may use up its attempts while its request waits as a suspect; in the
     // pool of nine each is refused for good.
-    for (pattern, least) in [(pattern.clone(), 8), (small(&pattern), 7)] {
+    for (pattern, min_refused) in [(pattern.clone(), 8), (small(&pattern), 7)] {
         let comparison = Comparison::run(&pattern);
         assert!(comparison.killed() <= 2);
         comparison.assert_gain(0.3);
@@ -212,7 +212,7 @@
                 let ended = outcome.refused_for_good > 0 || outcome.sends == 4;
                 assert!(!arrival.killer || ended && outcome.given_up == 0 && !outcome.answered);
             }
-            assert!(for_good(true) >= least);
+            assert!(for_good(true) >= min_refused);
             assert!(for_good(false) <= 2, "{} innocents", for_good(false));
         }
     }
