--- a/crates/policy/src/scheduler/suspects.rs
+++ b/crates/policy/src/scheduler/suspects.rs
@@ -49,8 +49,8 @@
     /// once would each crash a replica of their own before the first crash is known. Plain calls can't be
     /// stopped once they are sent.
     pub(super) fn stop_suspects(&mut self, now: Time, out: &mut Vec<Decision>) {
-        let accused = self.quarantine.take_suspects();
-        if accused.is_empty() || !self.settings.placement.quarantine {
+        let new_suspects = self.quarantine.take_suspects();
+        if new_suspects.is_empty() || !self.settings.placement.quarantine {
             return;
         }
         let running = |open: &&Open| {
@@ -60,7 +60,7 @@
             .open
             .values()
             .filter(running)
-            .filter(|open| accused.contains(&open.job.fingerprint))
+            .filter(|open| new_suspects.contains(&open.job.fingerprint))
             .map(|open| open.job.id)
             .collect();
         for id in copies {
