--- a/crates/policy/src/affinity/hints.rs
+++ b/crates/policy/src/affinity/hints.rs
@@ -1,4 +1,4 @@
-//! Where a prefix may be cached beyond its two choices.
+//! Hints at replicas that may hold a prefix, beyond its two choices.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -8,13 +8,13 @@
 use crate::configs::affinity::Config;
 use crate::replica;
 
-/// Bounded memory of prefixes and replicas. Late and gapped cache events make it doubtful, so it
-/// only breaks ties among replicas that would do anyway.
+/// Bounded map of prefixes to replicas. Cache events arrive late and with gaps, so a hint only breaks ties
+/// among replicas that are eligible anyway.
 #[derive(Debug)]
 pub(super) struct Hints {
     config: Config,
     by_prefix: BTreeMap<u64, Hint>,
-    /// Prefixes, oldest first; may name one that is gone.
+    /// Prefixes, oldest first; may include some without a hint.
     order: VecDeque<(Time, u64)>,
     replicas: BTreeMap<replica::Key, Events>,
 }
@@ -23,20 +23,20 @@
 #[derive(Clone, Copy, Debug)]
 struct Hint {
     replica: replica::Key,
-    at: Time,
-    /// The replica's generation then; a gap in its events since makes the hint void.
+    stored_at: Time,
+    /// Generation of the replica's events at that time; a gap since then invalidates the hint.
     generation: u32,
 }
 
-/// How far the events of one replica have been read.
+/// Position in the cache events of one replica.
 #[derive(Clone, Copy, Debug, Default)]
 struct Events {
-    last: u64,
+    last_sequence: u64,
     generation: u32,
 }
 
 impl Hints {
-    /// Knows nothing yet.
+    /// Creates an empty map.
     pub fn new(config: Config) -> Hints {
         Hints {
             config,
@@ -46,52 +46,52 @@
         }
     }
 
-    /// An event of the replica; a gap before it may have hidden evictions.
-    pub fn heard(&mut self, replica: replica::Key, sequence: u64) {
+    /// Tracks the sequence number of an event; a gap before it may have hidden evictions.
+    pub fn track(&mut self, replica: replica::Key, sequence: u64) {
         let events = self.replicas.entry(replica).or_default();
-        let gap = events.last != 0 && sequence > events.last + 1;
+        let gap = events.last_sequence != 0 && sequence > events.last_sequence + 1;
         events.generation += u32::from(gap);
-        events.last = events.last.max(sequence);
+        events.last_sequence = events.last_sequence.max(sequence);
     }
 
-    /// The replica holds the prefix, or is about to.
+    /// Records that the replica holds the prefix or is about to.
     pub fn stored(&mut self, now: Time, prefix: u64, replica: replica::Key) {
         let generation = self.generation(replica);
         let hint = Hint {
             replica,
-            at: now,
+            stored_at: now,
             generation,
         };
         self.by_prefix.insert(prefix, hint);
         self.order.push_back((now, prefix));
-        while self.order.len() > self.config.hints {
+        while self.order.len() > self.config.max_hints {
             self.drop_oldest();
         }
     }
 
-    /// The replica no longer holds the prefix.
+    /// Records that the replica no longer holds the prefix.
     pub fn evicted(&mut self, prefix: u64, replica: replica::Key) {
-        let is_it = |hint: &Hint| hint.replica == replica;
-        if self.by_prefix.get(&prefix).is_some_and(is_it) {
+        let names_replica = |hint: &Hint| hint.replica == replica;
+        if self.by_prefix.get(&prefix).is_some_and(names_replica) {
             self.by_prefix.remove(&prefix);
         }
     }
 
-    /// The replica is gone, and with it what it held.
-    pub fn left(&mut self, replica: replica::Key) {
+    /// Removes a replica that is gone and all hints at it.
+    pub fn remove_replica(&mut self, replica: replica::Key) {
         self.replicas.remove(&replica);
         self.by_prefix.retain(|_, hint| hint.replica != replica);
     }
 
-    /// The replica that may hold the prefix, if nothing speaks against it.
+    /// Returns the replica that may hold the prefix, if the hint is still valid.
     pub fn get(&self, now: Time, prefix: u64) -> Option<replica::Key> {
         let hint = self.by_prefix.get(&prefix)?;
-        let fresh = now.since(hint.at) <= self.config.fresh;
+        let fresh = now.since(hint.stored_at) <= self.config.hint_ttl;
         let valid = hint.generation == self.generation(hint.replica);
         (fresh && valid).then_some(hint.replica)
     }
 
-    /// How many are kept.
+    /// Returns the number of hints.
     pub fn len(&self) -> usize {
         self.by_prefix.len()
     }
@@ -103,14 +103,14 @@
     }
 
     fn drop_oldest(&mut self) {
-        let Some((at, prefix)) = self.order.pop_front() else {
+        let Some((stored_at, prefix)) = self.order.pop_front() else {
             return;
         };
-        // A prefix noted again since stands in the order a second time.
+        // A prefix that was stored again has another entry in the order.
         if self
             .by_prefix
             .get(&prefix)
-            .is_some_and(|hint| hint.at <= at)
+            .is_some_and(|hint| hint.stored_at <= stored_at)
         {
             self.by_prefix.remove(&prefix);
         }
--- a/crates/policy/src/charge.rs
+++ b/crates/policy/src/charge.rs
@@ -1,11 +1,12 @@
-//! Which entry charges a request to its account's quota, where there are many entries.
+//! Chooses the entry that charges a request to its account's quota, among many entries.
 //!
-//! Load pattern: an account sends several times its quota through hundreds of entries, each of which gets one of its
-//! requests every few seconds. Counts of other entries are up to a second old, so each entry finds room for what the
-//! account asks for in that second; an equal part of the quota is smaller than one request.
+//! An account sends several times its quota through hundreds of entries, each of which gets one of its
+//! requests every few seconds. Counts of other entries are up to a second old, so every entry finds room for
+//! what the account asks for in that second, and an equal share of the quota is smaller than one request.
 //!
-//! One entry decides for all, the account's home, and a second one in its place while it is silent. An entry that
-//! reaches neither decides by the counts that it has. A grant that comes later than that is to be given back.
+//! One entry, the account's home, decides for all; a second one replaces it while it does not answer. An
+//! entry that reaches neither decides by the counts that it has. A grant that arrives after that must be
+//! refunded.
 
 use std::collections::BTreeMap;
 
@@ -16,109 +17,116 @@
 use crate::quota::Name;
 use crate::rendezvous;
 
-/// Homes of an account: the first decides, the others stand in.
+/// Number of homes of an account: the first decides, the others are fallbacks.
 const HOMES: usize = 2;
 
-/// Names an entry: its incarnation.
+/// Identifies an entry by its incarnation.
 pub type Entry = u64;
 
-/// What is charged.
+/// A charge to an account's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Charge {
-    /// The account.
+    /// Charged account.
     pub name: Name,
-    /// In the quota's unit.
+    /// Cost in the quota's unit.
     pub cost: Cost,
 }
 
-/// Who decides on a charge.
+/// Decision maker for a charge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// That entry, which is to be asked.
+    /// Another entry, which must be asked.
     Ask(Entry),
-    /// This entry, for all others.
+    /// This entry, as the account's home.
     Home,
-    /// This entry, for itself alone.
+    /// This entry, by its own counts only.
     Alone,
 }
 
-/// Charges of one entry that wait for a home's answer.
+/// Charges of one entry that wait for an answer of a home.
 #[derive(Debug)]
 pub struct Charges {
     config: Config,
     me: Entry,
-    /// By the request's serial.
-    waiting: BTreeMap<u64, Waiting>,
-    /// Homes that were silent, and until when they are passed over.
-    avoided: BTreeMap<Entry, Time>,
+    /// Pending charges by request serial.
+    pending: BTreeMap<u64, Pending>,
+    /// Homes that timed out, and until when they are skipped.
+    skipped_until: BTreeMap<Entry, Time>,
 }
 
-/// A charge that waits.
+/// A charge that waits for an answer.
 #[derive(Debug)]
-struct Waiting {
+struct Pending {
     charge: Charge,
-    /// Who was asked.
+    /// Home that was asked.
     asked: Entry,
-    /// When the next one is.
-    due: Time,
-    /// Homes not asked yet.
-    left: Vec<Entry>,
+    /// Deadline of the answer.
+    deadline: Time,
+    /// Homes that have not been asked.
+    remaining: Vec<Entry>,
 }
 
 impl Charges {
-    /// Nothing waits yet at the entry `me`.
+    /// Creates an empty set for the entry `me`.
     pub fn new(config: Config, me: Entry) -> Charges {
         Charges {
             config,
             me,
-            waiting: BTreeMap::new(),
-            avoided: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            skipped_until: BTreeMap::new(),
         }
     }
 
-    /// Says who decides on a request's charge; `entries` may be homes.
+    /// Returns who decides on a request's charge; `entries` are the candidates for its homes.
     pub fn begin(&mut self, now: Time, serial: u64, charge: Charge, entries: &[Entry]) -> Step {
-        self.avoided.retain(|_, until| *until > now);
+        self.skipped_until.retain(|_, until| *until > now);
         let mut homes = homes(charge.name, entries);
-        homes.retain(|home| !self.avoided.contains_key(home));
+        homes.retain(|home| !self.skipped_until.contains_key(home));
         self.ask(now, serial, charge, homes)
     }
 
-    /// Takes a home's answer; the charge that it decides, or none if somebody else has decided by now.
-    pub fn answered(&mut self, serial: u64, by: Entry) -> Option<Charge> {
-        if self.waiting.get(&serial)?.asked != by {
+    /// Removes and returns the charge that a home's answer decides, or `None` if the answer is too late.
+    pub fn answered(&mut self, serial: u64, home: Entry) -> Option<Charge> {
+        if self.pending.get(&serial)?.asked != home {
             return None;
         }
-        self.waiting.remove(&serial).map(|waiting| waiting.charge)
+        self.pending.remove(&serial).map(|pending| pending.charge)
     }
 
-    /// A home gave no answer; says who decides now, unless somebody has.
-    pub fn unanswered(&mut self, now: Time, serial: u64, by: Entry) -> Option<(Charge, Step)> {
-        if self.waiting.get(&serial)?.asked != by {
+    /// Handles a missing answer: returns who decides next, or `None` if the charge is decided.
+    pub fn unanswered(&mut self, now: Time, serial: u64, home: Entry) -> Option<(Charge, Step)> {
+        if self.pending.get(&serial)?.asked != home {
             return None;
         }
-        let Waiting { charge, left, .. } = self.waiting.remove(&serial)?;
-        self.avoided.insert(by, now + self.config.avoid);
-        Some((charge, self.ask(now, serial, charge, left)))
+        let Pending {
+            charge, remaining, ..
+        } = self.pending.remove(&serial)?;
+        self.skipped_until.insert(home, now + self.config.backoff);
+        Some((charge, self.ask(now, serial, charge, remaining)))
     }
 
-    /// Charges whose home lets them wait too long, by serial, and the home.
+    /// Returns the serials of charges whose answers are overdue, with the home of each.
     pub fn overdue(&self, now: Time) -> Vec<(u64, Entry)> {
-        let due = self.waiting.iter().filter(|(_, one)| one.due <= now);
-        due.map(|(serial, one)| (*serial, one.asked)).collect()
+        let overdue = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| pending.deadline <= now);
+        overdue
+            .map(|(serial, pending)| (*serial, pending.asked))
+            .collect()
     }
 
-    /// The request needs no charge any more.
+    /// Drops the charge of a request that no longer needs it.
     pub fn cancel(&mut self, serial: u64) {
-        self.waiting.remove(&serial);
+        self.pending.remove(&serial);
     }
 
-    /// When [`Charges::overdue`] is wanted next.
+    /// Returns when [`Charges::overdue`] must be called next.
     pub fn next_wake(&self) -> Option<Time> {
-        self.waiting.values().map(|one| one.due).min()
+        self.pending.values().map(|pending| pending.deadline).min()
     }
 
-    /// Goes on to the first home that is left.
+    /// Asks the first of the remaining homes.
     fn ask(&mut self, now: Time, serial: u64, charge: Charge, mut homes: Vec<Entry>) -> Step {
         if homes.is_empty() {
             return Step::Alone;
@@ -127,18 +135,18 @@
         if asked == self.me {
             return Step::Home;
         }
-        let waiting = Waiting {
+        let pending = Pending {
             charge,
             asked,
-            due: now + self.config.answer,
-            left: homes,
+            deadline: now + self.config.answer_timeout,
+            remaining: homes,
         };
-        self.waiting.insert(serial, waiting);
+        self.pending.insert(serial, pending);
         Step::Ask(asked)
     }
 }
 
-/// The entries that decide on an account, the first one first.
+/// Returns the homes of an account in the order in which they are asked.
 fn homes(name: Name, entries: &[Entry]) -> Vec<Entry> {
     let mut ranked = entries.to_vec();
     ranked.sort_by_key(|entry| std::cmp::Reverse(rendezvous::weight(name, *entry)));
--- a/crates/policy/src/configs/charge.rs
+++ b/crates/policy/src/configs/charge.rs
@@ -2,20 +2,20 @@
 
 use clock::Span;
 
-/// How long homes of accounts are waited for.
+/// Timeouts for homes of accounts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// A home that hasn't answered for so long is passed over.
-    pub answer: Span,
-    /// For so long nothing more is asked of it: each request would wait in vain first.
-    pub avoid: Span,
+    /// Time after which a home without an answer is skipped.
+    pub answer_timeout: Span,
+    /// Time for which a home that timed out gets no more requests: each would first wait for the timeout.
+    pub backoff: Span,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            answer: Span::from_millis(80),
-            avoid: Span::from_millis(1_000),
+            answer_timeout: Span::from_millis(80),
+            backoff: Span::from_millis(1_000),
         }
     }
 }
--- a/crates/policy/src/configs/pace.rs
+++ b/crates/policy/src/configs/pace.rs
@@ -4,23 +4,23 @@
 
 use crate::pace::Rate;
 
-/// How entries share what a replica in need takes.
+/// Division of a replica's rate limit among entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Each entry that sends gets this much at least; all others send nothing.
-    pub sender: Rate,
-    /// The least that is sent, whatever the limit: only an answer without one lifts it.
-    pub least: Rate,
-    /// An entry saves up what it doesn't use for so long.
-    pub saved: Span,
+    /// Minimum share of a sender; all other entries send nothing.
+    pub min_share: Rate,
+    /// Minimum rate, whatever the limit: only an answer without a limit lifts it.
+    pub min_rate: Rate,
+    /// Time over which unused tokens are saved.
+    pub burst_time: Span,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            sender: Rate(1_000),
-            least: Rate(100),
-            saved: Span::from_millis(500),
+            min_share: Rate(1_000),
+            min_rate: Rate(100),
+            burst_time: Span::from_millis(500),
         }
     }
 }
--- a/crates/policy/src/scheduler/intake.rs
+++ b/crates/policy/src/scheduler/intake.rs
@@ -1,4 +1,4 @@
-//! Arrivals: limits, shedding, admission, and refusals with the time to come back.
+//! Arrivals: limits, shedding, admission and queueing.
 
 use clock::Span;
 use clock::Time;
@@ -20,15 +20,15 @@
 use crate::scheduler::state::level;
 use crate::size::Class;
 
-/// Every job waits at least this long, in which it is placed if there is room.
-const ONE_LOOK: Span = Span::from_millis(1);
+/// Minimum wait of a job, in which it is placed if there is room.
+const MIN_WAIT: Span = Span::from_millis(1);
 
-/// How long a job waits when admission is off.
-const UNBOUNDED: Span = Span::from_seconds(3_600);
+/// Maximum wait of a job when admission control is off.
+const MAX_WAIT: Span = Span::from_seconds(3_600);
 
 impl Scheduler {
-    /// Puts the job in its pool's queue or refuses it.
-    pub(super) fn take_in(&mut self, now: Time, job: Job, out: &mut Vec<Decision>) {
+    /// Queues the job in its pool or refuses it.
+    pub(super) fn accept(&mut self, now: Time, job: Job, out: &mut Vec<Decision>) {
         let Some(cost) = self.estimate(&job) else {
             let refusal = Refusal::not_run(Reason::Unauthorized, "no such account");
             out.push(Decision::Refuse {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Prompt and expected output, weighted; none without its account.
+    /// Returns the weighted cost of prompt and expected output, or `None` for an unknown account.
     fn estimate(&self, job: &Job) -> Option<Cost> {
         let output = self.expected_output(job)?;
         Some(self.cost(job.prompt_tokens, output))
@@ -87,14 +87,14 @@
         cost: Cost,
         tokens: Cost,
     ) -> Result<(), (Reason, &'static str)> {
-        let (allowed, predicted) = self.enter(now, job, cost, tokens);
+        let (allowed, predicted) = self.register(now, job, cost, tokens);
         self.admit(now, &job, allowed, predicted)?;
         self.enqueue(now, job.id, false);
         Ok(())
     }
 
-    /// Notes the job as open; gives the time it may take to its first token and what is expected.
-    fn enter(&mut self, now: Time, job: Job, cost: Cost, tokens: Cost) -> (Span, Span) {
+    /// Registers the job as open; returns the time allowed until its first token and the predicted wait.
+    fn register(&mut self, now: Time, job: Job, cost: Cost, tokens: Cost) -> (Span, Span) {
         let sizes = self.settings.size;
         let class = self.pool_mut(job.pool).classes.classify(&sizes, cost);
         let allowed = self.allowed(&job);
@@ -106,45 +106,45 @@
                 class,
                 cost,
                 tokens,
-                due: now + allowed,
+                first_token_due: now + allowed,
                 place: None,
-                until: now,
+                start_deadline: now,
                 replica: None,
                 started: now,
-                spoke: now,
+                last_token_at: now,
                 round: Round::default(),
                 outstanding: 0,
                 streaming: false,
                 moved: false,
-                made: 0,
+                generated: 0,
                 may_have_run: false,
                 claim: None,
                 tried: Vec::new(),
                 sent: 0,
-                patience: now + job.terms.queue_timeout,
+                queue_deadline: now + job.terms.queue_timeout,
                 predicted,
             },
         );
         (allowed, predicted)
     }
 
-    /// Takes in a job that runs already: its caller holds the head of its answer.
-    pub(super) fn take_over(&mut self, now: Time, job: Job, replica: replica::Key) {
+    /// Registers a job that runs already and whose caller holds the head of its answer.
+    pub(super) fn register_running(&mut self, now: Time, job: Job, replica: replica::Key) {
         let Some(cost) = self.estimate(&job) else {
             return;
         };
         let output = self.expected_output(&job).unwrap_or(0);
         let tokens = u64::from(job.prompt_tokens) + u64::from(output);
         self.limits.take_over(job.account, tokens);
-        self.enter(now, job, cost, tokens);
+        self.register(now, job, cost, tokens);
         self.start(now, job.id, replica);
         if let Some(open) = self.open.get_mut(&job.id) {
             open.streaming = true;
         }
-        self.leave_with(now, replica);
+        self.include_in_wave(now, replica);
     }
 
-    /// Whether the job may wait.
+    /// Checks whether the job may wait.
     fn admit(
         &mut self,
         now: Time,
@@ -198,7 +198,7 @@
         Ok(())
     }
 
-    /// The time a job has for its first token.
+    /// Returns the time that a job has for its first token.
     fn allowed(&self, job: &Job) -> Span {
         let service = self.pools.get(&job.pool).map(|pool| &pool.service);
         service.map_or(job.first_token, |service| {
@@ -206,7 +206,7 @@
         })
     }
 
-    /// Time in the queue to expect; zero if the job can start at once.
+    /// Predicts the time in the queue; zero if the job can start at once.
     fn predicted_wait(&self, now: Time, job: &Job, class: Class) -> Span {
         let Some(pool) = self.pools.get(&job.pool) else {
             return Span::ZERO;
@@ -221,24 +221,25 @@
             pool.queue
                 .cost_ahead(level(&account.spec, job), job.account, account.spec.weight);
         let rate = pool.service.drain_rate(pool.running);
-        // Even the next in line waits until something ends.
+
+        // Even the next in line waits until a running job ends.
         let wait = admission::wait_time(ahead, rate).max(self.paced_wait(pool));
         wait.max(Span::from_millis(1))
     }
 
-    /// Whether a job of the class could start at once.
+    /// Returns whether a job of the class can start at once.
     fn has_room(&self, now: Time, pool: &Pool, class: Class) -> bool {
         if pool.full || !pool.queue.is_empty() {
             return false;
         }
         let lanes = self.lanes(pool);
-        let fits = |node: &Candidate| class == Class::Short || lanes.contains(&node.key);
+        let fits = |candidate: &Candidate| class == Class::Short || lanes.contains(&candidate.key);
         self.candidates(now, pool)
             .iter()
-            .any(|node| node.open && fits(node))
+            .any(|candidate| candidate.open && fits(candidate))
     }
 
-    /// Takes a job out of its queue, for whatever reason but its start.
+    /// Removes a job from its queue for any reason but its start.
     pub(super) fn unqueue(&mut self, id: job::Id) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Puts an open job in its queue; `front`, ahead of its account's others.
+    /// Queues an open job; with `front`, ahead of its account's others.
     pub(super) fn enqueue(&mut self, now: Time, id: job::Id, front: bool) {
         let settings = self.settings;
         let Some(open) = self.open.get_mut(&id) else {
@@ -275,30 +276,33 @@
             false => pool.queue.push(&entrant),
         };
         open.place = Some(place);
-        self.expiry.remove(&(open.until, id));
-        open.until = match (open.streaming, settings.admission.enabled) {
-            // Its caller already reads the answer: the target for the first token is behind it.
+        self.expiry.remove(&(open.start_deadline, id));
+        open.start_deadline = match (open.streaming, settings.admission.enabled) {
+            // The caller already reads the answer: the target for the first token is behind it.
             (true, _) => now + settings.placement.resume_timeout,
             (false, true) => last_start(
                 now,
-                open.due,
+                open.first_token_due,
                 pool.service
                     .first_token_time(open.class, open.job.prompt_tokens),
             ),
-            (false, false) => now + UNBOUNDED,
+            (false, false) => now + MAX_WAIT,
         };
-        // Whatever is predicted, it is given up only after a look for a free place. Predictions learnt in an
-        // overload would else refuse everybody beside idle replicas, for ever: nothing ran that could
-        // correct them.
-        open.until = open.until.min(open.patience).max(now + ONE_LOOK);
-        self.expiry.insert((open.until, id));
+        // Whatever is predicted, a job is given up only after one attempt to place it. Predictions learnt
+        // in an overload would otherwise refuse all jobs beside idle replicas for good, since nothing would
+        // run that could correct them.
+        open.start_deadline = open
+            .start_deadline
+            .min(open.queue_deadline)
+            .max(now + MIN_WAIT);
+        self.expiry.insert((open.start_deadline, id));
         let pool = open.job.pool;
-        self.stir(pool);
+        self.mark_pool(pool);
     }
 }
 
-/// The last moment at which a start still makes the first token come in time.
-fn last_start(now: Time, due: Time, first: Span) -> Time {
-    let left = due.since(now);
-    now + (left - first)
+/// Returns the latest start at which the first token still arrives in time.
+fn last_start(now: Time, deadline: Time, first_token: Span) -> Time {
+    let remaining = deadline.since(now);
+    now + (remaining - first_token)
 }
--- a/crates/policy/src/scheduler/moves.rs
+++ b/crates/policy/src/scheduler/moves.rs
@@ -1,4 +1,4 @@
-//! Replicas that leave: their jobs are moved in the order that [`crate::wave`] plans.
+//! Leaving replicas: their jobs are moved as planned by [`crate::wave`].
 
 use clock::Span;
 use clock::Time;
@@ -14,23 +14,23 @@
 use crate::wave::Action;
 
 impl Scheduler {
-    /// Gives the replica no more work; what becomes of its jobs is planned when the wave is gathered.
-    pub(super) fn leave(&mut self, now: Time, key: replica::Key, deadline: Time) {
-        self.drop_member(key);
+    /// Excludes a leaving replica from new work; moves of its jobs are planned once the wave is gathered.
+    pub(super) fn begin_leave(&mut self, now: Time, key: replica::Key, deadline: Time) {
+        self.remove_member(key);
         let Some(replica) = self.replicas.get_mut(&key) else {
             return;
         };
-        // Several sources tell of one leave; the soonest end counts.
-        let sooner = replica.leaving.is_none_or(|known| deadline < known);
-        if !sooner {
+        // Several sources report the same departure; the earliest deadline counts.
+        let is_earlier = replica.leaving.is_none_or(|known| deadline < known);
+        if !is_earlier {
             return;
         }
         replica.leaving = Some(deadline);
-        self.leave_with(now, key);
+        self.include_in_wave(now, key);
     }
 
-    /// Lets the wave's plan take in what runs on the replica, if it leaves.
-    pub(super) fn leave_with(&mut self, now: Time, key: replica::Key) {
+    /// Includes the jobs of the replica in the wave's plan, if it is leaving.
+    pub(super) fn include_in_wave(&mut self, now: Time, key: replica::Key) {
         let Some(replica) = self.replicas.get(&key) else {
             return;
         };
@@ -39,14 +39,14 @@
         }
         if self.settings.placement.wave && !replica.jobs.is_empty() {
             self.leaving.insert(key);
-            self.review
+            self.next_review
                 .get_or_insert(now + self.settings.placement.gather_window);
         }
     }
 
-    /// Drops a replica that is gone.
-    pub(super) fn forget(&mut self, key: replica::Key) {
-        self.drop_member(key);
+    /// Removes a replica that is gone.
+    pub(super) fn remove_replica(&mut self, key: replica::Key) {
+        self.remove_member(key);
         self.leaving.remove(&key);
         self.limited.remove(&key);
         let Some(replica) = self.replicas.get_mut(&key) else {
@@ -58,26 +58,26 @@
         }
     }
 
-    /// Plans if it is time, and makes the moves that are due.
-    pub(super) fn move_on(&mut self, now: Time, out: &mut Vec<Decision>) {
-        if self.review.is_some_and(|review| review <= now) {
+    /// Plans moves if a review is due, and makes the moves that are due.
+    pub(super) fn run_moves(&mut self, now: Time, out: &mut Vec<Decision>) {
+        if self.next_review.is_some_and(|review| review <= now) {
             self.plan_moves(now);
         }
         let due: Vec<wave::Step> = self
-            .steps
+            .planned_moves
             .values()
             .filter(|step| start_of(step).is_some_and(|at| at <= now))
             .copied()
             .collect();
         for step in due {
-            self.steps.remove(&step.job);
+            self.planned_moves.remove(&step.job);
             self.make_move(now, step, out);
         }
     }
 
-    /// When the next planned move is due.
-    pub(super) fn next_step(&self) -> Option<Time> {
-        self.steps.values().filter_map(start_of).min()
+    /// Returns when the next planned move is due.
+    pub(super) fn next_move(&self) -> Option<Time> {
+        self.planned_moves.values().filter_map(start_of).min()
     }
 
     fn plan_moves(&mut self, now: Time) {
@@ -87,8 +87,8 @@
                 .get(key)
                 .is_some_and(|replica| !replica.jobs.is_empty())
         });
-        let again = now + self.settings.placement.replan_interval;
-        self.review = (!self.leaving.is_empty()).then_some(again);
+        let next = now + self.settings.placement.replan_interval;
+        self.next_review = (!self.leaving.is_empty()).then_some(next);
         let mut planned = Vec::new();
         for pool in self.pools.values() {
             let sources = self.sources(pool);
@@ -106,18 +106,19 @@
             ));
         }
         let moves = planned.into_iter().filter(|step| start_of(step).is_some());
-        self.steps.extend(moves.map(|step| (step.job, step)));
+        self.planned_moves
+            .extend(moves.map(|step| (step.job, step)));
     }
 
-    /// The pool's leaving replicas.
+    /// Returns the pool's leaving replicas.
     fn sources(&self, pool: &Pool) -> Vec<wave::Source> {
         let source = |key: &replica::Key| {
             let replica = self.replicas.get(key)?;
-            let same = self
+            let is_member = self
                 .pools
                 .get(&replica.spec.pool)
-                .is_some_and(|of| std::ptr::eq(of, pool));
-            let deadline = replica.leaving.filter(|_| same)?;
+                .is_some_and(|other| std::ptr::eq(other, pool));
+            let deadline = replica.leaving.filter(|_| is_member)?;
             Some(wave::Source {
                 key: *key,
                 deadline,
@@ -126,37 +127,41 @@
         self.leaving.iter().filter_map(source).collect()
     }
 
-    /// What runs there and has no planned move yet.
+    /// Returns the jobs on the sources that have no planned move yet.
     fn jobs_to_move(&self, sources: &[wave::Source]) -> Vec<wave::Running> {
         let ids = sources
             .iter()
             .filter_map(|source| self.replicas.get(&source.key))
             .flat_map(|replica| &replica.jobs)
-            .filter(|id| !self.steps.contains_key(id));
-        ids.filter_map(|id| self.running(self.open.get(id)?))
+            .filter(|id| !self.planned_moves.contains_key(id));
+        ids.filter_map(|id| self.running_job(self.open.get(id)?))
             .collect()
     }
 
-    fn running(&self, open: &Open) -> Option<wave::Running> {
+    fn running_job(&self, open: &Open) -> Option<wave::Running> {
         let account = self.accounts.get(&open.job.account)?;
         let expected = account.estimate.expect(open.job.max_new_tokens);
         // An answer that has outgrown the mean goes on: what is left of it isn't next to nothing.
-        let most = open.job.max_new_tokens.saturating_sub(open.made).max(1);
+        let max_left = open
+            .job
+            .max_new_tokens
+            .saturating_sub(open.generated)
+            .max(1);
         let left = expected
-            .saturating_sub(open.made)
+            .saturating_sub(open.generated)
             .max(expected / 2)
-            .min(most);
+            .min(max_left);
         Some(wave::Running {
             id: open.job.id,
             from: open.replica?,
             kind: open.job.kind,
-            tokens: open.job.prompt_tokens.saturating_add(open.made),
-            remaining: gap(open).times(u64::from(left)),
+            tokens: open.job.prompt_tokens.saturating_add(open.generated),
+            remaining: expected_gap(open).times(u64::from(left)),
             idempotent: open.job.idempotent,
         })
     }
 
-    /// Where the jobs can go: replicas with room, outside the zones that are leaving and not doubted if possible.
+    /// Returns replicas with room, if possible confirmed ones outside the zones that are leaving.
     fn targets(&self, now: Time, pool: &Pool, sources: &[wave::Source]) -> Vec<wave::Target> {
         let settings = &self.settings;
         let zones: Vec<u64> = sources
@@ -168,8 +173,8 @@
             .iter()
             .map(|source| source.deadline.since(now))
             .min();
-        let call = settings.wave.margin + settings.placement.overbook_window;
-        let last_call = soonest.is_some_and(|left| left <= call);
+        let window = settings.wave.margin + settings.placement.overbook_window;
+        let overbook = soonest.is_some_and(|left| left <= window);
         let (mut outside, mut inside) = (Vec::new(), Vec::new());
         for candidate in self.candidates(now, pool) {
             let replica = self.replicas.get(&candidate.key);
@@ -177,7 +182,7 @@
                 continue;
             };
             let free = (f64::from(replica.spec.slots) - candidate.load).max(0.0) as u32;
-            let slots = match (last_call, candidate.open) {
+            let slots = match (overbook, candidate.open) {
                 (true, _) => replica.spec.slots,
                 (false, true) => free.div_ceil(settings.concurrency.entries).max(1),
                 (false, false) => 0,
@@ -187,7 +192,7 @@
                 slots,
                 tokens: u64::MAX,
             };
-            match zones.contains(&replica.zone) || replica.doubted {
+            match zones.contains(&replica.zone) || replica.unconfirmed {
                 true => inside.push(target),
                 false => outside.push(target),
             }
@@ -202,22 +207,22 @@
         else {
             return;
         };
-        let stays =
+        let is_usable =
             |replica: &crate::scheduler::state::Replica| replica.leaving.is_none() && !replica.lost;
-        // A target that is gone by now: the next review plans the job again.
-        if !self.replicas.get(&to).is_some_and(stays) {
+        // If the target is gone by now, the next review plans the job again.
+        if !self.replicas.get(&to).is_some_and(is_usable) {
             return;
         }
-        let Some(from) = self.take_off(now, step.job, job::End::Left) else {
+        let Some(from) = self.detach(now, step.job, job::End::Left) else {
             return;
         };
         if let Some(open) = self.open.get_mut(&step.job) {
             open.moved = true;
             open.started = now;
-            open.spoke = now;
+            open.last_token_at = now;
             open.round = Round::default();
         }
-        self.put_on(now, step.job, to);
+        self.attach(now, step.job, to);
         out.push(Decision::Move {
             job: step.job,
             from,
@@ -227,7 +232,7 @@
     }
 }
 
-/// When a planned move begins.
+/// Returns when a planned move begins.
 fn start_of(step: &wave::Step) -> Option<Time> {
     match step.action {
         Action::Move { start: at, .. } => Some(at),
@@ -235,10 +240,11 @@
     }
 }
 
-/// Time for each further token: as it went so far, or as the target says.
-fn gap(open: &Open) -> Span {
-    let measured = open.spoke.since(open.started).as_millis() / u64::from(open.made.max(1));
-    match open.made {
+/// Returns the expected time per token: the mean so far, or the target.
+fn expected_gap(open: &Open) -> Span {
+    let measured =
+        open.last_token_at.since(open.started).as_millis() / u64::from(open.generated.max(1));
+    match open.generated {
         0 => open.job.token_gap,
         _ => Span::from_millis(measured.max(1)),
     }
--- a/crates/policy/src/scheduler/suspects.rs
+++ b/crates/policy/src/scheduler/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that may have crashed a replica: held, run apart, or refused for good.
+//! Requests that may have crashed a replica: held, run as trials, or refused for good.
 
 use clock::Time;
 use verdict::Reason;
@@ -17,14 +17,14 @@
 const STREAM_TRIALS: u32 = 2;
 
 impl Scheduler {
-    /// Whether the fingerprint is quarantined.
+    /// Returns whether the fingerprint is quarantined.
     pub(super) fn is_quarantined(&self, now: Time, fingerprint: u64) -> bool {
         let standing = self.quarantine.standing(now, fingerprint);
         self.settings.placement.quarantine && matches!(standing, Standing::Quarantined(_))
     }
 
-    /// A replica's process died, or so it seems, while the job ran there.
-    pub(super) fn blame(&mut self, now: Time, id: job::Id) {
+    /// Records that a replica crashed, or seems to have, while the job ran there.
+    pub(super) fn record_crash(&mut self, now: Time, id: job::Id) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -45,12 +45,12 @@
             .record_crash(now, identity, zone, &[open.job.fingerprint]);
     }
 
-    /// Stops copies of new suspects that run here, if they may run again: sent through several
-    /// entries at once, each would take a replica of its own along before the first crash is known.
-    /// Plain calls can't be stopped once they are handed on.
-    pub(super) fn recall_suspects(&mut self, now: Time, out: &mut Vec<Decision>) {
-        let accused = self.quarantine.take_suspects();
-        if accused.is_empty() || !self.settings.placement.quarantine {
+    /// Stops running copies of new suspects that may be repeated: copies sent through several entries at
+    /// once would each crash a replica of their own before the first crash is known. Plain calls can't be
+    /// stopped once they are sent.
+    pub(super) fn stop_suspects(&mut self, now: Time, out: &mut Vec<Decision>) {
+        let new_suspects = self.quarantine.take_suspects();
+        if new_suspects.is_empty() || !self.settings.placement.quarantine {
             return;
         }
         let running = |open: &&Open| {
@@ -60,13 +60,13 @@
             .open
             .values()
             .filter(running)
-            .filter(|open| accused.contains(&open.job.fingerprint))
+            .filter(|open| new_suspects.contains(&open.job.fingerprint))
             .map(|open| open.job.id)
             .collect();
         for id in copies {
-            // Before the job is taken off: with its last job a lost replica is forgotten.
-            self.note_stopped(now, id);
-            let Some(replica) = self.take_off(now, id, job::End::Left) else {
+            // Before the job is detached: a lost replica is removed with its last job.
+            self.record_stopped(now, id);
+            let Some(replica) = self.detach(now, id, job::End::Left) else {
                 continue;
             };
             if let Some(open) = self.open.get_mut(&id) {
@@ -77,7 +77,7 @@
         }
     }
 
-    fn note_stopped(&mut self, now: Time, id: job::Id) {
+    fn record_stopped(&mut self, now: Time, id: job::Id) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -89,18 +89,14 @@
         }
     }
 
-    /// Takes suspects out of the queue's heads: the others go on, they wait their time.
-    pub(super) fn set_suspects_aside(
-        &mut self,
-        now: Time,
-        key: pool::Key,
-        out: &mut Vec<Decision>,
-    ) {
+    /// Moves suspects from the heads of the queue to the held jobs, so that the others don't wait behind
+    /// them.
+    pub(super) fn hold_suspects(&mut self, now: Time, key: pool::Key, out: &mut Vec<Decision>) {
         if !self.settings.placement.quarantine {
             return;
         }
         while let Some((id, standing)) = self.first_suspect(now, key) {
-            if matches!(standing, Standing::Quarantined(_)) && !self.is_owed_a_trial(id) {
+            if matches!(standing, Standing::Quarantined(_)) && !self.may_try_quarantined(id) {
                 self.refuse(
                     now,
                     id,
@@ -119,7 +115,7 @@
         }
     }
 
-    /// Looks again at suspects whose time has come.
+    /// Reviews held suspects that are due.
     pub(super) fn release_held(&mut self, now: Time, out: &mut Vec<Decision>) {
         let due: Vec<(Time, job::Id)> = self
             .held
@@ -137,7 +133,7 @@
                 Standing::Held(until) => {
                     self.held.insert((until, id));
                 }
-                Standing::Quarantined(_) if !self.is_owed_a_trial(id) => {
+                Standing::Quarantined(_) if !self.may_try_quarantined(id) => {
                     self.refuse(
                         now,
                         id,
@@ -146,24 +142,24 @@
                         out,
                     );
                 }
-                Standing::Quarantined(_) | Standing::Trial => self.try_apart(now, id, out),
+                Standing::Quarantined(_) | Standing::Trial => self.run_trial(now, id, out),
             }
         }
     }
 
-    /// Whether a quarantined job is tried apart all the same: its caller reads its answer already.
+    /// Returns whether a quarantined job is still tried, because its caller already reads its answer.
     ///
-    /// Guards against an innocent stream that ran beside a killer twice: it was refused in mid-answer. A
-    /// killer crashes what begins to run it, so one that made tokens is hardly one; should it be, what it
-    /// costs is bounded by its trials.
-    fn is_owed_a_trial(&self, id: job::Id) -> bool {
-        let most = self.settings.retry.max_attempts as u32 + STREAM_TRIALS;
+    /// An innocent stream that ran beside a killer twice was refused in mid-answer. A killer crashes the
+    /// replica that starts to run it, so a job that has generated tokens is hardly one; if it is, the
+    /// number of trials bounds the damage.
+    fn may_try_quarantined(&self, id: job::Id) -> bool {
+        let max_attempts = self.settings.retry.max_attempts as u32 + STREAM_TRIALS;
         self.open
             .get(&id)
-            .is_some_and(|open| open.streaming && open.made > 0 && open.sent < most)
+            .is_some_and(|open| open.streaming && open.generated > 0 && open.sent < max_attempts)
     }
 
-    /// The trial is over: the replica is free for others.
+    /// Ends a trial and frees the replica for other jobs.
     pub(super) fn end_trial(&mut self, id: job::Id, key: replica::Key) {
         let Some(replica) = self.replicas.get_mut(&key) else {
             return;
@@ -178,13 +174,13 @@
         }
     }
 
-    /// A place may be free: every held suspect is looked at in the next poll.
+    /// Makes every held suspect due for review in the next poll, since a replica may be free.
     pub(super) fn review_held(&mut self) {
         let held = std::mem::take(&mut self.held);
         self.held = held.into_iter().map(|(_, id)| (Time::ZERO, id)).collect();
     }
 
-    /// Gives up a trial that has not begun.
+    /// Drops a trial that has not begun.
     pub(super) fn drop_trial(&mut self, id: job::Id) {
         let claim = self.open.get_mut(&id).and_then(|open| open.claim.take());
         let Some(claim) = claim else {
@@ -206,40 +202,41 @@
         })
     }
 
-    /// Claims the suspect's place, if no other suspect is there, and starts it once the claim stands.
+    /// Claims a replica for the suspect, if no other suspect uses it, and schedules the start for when the
+    /// claim is beyond dispute.
     ///
-    /// What runs there already isn't waited for: hardly any suspect is a killer, and those that
-    /// waited until a replica is empty would all miss their targets.
-    fn try_apart(&mut self, now: Time, id: job::Id, out: &mut Vec<Decision>) {
+    /// Jobs that already run there are not waited for: hardly any suspect is a killer, and suspects that
+    /// waited for an empty replica would all miss their targets.
+    fn run_trial(&mut self, now: Time, id: job::Id, out: &mut Vec<Decision>) {
         if let Some(claim) = self.open.get(&id).and_then(|open| open.claim) {
-            return self.use_claim(now, id, claim, out);
+            return self.start_trial(now, id, claim, out);
         }
-        let stands = now + self.settings.quarantine.claim_delay;
-        let again = now + self.settings.health.period;
-        let place = self.place_for(now, id);
-        let replica = place.and_then(|key| self.replicas.get_mut(&key));
-        let (Some(open), Some(key), Some(replica)) = (self.open.get_mut(&id), place, replica)
+        let valid_from = now + self.settings.quarantine.claim_delay;
+        let retry_at = now + self.settings.health.period;
+        let target = self.trial_replica(now, id);
+        let replica = target.and_then(|key| self.replicas.get_mut(&key));
+        let (Some(open), Some(key), Some(replica)) = (self.open.get_mut(&id), target, replica)
         else {
-            self.held.insert((again, id));
+            self.held.insert((retry_at, id));
             return;
         };
         replica.trial = Some(id);
         open.claim = Some(Claim {
             replica: key,
-            stands,
+            valid_from,
         });
         self.quarantine
             .reserve(open.job.fingerprint, replica.identity);
-        self.held.insert((stands, id));
+        self.held.insert((valid_from, id));
     }
 
-    /// Starts the suspect if its claim has stood for its time; gives up a claim that fell.
-    fn use_claim(&mut self, now: Time, id: job::Id, claim: Claim, out: &mut Vec<Decision>) {
-        if now < claim.stands {
-            self.held.insert((claim.stands, id));
+    /// Starts the suspect if its claim is beyond dispute; drops a claim that was lost.
+    fn start_trial(&mut self, now: Time, id: job::Id, claim: Claim, out: &mut Vec<Decision>) {
+        if now < claim.valid_from {
+            self.held.insert((claim.valid_from, id));
             return;
         }
-        if !self.may_use(id, claim.replica) {
+        if !self.is_claim_valid(id, claim.replica) {
             self.drop_trial(id);
             self.held.insert((now + self.settings.health.period, id));
             return;
@@ -257,33 +254,33 @@
         });
     }
 
-    /// Whether a claim holds and its replica is still there.
-    fn may_use(&self, id: job::Id, key: replica::Key) -> bool {
+    /// Returns whether a claim holds and its replica is still usable.
+    fn is_claim_valid(&self, id: job::Id, key: replica::Key) -> bool {
         let open = self.open.get(&id);
         let replica = self.replicas.get(&key);
         open.zip(replica).is_some_and(|(open, replica)| {
-            let gone = replica.lost || replica.leaving.is_some();
+            let leaving = replica.lost || replica.leaving.is_some();
             let fingerprint = open.job.fingerprint;
-            !gone && self.quarantine.holds_claim(fingerprint, replica.identity)
+            !leaving && self.quarantine.holds_claim(fingerprint, replica.identity)
         })
     }
 
-    /// The first in the suspect's order of the replicas where no other suspect is. It may be
-    /// overbooked by this one job: a suspect that waited for a slot might never come to its turn.
+    /// Returns the first replica in the suspect's order that no other suspect uses. It may be overbooked by
+    /// this one job: a suspect that waited for a slot might never start.
     ///
-    /// Replicas where it was tried are passed over: one that crashed under it stays in a lagging
-    /// instance list, and a suspect that had its place there would wait for it for ever.
-    fn place_for(&self, now: Time, id: job::Id) -> Option<replica::Key> {
+    /// Replicas where it was tried are skipped: one that crashed stays in a lagging instance list, and a
+    /// suspect assigned to it would wait for ever.
+    fn trial_replica(&self, now: Time, id: job::Id) -> Option<replica::Key> {
         let open = self.open.get(&id)?;
         let pool = self.pools.get(&open.job.pool)?;
         let free = pool.members.iter().filter_map(|key| {
             let replica = self.replicas.get(key)?;
             let usable =
                 pool.monitor.allowance(*key) != Allowance::None && replica.gate.is_open(now);
-            let taken = replica.trial.is_some()
+            let excluded = replica.trial.is_some()
                 || self.quarantine.is_reserved(now, replica.identity)
                 || open.tried.contains(key);
-            (usable && !taken).then_some((*key, replica.identity))
+            (usable && !excluded).then_some((*key, replica.identity))
         });
         self.quarantine.choose_replica(open.job.fingerprint, free)
     }
