--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -53,7 +53,7 @@
         how: Transfer,
         effects: &mut Vec<Effect>,
     ) {
-        let (Some(open), Some(place)) = (self.requests.get_mut(&job.0), self.servers.place(to))
+        let (Some(open), Some(endpoint)) = (self.requests.get_mut(&job.0), self.servers.place(to))
         else {
             return;
         };
@@ -64,12 +64,12 @@
         let line = Line::info("run_moving")
             .with("request", &open.id)
             .with("attempt", open.attempt)
-            .with("to", &place.incarnation)
+            .with("to", &endpoint.incarnation)
             .with("age_ms", now.since(open.arrived_at).as_millis());
         effects.push(Effect::Log(line));
         effects.push(Effect::Flight {
             serial: job.0,
-            command: Command::Move(place),
+            command: Command::Move(endpoint),
         });
     }
 
@@ -78,8 +78,8 @@
         let Some(open) = self.requests.get_mut(&job.0) else {
             return;
         };
-        let keeper = self.scheduler.cache_source(job, replica);
-        let Some(place) = self.servers.place(replica) else {
+        let cache_source = self.scheduler.cache_source(job, replica);
+        let Some(endpoint) = self.servers.place(replica) else {
             // The server left in the same step: the request is placed again.
             return self.with_scheduler(now, effects, |scheduler, out| {
                 scheduler.attempt_ended(now, job, job::End::NotSent, 0, out);
@@ -91,8 +91,8 @@
         open.move_target = None;
         let rank = open.job.terms.rank;
         let urgency = (MOST_URGENT + rank.saturating_mul(RANK_STEP)).min(LEAST_URGENT);
-        let model = open.job.kind == job::Kind::Model;
-        let keeper = keeper.and_then(|key| self.servers.place(key));
+        let is_model = open.job.kind == job::Kind::Model;
+        let cache_source = cache_source.and_then(|key| self.servers.place(key));
         let start = Start {
             attempt: open.attempt,
             account: open.account.clone(),
@@ -100,13 +100,13 @@
             silence_timeout: open.silence_timeout,
             stream: open.repeat.is_stream(),
             repeatable: open.repeat.is_repeatable(),
-            urgency: model.then_some(urgency),
+            urgency: is_model.then_some(urgency),
             tokens_per_event: open.tokens_per_event,
-            fetch_from: keeper.map(|place| place.address),
-            limited: self.limits.is_limited(&place.incarnation),
-            endpoint: place,
+            fetch_from: cache_source.map(|endpoint| endpoint.address),
+            limited: self.limits.is_limited(&endpoint.incarnation),
+            endpoint,
         };
-        let (first, pool) = (open.attempt == 1, open.job.pool);
+        let (is_first, pool) = (open.attempt == 1, open.job.pool);
         let list_age = now.since(self.servers.position().confirmed_at);
         let line = Line::info("attempt_started")
             .with("request", &open.id)
@@ -122,7 +122,7 @@
             None => line,
         };
         // First attempts are routine; retries are logged with the state of the pool.
-        let line = match first {
+        let line = match is_first {
             true => line.routine(),
             false => with_pool(line, &self.scheduler.snapshot(now, pool)),
         };
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -245,7 +245,7 @@
         let refusal = now + fleet.config.refusal_hold;
         let targets = fleet.services.values_mut();
         let mut states = targets.flat_map(|orders| orders.targets.values_mut());
-        let answered = states.find(|state| state.order.is_some_and(|one| one.call == Some(id)));
+        let answered = states.find(|state| state.order.is_some_and(|order| order.call == Some(id)));
         let Some(state) = answered else {
             return;
         };
@@ -268,8 +268,8 @@
     /// Counts a service's replicas that aren't leaving, by target.
     fn live_replicas(&self, service: &Service) -> BTreeMap<Target, u32> {
         let mut counts = BTreeMap::new();
-        for known in self.servers.iter() {
-            let server = &known.server;
+        for listed in self.servers.iter() {
+            let server = &listed.server;
             let leaves = self.servers.is_leaving(&server.incarnation);
             if server.service != service.name || leaves || !self.rollouts.is_permanent(server) {
                 continue;
@@ -289,7 +289,11 @@
         let Some(catalog) = self.catalog.clone() else {
             return;
         };
-        for service in catalog.services.iter().filter(|one| one.scaling.is_some()) {
+        for service in catalog
+            .services
+            .iter()
+            .filter(|service| service.scaling.is_some())
+        {
             let own = self.work.get(&service.name).map_or(0, Work::net_tokens);
             self.demand.sample(now, &service.name, own);
         }
@@ -345,13 +349,13 @@
             reclaimable: scaling.reclaimable_price.is_some(),
         };
         let wanted = cover::plan(config, busy_replicas, &zones, bounds);
-        let named = scaling.prices.iter().zip(wanted);
-        let both = named.flat_map(|((zone, _), wanted)| {
+        let zones_and_counts = scaling.prices.iter().zip(wanted);
+        let counts_by_target = zones_and_counts.flat_map(|((zone, _), wanted)| {
             [
                 (target(zone, Market::Reclaimable), wanted.reclaimable),
                 (target(zone, Market::OnDemand), wanted.on_demand),
             ]
         });
-        both.collect()
+        counts_by_target.collect()
     }
 }
--- a/crates/gateway/src/following.rs
+++ b/crates/gateway/src/following.rs
@@ -82,8 +82,8 @@
             }
         };
         let me = self.identity.incarnation;
-        let passes_on = self.hub.is_hub(me) && !self.hub.is_hub(from);
-        let learned = self.watch.receive(now, &report, passes_on);
+        let relays = self.hub.is_hub(me) && !self.hub.is_hub(from);
+        let learned = self.watch.receive(now, &report, relays);
         self.apply_report(now, learned, &report, from, effects);
     }
 
@@ -108,8 +108,8 @@
                 .with("removed", learned.removed.len());
             effects.push(Effect::Log(line));
             let (written, removed) = (learned.written, learned.removed);
-            let news = Update::Changes { written, removed };
-            self.servers_reported(now, news, effects);
+            let update = Update::Changes { written, removed };
+            self.servers_reported(now, update, effects);
         }
         if let Some(position) = learned.position {
             self.advance_position(position.as_of, position.revision);
@@ -163,8 +163,8 @@
             reread_after_restore,
             ..
         } = self.following;
-        let all = reads.into_iter().chain(due).chain(reread_as_reader);
-        all.chain(reread_after_restore).min()
+        let due_times = reads.into_iter().chain(due).chain(reread_as_reader);
+        due_times.chain(reread_after_restore).min()
     }
 
     fn role(&self) -> Role {
@@ -178,8 +178,8 @@
 
     /// Returns the report that accompanies the periodic counts: a hub always sends it, others if they have
     /// read the list since.
-    pub(crate) fn periodic_list_report(&mut self, now: Time, hub: bool) -> Option<Item> {
-        match hub || self.watch.has_read() {
+    pub(crate) fn periodic_list_report(&mut self, now: Time, is_hub: bool) -> Option<Item> {
+        match is_hub || self.watch.has_read() {
             true => self.list_item(now, Extent::Recent),
             false => None,
         }
@@ -206,11 +206,11 @@
     fn send_list_report(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let me = self.identity.incarnation;
         let hubs = self.roster.hubs().to_vec();
-        let hub = hubs.contains(&me);
+        let is_hub = hubs.contains(&me);
         let Some(item) = self.list_item(now, Extent::New) else {
             return;
         };
-        let to: Vec<holder::Id> = match hub {
+        let to: Vec<holder::Id> = match is_hub {
             true => self.membership.peers().map(|(id, _)| id).collect(),
             false => hubs,
         };
