--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Carries the scheduler's decisions out.
+//! Carries out the scheduler's decisions.
 
 use clock::Time;
 use line::Line;
@@ -15,14 +15,14 @@
 use crate::effect::Start;
 use crate::gateway::Gateway;
 
-/// Priorities that an engine knows, from the most urgent.
+/// Range of engine priorities; the lowest number is the most urgent.
 const MOST_URGENT: u8 = 0;
 const LEAST_URGENT: u8 = 9;
-/// Ranks of routes lie so far apart for the engine, so that there is room between them.
+/// Engine priorities between two ranks of routes, so that others fit in between.
 const RANK_STEP: u8 = 3;
 
 impl Gateway {
-    /// Carries one decision out.
+    /// Carries out one decision.
     pub(crate) fn apply_decision(
         &mut self,
         now: Time,
@@ -40,10 +40,11 @@
         }
     }
 
-    /// Moves a run off a server that leaves.
+    /// Moves a run off a leaving server.
     ///
-    /// Gains answers that can't be begun anew: a stream that isn't done when its server ends is cut. The scheduler
-    /// counts the job at its new place from here on; this entry does once the run is there.
+    /// This saves answers that can't be restarted: a stream that is unfinished when its server ends is cut.
+    /// The scheduler counts the job on its new replica from now on; this entry does so when the run has
+    /// arrived.
     fn move_run(
         &mut self,
         now: Time,
@@ -52,7 +53,7 @@
         how: Transfer,
         effects: &mut Vec<Effect>,
     ) {
-        let (Some(open), Some(place)) = (self.requests.get_mut(&job.0), self.servers.place(to))
+        let (Some(open), Some(endpoint)) = (self.requests.get_mut(&job.0), self.servers.place(to))
         else {
             return;
         };
@@ -63,23 +64,23 @@
         let line = Line::info("run_moving")
             .with("request", &open.id)
             .with("attempt", open.attempt)
-            .with("to", &place.incarnation)
+            .with("to", &endpoint.incarnation)
             .with("age_ms", now.since(open.arrived_at).as_millis());
         effects.push(Effect::Log(line));
         effects.push(Effect::Flight {
             serial: job.0,
-            command: Command::Move(place),
+            command: Command::Move(endpoint),
         });
     }
 
-    /// Hands a request to a replica.
+    /// Sends a request to a replica.
     fn start(&mut self, now: Time, job: job::Id, replica: replica::Key, effects: &mut Vec<Effect>) {
         let Some(open) = self.requests.get_mut(&job.0) else {
             return;
         };
-        let keeper = self.scheduler.cache_source(job, replica);
-        let Some(place) = self.servers.place(replica) else {
-            // The server went in the same step: the request is placed anew.
+        let cache_source = self.scheduler.cache_source(job, replica);
+        let Some(endpoint) = self.servers.place(replica) else {
+            // The server left in the same step: the request is placed again.
             return self.with_scheduler(now, effects, |scheduler, out| {
                 scheduler.attempt_ended(now, job, job::End::NotSent, 0, out);
             });
@@ -90,8 +91,8 @@
         open.move_target = None;
         let rank = open.job.terms.rank;
         let urgency = (MOST_URGENT + rank.saturating_mul(RANK_STEP)).min(LEAST_URGENT);
-        let model = open.job.kind == job::Kind::Model;
-        let keeper = keeper.and_then(|key| self.servers.place(key));
+        let is_model = open.job.kind == job::Kind::Model;
+        let cache_source = cache_source.and_then(|key| self.servers.place(key));
         let start = Start {
             attempt: open.attempt,
             account: open.account.clone(),
@@ -99,13 +100,13 @@
             silence_timeout: open.silence_timeout,
             stream: open.repeat.is_stream(),
             repeatable: open.repeat.is_repeatable(),
-            urgency: model.then_some(urgency),
+            urgency: is_model.then_some(urgency),
             tokens_per_event: open.tokens_per_event,
-            fetch_from: keeper.map(|place| place.address),
-            limited: self.limits.is_limited(&place.incarnation),
-            endpoint: place,
+            fetch_from: cache_source.map(|endpoint| endpoint.address),
+            limited: self.limits.is_limited(&endpoint.incarnation),
+            endpoint,
         };
-        let (first, pool) = (open.attempt == 1, open.job.pool);
+        let (is_first, pool) = (open.attempt == 1, open.job.pool);
         let list_age = now.since(self.servers.position().confirmed_at);
         let line = Line::info("attempt_started")
             .with("request", &open.id)
@@ -120,9 +121,8 @@
             Some(since) => line.with("missing_ms", now.since(since).as_millis()),
             None => line,
         };
-        // The first attempt of a request is the ordinary course; what is tried again is told with what
-        // there was to choose from.
-        let line = match first {
+        // First attempts are routine; retries are logged with the state of the pool.
+        let line = match is_first {
             true => line.routine(),
             false => with_pool(line, &self.scheduler.snapshot(now, pool)),
         };
@@ -133,7 +133,7 @@
         });
     }
 
-    /// Ends an open request with its final word.
+    /// Ends an open request with a final refusal.
     pub(crate) fn refuse(
         &mut self,
         now: Time,
@@ -167,7 +167,7 @@
     }
 }
 
-/// A line with what there was to choose from.
+/// Adds the state of the pool to a log line.
 fn with_pool(line: Line, pool: &Snapshot) -> Line {
     line.with("members", pool.members)
         .with("open", pool.open)
