--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,12 +1,13 @@
-//! Admission by predicted time to the first token, against the account's target.
+//! Admission control by predicted time to first token.
 //!
-//! Load pattern: a burst beyond capacity. Without admission the queue grows until every answer in it
-//! is late: the fleet works at full power and no caller is served in time, long after the burst.
+//! Guards against a burst beyond capacity: without admission control the queue grows until every
+//! answer in it misses its target, long after the burst is over.
 //!
-//! The wait is what is ahead in the queue over the rate at which this entry's attempts end (Little's
-//! law: attempts running, over their mean duration). It follows a lost zone at once, since the number
-//! running falls with it. The time from start to first token is a straight line over prompt length,
-//! fitted to what was observed. A job is refused at once when both together exceed its target.
+//! The predicted wait is the queued work ahead divided by the rate at which this entry completes
+//! work (Little's law: running attempts over their mean duration). It reacts to the loss of a zone
+//! immediately, because the number of running attempts drops with it. The time from start to first
+//! token is a linear regression over prompt length. A job is refused on arrival when the sum
+//! exceeds its target.
 
 use clock::Span;
 
@@ -14,118 +15,121 @@
 use crate::fair::Cost;
 use crate::size::Class;
 
-/// An idle replica's time is taken from the quickest answers: the estimate falls by this part of the
-/// difference, and rises by the other part of what the means do.
-const FALL: f64 = 0.5;
-const RISE: f64 = 0.02;
-/// Added to prompt lengths when a time is divided by one: the part of the time that isn't prompt.
-const PROMPT_BASE: f64 = 100.0;
+/// Weight of a sample below the idle-replica estimate: the fastest answers show what an idle
+/// replica takes.
+const FASTER_WEIGHT: f64 = 0.5;
+/// Weight of a sample above the estimate, relative to the configured smoothing.
+const SLOWER_WEIGHT: f64 = 0.02;
+/// Tokens added to a prompt's length when a time is divided by it: the part of the time that
+/// doesn't depend on the prompt.
+const PROMPT_OVERHEAD_TOKENS: f64 = 100.0;
 
-/// What one pool's replicas were observed to take.
+/// Observed service times and costs of one pool's replicas.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
-    /// By class: a line through short prompts says nothing of ones twenty times as long.
-    lines: [Line; 2],
-    idle: Option<f64>,
+    /// Per size class: a fit over short prompts doesn't hold for prompts twenty times as long.
+    fits: [Regression; 2],
+    idle_ratio: Option<f64>,
     duration: Mean,
     cost: Mean,
 }
 
-/// Time to the first token over prompt length.
+/// Linear regression of the time to first token over prompt length.
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct Regression {
     prompt: Mean,
-    first: Mean,
+    time: Mean,
     prompt_squared: Mean,
     product: Mean,
 }
 
-impl Line {
-    fn note(&mut self, prompt: f64, took: f64, smoothing: f64) {
-        self.prompt.note(prompt, smoothing);
-        self.first.note(took, smoothing);
-        self.prompt_squared.note(prompt * prompt, smoothing);
-        self.product.note(prompt * took, smoothing);
+impl Regression {
+    fn record(&mut self, prompt: f64, took: f64, smoothing: f64) {
+        self.prompt.record(prompt, smoothing);
+        self.time.record(took, smoothing);
+        self.prompt_squared.record(prompt * prompt, smoothing);
+        self.product.record(prompt * took, smoothing);
     }
 
-    /// The time to expect; none before anything was observed.
-    fn at(&self, prompt: f64) -> Option<f64> {
-        if self.first.seen == 0.0 {
+    /// Returns the expected time in milliseconds, or `None` before the first observation.
+    fn predict(&self, prompt: f64) -> Option<f64> {
+        if self.time.count == 0.0 {
             return None;
         }
         let variance = self.prompt_squared.value - self.prompt.value * self.prompt.value;
-        let covariance = self.product.value - self.prompt.value * self.first.value;
+        let covariance = self.product.value - self.prompt.value * self.time.value;
         let slope = if variance > 1.0 {
             (covariance / variance).max(0.0)
         } else {
             0.0
         };
-        Some(self.first.value + slope * (prompt - self.prompt.value))
+        Some(self.time.value + slope * (prompt - self.prompt.value))
     }
 }
 
-/// A running mean; the first observations count in full.
+/// An exponentially weighted mean that starts out as a plain mean.
 #[derive(Clone, Copy, Debug, Default)]
 struct Mean {
     value: f64,
-    seen: f64,
+    count: f64,
 }
 
 impl Mean {
-    fn note(&mut self, value: f64, smoothing: f64) {
-        self.seen += 1.0;
-        let weight = smoothing.max(1.0 / self.seen);
+    fn record(&mut self, value: f64, smoothing: f64) {
+        self.count += 1.0;
+        let weight = smoothing.max(1.0 / self.count);
         self.value += weight * (value - self.value);
     }
 }
 
 impl Service {
-    /// Notes an attempt's time from start to first token.
+    /// Records an attempt's time from start to first token.
     pub fn record_first_token(&mut self, settings: &Config, class: Class, prompt: u32, took: Span) {
         let prompt = f64::from(prompt);
         let took = took.as_millis() as f64;
-        self.lines[class as usize].note(prompt, took, settings.smoothing);
-        let ratio = took / (prompt + PROMPT_BASE);
-        let idle = self.idle.get_or_insert(ratio);
+        self.fits[class as usize].record(prompt, took, settings.smoothing);
+        let ratio = took / (prompt + PROMPT_OVERHEAD_TOKENS);
+        let idle = self.idle_ratio.get_or_insert(ratio);
         let weight = match ratio < *idle {
-            true => FALL,
-            false => RISE * settings.smoothing,
+            true => FASTER_WEIGHT,
+            false => SLOWER_WEIGHT * settings.smoothing,
         };
         *idle += weight * (ratio - *idle);
     }
 
-    /// Notes an attempt's whole duration and cost.
+    /// Records a completed attempt's duration and cost.
     pub fn record_end(&mut self, settings: &Config, cost: Cost, took: Span) {
         self.duration
-            .note(took.as_millis() as f64, settings.smoothing);
-        self.cost.note(cost as f64, settings.smoothing);
+            .record(took.as_millis() as f64, settings.smoothing);
+        self.cost.record(cost as f64, settings.smoothing);
     }
 
-    /// Time from start to first token to expect; at least that of an idle replica.
+    /// Returns the expected time from start to first token, at least that of an idle replica.
     pub fn first_token_time(&self, class: Class, prompt: u32) -> Span {
-        let idle = self.idle(prompt);
-        let line = self.lines[class as usize].at(f64::from(prompt));
+        let idle = self.idle_time(prompt);
+        let line = self.fits[class as usize].predict(f64::from(prompt));
         millis(line.unwrap_or(idle).max(idle))
     }
 
-    /// The same on an idle replica.
-    fn idle(&self, prompt: u32) -> f64 {
-        self.idle.unwrap_or(0.0) * (f64::from(prompt) + PROMPT_BASE)
+    /// Returns the expected time to first token on an idle replica, in milliseconds.
+    fn idle_time(&self, prompt: u32) -> f64 {
+        self.idle_ratio.unwrap_or(0.0) * (f64::from(prompt) + PROMPT_OVERHEAD_TOKENS)
     }
 
-    /// The time that a job has for its first token: its target, or more if even an idle replica
-    /// takes longer (else it would be refused for ever).
+    /// Returns the time that a job has for its first token: its target, or more if even an idle
+    /// replica takes longer, since the job would otherwise always be refused.
     pub fn allowed_time(&self, settings: &Config, target: Span, prompt: u32) -> Span {
-        let idle = self.idle(prompt);
+        let idle = self.idle_time(prompt);
         if idle <= target.as_millis() as f64 {
             return target;
         }
         millis(idle * settings.stretch)
     }
 
-    /// Cost that ends in a second while so many attempts run; none before anything has ended.
+    /// Returns the cost completed per second with `running` attempts in flight, or `None` before
+    /// the first completion.
     pub fn drain_rate(&self, running: u32) -> Option<f64> {
-        if self.duration.seen == 0.0 || self.duration.value <= 0.0 {
+        if self.duration.count == 0.0 || self.duration.value <= 0.0 {
             return None;
         }
         let running = f64::from(running.max(1));
@@ -133,7 +137,7 @@
     }
 }
 
-/// Time until so much has been served at that rate.
+/// Returns the time to serve the cost `ahead` at `rate` per second.
 pub fn wait_time(ahead: Cost, rate: Option<f64>) -> Span {
     match rate {
         Some(rate) if rate > 0.0 => millis(ahead as f64 / rate * 1_000.0),
--- a/crates/policy/src/configs/admission.rs
+++ b/crates/policy/src/configs/admission.rs
@@ -1,21 +1,20 @@
 //! Settings of [`crate::admission`].
 
-/// How latency is predicted and whom that admits.
+/// How latency is predicted, and what is admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Off, everything waits until it is served.
+    /// Whether to admit by prediction; when off, every job waits until it is served.
     pub enabled: bool,
-    /// Most jobs waiting in one pool, whatever the prediction: 46 MB by the table "Slopes of a decision"
-    /// of docs/MEASUREMENTS.md.
+    /// Maximum number of jobs waiting in one pool, whatever the prediction; they take 46 MB.
     pub max_waiting: usize,
-    /// Weight of the newest observation in the running means: about the last twenty, which the slots of
-    /// an entry end in two to three seconds.
+    /// Weight of the newest observation in the means, which cover about the last twenty: the slots
+    /// of an entry end as many in two to three seconds.
     pub smoothing: f64,
-    /// Share of the slack that the predicted wait may use; the rest is for slots that end late. The
-    /// table "Patterns" holds at this figure; others weren't measured.
+    /// Share of the slack that the predicted wait may use; the rest is for slots that become free
+    /// late.
     pub wait_share: f64,
-    /// A job that can't meet its target even on an idle replica gets this many times that time: refused
-    /// for its size it would be refused for ever. Others weren't measured.
+    /// Multiple of an idle replica's time granted to a job that can't meet its target even there:
+    /// refused for its size, it would always be refused.
     pub stretch: f64,
 }
 
--- a/crates/policy/src/configs/brownout.rs
+++ b/crates/policy/src/configs/brownout.rs
@@ -2,19 +2,19 @@
 
 use clock::Span;
 
-/// When and how much is shed.
+/// When and how much work is shed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Off, the queue alone decides.
+    /// Whether to shed; when off, the queue alone decides.
     pub enabled: bool,
-    /// How long one plan holds.
+    /// How long one plan is in force.
     pub period: Span,
-    /// Shedding begins when the queue's wait takes this share of a job's slack.
+    /// Share of a job's slack that the queue's wait must take for shedding to begin.
     pub pressure: f64,
-    /// Work let through, as a share of the measured drain rate.
+    /// Work to admit, relative to the observed drain rate.
     pub headroom: f64,
-    /// Weight of the newest period in the offered rates: about 2.5 s. At a half, small accounts were
-    /// thinned out for requests that happened to come together.
+    /// Weight of the newest period in the offered rates, which averages over about 2.5 s. At a
+    /// half, small accounts are thinned out for requests that happen to arrive together.
     pub smoothing: f64,
 }
 
--- a/crates/policy/src/configs/cover.rs
+++ b/crates/policy/src/configs/cover.rs
@@ -2,25 +2,25 @@
 
 use clock::Span;
 
-/// How full replicas may be, and how soon what is too many is given back.
+/// Target utilizations, and how long surplus replicas are kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Part of a replica's time that work fills while all is well: prompts then seldom wait behind long
+    /// Utilization of replicas in normal operation: low enough that prompts seldom wait behind long
     /// ones of others.
     pub target_utilization: f64,
-    /// The same while reclaimable replicas are missing and none are to be had.
+    /// Utilization while reclaimable replicas are missing and the market has none.
     pub shortage_utilization: f64,
-    /// The same in the two seconds between the end of a zone's reclaimable replicas and the start of those that are
-    /// ordered at their notice: prompts may wait for that long, and on-demand replicas kept for it cost five times as
-    /// much. At 0.6 they cost 0.02 of what the served requests are worth, mean of 45 plays of days with faults; at 1.0
-    /// fleets of nine lost more in the seconds after a reclaim than they saved (0.548 to 0.511 on a quiet day).
+    /// Utilization in the two seconds between the end of a zone's reclaimable replicas and the
+    /// start of those ordered at their notice: prompts may wait for that long, and on-demand
+    /// replicas kept for it cost five times as much. Higher loses more requests after a reclaim
+    /// than it saves, lower pays for idle replicas.
     pub failover_utilization: f64,
-    /// On-demand replicas that are too many are kept for so long: the next reclaim often follows the last
-    /// within seconds.
+    /// How long surplus on-demand replicas are kept: the next reclaim often follows the last within
+    /// seconds.
     pub on_demand_hold: Span,
-    /// The same for reclaimable ones, which cost a fifth.
+    /// How long surplus reclaimable replicas are kept, which cost a fifth.
     pub reclaimable_hold: Span,
-    /// How long a refusal of reclaimable replicas is taken as lasting.
+    /// How long a refusal of reclaimable replicas is assumed to last.
     pub refusal_hold: Span,
 }
 
--- a/crates/policy/src/configs/health.rs
+++ b/crates/policy/src/configs/health.rs
@@ -2,42 +2,43 @@
 
 use clock::Span;
 
-/// When a replica is taken out, and how it comes back.
+/// Thresholds for ejecting and readmitting a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Times the median token gap (or call time) of its peers at which a replica counts as slow. In
-    /// the table "Ejection" of docs/MEASUREMENTS.md 4 with the weight below is the only pair but one
-    /// without wrong ejections, and the quicker of them.
+    /// Multiple of its peers' median token gap (or call duration) at which a replica counts as
+    /// slow. Together with `gap_smoothing` it avoids wrong ejections; lower values eject healthy
+    /// replicas.
     pub slow_factor: f64,
-    /// Weight of a period's least gap in the average; the same table.
+    /// Weight of a period's smallest gap in the average.
     pub gap_smoothing: f64,
-    /// Periods with a gap before a replica is compared at all.
+    /// Periods with a gap before a replica is compared with its peers.
     pub min_samples: u32,
-    /// Weight of one attempt's end in the average of failures.
+    /// Weight of one attempt's end in the failure rate.
     pub failure_smoothing: f64,
-    /// Share of failed attempts at which a replica counts as failing, if its peers' median is less
-    /// than half of that: a request that fails everywhere must eject nobody.
+    /// Failure rate at which a replica counts as failing, if its peers' median is less than half of
+    /// it: a request that fails everywhere must eject nobody.
     pub failure_threshold: f64,
-    /// Attempts ended before failures are judged.
+    /// Ended attempts before the failure rate is judged.
     pub min_attempts: u32,
-    /// Silence (no token, no report) with work in flight at which a replica counts as frozen:
-    /// three reports at one a second.
+    /// Silence (no token, no report) with work in flight at which a replica counts as frozen: three
+    /// reports at one per second.
     pub frozen_after: Span,
     /// Silence of its streams at which a replica counts as frozen although it still reports: above
-    /// the prefill of the longest prompt, during which a lone stream says nothing.
+    /// the prefill of the longest prompt, during which a lone stream produces nothing.
     pub stalled_after: Span,
-    /// Times the peers' median gap that a silence must exceed as well.
+    /// Multiple of the peers' median gap that a silence must exceed as well.
     pub silence_factor: f64,
-    /// One of this many replicas of a pool, at most, is out at once: the rest must carry its work.
+    /// At most one in this many replicas of a pool is ejected at a time: the rest must carry its
+    /// work.
     pub ejection_divisor: usize,
-    /// First term out; it doubles with each relapse, so that a fault that lasted keeps a replica
-    /// out for at most about as long again.
+    /// Duration of the first ejection; it doubles with each relapse, so that a fault that lasted
+    /// keeps a replica out for at most about as long again.
     pub base_ejection: Span,
-    /// Longest term: a replica broken for good costs one late request a term.
+    /// Longest ejection: a replica broken for good costs one late request per ejection.
     pub max_ejection: Span,
-    /// Jobs at once at which a probed replica counts as back.
+    /// Concurrent jobs at which a probed replica counts as recovered.
     pub recovered_jobs: u32,
-    /// Judgement is renewed this often.
+    /// Interval between evaluations.
     pub period: Span,
 }
 
--- a/crates/policy/src/configs/limit.rs
+++ b/crates/policy/src/configs/limit.rs
@@ -2,22 +2,22 @@
 
 use clock::Span;
 
-/// How an account's limit is shared among the entries.
+/// How an account's limit is divided among the entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Off, limits aren't enforced.
+    /// Whether limits are enforced.
     pub enabled: bool,
-    /// Entries that share each limit until [`crate::limit::Limits::set_entries`] says otherwise.
+    /// Entries that share each limit until [`crate::limit::Limits::set_entries`] is called.
     pub entries: u32,
-    /// How often a digest is told.
+    /// Interval between digests.
     pub period: Span,
-    /// A peer not heard for so long is silent: it may use its equal part and no more.
+    /// Time without a digest after which a peer may use its equal share and no more.
     pub peer_timeout: Span,
-    /// Most claims in one digest.
+    /// Maximum number of claims in one digest.
     pub max_claims: usize,
-    /// Part of an equal share that an entry keeps without demand.
+    /// Fraction of an equal share that an entry keeps without demand.
     pub floor: f64,
-    /// Unused tokens may be saved for this long.
+    /// How long unused tokens accumulate in the bucket.
     pub burst: Span,
     /// Weight of the newest period in the demand.
     pub smoothing: f64,
--- a/crates/policy/src/configs/mod.rs
+++ b/crates/policy/src/configs/mod.rs
@@ -1,5 +1,5 @@
-//! Settings of the policy modules, each with its defaults and their grounds.
-//! Settings of the policy modules, one file a module, each with its defaults and their grounds.
+//! Settings of the policy modules, one file per module, with their defaults and the reasons for
+//! them.
 
 pub mod admission;
 pub mod affinity;
--- a/crates/policy/src/configs/placement.rs
+++ b/crates/policy/src/configs/placement.rs
@@ -2,36 +2,38 @@
 
 use clock::Span;
 
-/// Which modules take part in the choice of a replica, and how far it looks.
+/// Which modules take part in the choice of a replica, and how many jobs it considers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Off, the least loaded replica is taken whatever the prefix.
+    /// Whether to prefer replicas that hold the prefix; when off, the least loaded replica is
+    /// chosen.
     pub affinity: bool,
-    /// Off, every replica takes what it has slots for by our own count.
+    /// Whether to estimate load; when off, every replica takes what it has slots for by our own
+    /// count.
     pub concurrency: bool,
-    /// Off, no replica is ejected.
+    /// Whether replicas are ejected.
     pub health: bool,
-    /// Off, a killer request is tried like any other.
+    /// Whether killer requests are quarantined.
     pub quarantine: bool,
-    /// Off, a job that has made tokens isn't suspected when its replica crashes: right where killers are known
-    /// to crash what begins to run them.
+    /// Whether a job that has produced tokens is suspected when its replica crashes. Off is right
+    /// where killers are known to crash replicas that begin to run them.
     pub blame_streams: bool,
-    /// Off, a new replica gets its whole part at once.
+    /// Whether the load on new replicas is ramped up.
     pub warmup: bool,
-    /// Off, what runs on a leaving replica stays there to its end.
+    /// Whether jobs on leaving replicas are moved; when off, they stay there to their end.
     pub wave: bool,
-    /// Queue heads looked at when the first can't be placed: enough that one account's suspects or
-    /// retried jobs don't block the others, few enough that a decision stays short.
+    /// Queue heads to consider when the first can't be placed: enough that one account's suspects
+    /// or retried jobs don't block the others, few enough that a decision stays short.
     pub max_heads: usize,
-    /// How long a job whose caller already has its first token waits for a place after a crash.
+    /// How long a job whose caller already has its first token waits for a replica after a crash.
     pub resume_timeout: Span,
-    /// The notices of one wave come within this time: moves are planned after it, so that nothing is
-    /// moved to a replica that is named next.
+    /// Window in which the notices of one wave arrive: moves are planned after it, so that nothing
+    /// is moved to a replica that is named next.
     pub gather_window: Span,
-    /// Moves are planned anew this often while jobs are left on leaving replicas.
+    /// Interval between plans while jobs are left on leaving replicas.
     pub replan_interval: Span,
-    /// This long before a deadline, after the plan's own margin, full replicas are overbooked: a place
-    /// in a replica's own queue is better than a lost answer.
+    /// Time before a deadline, beyond the plan's own margin, in which full replicas are overbooked:
+    /// a place in a replica's own queue is better than a lost answer.
     pub overbook_window: Span,
 }
 
--- a/crates/policy/src/configs/quarantine.rs
+++ b/crates/policy/src/configs/quarantine.rs
@@ -9,40 +9,41 @@
     ///
     /// One could be chance; two are the fewest that show a pattern, and each costs a replica.
     pub crash_threshold: usize,
-    /// How long a suspect is held before it runs alone, and how far apart crashes of one zone may
-    /// lie to count as one event.
+    /// How long a suspect is held before it runs alone, and the window in which crashes of one zone
+    /// count as one event.
     ///
-    /// Must exceed a digest's way to the peers (1 ms one way between zones, plus the shell's
-    /// batching) by far, so that crashes seen elsewhere are known before the next replica is risked.
+    /// Must exceed by far the time a digest takes to the peers (1 ms one way between zones, plus
+    /// batching), so that crashes seen elsewhere are known before the next replica is risked.
     pub settle: Span,
-    /// Spread added to `settle`, so that fewer claims meet.
+    /// Random addition to `settle`, so that fewer claims collide.
     pub settle_jitter: Span,
-    /// How long a claim on a replica must stand before the suspect starts: more than two ways of a
-    /// digest (36 ms at most each over the entries of the fault matrix), so that of two entries that
-    /// claim at once one knows in time to yield.
+    /// How long a claim on a replica must be held before the suspect starts: more than two transit
+    /// times of a digest (at most 36 ms each), so that of two entries that claim at once one knows
+    /// in time to yield.
     pub claim_delay: Span,
-    /// Replicas of one zone lost within `settle` that count as the loss of the zone, not of a
-    /// killer: one more than the replicas a killer may take.
+    /// Replicas of one zone lost within `settle` that count as the loss of the zone, not as the
+    /// work of a killer: one more than the replicas a killer may take.
     pub zone_loss_threshold: usize,
-    /// Replicas of any zones lost within `settle` that count as an event from outside: more than a killer
-    /// takes that is sent through all entries in the same moment. Without it everything that ran on a
-    /// quarter of a pool is held and tried one by one.
+    /// Replicas of any zones lost within `settle` that count as an external event: more than a
+    /// killer takes that is sent through all entries at the same time. Without it everything that
+    /// ran on a quarter of a pool is held and tried one by one.
     pub mass_loss_threshold: usize,
     /// How long suspicion and quarantine last.
     ///
-    /// An ordinary replica fails every 52 days (230 of 12,000 a day), so an innocent suspect that
-    /// runs alone for 10 s is blamed for a chance crash 2 times in a million: the term needn't be
-    /// short for its sake. It bounds what a standing killer costs: one replica a term.
+    /// An ordinary replica fails every 52 days (230 of 12,000 per day), so an innocent suspect that
+    /// runs alone for 10 s is blamed for a chance crash 2 times in a million, and the duration
+    /// needn't be short for its sake. It bounds the cost of a persistent killer: one replica per
+    /// duration.
     pub duration: Span,
-    /// How long a peer's word that a suspect runs at a replica holds without being repeated: three
-    /// digests at one a second.
+    /// How long a peer's claim on a replica is valid without being repeated: three digests at one
+    /// per second.
     pub claim_ttl: Span,
-    /// A digest leaves out what expires sooner than this, so that two entries can't teach each
-    /// other an expired record over and over; longer than any digest's way.
+    /// A digest omits records that expire sooner than this, so that two entries can't send each
+    /// other an expired record over and over; longer than any digest's transit time.
     pub min_remaining: Span,
-    /// Most records kept.
+    /// Maximum number of records.
     pub max_records: usize,
-    /// Most records and crashes in one digest.
+    /// Maximum number of records, and of crashes, in one digest.
     pub max_digest_items: usize,
 }
 
--- a/crates/policy/src/configs/retry.rs
+++ b/crates/policy/src/configs/retry.rs
@@ -2,23 +2,22 @@
 
 use clock::Span;
 
-/// How often work is tried again and when callers come back.
+/// Budget of retries, and the delays after which callers retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Off, retries are unlimited and callers come back at once.
+    /// Whether retries are limited; when off, they are unlimited and callers retry at once.
     pub enabled: bool,
-    /// Retries earned by one whole answer.
+    /// Retries earned by one complete answer.
     pub fraction: f64,
-    /// Retries that may be saved up; also what a new pool begins with.
+    /// Maximum number of saved retries, which is also what a new pool starts with.
     pub max_saved: f64,
-    /// Most attempts of one job.
+    /// Maximum number of attempts of one job.
     pub max_attempts: usize,
-    /// Shortest time to come back after.
+    /// Shortest delay of a caller's retry.
     pub min_delay: Span,
-    /// Longest time to come back after.
+    /// Longest delay of a caller's retry.
     pub max_delay: Span,
-    /// Share of the drain rate that returning callers are spread over: half, the whole and twice were
-    /// measured, docs/design/policy-queues.md.
+    /// Share of the drain rate over which returning callers are spread.
     pub return_share: f64,
 }
 
--- a/crates/policy/src/configs/size.rs
+++ b/crates/policy/src/configs/size.rs
@@ -1,16 +1,16 @@
 //! Settings of [`crate::size`].
 
-/// Which jobs are long.
+/// Thresholds for long jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Off, there is one class.
+    /// Whether jobs are classified; when off, there is one class.
     pub enabled: bool,
-    /// A job is long from this many times the pool's mean cost on.
+    /// Multiple of the pool's mean cost from which a job is long.
     pub long_factor: f64,
-    /// Part of the work that long jobs must make up before replicas are set apart for them: one in a
-    /// hundred is less than a replica of the smallest pool that has spare ones.
+    /// Share of the work that long jobs must make up before replicas are set apart for them: one in
+    /// a hundred is less than a replica of the smallest pool that has spare ones.
     pub min_share: f64,
-    /// Weight of the newest job in the means: about the last hundred arrivals.
+    /// Weight of the newest job in the means, which cover about the last hundred arrivals.
     pub smoothing: f64,
 }
 
--- a/crates/policy/src/configs/slots.rs
+++ b/crates/policy/src/configs/slots.rs
@@ -1,12 +1,11 @@
 //! Settings of [`crate::slots`].
 
-/// How slots that others leave free are borrowed.
+/// How free slots of other entries are borrowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Off, an entry takes whatever its estimate calls free.
+    /// Whether slots are divided; when off, an entry takes whatever its estimate calls free.
     pub enabled: bool,
-    /// Equal parts of the slots reported free that an entry takes on top of its own a report: a half, one
-    /// and two were measured, docs/design/policy-queues.md.
+    /// Equal shares of the slots reported free that an entry borrows per report on top of its own.
     pub borrowed_shares: f64,
 }
 
--- a/crates/policy/src/configs/subset.rs
+++ b/crates/policy/src/configs/subset.rs
@@ -1,14 +1,14 @@
 //! Settings of [`crate::subset`].
 
-/// How many entries serve each replica.
+/// Size of subsets.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Entries for each replica, at least: with two, the loss of an entry leaves none unserved, and
-    /// the imbalance is 1.00 for callers spread by subset size and 1.46 for callers spread evenly,
-    /// by the table "Subsets" in docs/MEASUREMENTS.md.
+    /// Minimum number of entries per replica: with two, the loss of an entry leaves no replica
+    /// unserved. Load is even for callers spread by subset size; the most loaded replica carries
+    /// 1.46 times the mean for callers spread evenly.
     pub entries_per_replica: usize,
-    /// Replicas that a subset is to have on average, if there are so many: below that, more entries
-    /// serve each replica. At full size two entries for each come to 29.
+    /// Average number of replicas in a subset, if there are as many: below it, more entries serve
+    /// each replica.
     pub target_size: usize,
 }
 
--- a/crates/policy/src/configs/warmup.rs
+++ b/crates/policy/src/configs/warmup.rs
@@ -2,14 +2,13 @@
 
 use clock::Span;
 
-/// How fast a new replica gets its part.
+/// Ramp-up of new replicas.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Share of its slots that a new replica may use at once.
+    /// Share of its slots that a new replica may use immediately.
     pub initial_share: f64,
     /// Time until it may use all of them: about twice what a replica takes to compute as many
-    /// prefixes as its cache holds (2.4 s for the engine of the table "Warm-up" in
-    /// docs/MEASUREMENTS.md, where 5 s is best). Longer wastes capacity, shorter warms nothing.
+    /// prefixes as its cache holds. Longer wastes capacity, shorter starts with a cold cache.
     pub duration: Span,
 }
 
--- a/crates/policy/src/fair/estimate.rs
+++ b/crates/policy/src/fair/estimate.rs
@@ -1,19 +1,19 @@
-//! What an account's answers cost.
+//! Expected output length of an account's answers.
 
-/// An account's mean output length, from its answers.
+/// Mean output length of an account's answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Estimate {
     mean: Option<f64>,
 }
 
 impl Estimate {
-    /// Output tokens to expect of a job that may generate `most`.
+    /// Returns the expected output tokens of a job that may generate at most `limit`.
     pub fn expect(&self, most: u32) -> u32 {
         let mean = self.mean.unwrap_or(f64::from(most) / 2.0);
         (mean as u32).clamp(1, most.max(1))
     }
 
-    /// Notes a whole answer.
+    /// Records a complete answer.
     pub fn record(&mut self, tokens: u32, smoothing: f64) {
         let tokens = f64::from(tokens);
         let mean = self.mean.get_or_insert(tokens);
--- a/crates/policy/src/fair/level.rs
+++ b/crates/policy/src/fair/level.rs
@@ -1,4 +1,4 @@
-//! The waiting jobs of one priority.
+//! Queue of the waiting jobs of one priority.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,10 +11,10 @@
 use crate::job;
 use crate::size::Class;
 
-/// Virtual time has this many units for one token at weight one.
-const SCALE: u64 = 1_024;
-/// Position that every job put back in front of its account's others counts down from.
-const FIRST: i64 = 0;
+/// Units of virtual time per token at weight one.
+const UNITS_PER_TOKEN: u64 = 1_024;
+/// Initial position; jobs put back in front of their account's others count down from it.
+const INITIAL_POSITION: i64 = 0;
 
 /// Start-time fair queueing over accounts.
 #[derive(Debug)]
@@ -25,15 +25,15 @@
     /// that class.
     ready: [BTreeSet<(u64, account::Key)>; 2],
     lanes: BTreeMap<account::Key, Lane>,
-    /// Tag of what was taken last; never falls.
+    /// Highest tag taken so far.
     virtual_time: u64,
-    /// Sum over the lanes.
+    /// Total cost of the waiting jobs.
     cost: Cost,
-    /// Sum of the weights of lanes with jobs.
+    /// Total weight of the lanes with waiting jobs.
     active_weight: u64,
     waiting: usize,
-    next: i64,
-    front: i64,
+    next_position: i64,
+    front_position: i64,
 }
 
 /// One account's part of the queue.
@@ -53,7 +53,7 @@
 }
 
 impl Level {
-    /// Empty; not `enabled`, it keeps the order of arrival over all accounts.
+    /// Creates an empty level; unless `enabled`, it serves all accounts in order of arrival.
     pub fn new(enabled: bool, priority: u8) -> Level {
         Level {
             enabled,
@@ -64,34 +64,34 @@
             cost: 0,
             active_weight: 0,
             waiting: 0,
-            next: FIRST + 1,
-            front: FIRST,
+            next_position: INITIAL_POSITION + 1,
+            front_position: INITIAL_POSITION,
         }
     }
 
-    /// Jobs waiting.
+    /// Returns the number of waiting jobs.
     pub fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Cost of all that waits.
+    /// Returns the total cost of the waiting jobs.
     pub fn cost(&self) -> Cost {
         self.cost
     }
 
-    /// Puts a job behind the others of its account and class.
+    /// Appends a job to the others of its account and class.
     pub fn push(&mut self, entrant: &Entrant) -> Place {
-        self.next += 1;
-        self.insert(entrant, self.next)
+        self.next_position += 1;
+        self.insert(entrant, self.next_position)
     }
 
     /// Puts a job that was taken before in front of the others of its account and class.
     pub fn push_front(&mut self, entrant: &Entrant) -> Place {
-        self.front -= 1;
-        self.insert(entrant, self.front)
+        self.front_position -= 1;
+        self.insert(entrant, self.front_position)
     }
 
-    /// Takes a job out without charging for it.
+    /// Removes a job without charging for it.
     pub fn remove(&mut self, place: Place) {
         self.with_lane(place.account, |lane| {
             if let Some(item) = lane.jobs[place.class as usize].remove(&place.position) {
@@ -100,7 +100,7 @@
         });
     }
 
-    /// Takes a job out to run it and charges its account.
+    /// Removes a job to run it, and charges its account.
     pub fn take(&mut self, place: Place) {
         let virtual_time = &mut 0;
         self.with_lane(place.account, |lane| {
@@ -109,29 +109,29 @@
                 return;
             };
             lane.cost -= item.cost;
-            lane.tag += item.cost * SCALE / lane.weight;
+            lane.tag += item.cost * UNITS_PER_TOKEN / lane.weight;
         });
         self.virtual_time = self.virtual_time.max(*virtual_time);
     }
 
-    /// Corrects the charge of a job that ended: it had been charged `estimated`.
+    /// Corrects the charge of a job that ended from `estimated` to `actual`.
     pub fn settle(&mut self, account: account::Key, estimated: Cost, actual: Cost) {
         self.with_lane(account, |lane| {
-            let more = actual.saturating_sub(estimated) * SCALE / lane.weight;
-            let less = estimated.saturating_sub(actual) * SCALE / lane.weight;
+            let more = actual.saturating_sub(estimated) * UNITS_PER_TOKEN / lane.weight;
+            let less = estimated.saturating_sub(actual) * UNITS_PER_TOKEN / lane.weight;
             lane.tag = (lane.tag + more).saturating_sub(less);
         });
     }
 
-    /// How many jobs the account has waiting.
+    /// Returns how many jobs of the account are waiting.
     pub fn waiting_jobs(&self, account: account::Key) -> usize {
         self.lanes.get(&account).map_or(0, Lane::len)
     }
 
-    /// Cost that will be served before a new job of the account, as far as its share tells.
+    /// Returns the estimated cost that is served before a new job of the account.
     ///
-    /// The account's own queue, and what it has had in advance, drain at its share of the rate; but
-    /// nothing waits for more than the whole queue.
+    /// The account's own queue, and the service it received in advance, drain at its share of the
+    /// rate; but nothing waits for more than the whole queue.
     pub fn cost_ahead(&self, account: account::Key, weight: u32) -> Cost {
         if !self.enabled {
             return self.cost;
@@ -139,7 +139,8 @@
         let weight = u64::from(weight.max(1));
         let (own, advance, active) = match self.lanes.get(&account) {
             Some(lane) => {
-                let advance = lane.tag.saturating_sub(self.virtual_time) * lane.weight / SCALE;
+                let advance =
+                    lane.tag.saturating_sub(self.virtual_time) * lane.weight / UNITS_PER_TOKEN;
                 (lane.cost, advance, !lane.is_empty())
             }
             None => (0, 0, false),
@@ -154,7 +155,7 @@
         self.cost.min(shared.min(u128::from(u64::MAX)) as u64)
     }
 
-    /// The heads of at most `most` lanes of a class in the order in which they should be served.
+    /// Returns the heads of at most `limit` lanes of a class in the order in which to serve them.
     pub fn heads(&self, class: Class, most: usize) -> impl Iterator<Item = (u64, Head)> {
         self.ready[class as usize]
             .iter()
@@ -173,7 +174,7 @@
     }
 
     fn insert(&mut self, entrant: &Entrant, position: i64) -> Place {
-        // Not enabled, all share one lane, in which positions keep the order of arrival.
+        // When disabled, all accounts share one lane, in which positions keep the order of arrival.
         let account = match self.enabled {
             true => entrant.account,
             false => account::Key(0),
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Changes a lane and keeps the sums and the order in step with it.
+    /// Changes a lane and updates the totals and the order.
     fn with_lane(&mut self, account: account::Key, change: impl FnOnce(&mut Lane)) {
         let Some(lane) = self.lanes.get_mut(&account) else {
             return;
--- a/crates/policy/src/fair/mod.rs
+++ b/crates/policy/src/fair/mod.rs
@@ -1,17 +1,17 @@
 //! Fair queueing over client accounts by weighted token cost.
 //!
-//! Load pattern: one account sends many times its share. Served in order of arrival, its requests
-//! fill the queue and everybody waits behind them, the account with three requests an hour as long
-//! as the one that caused the wait.
+//! Guards against an account that sends many times its share: in order of arrival its requests fill
+//! the queue, and an account with three requests an hour waits as long as the one that caused the
+//! wait.
 //!
 //! Start-time fair queueing: each account has a tag, the virtual time up to which it has been
-//! served. The account with the lowest tag goes next, and its tag rises by cost over weight. The
-//! cost is an estimate when the job starts and is corrected by what was really generated, so
-//! a caller gains nothing by understating. An account that was idle begins at the present virtual
-//! time: it neither saves up service nor owes for it.
+//! served. The account with the lowest tag is served next, and its tag rises by cost over weight.
+//! The cost is estimated when a job starts and corrected by its actual output, so a caller gains
+//! nothing by understating it. An account that was idle starts at the current virtual time: it
+//! neither saves up service nor owes any.
 //!
-//! Accounts of a lower priority number go first. While there is capacity for all, the queue is short
-//! and nobody notices; beyond it, this is what sheds by priority.
+//! Accounts with a lower priority number are served first. Below capacity the queue is short and
+//! priorities have little effect; beyond it they decide what is shed.
 
 mod estimate;
 mod level;
@@ -25,43 +25,43 @@
 
 pub use crate::fair::estimate::Estimate;
 
-/// Cost in tokens, generated ones weighted.
+/// Cost in prompt tokens; an output token counts as several.
 pub type Cost = u64;
 
-/// The jobs of one pool that wait.
+/// The waiting jobs of one pool.
 #[derive(Debug)]
 pub struct Queue {
     enabled: bool,
-    /// By priority; at most ten.
+    /// Levels by priority.
     levels: BTreeMap<u8, Level>,
 }
 
-/// Where a job waits; in the order of priority and arrival.
+/// Position of a waiting job, ordered by priority and arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
     priority: u8,
     position: i64,
-    /// In whose lane.
+    /// Account in whose lane the job waits.
     pub account: account::Key,
-    /// In which class.
+    /// Size class of the job.
     pub class: Class,
 }
 
 /// The next job of a lane.
 #[derive(Clone, Copy, Debug)]
 pub struct Head {
-    /// Which job.
+    /// The job.
     pub id: job::Id,
-    /// Where it waits.
+    /// Its position.
     pub place: Place,
 }
 
-/// A job that asks for a place.
+/// A job to enqueue.
 #[derive(Clone, Copy, Debug)]
 pub struct Entrant {
-    /// Which job.
+    /// The job.
     pub id: job::Id,
-    /// Whose.
+    /// Its client account.
     pub account: account::Key,
     /// The account's weight.
     pub weight: u32,
@@ -74,7 +74,7 @@
 }
 
 impl Queue {
-    /// An empty queue; not `enabled`, it keeps the order of arrival over all accounts.
+    /// Creates an empty queue; unless `enabled`, it serves all accounts in order of arrival.
     pub fn new(enabled: bool) -> Queue {
         Queue {
             enabled,
@@ -82,22 +82,22 @@
         }
     }
 
-    /// Jobs waiting.
+    /// Returns the number of waiting jobs.
     pub fn len(&self) -> usize {
         self.levels.values().map(Level::len).sum()
     }
 
-    /// Whether none waits.
+    /// Returns whether no job is waiting.
     pub fn is_empty(&self) -> bool {
         self.levels.values().all(|level| level.len() == 0)
     }
 
-    /// Cost of all that waits.
+    /// Returns the total cost of the waiting jobs.
     pub fn cost(&self) -> Cost {
         self.levels.values().map(Level::cost).sum()
     }
 
-    /// Puts a job behind the others of its account and class.
+    /// Appends a job to the others of its account and class.
     pub fn push(&mut self, entrant: &Entrant) -> Place {
         self.level(entrant.priority).push(entrant)
     }
@@ -107,32 +107,32 @@
         self.level(entrant.priority).push_front(entrant)
     }
 
-    /// Takes a job out without charging for it.
+    /// Removes a job without charging for it.
     pub fn remove(&mut self, place: Place) {
         self.level(place.priority).remove(place);
     }
 
-    /// Takes a job out to run it and charges its account.
+    /// Removes a job to run it, and charges its account.
     pub fn take(&mut self, place: Place) {
         self.level(place.priority).take(place);
     }
 
-    /// Corrects the charge of a job that ended: it had been charged `estimated`.
+    /// Corrects the charge of a job that ended from `estimated` to `actual`.
     pub fn settle(&mut self, priority: u8, account: account::Key, estimated: Cost, actual: Cost) {
         self.level(priority).settle(account, estimated, actual);
     }
 
-    /// How many jobs the account has waiting.
+    /// Returns how many jobs of the account are waiting.
     pub fn waiting_jobs(&self, priority: u8, account: account::Key) -> usize {
         self.levels
             .get(&priority)
             .map_or(0, |level| level.waiting_jobs(account))
     }
 
-    /// Cost that will be served before a new job of the account, as far as its share tells.
+    /// Returns the estimated cost that is served before a new job of the account.
     ///
-    /// All that waits in front of its priority; of its own, the account's queue and what it has had
-    /// in advance, which drain at its share of the rate, but never more than all of it.
+    /// That is everything at higher priorities and, at its own, the account's queue and the service
+    /// it received in advance, which drain at its share of the rate, but at most the whole level.
     pub fn cost_ahead(&self, priority: u8, account: account::Key, weight: u32) -> Cost {
         let before = self.levels.range(..priority).map(|(_, level)| level.cost());
         let own = self
@@ -142,7 +142,7 @@
         before.sum::<Cost>() + own
     }
 
-    /// The heads of at most `most` lanes in the order in which they should be served.
+    /// Returns the heads of about `limit` lanes in the order in which to serve them.
     pub fn heads(&self, most: usize) -> Vec<Head> {
         let mut heads = Vec::new();
         for level in self.levels.values() {
@@ -159,7 +159,7 @@
 
     fn level(&mut self, priority: u8) -> &mut Level {
         let enabled = self.enabled;
-        // Not enabled, all share one level.
+        // When disabled, all priorities share one level.
         let priority = if enabled { priority } else { 0 };
         self.levels
             .entry(priority)
--- a/crates/policy/src/health/mod.rs
+++ b/crates/policy/src/health/mod.rs
@@ -1,16 +1,17 @@
-//! Takes a slow, frozen or fast-failing replica out of its pool, and brings it back slowly.
+//! Outlier detection: ejects slow, frozen or fast-failing replicas from their pool and readmits
+//! them gradually.
 //!
-//! *Pattern*: one replica of a pool is several times slower than the rest, says nothing, or fails
-//! each request in an instant. *Without it*: the slow one holds its share of requests past their
-//! target; the fast-failing one looks idle and draws all of them. *How*: each replica is compared
-//! with the median of its peers, so that load, a bad version or a bad request that hits all of them
-//! ejects nobody; never more than a third is out. One that was out is probed with one job, then
-//! two, four and so on; a relapse doubles its term. Grounds: comparison with peers and latency
-//! probation, Dean and Barroso, "The Tail at Scale", 2013; the figures in
-//! [`crate::configs::health::Config`].
+//! Guards against one replica of a pool that is several times slower than the rest, is silent, or
+//! fails each request in an instant: the slow one holds its share of requests past their target,
+//! and the fast-failing one looks idle and attracts all of them. Each replica is compared with the
+//! median of its peers, so that load, a bad version or a bad request that affects all of them
+//! ejects nobody, and never more than a third is ejected. An ejected replica is probed with one
+//! job, then two, four and so on; each relapse doubles its ejection time. Comparison with peers and
+//! latency-induced probation follow Dean and Barroso, "The Tail at Scale", 2013; the thresholds are
+//! in [`crate::configs::health::Config`].
 //!
-//! One [`Monitor`] watches one pool. Judgement costs one pass over the pool every `period`; a
-//! decision costs one look-up.
+//! One [`Monitor`] watches one pool. An evaluation costs one pass over the pool every `period`; a
+//! decision costs one lookup.
 
 mod peer;
 
@@ -25,84 +26,84 @@
 use self::peer::Peer;
 use self::peer::State;
 
-/// How much a replica may be given.
+/// How many jobs a replica may be given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Allowance {
-    /// Nothing.
+    /// No jobs.
     None,
-    /// At most so many jobs of ours at once.
+    /// At most this many concurrent jobs of this entry.
     Jobs(u32),
-    /// As much as it can carry.
+    /// As many as it has capacity for.
     Full,
 }
 
-/// Watches the replicas of one pool.
+/// Monitors the replicas of one pool.
 #[derive(Debug)]
 pub struct Monitor {
     config: Config,
     peers: BTreeMap<replica::Key, Peer>,
-    /// When the pool is judged next.
-    due: Time,
+    /// When the pool is evaluated next.
+    next_check: Time,
 }
 
-/// Why a replica should go out.
+/// A replica that stands out against its peers.
 #[derive(Clone, Copy, Debug)]
-struct Fault {
+struct Outlier {
     replica: replica::Key,
-    /// Larger is worse.
+    /// Factor by which it exceeds a threshold.
     severity: f64,
 }
 
 impl Monitor {
-    /// Watches nobody yet.
+    /// Creates a monitor without replicas.
     pub fn new(config: Config) -> Monitor {
         Monitor {
             config,
             peers: BTreeMap::new(),
-            due: Time::ZERO,
+            next_check: Time::ZERO,
         }
     }
 
-    /// A replica joined the pool.
+    /// Adds a replica.
     pub fn add(&mut self, now: Time, key: replica::Key) {
         self.peers.insert(key, Peer::new(now, &self.config));
     }
 
-    /// A replica left the pool or is lost.
+    /// Removes a replica that left the pool or is lost.
     pub fn remove(&mut self, key: replica::Key) {
         self.peers.remove(&key);
     }
 
-    /// An attempt was started there.
+    /// Records the start of an attempt.
     pub fn record_start(&mut self, now: Time, key: replica::Key) {
         if let Some(peer) = self.peers.get_mut(&key) {
             peer.record_start(now);
         }
     }
 
-    /// A stream said something; `gap` is the time for each of its tokens in ms, where known. A plain
-    /// call's whole time counts as its gap.
+    /// Records output of a stream; `gap` is the time per token in milliseconds, if known. The gap
+    /// of a plain call is its whole duration.
     pub fn record_progress(&mut self, now: Time, key: replica::Key, gap: Option<f64>) {
         if let Some(peer) = self.peers.get_mut(&key) {
             peer.record_progress(now, gap);
         }
     }
 
-    /// A load report came, which a frozen process doesn't send.
+    /// Records a load report, which a frozen process doesn't send.
     pub fn record_report(&mut self, now: Time, key: replica::Key) {
         if let Some(peer) = self.peers.get_mut(&key) {
             peer.record_report(now);
         }
     }
 
-    /// An attempt ended there.
+    /// Records the end of an attempt.
     pub fn record_end(&mut self, now: Time, key: replica::Key, end: End) {
         if let Some(peer) = self.peers.get_mut(&key) {
             peer.record_end(now, end, &self.config);
         }
     }
 
-    /// How much the replica may be given.
+    /// Returns how many jobs the replica may be given.
     pub fn allowance(&self, key: replica::Key) -> Allowance {
         match self.peers.get(&key).map(|peer| peer.state) {
             None | Some(State::Ejected(_)) => Allowance::None,
@@ -111,30 +112,30 @@
         }
     }
 
-    /// When [`Monitor::tick`] wants to be called next.
+    /// Returns when to call [`Monitor::tick`] next.
     pub fn next_wake(&self) -> Time {
-        self.due
+        self.next_check
     }
 
-    /// Judges the pool, if it is time.
+    /// Evaluates the pool, if it is due.
     pub fn tick(&mut self, now: Time) {
-        if now < self.due {
+        if now < self.next_check {
             return;
         }
-        self.due = now + self.config.period;
+        self.next_check = now + self.config.period;
         for peer in self.peers.values_mut() {
             peer.close_period(&self.config);
         }
-        self.end_terms(now);
-        for fault in self.faults(now) {
-            self.punish(now, fault);
+        self.probe_expired(now);
+        for fault in self.outliers(now) {
+            self.eject(now, fault);
         }
         self.advance_probes(now);
-        self.keep_share(now);
+        self.enforce_max_ejected(now);
     }
 
-    /// Those out for their whole term are probed.
-    fn end_terms(&mut self, now: Time) {
+    /// Probes the replicas whose ejection time is over.
+    fn probe_expired(&mut self, now: Time) {
         for peer in self.peers.values_mut() {
             if matches!(peer.state, State::Ejected(until) if until <= now) {
                 peer.probe(now);
@@ -142,22 +143,26 @@
         }
     }
 
-    /// Replicas that stand out against their peers, the worst first.
-    fn faults(&self, now: Time) -> Vec<Fault> {
+    /// Returns the replicas that stand out against their peers, the worst first.
+    fn outliers(&self, now: Time) -> Vec<Outlier> {
         let config = &self.config;
         let gap = median(
             self.peers
                 .values()
-                .filter_map(|peer| peer.judged_gap(config)),
+                .filter_map(|peer| peer.average_gap(config)),
         );
-        let failures = median(self.peers.values().filter_map(|peer| peer.failures(config)));
-        let mut faults: Vec<Fault> = self
+        let failures = median(
+            self.peers
+                .values()
+                .filter_map(|peer| peer.failure_rate(config)),
+        );
+        let mut faults: Vec<Outlier> = self
             .peers
             .iter()
             .filter(|(_, peer)| !matches!(peer.state, State::Ejected(_)))
             .filter_map(|(key, peer)| {
                 let severity = severity(now, peer, gap, failures, config)?;
-                Some(Fault {
+                Some(Outlier {
                     replica: *key,
                     severity,
                 })
@@ -167,8 +172,8 @@
         faults
     }
 
-    fn punish(&mut self, now: Time, fault: Fault) {
-        if self.out() >= self.most_out() {
+    fn eject(&mut self, now: Time, fault: Outlier) {
+        if self.ejected_count() >= self.max_ejected() {
             return;
         }
         if let Some(peer) = self.peers.get_mut(&fault.replica) {
@@ -184,9 +189,9 @@
         }
     }
 
-    /// When the pool has shrunk, those due back first are probed early.
-    fn keep_share(&mut self, now: Time) {
-        while self.out() > self.most_out() {
+    /// Probes the replicas due back first early when the pool has shrunk.
+    fn enforce_max_ejected(&mut self, now: Time) {
+        while self.ejected_count() > self.max_ejected() {
             let first = self
                 .peers
                 .values_mut()
@@ -202,17 +207,17 @@
         }
     }
 
-    fn out(&self) -> usize {
+    fn ejected_count(&self) -> usize {
         let is_out = |peer: &&Peer| matches!(peer.state, State::Ejected(_));
         self.peers.values().filter(is_out).count()
     }
 
-    fn most_out(&self) -> usize {
+    fn max_ejected(&self) -> usize {
         self.peers.len() / self.config.ejection_divisor
     }
 }
 
-/// How far the replica is beyond what is tolerated, if it is: 1 and more.
+/// Returns the factor by which the replica exceeds a threshold, if it does: 1 and more.
 fn severity(
     now: Time,
     peer: &Peer,
@@ -224,20 +229,20 @@
         return Some(f64::INFINITY);
     }
     let failing = peer
-        .failures(config)
+        .failure_rate(config)
         .zip(failures)
         .and_then(|(own, peers)| {
             let stands_out = own >= config.failure_threshold && peers < own / 2.0;
             stands_out.then_some(own / config.failure_threshold)
         });
-    let slow = peer.judged_gap(config).zip(gap).and_then(|(own, peers)| {
+    let slow = peer.average_gap(config).zip(gap).and_then(|(own, peers)| {
         let factor = own / (peers * config.slow_factor).max(f64::MIN_POSITIVE);
         (factor >= 1.0).then_some(factor)
     });
     failing.into_iter().chain(slow).max_by(f64::total_cmp)
 }
 
-/// The middle value; of two middle ones the lower, so that one of a pair can stand out.
+/// Returns the median; of two middle values the lower, so that one replica of a pair can stand out.
 fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     if values.is_empty() {
--- a/crates/policy/src/limit/account.rs
+++ b/crates/policy/src/limit/account.rs
@@ -9,24 +9,24 @@
 use crate::limit::Others;
 use crate::limit::digest::Claim;
 
-/// Demand below this is none.
-const NO_DEMAND: f64 = 0.01;
+/// Demand below this counts as none.
+const MIN_DEMAND: f64 = 0.01;
 
-/// Token bucket, open count and claim.
+/// Token bucket, open requests and claim of one account.
 #[derive(Clone, Debug)]
 pub(crate) struct Account {
     tokens_limit: f64,
     open_limit: u32,
-    /// In force. Invariant: never above what was told as claim a period ago, or an equal part.
+    /// Share in force. Invariant: never above the claim published a period ago, or an equal share.
     tokens: f64,
     open: u32,
-    /// Told, in force after the next review if nothing speaks against it.
+    /// Published share, in force after the next review as far as the peers leave room.
     next_tokens: f64,
     next_open: u32,
     bucket: f64,
-    filled: Time,
-    holding: u32,
-    asked: f64,
+    refilled_at: Time,
+    in_flight: u32,
+    offered: f64,
     refused: u32,
     demand: f64,
     wanted: f64,
@@ -42,9 +42,9 @@
             next_tokens: f64::MAX,
             next_open: u32::MAX,
             bucket: 0.0,
-            filled: Time::ZERO,
-            holding: 0,
-            asked: 0.0,
+            refilled_at: Time::ZERO,
+            in_flight: 0,
+            offered: 0.0,
             refused: 0,
             demand: 0.0,
             wanted: 0.0,
@@ -54,7 +54,7 @@
         account
     }
 
-    /// New limits: a share in force is cut to its equal part when they change.
+    /// Sets new limits; a change cuts the share in force to an equal share.
     pub(crate) fn set_spec(&mut self, spec: &Spec, entries: u32) {
         let limits = (spec.tokens_per_second as f64, spec.concurrent);
         if limits == (self.tokens_limit, self.open_limit) {
@@ -68,7 +68,7 @@
         self.next_open = self.open;
     }
 
-    /// One entry's part if all get the same.
+    /// Returns the share of each entry if all get the same.
     pub(crate) fn equal(&self, entries: u32) -> (f64, u32) {
         (
             self.tokens_limit / f64::from(entries),
@@ -76,7 +76,7 @@
         )
     }
 
-    /// What an entry may give without having claimed anything.
+    /// Returns the share that an entry may grant without a claim.
     pub(crate) fn floor(&self, settings: &Config, entries: u32) -> (f64, u32) {
         let (tokens, open) = self.equal(entries);
         let few = (f64::from(open) * settings.floor) as u32;
@@ -88,14 +88,15 @@
     }
 
     pub(crate) fn admit(&mut self, settings: &Config, now: Time, cost: Cost) -> Result<(), Span> {
-        self.fill(settings, now);
-        self.asked += cost as f64;
-        if self.open_limit > 0 && self.holding >= self.open {
+        self.refill(settings, now);
+        self.offered += cost as f64;
+        if self.open_limit > 0 && self.in_flight >= self.open {
             self.refused += 1;
             return Err(settings.period.times(2));
         }
-        // A job larger than the bucket passes when the bucket is full; the debt is waited off.
-        let needed = (cost as f64).min(self.size(settings));
+        // A job larger than the bucket is admitted when the bucket is full; later jobs wait until
+        // it refills.
+        let needed = (cost as f64).min(self.bucket_size(settings));
         if self.tokens_limit > 0.0 && self.bucket < needed {
             self.refused += 1;
             let seconds = (needed - self.bucket) / self.tokens.max(1.0);
@@ -105,20 +106,20 @@
         Ok(())
     }
 
-    /// Counts a job that may not be refused any more.
+    /// Counts a job that must not be refused any more.
     pub(crate) fn hold(&mut self, cost: Cost) {
         self.bucket -= cost as f64;
-        self.holding += 1;
+        self.in_flight += 1;
     }
 
     pub(crate) fn release(&mut self, estimated: Cost, actual: Cost) {
-        self.holding = self.holding.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         self.bucket += estimated as f64 - actual as f64;
     }
 
-    /// Puts last period's claim in force as far as the others leave room, and works out the next one.
+    /// Puts last period's claim in force as far as the peers leave room, and computes the next one.
     pub(crate) fn review(&mut self, settings: &Config, entries: u32, others: &Others, told: bool) {
-        self.measure(settings);
+        self.update_demand(settings);
         let floor = self.floor(settings, entries);
         let room_tokens = (self.tokens_limit - others.tokens).max(0.0);
         let room_open = self.open_limit.saturating_sub(others.open);
@@ -133,7 +134,7 @@
         let known = f64::from((others.fresh + 1).min(entries));
         let silent = f64::from(entries) - known;
         let part = |limit: f64, equal: f64, floor: f64, mine: f64, theirs: f64| {
-            let by_demand = if mine > NO_DEMAND {
+            let by_demand = if mine > MIN_DEMAND {
                 mine / (mine + theirs)
             } else {
                 0.0
@@ -154,9 +155,9 @@
         self.open = self.open.min(self.next_open);
     }
 
-    /// What is told of this account; nothing without demand, which claims no more than the floor.
+    /// Returns the claim to publish; none without demand, which claims no more than the floor.
     pub(crate) fn claim(&self, name: u64) -> Option<Claim> {
-        if self.demand + self.wanted < NO_DEMAND && self.holding == 0 {
+        if self.demand + self.wanted < MIN_DEMAND && self.in_flight == 0 {
             return None;
         }
         Some(Claim {
@@ -164,27 +165,27 @@
             demand: self.demand,
             wanted: self.wanted,
             tokens: self.tokens.max(self.next_tokens),
-            open: self.open.max(self.next_open).max(self.holding),
+            open: self.open.max(self.next_open).max(self.in_flight),
         })
     }
 
-    fn measure(&mut self, settings: &Config) {
+    fn update_demand(&mut self, settings: &Config) {
         let seconds = settings.period.as_millis() as f64 / 1_000.0;
-        let asked = self.asked / seconds;
-        let wanted = f64::from(self.holding + self.refused);
+        let asked = self.offered / seconds;
+        let wanted = f64::from(self.in_flight + self.refused);
         self.demand += settings.smoothing * (asked - self.demand);
         self.wanted += settings.smoothing * (wanted - self.wanted);
-        self.asked = 0.0;
+        self.offered = 0.0;
         self.refused = 0;
     }
 
-    fn size(&self, settings: &Config) -> f64 {
+    fn bucket_size(&self, settings: &Config) -> f64 {
         self.tokens * settings.burst.as_millis() as f64 / 1_000.0
     }
 
-    fn fill(&mut self, settings: &Config, now: Time) {
-        let seconds = now.since(self.filled).as_millis() as f64 / 1_000.0;
-        self.filled = now;
-        self.bucket = (self.bucket + seconds * self.tokens).min(self.size(settings));
+    fn refill(&mut self, settings: &Config, now: Time) {
+        let seconds = now.since(self.refilled_at).as_millis() as f64 / 1_000.0;
+        self.refilled_at = now;
+        self.bucket = (self.bucket + seconds * self.tokens).min(self.bucket_size(settings));
     }
 }
--- a/crates/policy/src/limit/digest.rs
+++ b/crates/policy/src/limit/digest.rs
@@ -1,29 +1,29 @@
-//! What entries tell each other about account limits.
+//! Claims on account limits that entries exchange.
 
-/// One entry's news; bounded.
+/// One entry's claims; bounded.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Digest {
-    /// In order of name, one for each account with a limit and demand.
+    /// Claims on the accounts with a limit and demand, sorted by name.
     pub claims: Vec<Claim>,
 }
 
-/// One account at one entry.
+/// One entry's claim on one account's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
     /// Hash of the account's name.
     pub name: u64,
-    /// Tokens a second asked of the entry, refused ones included.
+    /// Tokens per second offered to the entry, refused ones included.
     pub demand: f64,
-    /// Requests open or refused for want of room.
+    /// Requests that are open or were refused by the limits.
     pub wanted: f64,
-    /// Tokens a second that the entry may use, or will after its next digest.
+    /// Tokens per second that the entry may grant, now or after its next digest.
     pub tokens: f64,
-    /// Open requests that the entry may hold or holds, or will be allowed after its next digest.
+    /// Open requests that the entry holds or may grant, now or after its next digest.
     pub open: u32,
 }
 
 impl Digest {
-    /// The claims with the most demand, in order of name.
+    /// Keeps the claims with the highest demand, sorted by name.
     pub(crate) fn bounded(mut claims: Vec<Claim>, most: usize) -> Digest {
         claims.sort_by(|a, b| {
             let demand = |claim: &Claim| claim.demand + claim.wanted;
@@ -34,7 +34,7 @@
         Digest { claims }
     }
 
-    /// The claim on that account.
+    /// Returns the claim on that account.
     pub(crate) fn find(&self, name: u64) -> Option<&Claim> {
         let at = self
             .claims
--- a/crates/policy/src/limit/mod.rs
+++ b/crates/policy/src/limit/mod.rs
@@ -1,21 +1,22 @@
 //! Account limits that hold over all entries, without a coordinator.
 //!
-//! Load pattern: an account with a limit sends through several entries, or all through one. Limits kept
-//! by each entry alone let it have eight times its limit, or an eighth.
+//! Guards against an account that sends through several entries, or only through one: limits kept
+//! by each entry alone would grant it eight times its limit, or an eighth of it.
 //!
-//! Entries tell each other in digests what each account asked of them, and what part of its limit they
-//! claim. Shares follow that demand. What keeps the sum within the limit:
-//! - A share is lowered at once, but raised only one period after the raise was told, and only as far as
-//!   the claims heard meanwhile leave room. Two entries that raise at the same time have by then heard of
-//!   each other, if news takes less than half a period.
-//! - A peer that isn't heard for [`Config::peer_timeout`] is counted with at least its equal part; an entry
-//!   that hears nobody for so long falls back to just that.
-//! - An entry that claims nothing keeps a floor, so that an account's first request is not refused.
-//!   A limit on open requests that is smaller than the number of entries leaves no floor: there the
-//!   first request at an entry is told to come back two periods later, when the claim is in force.
+//! Entries exchange digests of each account's demand and of the part of its limit that they claim.
+//! Shares follow that demand. The sum stays within the limit because of these rules:
+//! - A share is lowered immediately, but raised only one period after the raise was published, and
+//!   only as far as the claims received meanwhile leave room. Two entries that raise at the same
+//!   time have received each other's claim by then, if a digest takes less than half a period to
+//!   arrive.
+//! - A peer without a digest for [`Config::peer_timeout`] is counted with at least its equal share;
+//!   an entry that has received no digest for as long falls back to its own equal share.
+//! - An entry without a claim keeps a floor, so that an account's first request isn't refused. A
+//!   limit on open requests that is smaller than the number of entries leaves no floor: there the
+//!   first request at an entry is asked to retry two periods later, when the claim is in force.
 //!
-//! Jobs that an account holds open when its share falls stay open: until they end they are part of the
-//! claim.
+//! Jobs that an account has open when its share falls stay open, and are part of the claim until
+//! they end.
 
 mod account;
 mod digest;
@@ -35,10 +36,11 @@
 pub use crate::limit::digest::Claim;
 pub use crate::limit::digest::Digest;
 
-/// Share of a period from which on a digest counts as the next period's: timers are a little off.
-const EARLY: f64 = 0.8;
+/// Fraction of a period after which a digest counts as the next period's, since timers are
+/// imprecise.
+const EARLY_FRACTION: f64 = 0.8;
 
-/// The limits of one entry.
+/// Account limits at one entry.
 #[derive(Debug)]
 pub struct Limits {
     settings: Config,
@@ -46,34 +48,34 @@
     accounts: BTreeMap<u64, Account>,
     names: BTreeMap<Key, u64>,
     peers: BTreeMap<u64, Peer>,
-    told: Digest,
-    reviewed: Time,
+    published: Digest,
+    reviewed_at: Time,
 }
 
-/// What a peer told last.
+/// Latest digest of a peer.
 #[derive(Debug)]
 struct Peer {
-    heard: Time,
+    received_at: Time,
     claims: BTreeMap<u64, Claim>,
 }
 
-/// What peers claim of one account's limit, added up.
+/// Sum of the peers' claims on one account.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Others {
-    /// Entries whose news is fresh, without this one.
+    /// Number of peers with a recent digest.
     pub fresh: u32,
-    /// Tokens a second asked of the fresh ones.
+    /// Tokens per second offered to the peers with a recent digest.
     pub demand: f64,
-    /// Requests open or wanted at the fresh ones.
+    /// Requests open or refused at the peers with a recent digest.
     pub wanted: f64,
-    /// Tokens a second that all others may use, silent ones included.
+    /// Tokens per second that all other entries may grant, stale ones included.
     pub tokens: f64,
-    /// Open requests that all others may hold, silent ones included.
+    /// Open requests that all other entries may hold, stale ones included.
     pub open: u32,
 }
 
 impl Limits {
-    /// Limits without accounts and peers.
+    /// Creates limits without accounts and peers.
     pub fn new(settings: Config) -> Limits {
         Limits {
             settings,
@@ -81,17 +83,17 @@
             accounts: BTreeMap::new(),
             names: BTreeMap::new(),
             peers: BTreeMap::new(),
-            told: Digest::default(),
-            reviewed: Time::ZERO,
+            published: Digest::default(),
+            reviewed_at: Time::ZERO,
         }
     }
 
-    /// How many entries share each limit, this one included.
+    /// Sets how many entries share each limit, this one included.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// Adds an account or changes it.
+    /// Adds or updates an account.
     pub fn set_account(&mut self, key: Key, spec: &Spec) {
         let name = xxh3_64(spec.name.as_bytes());
         self.names.insert(key, name);
@@ -106,7 +108,7 @@
             .set_spec(spec, entries);
     }
 
-    /// Admits a job of that cost, or says when to come back.
+    /// Admits a job of that cost, or returns the time after which to retry.
     pub fn admit(&mut self, now: Time, key: Key, cost: Cost) -> Result<(), Span> {
         let settings = self.settings;
         if !settings.enabled {
@@ -118,26 +120,26 @@
         }
     }
 
-    /// A job was taken over from another entry, which had admitted it.
+    /// Counts a job that was taken over from another entry, which had admitted it.
     pub fn take_over(&mut self, key: Key, cost: Cost) {
         if let Some(account) = self.account(key) {
             account.hold(cost);
         }
     }
 
-    /// A job ended that had been admitted at `estimated`.
+    /// Releases a job that was admitted at the cost `estimated`.
     pub fn release(&mut self, key: Key, estimated: Cost, actual: Cost) {
         if let Some(account) = self.account(key) {
             account.release(estimated, actual);
         }
     }
 
-    /// What to tell the peers; call it once a [`Config::period`], or in between for the same again.
+    /// Returns the digest to send to the peers. It changes at most once per [`Config::period`].
     pub fn digest(&mut self, now: Time) -> Digest {
-        if now.since(self.reviewed) < self.settings.period.scaled(EARLY) {
-            return self.told.clone();
+        if now.since(self.reviewed_at) < self.settings.period.scaled(EARLY_FRACTION) {
+            return self.published.clone();
         }
-        self.reviewed = now;
+        self.reviewed_at = now;
         let others: BTreeMap<u64, Others> = self
             .accounts
             .keys()
@@ -145,27 +147,35 @@
             .collect();
         let mut claims = Vec::new();
         for (name, account) in &mut self.accounts {
-            let told = self.told.find(*name).is_some();
+            let told = self.published.find(*name).is_some();
             account.review(&self.settings, self.entries, &others[name], told);
             claims.extend(account.claim(*name));
         }
-        self.told = Digest::bounded(claims, self.settings.max_claims);
-        self.told.clone()
+        self.published = Digest::bounded(claims, self.settings.max_claims);
+        self.published.clone()
     }
 
-    /// Takes in what a peer told.
+    /// Merges a peer's digest.
     pub fn merge(&mut self, now: Time, peer: u64, digest: &Digest) {
         let claims = digest
             .claims
             .iter()
             .map(|claim| (claim.name, *claim))
             .collect();
-        self.peers.insert(peer, Peer { heard: now, claims });
+        self.peers.insert(
+            peer,
+            Peer {
+                received_at: now,
+                claims,
+            },
+        );
         let forget = self.settings.peer_timeout.times(2);
-        self.peers.retain(|_, peer| now.since(peer.heard) < forget);
+        self.peers
+            .retain(|_, peer| now.since(peer.received_at) < forget);
     }
 
-    /// Tokens a second and open requests that this entry may give the account now.
+    /// Returns the tokens per second and the open requests that this entry may grant the account
+    /// now.
     pub fn share(&self, key: Key) -> Option<(f64, u32)> {
         let account = self.accounts.get(self.names.get(&key)?)?;
         Some(account.share())
@@ -175,7 +185,7 @@
         self.accounts.get_mut(self.names.get(&key)?)
     }
 
-    /// Adds up the claims on one account.
+    /// Sums the peers' claims on one account.
     fn others(&self, now: Time, name: u64) -> Others {
         let Some(account) = self.accounts.get(&name) else {
             return Others::default();
@@ -186,7 +196,7 @@
         for peer in self.peers.values() {
             let claim = peer.claims.get(&name);
             let mut least = floor;
-            if now.since(peer.heard) < self.settings.peer_timeout {
+            if now.since(peer.received_at) < self.settings.peer_timeout {
                 others.fresh += 1;
                 others.demand += claim.map_or(0.0, |claim| claim.demand);
                 others.wanted += claim.map_or(0.0, |claim| claim.wanted);
--- a/crates/policy/src/quarantine/claims.rs
+++ b/crates/policy/src/quarantine/claims.rs
@@ -1,4 +1,4 @@
-//! Which replicas are kept free for suspects that run alone.
+//! Replicas claimed for suspects that run alone.
 
 use std::collections::BTreeMap;
 
@@ -6,118 +6,122 @@
 
 use super::digest::Claim;
 
-/// Claims on replicas, ours and those peers told of; at most one a replica.
+/// Claims by this entry and its peers; at most one per replica.
 #[derive(Debug, Default)]
 pub(super) struct Claims {
-    held: BTreeMap<u64, Held>,
+    by_replica: BTreeMap<u64, Reservation>,
 }
 
 /// A claim on one replica.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Reservation {
     fingerprint: u64,
-    /// Absent for our own, which ends with the attempt.
-    lapses: Option<Time>,
-    /// Whether a suspect of ours runs there, and the claim is no longer open to dispute.
+    /// Expiry of a peer's claim; none for our own, which ends with the attempt.
+    expires: Option<Time>,
+    /// Whether a suspect of ours runs there, which makes the claim final.
     running: bool,
 }
 
 impl Claims {
-    /// Notes our own, open to dispute.
+    /// Records a claim of our own, which is open to dispute.
     pub fn reserve(&mut self, fingerprint: u64, replica: u64) {
-        let held = Held {
+        let held = Reservation {
             fingerprint,
-            lapses: None,
+            expires: None,
             running: false,
         };
-        self.held.insert(replica, held);
+        self.by_replica.insert(replica, held);
     }
 
-    /// Whether the replica is ours for that fingerprint.
+    /// Returns whether we hold the replica for that fingerprint.
     pub fn holds(&self, fingerprint: u64, replica: u64) -> bool {
-        self.held
+        self.by_replica
             .get(&replica)
-            .is_some_and(|held| held.lapses.is_none() && held.fingerprint == fingerprint)
+            .is_some_and(|held| held.expires.is_none() && held.fingerprint == fingerprint)
     }
 
-    /// The suspect starts: our claim is final.
+    /// Makes our claim final when the suspect starts.
     pub fn start(&mut self, replica: u64) {
-        if let Some(held) = self.held.get_mut(&replica) {
-            held.running = held.lapses.is_none();
+        if let Some(held) = self.by_replica.get_mut(&replica) {
+            held.running = held.expires.is_none();
         }
     }
 
-    /// Notes a peer's. Of two claims in dispute one stands, at both entries: the one for the lower
-    /// fingerprint if they are for one replica, the one for the lower replica if they are for one
-    /// fingerprint.
-    pub fn heard(&mut self, claim: &Claim, lapses: Time) {
-        let stands = |held: &Held| {
+    /// Records a peer's claim. Of two conflicting claims both entries keep the same one: the claim
+    /// for the lower fingerprint if they are for one replica, the claim on the lower replica if
+    /// they are for one fingerprint.
+    pub fn merge(&mut self, claim: &Claim, lapses: Time) {
+        let stands = |held: &Reservation| {
             let disputed = !held.running && claim.fingerprint < held.fingerprint;
-            held.lapses.is_none() && !disputed
+            held.expires.is_none() && !disputed
         };
-        if self.held.get(&claim.replica).is_some_and(stands) {
+        if self.by_replica.get(&claim.replica).is_some_and(stands) {
             return;
         }
-        self.held.retain(|replica, held| {
-            let same = held.fingerprint == claim.fingerprint && held.lapses.is_none();
+        self.by_replica.retain(|replica, held| {
+            let same = held.fingerprint == claim.fingerprint && held.expires.is_none();
             !same || held.running || *replica <= claim.replica
         });
-        let held = Held {
+        let held = Reservation {
             fingerprint: claim.fingerprint,
-            lapses: Some(lapses),
+            expires: Some(lapses),
             running: false,
         };
-        self.held.insert(claim.replica, held);
+        self.by_replica.insert(claim.replica, held);
     }
 
-    /// Our attempt of the fingerprint ended.
+    /// Ends our claim for the fingerprint, whose attempt has ended.
     pub fn end_own(&mut self, fingerprint: u64) {
-        self.held
-            .retain(|_, held| held.fingerprint != fingerprint || held.lapses.is_some());
+        self.by_replica
+            .retain(|_, held| held.fingerprint != fingerprint || held.expires.is_some());
     }
 
-    /// The fingerprint needn't run alone any more.
+    /// Drops all claims for the fingerprint, which doesn't have to run alone any more.
     pub fn release(&mut self, fingerprint: u64) {
-        self.held.retain(|_, held| held.fingerprint != fingerprint);
+        self.by_replica
+            .retain(|_, held| held.fingerprint != fingerprint);
     }
 
-    /// The replica is gone.
+    /// Drops the claim on a replica that is gone.
     pub fn drop_replica(&mut self, replica: u64) {
-        self.held.remove(&replica);
+        self.by_replica.remove(&replica);
     }
 
-    /// Drops what has lapsed.
-    pub fn tick(&mut self, now: Time) {
-        self.held.retain(|_, held| held.is_live(now));
+    /// Drops expired claims.
+    pub fn remove_expired(&mut self, now: Time) {
+        self.by_replica.retain(|_, held| held.is_live(now));
     }
 
-    /// Whether the replica is claimed.
-    pub fn covers(&self, now: Time, replica: u64) -> bool {
-        self.held
+    /// Returns whether the replica is claimed.
+    pub fn is_claimed(&self, now: Time, replica: u64) -> bool {
+        self.by_replica
             .get(&replica)
             .is_some_and(|held| held.is_live(now))
     }
 
-    /// How many replicas are claimed.
+    /// Returns how many replicas are claimed.
     pub fn count(&self, now: Time) -> usize {
-        self.held.values().filter(|held| held.is_live(now)).count()
+        self.by_replica
+            .values()
+            .filter(|held| held.is_live(now))
+            .count()
     }
 
-    /// Until when the fingerprint is claimed by a peer; for ever if it runs here.
-    pub fn until(&self, now: Time, fingerprint: u64) -> Option<Time> {
+    /// Returns until when the fingerprint is claimed by a peer; forever if it runs here.
+    pub fn claimed_until(&self, now: Time, fingerprint: u64) -> Option<Time> {
         let held = self
-            .held
+            .by_replica
             .values()
-            .filter(|held| held.running || held.lapses.is_some())
+            .filter(|held| held.running || held.expires.is_some())
             .find(|held| held.fingerprint == fingerprint && held.is_live(now))?;
-        Some(held.lapses.unwrap_or(Time::from_millis(u64::MAX)))
+        Some(held.expires.unwrap_or(Time::from_millis(u64::MAX)))
     }
 
-    /// Our own, to tell peers.
+    /// Returns our own claims, to send to peers.
     pub fn own(&self) -> Vec<Claim> {
-        self.held
+        self.by_replica
             .iter()
-            .filter(|(_, held)| held.lapses.is_none())
+            .filter(|(_, held)| held.expires.is_none())
             .map(|(replica, held)| Claim {
                 fingerprint: held.fingerprint,
                 replica: *replica,
@@ -126,8 +130,8 @@
     }
 }
 
-impl Held {
+impl Reservation {
     fn is_live(&self, now: Time) -> bool {
-        self.lapses.is_none_or(|lapses| now < lapses)
+        self.expires.is_none_or(|lapses| now < lapses)
     }
 }
--- a/crates/policy/src/quarantine/crashes.rs
+++ b/crates/policy/src/quarantine/crashes.rs
@@ -1,4 +1,4 @@
-//! Crashes seen lately, to tell the loss of a zone from the work of a killer.
+//! Recent crashes, to distinguish the loss of a zone from the work of a killer request.
 
 use std::collections::VecDeque;
 
@@ -7,21 +7,21 @@
 
 use super::digest::Crash;
 
-/// Most replicas whose crashes are remembered as blameless: some zones' worth for one entry.
-const FORGIVEN: usize = 256;
+/// Maximum number of forgiven replicas that are remembered: several zones' worth for one entry.
+const MAX_FORGIVEN: usize = 256;
 
-/// Crashes of the last moments.
+/// Crashes within a short window.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
     /// Oldest first, distinct by replica.
     recent: VecDeque<(Time, Crash)>,
-    /// Replicas lost with their zone; late news must not blame anyone for them.
+    /// Replicas lost with their zone; late reports of them must not blame any request.
     forgiven: VecDeque<u64>,
 }
 
 impl Crashes {
-    /// Notes a crash; the window and the bound keep the list short.
-    pub fn note(&mut self, now: Time, replica: u64, zone: u64, window: Span, most: usize) {
+    /// Records a crash; the window and the bound `limit` keep the list short.
+    pub fn record(&mut self, now: Time, replica: u64, zone: u64, window: Span, most: usize) {
         self.drop_old(now, window);
         if self
             .recent
@@ -41,13 +41,13 @@
         }
     }
 
-    /// Drops what is older than the window.
+    /// Drops crashes older than the window.
     pub fn drop_old(&mut self, now: Time, window: Span) {
         self.recent.retain(|(at, _)| now.since(*at) <= window);
     }
 
-    /// If at least `least` replicas of the zone were lost together, forgives their crashes and
-    /// names them.
+    /// Forgives and returns the crashes of a zone if at least `threshold` of its replicas were lost
+    /// together.
     pub fn forgive(&mut self, zone: u64, least: usize) -> Option<Vec<u64>> {
         let lost: Vec<u64> = self
             .recent
@@ -55,34 +55,35 @@
             .filter(|(_, crash)| crash.zone == zone)
             .map(|(_, crash)| crash.replica)
             .collect();
-        (lost.len() >= least).then(|| self.forgive_these(lost))
+        (lost.len() >= least).then(|| self.remember_forgiven(lost))
     }
 
-    /// If at least `least` replicas of any zones were lost together, forgives their crashes and names them.
+    /// Forgives and returns all crashes if at least `threshold` replicas of any zones were lost
+    /// together.
     pub fn forgive_all(&mut self, least: usize) -> Option<Vec<u64>> {
         let lost: Vec<u64> = self.recent.iter().map(|(_, crash)| crash.replica).collect();
-        (lost.len() >= least).then(|| self.forgive_these(lost))
+        (lost.len() >= least).then(|| self.remember_forgiven(lost))
     }
 
-    fn forgive_these(&mut self, lost: Vec<u64>) -> Vec<u64> {
+    fn remember_forgiven(&mut self, lost: Vec<u64>) -> Vec<u64> {
         for replica in &lost {
             if !self.forgiven.contains(replica) {
                 self.forgiven.push_back(*replica);
             }
         }
-        while self.forgiven.len() > FORGIVEN {
+        while self.forgiven.len() > MAX_FORGIVEN {
             self.forgiven.pop_front();
         }
         lost
     }
 
-    /// Whether the crash of that replica may be held against a request.
-    pub fn blames(&self, replica: u64) -> bool {
+    /// Returns whether the crash of that replica may be held against a request.
+    pub fn is_blamable(&self, replica: u64) -> bool {
         !self.forgiven.contains(&replica)
     }
 
-    /// What to tell peers.
-    pub fn told(&self, now: Time) -> Vec<Crash> {
+    /// Returns the recent crashes, to send to peers.
+    pub fn recent(&self, now: Time) -> Vec<Crash> {
         self.recent
             .iter()
             .map(|(at, crash)| Crash {
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -1,23 +1,24 @@
-//! Keeps one request that crashes its replica from taking down one replica after another.
+//! Keeps a request that crashes its replica from taking down one replica after another.
 //!
-//! *Pattern*: a killer request, sent again by its caller through every entry. *Without it*: each
-//! attempt, by retry or by the caller, costs one replica and everything that ran there; 8 entries
-//! with one retry each lose 16. *How*: a crash makes every fingerprint that ran there suspect. A
-//! suspect is held until peers' news must have come, then runs apart from all other suspects, at the
-//! one replica that every entry would choose for it. A second crash quarantines it: its final
-//! answer is given at once, here and, by [`Digest`], at every entry. A run to the end acquits it.
+//! Guards against a killer request ("query of death") that its caller resends through every entry:
+//! each attempt, by retry or by the caller, costs one replica and everything that ran there; 8
+//! entries with one retry each lose 16. A crash makes every fingerprint that ran there a suspect. A
+//! suspect is held until digests from peers must have arrived, then runs apart from all other
+//! suspects, on the one replica that every entry would choose for it. A second crash quarantines
+//! it: it is refused for good without another attempt, here and, through [`Digest`], at every
+//! entry. A run to the end acquits it.
 //!
-//! *To compose*: ask [`Quarantine::standing`] before a start; [`Quarantine::reserve`] the
-//! [`Quarantine::choose_replica`] of a [`Standing::Trial`] unless another suspect is there, and start it if the
-//! claim [`Quarantine::holds_claim`] after its time; keep
-//! other work off a [`Quarantine::is_reserved`] replica while there is room elsewhere; stop copies
-//! of what [`Quarantine::take_suspects`] names. Report crashes of replicas that were not announced
-//! as leaving. A crash is counted by incarnation, so that entries which report the same one don't
-//! count it twice.
+//! Usage: call [`Quarantine::standing`] before a start. For a [`Standing::Trial`], call
+//! [`Quarantine::reserve`] with the replica from [`Quarantine::choose_replica`], unless another
+//! suspect is there, and start the job if [`Quarantine::holds_claim`] after `claim_delay`. Keep
+//! other work off replicas that are [`Quarantine::is_reserved`] while there is room elsewhere, and
+//! stop running copies of what [`Quarantine::take_suspects`] returns. Report only crashes of
+//! replicas that were not announced as leaving. Crashes are counted by incarnation, so that entries
+//! that report the same one don't count it twice.
 //!
-//! *Guard against the loss of a zone*: everything that ran there would be suspect and would wait to
-//! run alone just when capacity is short. It shows as several replicas of one zone lost together;
-//! such crashes blame nobody. The guard holds because nobody is judged before `settle` has passed.
+//! The loss of a zone would make everything that ran there suspect, to run alone just when capacity
+//! is short. It shows as several replicas of one zone lost together, and such crashes are forgiven.
+//! That is safe because nothing is judged before `settle` has passed.
 
 mod claims;
 mod crashes;
@@ -42,20 +43,20 @@
 use self::record::Record;
 use self::records::Records;
 
-/// How a fingerprint may be run.
+/// How a request may be run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Like any other.
+    /// Like any other request.
     Clear,
     /// Not before this time; ask again then.
     Held(Time),
     /// Now, alone on its replica.
     Trial,
-    /// Never within this span.
+    /// Not within this span.
     Quarantined(Span),
 }
 
-/// What one entry knows of killer requests.
+/// Evidence of killer requests at one entry.
 #[derive(Debug)]
 pub struct Quarantine {
     config: Config,
@@ -64,15 +65,15 @@
     crashes: Crashes,
     claims: Claims,
     urgent: bool,
-    /// Fingerprints against which something new came up; bounded by what one event names.
-    accused: Vec<u64>,
-    /// Copies of suspects that were stopped within `settle`: when, fingerprint, replica.
-    stopped: VecDeque<Stopped>,
+    /// Fingerprints with new evidence against them; bounded by what one event names.
+    new_suspects: Vec<u64>,
+    /// Copies of suspects that were cancelled within `settle`.
+    cancelled: VecDeque<Cancelled>,
 }
 
-/// A suspect's copy that was called back from a replica.
+/// A suspect's copy that was cancelled on a replica.
 #[derive(Clone, Copy, Debug)]
-struct Stopped {
+struct Cancelled {
     at: Time,
     fingerprint: u64,
     replica: u64,
@@ -80,7 +81,7 @@
 }
 
 impl Quarantine {
-    /// Knows of nothing yet; `seed` differs between entries.
+    /// Creates a quarantine without evidence; `seed` differs between entries.
     pub fn new(config: Config, seed: u64) -> Quarantine {
         Quarantine {
             config,
@@ -89,12 +90,12 @@
             crashes: Crashes::default(),
             claims: Claims::default(),
             urgent: false,
-            accused: Vec::new(),
-            stopped: VecDeque::new(),
+            new_suspects: Vec::new(),
+            cancelled: VecDeque::new(),
         }
     }
 
-    /// How the request of that fingerprint may be run now.
+    /// Returns how the request of that fingerprint may be run now.
     pub fn standing(&self, now: Time, fingerprint: u64) -> Standing {
         let Some(record) = self.records.get(fingerprint) else {
             return Standing::Clear;
@@ -105,17 +106,17 @@
         if now < record.settled {
             return Standing::Held(record.settled);
         }
-        if self.is_judged(now, record) {
+        if self.has_enough_evidence(now, record) {
             return Standing::Quarantined(record.expires.since(now));
         }
-        match self.claims.until(now, fingerprint) {
+        match self.claims.claimed_until(now, fingerprint) {
             Some(lapses) => Standing::Held(lapses),
             None => Standing::Trial,
         }
     }
 
-    /// Where a suspect runs, of the replicas where no other one does: the same place at every entry
-    /// that knows the same.
+    /// Returns the replica for a suspect among those without another one. Every entry with the same
+    /// evidence returns the same replica.
     pub fn choose_replica<T: Copy>(
         &self,
         fingerprint: u64,
@@ -124,58 +125,58 @@
         rendezvous::top_two(fingerprint, replicas).0
     }
 
-    /// Whether a suspect runs alone at that replica, here or at a peer.
+    /// Returns whether a suspect runs alone on that replica, here or at a peer.
     pub fn is_reserved(&self, now: Time, replica: u64) -> bool {
-        self.claims.covers(now, replica)
+        self.claims.is_claimed(now, replica)
     }
 
-    /// How many replicas are kept free for suspects, here and at peers.
+    /// Returns how many replicas are reserved for suspects, here and at peers.
     pub fn reserved_count(&self, now: Time) -> usize {
         self.claims.count(now)
     }
 
-    /// Claims the replica for a suspect; it may start once the claim has stood for the configured
-    /// time.
+    /// Claims the replica for a suspect, which may start once the claim has been held for
+    /// `claim_delay`.
     pub fn reserve(&mut self, fingerprint: u64, replica: u64) {
         self.claims.reserve(fingerprint, replica);
         self.urgent = true;
     }
 
-    /// Whether the claim still stands. It falls if another entry claimed the replica in the same
-    /// moment for another suspect: two of them at one replica would both be blamed for its crash.
+    /// Returns whether the claim is still held. It is lost if another entry claimed the replica at
+    /// the same time for another suspect: both on one replica would be blamed for its crash.
     pub fn holds_claim(&self, fingerprint: u64, replica: u64) -> bool {
         self.claims.holds(fingerprint, replica)
     }
 
-    /// The suspect starts at the replica that was claimed for it.
+    /// Records that a suspect starts on the replica that was claimed for it.
     pub fn start_trial(&mut self, replica: u64) {
         self.claims.start(replica);
     }
 
-    /// The attempt of a suspect ended, however it did.
+    /// Records that the attempt of a suspect ended, whatever its outcome.
     pub fn end_trial(&mut self, fingerprint: u64) {
         self.claims.end_own(fingerprint);
     }
 
-    /// A replica crashed while these fingerprints ran there.
+    /// Records the crash of a replica while these fingerprints ran there.
     pub fn record_crash(&mut self, now: Time, replica: u64, zone: u64, running: &[u64]) {
-        self.note_crash(now, replica, zone);
+        self.accuse_cancelled(now, replica, zone);
         for fingerprint in running {
-            let settled = self.settled(now, *fingerprint);
+            let settled = self.settle_time(now, *fingerprint);
             self.accuse(now, *fingerprint, &[replica], self.config.duration, settled);
         }
         self.forgive_zone(zone);
         self.urgent = true;
     }
 
-    /// A copy of a suspect was called back from that replica, unfinished.
+    /// Records that a suspect's unfinished copy was cancelled on that replica.
     ///
-    /// A crash of the replica within `settle` is held against it. Guards against a killer whose second
-    /// crash came while its cancellation travelled: nobody was blamed for it, and the killer's trial cost a
-    /// third replica.
+    /// A crash of the replica within `settle` is held against it. Guards against a killer whose
+    /// second crash comes while its cancellation is in transit: otherwise nothing is blamed for it,
+    /// and the killer's trial costs a third replica.
     pub fn record_cancellation(&mut self, now: Time, fingerprint: u64, replica: u64, zone: u64) {
-        self.drop_stopped(now);
-        self.stopped.push_back(Stopped {
+        self.drop_old_cancelled(now);
+        self.cancelled.push_back(Cancelled {
             at: now,
             fingerprint,
             replica,
@@ -183,22 +184,23 @@
         });
     }
 
-    /// A stopped copy ended with a crash after all; its replica may be known no more.
+    /// Records that a cancelled copy crashed its replica after all; the replica may be unknown by
+    /// now.
     pub fn record_crash_after_cancel(&mut self, now: Time, fingerprint: u64) {
-        let of_it = |copy: &&Stopped| copy.fingerprint == fingerprint;
-        let Some(copy) = self.stopped.iter().rfind(of_it).copied() else {
+        let of_it = |copy: &&Cancelled| copy.fingerprint == fingerprint;
+        let Some(copy) = self.cancelled.iter().rfind(of_it).copied() else {
             return;
         };
         self.record_crash(now, copy.replica, copy.zone, &[fingerprint]);
     }
 
-    /// A request ran to its end: it is no killer, unless it was found to be one already.
+    /// Records that a request ran to its end, which acquits it unless it was quarantined before.
     pub fn record_completion(&mut self, now: Time, fingerprint: u64) {
         self.claims.end_own(fingerprint);
         let Some(record) = self.records.get(fingerprint) else {
             return;
         };
-        let judged = now >= record.settled && self.is_judged(now, record);
+        let judged = now >= record.settled && self.has_enough_evidence(now, record);
         if judged || record.blame() == 0 {
             return;
         }
@@ -207,41 +209,41 @@
         self.urgent = true;
     }
 
-    /// Whether there is news that peers should hear at once; asking resets it.
+    /// Returns whether there is evidence to send to peers immediately, and resets the flag.
     pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.urgent)
     }
 
-    /// Fingerprints that came under suspicion since the last call: copies of them that run are to be
-    /// stopped, where that is safe, before they crash one replica each.
+    /// Returns the fingerprints that became suspect since the last call. Their running copies are
+    /// to be stopped, where that is safe, before they crash one replica each.
     pub fn take_suspects(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.accused)
+        std::mem::take(&mut self.new_suspects)
     }
 
-    /// News for peers: what changed last, and by turns the rest.
+    /// Returns the digest for peers: the latest changes, and the rest in rotation.
     pub fn digest(&mut self, now: Time) -> Digest {
         self.crashes.drop_old(now, self.config.settle);
-        let chosen = self.records.choose(now, &self.config);
+        let chosen = self.records.select_for_digest(now, &self.config);
         Digest {
             items: chosen
                 .iter()
                 .filter_map(|key| self.item(now, *key))
                 .collect(),
-            crashes: self.crashes.told(now),
+            crashes: self.crashes.recent(now),
             claims: self.claims.own(),
         }
     }
 
-    /// Takes in a peer's news.
+    /// Merges a peer's digest.
     pub fn merge(&mut self, now: Time, digest: &Digest) {
         let settle = self.config.settle;
         for crash in digest.crashes.iter().filter(|crash| crash.age <= settle) {
-            self.note_crash(now, crash.replica, crash.zone);
+            self.accuse_cancelled(now, crash.replica, crash.zone);
         }
         for item in &digest.items {
             let settled = match item.judged {
                 true => now,
-                false => self.settled(now, item.fingerprint),
+                false => self.settle_time(now, item.fingerprint),
             };
             self.accuse(
                 now,
@@ -256,32 +258,33 @@
             self.forgive_zone(crash.zone);
         }
         for claim in &digest.claims {
-            self.claims.heard(claim, now + self.config.claim_ttl);
+            self.claims.merge(claim, now + self.config.claim_ttl);
         }
     }
 
-    /// Drops what has expired; call it about once a second.
+    /// Drops expired state; call it about once a second.
     ///
-    /// A quarantined request is released on parole: one more crash is enough.
+    /// A quarantined request is released on parole: one more crash is enough to quarantine it
+    /// again.
     pub fn tick(&mut self, now: Time) {
         self.records.expire(now, &self.config);
-        self.claims.tick(now);
+        self.claims.remove_expired(now);
         self.crashes.drop_old(now, self.config.settle);
     }
 
-    /// Whether the evidence is enough, be it settled or not.
-    fn is_judged(&self, now: Time, record: &Record) -> bool {
+    /// Returns whether the evidence is sufficient, settled or not.
+    fn has_enough_evidence(&self, now: Time, record: &Record) -> bool {
         record.blame() >= self.config.crash_threshold && now < record.expires
     }
 
-    /// When a fingerprint accused now is judged.
-    fn settled(&self, now: Time, fingerprint: u64) -> Time {
+    /// Returns when a fingerprint accused now is judged.
+    fn settle_time(&self, now: Time, fingerprint: u64) -> Time {
         let most = self.config.settle_jitter.as_millis().max(1);
         let spread = rendezvous::weight(fingerprint, self.seed) % most;
         now + self.config.settle + Span::from_millis(spread)
     }
 
-    /// Whether it was new.
+    /// Adds crashes to a fingerprint; returns whether any was new.
     fn accuse(
         &mut self,
         now: Time,
@@ -292,7 +295,7 @@
     ) -> bool {
         let by: Vec<u64> = by
             .iter()
-            .filter(|replica| self.crashes.blames(**replica))
+            .filter(|replica| self.crashes.is_blamable(**replica))
             .copied()
             .collect();
         if by.is_empty() {
@@ -304,9 +307,10 @@
         let Some(record) = self.records.accuse(fingerprint, &by, new, most) else {
             return false;
         };
-        self.accused.push(fingerprint);
+        self.new_suspects.push(fingerprint);
         record.expires = record.expires.max(expires);
-        // A suspect that waited its time has run alone since: its second crash needs no more news.
+        // A suspect that was held until `settled` has run alone since: its second crash needs no
+        // more evidence.
         let was_settled = now >= record.settled && record.blame() >= self.config.crash_threshold;
         if !was_settled {
             record.settled = settled;
@@ -323,40 +327,42 @@
         }
     }
 
-    /// Crashes of one zone at once are the loss of the zone: they blame nobody.
+    /// Forgives crashes that are the loss of a zone, or of much of the pool: they blame no request.
     fn forgive_zone(&mut self, zone: u64) {
         if let Some(lost) = self.crashes.forgive(zone, self.config.zone_loss_threshold) {
             self.records.forgive(&lost);
         }
-        // So many at once, wherever they are, are no killer's work: its copies take two or three.
+        // So many crashes at once, in whatever zones, aren't the work of a killer: its copies cause
+        // two or three.
         if let Some(lost) = self.crashes.forgive_all(self.config.mass_loss_threshold) {
             self.records.forgive(&lost);
         }
     }
 
-    fn note_crash(&mut self, now: Time, replica: u64, zone: u64) {
+    fn accuse_cancelled(&mut self, now: Time, replica: u64, zone: u64) {
         let config = &self.config;
         self.claims.drop_replica(replica);
         self.crashes
-            .note(now, replica, zone, config.settle, config.max_digest_items);
-        self.drop_stopped(now);
-        let here = |copy: &&Stopped| copy.replica == replica;
+            .record(now, replica, zone, config.settle, config.max_digest_items);
+        self.drop_old_cancelled(now);
+        let here = |copy: &&Cancelled| copy.replica == replica;
         let blamed: Vec<u64> = self
-            .stopped
+            .cancelled
             .iter()
             .filter(here)
             .map(|copy| copy.fingerprint)
             .collect();
         for fingerprint in blamed {
-            let settled = self.settled(now, fingerprint);
-            // Only what is new is urgent: peers that tell each other of one crash would never end.
+            let settled = self.settle_time(now, fingerprint);
+            // Only new evidence is urgent: peers would otherwise send each other one crash without
+            // end.
             self.urgent |= self.accuse(now, fingerprint, &[replica], self.config.duration, settled);
         }
     }
 
-    fn drop_stopped(&mut self, now: Time) {
+    fn drop_old_cancelled(&mut self, now: Time) {
         let settle = self.config.settle;
-        self.stopped.retain(|copy| now.since(copy.at) <= settle);
+        self.cancelled.retain(|copy| now.since(copy.at) <= settle);
     }
 
     fn item(&self, now: Time, fingerprint: u64) -> Option<Item> {
@@ -365,7 +371,7 @@
             fingerprint,
             crashes: record.crashes.clone(),
             acquitted: record.acquitted.clone(),
-            judged: now >= record.settled && self.is_judged(now, record),
+            judged: now >= record.settled && self.has_enough_evidence(now, record),
             remaining: record.expires.since(now),
         })
     }
--- a/crates/policy/src/quarantine/record.rs
+++ b/crates/policy/src/quarantine/record.rs
@@ -1,27 +1,28 @@
-//! What is held against one fingerprint.
+//! Evidence on one fingerprint.
 
 use clock::Time;
 
-/// Most identities kept of each kind: two decide, the rest absorbs late news.
-const MOST: usize = 4;
+/// Maximum number of replicas in each list: two are enough to decide, the rest absorbs late
+/// digests.
+const MAX_REPLICAS: usize = 4;
 
 /// Evidence for and against one fingerprint.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
-    /// Incarnations that crashed under it; distinct, oldest first.
+    /// Incarnations that crashed while it ran there; distinct, oldest first.
     pub crashes: Vec<u64>,
-    /// Incarnations it was cleared of; distinct.
+    /// Incarnations of whose crashes it was acquitted; distinct.
     pub acquitted: Vec<u64>,
-    /// It isn't judged before: news of the peers may be on the way.
+    /// It isn't judged before this time, because evidence from peers may be in transit.
     pub settled: Time,
-    /// When it is forgotten, or released on parole.
+    /// When it is dropped, or released on parole.
     pub expires: Time,
-    /// Rises with every change over all records, for digests.
+    /// Sequence number of the last change among all records, for digests.
     pub changed: u64,
 }
 
 impl Record {
-    /// A record without evidence.
+    /// Creates a record without evidence.
     pub fn new(settled: Time, expires: Time) -> Record {
         Record {
             crashes: Vec::new(),
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Crashes that still count.
+    /// Returns the number of crashes that still count.
     pub fn blame(&self) -> usize {
         self.crashes
             .iter()
@@ -40,29 +41,29 @@
             .count()
     }
 
-    /// Adds identities; true if one was new.
+    /// Adds crashes; returns whether any was new.
     pub fn accuse(&mut self, crashes: &[u64]) -> bool {
         add(&mut self.crashes, crashes)
     }
 
-    /// Keeps only the latest crash: one more is enough.
+    /// Keeps only the latest crash, so that one more is enough.
     pub fn keep_last(&mut self) {
         let last = self.crashes.len().saturating_sub(1);
         self.crashes.drain(..last);
     }
 
-    /// Forgets these crashes: they blame nobody.
-    pub fn forget(&mut self, lost: &[u64]) {
+    /// Drops forgiven crashes, which blame no request.
+    pub fn forgive(&mut self, lost: &[u64]) {
         self.crashes.retain(|crash| !lost.contains(crash));
     }
 
-    /// Clears it of these crashes; true if one was new.
+    /// Acquits it of crashes; returns whether any was new.
     pub fn acquit(&mut self, crashes: &[u64]) -> bool {
         add(&mut self.acquitted, crashes)
     }
 }
 
-/// Adds what is new, dropping the oldest beyond the bound.
+/// Adds new items and drops the oldest beyond the bound.
 fn add(to: &mut Vec<u64>, from: &[u64]) -> bool {
     let before = to.len();
     let new: Vec<u64> = from
@@ -72,8 +73,8 @@
         .collect();
     to.extend(&new);
     let changed = to.len() != before;
-    if to.len() > MOST {
-        to.drain(..to.len() - MOST);
+    if to.len() > MAX_REPLICAS {
+        to.drain(..to.len() - MAX_REPLICAS);
     }
     changed
 }
--- a/crates/policy/src/quarantine/records.rs
+++ b/crates/policy/src/quarantine/records.rs
@@ -1,4 +1,4 @@
-//! All fingerprints against which there is something, of bounded number.
+//! Bounded collection of the evidence on all fingerprints.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,23 @@
 
 use super::record::Record;
 
-/// Records by fingerprint; at most `config.records`.
+/// Records by fingerprint; at most `config.max_records`.
 #[derive(Debug, Default)]
 pub(super) struct Records {
     by_fingerprint: BTreeMap<u64, Record>,
-    /// Counts the changes of records, so that digests tell the latest first.
+    /// Number of changes to records, so that digests send the latest first.
     changes: u64,
-    /// Where the next digest goes on with the older records.
+    /// Fingerprint after which the next digest continues with the older records.
     cursor: u64,
 }
 
 impl Records {
-    /// What is held against the fingerprint.
+    /// Returns the evidence on the fingerprint.
     pub fn get(&self, fingerprint: u64) -> Option<&Record> {
         self.by_fingerprint.get(&fingerprint)
     }
 
-    /// Notes crashes under the fingerprint; its record if they were new.
+    /// Adds crashes to a fingerprint; returns its record if any was new.
     pub fn accuse(
         &mut self,
         fingerprint: u64,
@@ -33,7 +33,7 @@
         most: usize,
     ) -> Option<&mut Record> {
         if !self.by_fingerprint.contains_key(&fingerprint) {
-            self.make_room(most);
+            self.evict_least(most);
         }
         let record = self.by_fingerprint.entry(fingerprint).or_insert(new);
         if !record.accuse(crashes) {
@@ -44,7 +44,7 @@
         Some(record)
     }
 
-    /// Clears the fingerprint of these crashes; its record if that was new.
+    /// Acquits a fingerprint of crashes; returns its record if any was new.
     pub fn acquit(&mut self, fingerprint: u64, of: &[u64]) -> Option<&Record> {
         let record = self.by_fingerprint.get_mut(&fingerprint)?;
         if !record.acquit(of) {
@@ -55,15 +55,15 @@
         Some(record)
     }
 
-    /// Forgets crashes that blame nobody, and records that rest on them alone.
+    /// Drops forgiven crashes, and records that have no others.
     pub fn forgive(&mut self, lost: &[u64]) {
         self.by_fingerprint.retain(|_, record| {
-            record.forget(lost);
+            record.forgive(lost);
             !record.crashes.is_empty()
         });
     }
 
-    /// Drops what has expired, but releases the quarantined on parole.
+    /// Drops expired records, but releases quarantined ones on parole.
     pub fn expire(&mut self, now: Time, config: &Config) {
         self.by_fingerprint.retain(|_, record| {
             if now < record.expires {
@@ -76,8 +76,8 @@
         });
     }
 
-    /// Fingerprints for the next digest: half the latest changes, half by turns.
-    pub fn choose(&mut self, now: Time, config: &Config) -> Vec<u64> {
+    /// Selects fingerprints for the next digest: half by latest change, half in rotation.
+    pub fn select_for_digest(&mut self, now: Time, config: &Config) -> Vec<u64> {
         let mut keys: Vec<(u64, u64)> = self
             .by_fingerprint
             .iter()
@@ -97,8 +97,8 @@
         chosen
     }
 
-    /// Gives up the least telling record when there are too many.
-    fn make_room(&mut self, most: usize) {
+    /// Evicts the record with the least evidence when there are too many.
+    fn evict_least(&mut self, most: usize) {
         if self.by_fingerprint.len() < most {
             return;
         }
--- a/crates/policy/src/rendezvous.rs
+++ b/crates/policy/src/rendezvous.rs
@@ -1,23 +1,24 @@
-//! Rendezvous hashing: every entry ranks the same nodes for a key in the same order, untold.
+//! Rendezvous hashing: every entry ranks the same nodes for a key in the same order, without
+//! coordination.
 //!
-//! Without it two entries would send equal keys to different replicas, so that each prefix is
-//! computed several times and copies of one killer request meet several replicas. Ground: Thaler and
-//! Ravishankar 1998; when a node goes, only the keys that ranked it first move.
+//! Without it entries would send equal keys to different replicas: each prefix would be computed
+//! several times, and copies of one killer request would reach several replicas. When a node
+//! leaves, only the keys that ranked it first move (Thaler and Ravishankar, 1998).
 
 use xxhash_rust::xxh3::xxh3_64;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Hash of a name that is the same in every process.
+/// Returns a hash of a name that is the same in every process.
 pub fn identity(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// How strongly `key` is drawn to `node`.
+/// Returns the weight of `node` for `key`; the node with the highest weight ranks first.
 pub fn weight(key: u64, node: u64) -> u64 {
     xxh3_64_with_seed(&node.to_le_bytes(), key)
 }
 
-/// The first and the second choice of `key` among `nodes`, each given with its identity.
+/// Returns the first and the second choice of `key` among `nodes`, each given with its identity.
 pub fn top_two<T: Copy>(key: u64, nodes: impl Iterator<Item = (T, u64)>) -> (Option<T>, Option<T>) {
     let mut first: Option<(u64, T)> = None;
     let mut second: Option<(u64, T)> = None;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,14 +1,14 @@
-//! Retries of attempts, and when refused callers come back.
+//! Retry budget of a pool, and retry times for refused callers.
 //!
-//! Load pattern: an outage. Every attempt fails at once; tried again without bound, each request
-//! becomes several and the first replica back is buried. The callers who were refused all come back
-//! at the same moment and the outage begins anew.
+//! Guards against an outage in which every attempt fails at once. Unbounded retries turn each
+//! request into several and overload the first replica that recovers; refused callers that all
+//! retry at the same moment restart the outage.
 //!
-//! [`Budget`]: retries are a fraction of the whole answers given, so in an outage they run dry while a
-//! single replica's death is hidden from its callers. The fraction of a tenth is what Google's SRE
-//! book ("Handling Overload") names for client retries. [`Calendar`]: each refused caller is given its
-//! account's next free appointment, so that callers return at the rate at which work drains, not
-//! together, and an account that flooded the entry doesn't fill the calendar for the others.
+//! [`Budget`]: retries are a fraction of the complete answers, so that they run dry in an outage
+//! while a single replica's crash stays hidden from its callers. A fraction of a tenth follows
+//! Google's SRE book ("Handling Overload"). [`Calendar`]: each refused caller gets its account's
+//! next free time slot, so that callers return at the rate at which work drains, and an account
+//! that floods the entry doesn't fill the calendar for others.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,79 +22,79 @@
 use crate::configs::retry::Config;
 use crate::fair::Cost;
 
-/// Retries that may still be made.
+/// Budget of a pool for retries.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    left: f64,
+    remaining: f64,
 }
 
 impl Budget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(settings: &Config) -> Budget {
         Budget {
-            left: settings.max_saved,
+            remaining: settings.max_saved,
         }
     }
 
-    /// Retries that may still be made.
+    /// Returns the number of retries left.
     pub fn remaining(&self) -> f64 {
-        self.left
+        self.remaining
     }
 
-    /// A whole answer was given.
+    /// Credits a complete answer.
     pub fn earn(&mut self, settings: &Config) {
-        self.left = (self.left + settings.fraction).min(settings.max_saved);
+        self.remaining = (self.remaining + settings.fraction).min(settings.max_saved);
     }
 
-    /// Takes one retry, if there is one.
+    /// Spends one retry, if there is one; returns whether the retry may be made.
     pub fn spend(&mut self, settings: &Config) -> bool {
         if !settings.enabled {
             return true;
         }
-        if self.left < 1.0 {
+        if self.remaining < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.remaining -= 1.0;
         true
     }
 }
 
-/// Appointments of refused callers.
+/// Retry times booked for refused callers.
 #[derive(Clone, Debug, Default)]
 pub struct Calendar {
-    /// Accounts with appointments to come; bounded by the number of accounts.
-    accounts: BTreeMap<account::Key, Page>,
-    /// The same by the end of their appointments, in milliseconds.
+    /// Accounts with bookings in the future; bounded by the number of accounts.
+    accounts: BTreeMap<account::Key, Booking>,
+    /// The same accounts by the end of their bookings, in milliseconds.
     ends: BTreeSet<(u64, account::Key)>,
-    /// Sum of their weights.
+    /// Sum of the weights of `accounts`.
     weight: f64,
 }
 
-/// One account's appointments.
+/// One account's bookings.
 #[derive(Clone, Copy, Debug)]
-struct Page {
-    /// Every moment before this one is taken, in milliseconds.
-    taken: f64,
+struct Booking {
+    /// Time up to which the account is fully booked, in milliseconds.
+    end_ms: f64,
     weight: f64,
 }
 
-/// A refused request that could come back.
+/// A refused request that may be retried by its caller.
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
-    /// Whose.
+    /// Client account.
     pub account: account::Key,
     /// The account's weight.
     pub weight: u32,
-    /// Its cost.
+    /// Estimated cost.
     pub cost: Cost,
-    /// How long it would have waited in the queue.
+    /// Wait that was predicted for it in the queue.
     pub wait: Span,
-    /// Cost a second that the pool gets done; none before it is known.
+    /// Cost per second that the pool completes; `None` while unknown.
     pub rate: Option<f64>,
 }
 
 impl Calendar {
-    /// When the caller should come back.
+    /// Books a time slot for the caller and returns the delay after which it should retry.
     pub fn book(
         &mut self,
         settings: &Config,
@@ -105,14 +105,14 @@
         if !settings.enabled {
             return Span::from_millis(1);
         }
-        self.drop_past(now);
+        self.remove_past(now);
         let now = now.as_millis() as f64;
         let shortest = settings.min_delay.as_millis() as f64;
         let longest = settings.max_delay.as_millis() as f64;
         let earliest = now + shortest.max(refused.wait.as_millis() as f64);
         let weight = f64::from(refused.weight.max(1));
-        let page = self.take_page(refused.account);
-        let begin = page.map_or(earliest, |page| page.taken.max(earliest));
+        let page = self.remove(refused.account);
+        let begin = page.map_or(earliest, |page| page.end_ms.max(earliest));
         let share = weight / (self.weight + weight);
         let width = match refused.rate {
             Some(rate) if rate > 0.0 => {
@@ -120,35 +120,41 @@
             }
             _ => shortest,
         };
-        // Full: the rest is spread over the calendar's second half.
+        // The calendar is full: spread the rest over its second half.
         let full = begin + width > now + longest;
         let taken = if full { begin } else { begin + width };
-        self.put_page(refused.account, Page { taken, weight });
+        self.insert(
+            refused.account,
+            Booking {
+                end_ms: taken,
+                weight,
+            },
+        );
         if full {
             return millis(longest * random.random_range(0.5..1.0));
         }
         millis(begin + width * random.random::<f64>() - now)
     }
 
-    fn take_page(&mut self, account: account::Key) -> Option<Page> {
+    fn remove(&mut self, account: account::Key) -> Option<Booking> {
         let page = self.accounts.remove(&account)?;
-        self.ends.remove(&(page.taken as u64, account));
+        self.ends.remove(&(page.end_ms as u64, account));
         self.weight -= page.weight;
         Some(page)
     }
 
-    fn put_page(&mut self, account: account::Key, page: Page) {
-        self.ends.insert((page.taken as u64, account));
+    fn insert(&mut self, account: account::Key, page: Booking) {
+        self.ends.insert((page.end_ms as u64, account));
         self.weight += page.weight;
         self.accounts.insert(account, page);
     }
 
-    fn drop_past(&mut self, now: Time) {
+    fn remove_past(&mut self, now: Time) {
         while let Some((end, account)) = self.ends.first().copied() {
             if end >= now.as_millis() {
                 return;
             }
-            self.take_page(account);
+            self.remove(account);
         }
     }
 }
--- a/crates/policy/src/size.rs
+++ b/crates/policy/src/size.rs
@@ -1,57 +1,58 @@
-//! Size classes: long jobs hold only part of the replicas.
+//! Size classes: long jobs run on part of the replicas only.
 //!
-//! Load pattern: archive bundles of ten thousand tokens among captions of a few hundred. Without
-//! classes bundles lie on every replica, and a caption behind a bundle's prefill misses its target,
-//! although captions are most of the requests and little of the work.
+//! Guards against jobs of ten thousand tokens among jobs of a few hundred. Without classes long
+//! jobs occupy every replica, and a short job behind a long prefill misses its target, although
+//! short jobs are most of the requests and little of the work.
 //!
-//! As many replicas as the long jobs' part of the work needs are long lanes: long jobs run there and
-//! nowhere else. Short jobs go elsewhere while there is room, and to a lane else, so neither class
-//! starves: at least one replica is a lane while there are long jobs, and a lane is never closed to
-//! short ones. Which replicas are lanes follows from a hash, so entries agree on it untold.
+//! As many replicas as the long jobs' share of the work needs are long lanes, and long jobs run
+//! nowhere else. Short jobs run elsewhere while there is room and use a lane otherwise, so neither
+//! class starves: while there are long jobs at least one replica is a lane, and lanes are never
+//! closed to short jobs. Lanes are selected by hash, so entries agree on them without coordination.
 
 use crate::configs::size::Config;
 use crate::fair::Cost;
 use crate::rendezvous;
 
-/// Key under which replicas are ranked as lanes.
-const LANES: u64 = 0x6c61_6e65;
+/// Key under which replicas are ranked for lanes.
+const LANE_KEY: u64 = 0x6c61_6e65;
 
-/// Short or long.
+/// Size class of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// The usual.
+    /// An ordinary job.
     Short = 0,
-    /// Many times the mean cost.
+    /// A job of many times the mean cost.
     Long = 1,
 }
 
-/// Knows the mean cost and the long jobs' part of it.
+/// Running means of the cost of jobs and of long jobs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Classes {
-    mean: Option<f64>,
-    long: f64,
-    all: f64,
+    mean_cost: Option<f64>,
+    long_cost: f64,
+    total_cost: f64,
 }
 
 impl Classes {
-    /// The class of a job; notes its cost.
+    /// Classifies a job and records its cost.
     pub fn classify(&mut self, settings: &Config, cost: Cost) -> Class {
         let cost = cost as f64;
-        let mean = *self.mean.get_or_insert(cost);
+        let mean = *self.mean_cost.get_or_insert(cost);
         let is_long = settings.enabled && cost > mean * settings.long_factor;
-        // A long job counts as the threshold, so that a few of them don't make the next ones short.
+        // Long jobs count as the threshold, so that a few of them don't raise it above the next
+        // ones.
         let counted = cost.min(mean * settings.long_factor);
-        self.mean = Some(mean + settings.smoothing * (counted - mean));
+        self.mean_cost = Some(mean + settings.smoothing * (counted - mean));
         let long = if is_long { cost } else { 0.0 };
-        self.long += settings.smoothing * (long - self.long);
-        self.all += settings.smoothing * (cost - self.all);
+        self.long_cost += settings.smoothing * (long - self.long_cost);
+        self.total_cost += settings.smoothing * (cost - self.total_cost);
         if is_long { Class::Long } else { Class::Short }
     }
 
-    /// How many of so many replicas are long lanes.
+    /// Returns how many of `replicas` are long lanes.
     pub fn lane_count(&self, settings: &Config, replicas: usize) -> usize {
-        let part = if self.all > 0.0 {
-            self.long / self.all
+        let part = if self.total_cost > 0.0 {
+            self.long_cost / self.total_cost
         } else {
             0.0
         };
@@ -63,13 +64,13 @@
     }
 }
 
-/// The first `count` replicas in the order in which they become lanes.
+/// Returns the first `count` replicas in lane order.
 pub fn select_lanes<T: Copy>(count: usize, replicas: impl Iterator<Item = (T, u64)>) -> Vec<T> {
     if count == 0 {
         return Vec::new();
     }
     let mut ranked: Vec<(u64, T)> = replicas
-        .map(|(replica, identity)| (rendezvous::weight(LANES, identity), replica))
+        .map(|(replica, identity)| (rendezvous::weight(LANE_KEY, identity), replica))
         .collect();
     ranked.sort_by_key(|(weight, _)| std::cmp::Reverse(*weight));
     ranked
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -1,41 +1,43 @@
-//! Shares the slots of one replica among entries that don't ask each other.
+//! Divides the slots of one replica among entries without coordination.
 //!
-//! Load pattern: eight entries under overload, each with a queue. All see the same free slot in the
-//! same report and fill it, so work piles up inside the replicas, where no entry can refuse it,
-//! reorder it or give it elsewhere, and where its wait can't be predicted.
+//! Guards against several overloaded entries, each with a queue, that all see the same free slot in
+//! a report and fill it. Work then queues inside the replicas, where no entry can refuse, reorder
+//! or move it, and where its wait can't be predicted.
 //!
-//! An equal part of the slots is always this entry's. Of those that a report shows free it borrows a
-//! few equal parts more, so that all entries together overbook by a bounded amount. While a report
-//! shows work waiting inside the replica, the borrowed ones are given back one a report.
+//! An equal share of the slots always belongs to this entry. Of the slots that a report shows free
+//! it borrows a few equal shares more, so that the overcommitment of all entries together is
+//! bounded. While reports show work waiting inside the replica, borrowed slots are given back, one
+//! per report.
 
 use crate::configs::slots::Config;
 use crate::replica::Report;
 
-/// Most attempts of this entry on one replica.
+/// Limit on this entry's attempts on one replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Share {
     limit: u32,
 }
 
 impl Share {
-    /// The equal part.
+    /// Creates an equal share.
     pub fn new(slots: u32, entries: u32) -> Share {
         Share {
-            limit: part(slots, entries),
+            limit: equal_share(slots, entries),
         }
     }
 
-    /// Most attempts at once.
+    /// Returns the maximum number of concurrent attempts.
     pub fn limit(&self, slots: u32, entries: u32) -> u32 {
-        self.limit.max(part(slots, entries))
+        self.limit.max(equal_share(slots, entries))
     }
 
-    /// Whether one more stays within this entry's own part, whatever the others do.
+    /// Returns whether one more attempt stays within this entry's equal share.
     pub fn is_within_share(&self, slots: u32, entries: u32, running: u32) -> bool {
-        running < part(slots, entries)
+        running < equal_share(slots, entries)
     }
 
-    /// Takes in a report, while `running` attempts are ours; `drawn`, from 0 to 1, rounds.
+    /// Adapts the limit to a report while `running` attempts of this entry are in flight; `dither`,
+    /// from 0 to 1, randomizes the rounding.
     pub fn record_report(
         &mut self,
         config: &Config,
@@ -45,7 +47,7 @@
         report: &Report,
         drawn: f64,
     ) {
-        let part = part(slots, entries);
+        let part = equal_share(slots, entries);
         if report.waiting > 0 {
             self.limit = part.max(self.limit.min(running).saturating_sub(1));
             return;
@@ -56,7 +58,7 @@
     }
 }
 
-/// One entry's equal part; at least one slot.
-fn part(slots: u32, entries: u32) -> u32 {
+/// Returns one entry's equal share; at least one slot.
+fn equal_share(slots: u32, entries: u32) -> u32 {
     slots.div_ceil(entries.max(1)).max(1)
 }
--- a/crates/policy/src/wave/mod.rs
+++ b/crates/policy/src/wave/mod.rs
@@ -1,18 +1,18 @@
-//! Plans what becomes of running jobs when replicas are reclaimed, a whole zone at once included.
+//! Plans what happens to running jobs when replicas are reclaimed, up to a whole zone at once.
 //!
-//! *Pattern*: a third of the pool has seconds left. *Without it*: jobs move in the order of their
-//! ids; long prompts that were costly to compute wait behind short ones, the notice ends, and they
-//! are run again; all moves go to the first idle replica. *How*: what ends within the notice is let
-//! finish. Of the rest each replica's link, which carries one transfer at a time, takes the choice
-//! that saves most tokens within its notice. The chosen of all links go by tokens saved per second
-//! of notice, each taking room at a target. What doesn't fit is run again, at once, since waiting
-//! only adds to what must be recomputed. Jobs that mustn't be run again come first. Ground: the
-//! choice is exact but for rounding; taking by tokens per second alone saved as little as two thirds
-//! of the best (tests/wave.rs, first form), since a large job can leave a gap nothing fits into.
+//! Guards against moving jobs in arbitrary order: long prompts that were costly to compute wait
+//! behind short ones until the notice ends, and are then rerun, and all moves go to the first idle
+//! replica. Instead, jobs that end within the notice finish where they are. For the rest, each
+//! replica's link, which carries one transfer at a time, gets the selection that saves the most
+//! tokens within its notice (a knapsack problem). The selected jobs of all links are ordered by
+//! tokens saved per second of notice, and each reserves room at a target. Jobs that don't fit are
+//! rerun at once, since waiting only adds to what must be recomputed. Jobs that must not be rerun
+//! come first. The selection is exact but for rounding; picking jobs by tokens per second alone can
+//! save as little as two thirds of the best, since a large job can leave a gap that nothing fits
+//! into.
 //!
-//! The plan is pure; make it again whenever news come: a job that was let finish and lags behind is
-//! then moved after all. Cost: 256 additions a job and a
-//! sort of the wave's jobs, once for each plan.
+//! The plan is pure; plan again whenever the state changes: a job that was left to finish and falls
+//! behind is then moved after all. A plan costs 256 additions per job and a sort of the jobs.
 
 mod pack;
 
@@ -29,73 +29,73 @@
 
 use self::pack::Item;
 
-/// A replica that leaves.
+/// A replica that is leaving.
 #[derive(Clone, Copy, Debug)]
 pub struct Source {
-    /// Which.
+    /// The replica.
     pub key: replica::Key,
     /// When it is gone.
     pub deadline: Time,
 }
 
-/// A job that runs at a leaving replica.
+/// A job that runs on a leaving replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Running {
-    /// Which.
+    /// The job.
     pub id: job::Id,
-    /// Where it runs.
+    /// Replica that it runs on.
     pub from: replica::Key,
     /// Model call or plain call; a plain call can only finish.
     pub kind: job::Kind,
     /// Tokens in its KV cache: prompt and generated.
     pub tokens: u32,
-    /// How long it goes on, as expected.
+    /// Expected time until it ends.
     pub remaining: Span,
-    /// Whether it may be run again.
+    /// Whether it may be rerun.
     pub idempotent: bool,
 }
 
-/// A replica that stays, and what it can take.
+/// A replica that stays, with its free capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
-    /// Which.
+    /// The replica.
     pub key: replica::Key,
-    /// Jobs it can take.
+    /// Number of jobs that it can take.
     pub slots: u32,
-    /// Tokens of KV cache it can take.
+    /// Tokens of KV cache that it can take.
     pub tokens: u64,
 }
 
-/// What becomes of one job.
+/// Planned action for one job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Which job.
+    /// The job.
     pub job: job::Id,
-    /// Where it runs.
+    /// Replica that it runs on.
     pub from: replica::Key,
-    /// What to do.
+    /// The action.
     pub action: Action,
 }
 
 /// What to do with a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Let it end where it is.
+    /// Let it finish where it is.
     Finish,
-    /// Move it there at that time.
+    /// Move it to another replica.
     Move {
-        /// To here.
+        /// Target replica.
         to: replica::Key,
-        /// By which means.
+        /// How the job is moved.
         transfer: Transfer,
-        /// When its turn comes.
+        /// When the move starts.
         start: Time,
     },
-    /// There is no room anywhere yet: let it run, plan again.
+    /// No target has room yet: let it run and plan again.
     Wait,
 }
 
-/// Plans the wave; the steps come in the order in which they are due.
+/// Plans the wave; returns the steps in the order in which they are due.
 pub fn plan(
     config: &Config,
     now: Time,
@@ -126,41 +126,42 @@
     plan.steps
 }
 
-/// When the last transfer out of a source must have ended.
+/// Returns when the last transfer out of a source must have ended.
 ///
-/// Guards against a short notice being taken for none: with a fixed margin of a second, a notice of
-/// half a second showed as streams run again though their KV cache could still be moved.
+/// The margin is bounded by a share of the notice: a fixed second would leave nothing of a notice
+/// of half a second, and streams would be rerun though their KV cache could still be moved.
 fn last_end(config: &Config, now: Time, deadline: Time) -> Time {
     let left = deadline.since(now);
     now + (left - config.margin.min(left.scaled(config.margin_share)))
 }
 
-/// A plan in the making.
+/// A plan under construction.
 struct Plan<'a> {
     config: &'a Config,
     now: Time,
     links: BTreeMap<replica::Key, Link>,
-    /// Targets with room, the one with the most free slots on top.
+    /// Free slots, free tokens and key of the targets with room, the one with the most free slots
+    /// on top.
     targets: BinaryHeap<(u32, u64, replica::Key)>,
     steps: Vec<Step>,
 }
 
-/// Who is transferred first; greater goes first.
+/// Order of transfers; the greatest rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// It can't be run again.
+    /// It must not be rerun.
     must_move: bool,
-    /// It belongs to its link's best choice.
+    /// It belongs to the best selection of its link.
     chosen: bool,
     /// Tokens saved per second of notice.
     tokens_per_second: u64,
 }
 
-/// The way out of one source.
+/// Outgoing network link of one source.
 struct Link {
-    /// Nothing is planned beyond.
+    /// No transfer ends later.
     deadline: Time,
-    /// When each lane is free.
+    /// When each lane becomes free.
     lanes: Vec<Time>,
 }
 
@@ -193,7 +194,7 @@
         })
     }
 
-    /// The jobs in the order in which they get their chance to be transferred.
+    /// Returns the jobs in the order in which they are considered for a transfer.
     fn ranked(&self, jobs: Vec<Running>) -> Vec<Running> {
         let mut by_link: BTreeMap<replica::Key, Vec<Running>> = BTreeMap::new();
         for job in jobs {
@@ -213,7 +214,7 @@
         };
         let notice = link.deadline.since(self.now).as_millis() * link.lanes.len() as u64;
         let items: Vec<Item> = jobs.iter().map(|job| self.item(job)).collect();
-        let chosen = pack::best(&items, notice);
+        let chosen = pack::select(&items, notice);
         let rank = |(job, chosen): (Running, bool)| {
             let rank = Rank {
                 must_move: !job.idempotent,
@@ -233,8 +234,8 @@
             false => 1 << 40,
         };
         Item {
-            takes: self.takes(job).as_millis(),
-            saves: u64::from(job.tokens) + bonus,
+            duration_ms: self.takes(job).as_millis(),
+            value: u64::from(job.tokens) + bonus,
         }
     }
 
@@ -243,7 +244,7 @@
         self.config.setup + Span::from_millis(carried.ceil() as u64)
     }
 
-    /// Plans a KV transfer; false if the notice or the targets don't allow it.
+    /// Plans a KV transfer; returns false if the notice or the targets don't allow it.
     fn transfer(&mut self, job: &Running) -> bool {
         let takes = self.takes(job);
         let Some(link) = self.links.get_mut(&job.from) else {
@@ -298,7 +299,7 @@
     }
 }
 
-/// Takes room for a job at the target with the most free slots that has the memory for it.
+/// Reserves room for a job at the target with the most free slots that has the memory for it.
 fn take(targets: &mut BinaryHeap<(u32, u64, replica::Key)>, tokens: u32) -> Option<replica::Key> {
     let mut without_memory = Vec::new();
     let mut found = None;
--- a/crates/policy/src/wave/pack.rs
+++ b/crates/policy/src/wave/pack.rs
@@ -1,28 +1,28 @@
-//! Which transfers of one link save the most within its notice.
+//! Selects the transfers of one link that save the most within its notice (0/1 knapsack).
 
-/// Steps into which the notice is cut; a transfer takes whole ones, so that at most one step a
-/// transfer is lost, and a plan for 32 jobs costs 32 times as many additions.
+/// Steps into which the notice is divided. A transfer takes whole steps, so that at most one step
+/// per transfer is lost; a plan for 32 jobs costs 32 times as many additions.
 const STEPS: usize = 256;
 
-/// A transfer that could be made.
+/// A candidate transfer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Item {
-    /// Milliseconds that it takes.
-    pub takes: u64,
-    /// What it saves.
-    pub saves: u64,
+    /// Duration in milliseconds.
+    pub duration_ms: u64,
+    /// Value of the transfer, usually the tokens that it saves.
+    pub value: u64,
 }
 
-/// For each item whether it is among the best choice for a notice of that many milliseconds.
-pub(super) fn best(items: &[Item], notice: u64) -> Vec<bool> {
+/// Returns for each item whether it belongs to the best selection for a notice in milliseconds.
+pub(super) fn select(items: &[Item], notice: u64) -> Vec<bool> {
     let step = notice.div_ceil(STEPS as u64).max(1);
     let room = (notice / step) as usize;
-    let steps = |item: &Item| item.takes.div_ceil(step) as usize;
+    let steps = |item: &Item| item.duration_ms.div_ceil(step) as usize;
     let mut saved = vec![0_u64; room + 1];
     let mut taken = vec![false; items.len() * (room + 1)];
     for (index, item) in items.iter().enumerate() {
         for used in (steps(item)..=room).rev() {
-            let with = saved[used - steps(item)] + item.saves;
+            let with = saved[used - steps(item)] + item.value;
             if with > saved[used] {
                 saved[used] = with;
                 taken[index * (room + 1) + used] = true;
