--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -107,8 +107,8 @@
     /// Returns the expected time from start to first token, at least that of an idle replica.
     pub fn first_token_time(&self, class: Class, prompt: u32) -> Span {
         let idle = self.idle_time(prompt);
-        let line = self.fits[class as usize].predict(f64::from(prompt));
-        millis(line.unwrap_or(idle).max(idle))
+        let predicted = self.fits[class as usize].predict(f64::from(prompt));
+        millis(predicted.unwrap_or(idle).max(idle))
     }
 
     /// Returns the expected time to first token on an idle replica, in milliseconds.
--- a/crates/policy/src/cover.rs
+++ b/crates/policy/src/cover.rs
@@ -66,9 +66,9 @@
     if zones.is_empty() {
         return wanted;
     }
-    let comfort = replicas_for(busy, config.target_utilization);
+    let target = replicas_for(busy, config.target_utilization);
     if !bounds.reclaimable {
-        add_on_demand(&mut wanted, zones, bounds, comfort);
+        add_on_demand(&mut wanted, zones, bounds, target);
         return wanted;
     }
     let missing = |reclaimable: &[u32]| {
@@ -79,15 +79,15 @@
         now.max(next)
     };
     // On-demand replicas are released only once their replacements serve.
-    let serving: Vec<u32> = zones.iter().map(|zone| zone.reclaimable.live).collect();
-    let standing: u32 = zones.iter().map(|zone| zone.on_demand.live).sum();
-    let kept = missing(&serving).min(standing);
+    let serving_reclaimable: Vec<u32> = zones.iter().map(|zone| zone.reclaimable.live).collect();
+    let serving_on_demand: u32 = zones.iter().map(|zone| zone.on_demand.live).sum();
+    let kept = missing(&serving_reclaimable).min(serving_on_demand);
     add_on_demand(&mut wanted, zones, bounds, kept);
-    let each = comfort.div_ceil(zones.len() as u32).max(bounds.min);
+    let per_zone = target.div_ceil(zones.len() as u32).max(bounds.min);
     for (zone, wanted) in zones.iter().zip(&mut wanted) {
         let room = bounds.max.saturating_sub(wanted.on_demand);
         wanted.reclaimable = match zone.open {
-            true => each.min(room),
+            true => per_zone.min(room),
             // The market can't add any, and what is released now couldn't be replaced.
             false => zone.reclaimable.expected.min(room),
         };
@@ -108,8 +108,8 @@
 }
 
 /// Returns the number of replicas that the work fills to the given utilization.
-fn replicas_for(busy: f64, fill: f64) -> u32 {
-    (busy / fill).ceil() as u32
+fn replicas_for(busy: f64, utilization: f64) -> u32 {
+    (busy / utilization).ceil() as u32
 }
 
 /// Adds on-demand replicas one by one within the bounds. Serving ones come first, then starting
@@ -117,24 +117,24 @@
 /// leaves room for reclaimable ones everywhere, and then to the cheapest.
 fn add_on_demand(wanted: &mut [Wanted], zones: &[Zone], bounds: Bounds, count: u32) {
     for _ in 0..count {
-        let taken = |at: usize| wanted[at].reclaimable + wanted[at].on_demand;
-        let rank = |at: usize| {
-            let stock = zones[at].on_demand;
-            if wanted[at].on_demand < stock.live {
+        let taken = |index: usize| wanted[index].reclaimable + wanted[index].on_demand;
+        let rank = |index: usize| {
+            let stock = zones[index].on_demand;
+            if wanted[index].on_demand < stock.live {
                 0
-            } else if wanted[at].on_demand < stock.expected {
+            } else if wanted[index].on_demand < stock.expected {
                 1
             } else {
-                2 + taken(at)
+                2 + taken(index)
             }
         };
-        let free = (0..zones.len()).filter(|at| taken(*at) < bounds.max);
+        let free = (0..zones.len()).filter(|index| taken(*index) < bounds.max);
         let best = free.min_by(|one, other| {
             let by_rank = rank(*one).cmp(&rank(*other));
             by_rank.then(zones[*one].price.total_cmp(&zones[*other].price))
         });
         match best {
-            Some(at) => wanted[at].on_demand += 1,
+            Some(index) => wanted[index].on_demand += 1,
             None => return,
         }
     }
--- a/crates/policy/src/fair/estimate.rs
+++ b/crates/policy/src/fair/estimate.rs
@@ -8,9 +8,9 @@
 
 impl Estimate {
     /// Returns the expected output tokens of a job that may generate at most `limit`.
-    pub fn expect(&self, most: u32) -> u32 {
-        let mean = self.mean.unwrap_or(f64::from(most) / 2.0);
-        (mean as u32).clamp(1, most.max(1))
+    pub fn expect(&self, limit: u32) -> u32 {
+        let mean = self.mean.unwrap_or(f64::from(limit) / 2.0);
+        (mean as u32).clamp(1, limit.max(1))
     }
 
     /// Records a complete answer.
--- a/crates/policy/src/fair/level.rs
+++ b/crates/policy/src/fair/level.rs
@@ -156,10 +156,10 @@
     }
 
     /// Returns the heads of at most `limit` lanes of a class in the order in which to serve them.
-    pub fn heads(&self, class: Class, most: usize) -> impl Iterator<Item = (u64, Head)> {
+    pub fn heads(&self, class: Class, limit: usize) -> impl Iterator<Item = (u64, Head)> {
         self.ready[class as usize]
             .iter()
-            .take(most)
+            .take(limit)
             .filter_map(move |(tag, account)| {
                 let lane = self.lanes.get(account)?;
                 let (position, item) = lane.jobs[class as usize].first_key_value()?;
--- a/crates/policy/src/fair/mod.rs
+++ b/crates/policy/src/fair/mod.rs
@@ -143,14 +143,14 @@
     }
 
     /// Returns the heads of about `limit` lanes in the order in which to serve them.
-    pub fn heads(&self, most: usize) -> Vec<Head> {
+    pub fn heads(&self, limit: usize) -> Vec<Head> {
         let mut heads = Vec::new();
         for level in self.levels.values() {
-            let mut own: Vec<(u64, Head)> = level.heads(Class::Short, most).collect();
-            own.extend(level.heads(Class::Long, most));
+            let mut own: Vec<(u64, Head)> = level.heads(Class::Short, limit).collect();
+            own.extend(level.heads(Class::Long, limit));
             own.sort_by_key(|(tag, head)| (*tag, head.place));
             heads.extend(own.into_iter().map(|(_, head)| head));
-            if heads.len() >= most {
+            if heads.len() >= limit {
                 break;
             }
         }
--- a/crates/policy/src/health/mod.rs
+++ b/crates/policy/src/health/mod.rs
@@ -127,8 +127,8 @@
             peer.close_period(&self.config);
         }
         self.probe_expired(now);
-        for fault in self.outliers(now) {
-            self.eject(now, fault);
+        for outlier in self.outliers(now) {
+            self.eject(now, outlier);
         }
         self.advance_probes(now);
         self.enforce_max_ejected(now);
@@ -156,7 +156,7 @@
                 .values()
                 .filter_map(|peer| peer.failure_rate(config)),
         );
-        let mut faults: Vec<Outlier> = self
+        let mut outliers: Vec<Outlier> = self
             .peers
             .iter()
             .filter(|(_, peer)| !matches!(peer.state, State::Ejected(_)))
@@ -168,15 +168,15 @@
                 })
             })
             .collect();
-        faults.sort_by(|one, other| other.severity.total_cmp(&one.severity));
-        faults
+        outliers.sort_by(|one, other| other.severity.total_cmp(&one.severity));
+        outliers
     }
 
-    fn eject(&mut self, now: Time, fault: Outlier) {
+    fn eject(&mut self, now: Time, outlier: Outlier) {
         if self.ejected_count() >= self.max_ejected() {
             return;
         }
-        if let Some(peer) = self.peers.get_mut(&fault.replica) {
+        if let Some(peer) = self.peers.get_mut(&outlier.replica) {
             peer.eject(now, &self.config);
         }
     }
@@ -199,7 +199,7 @@
                     State::Ejected(until) => Some((until.since(now), peer)),
                     State::Healthy | State::Probing(_) => None,
                 })
-                .min_by_key(|(left, _)| *left);
+                .min_by_key(|(remaining, _)| *remaining);
             let Some((_, peer)) = first else {
                 return;
             };
@@ -208,8 +208,8 @@
     }
 
     fn ejected_count(&self) -> usize {
-        let is_out = |peer: &&Peer| matches!(peer.state, State::Ejected(_));
-        self.peers.values().filter(is_out).count()
+        let is_ejected = |peer: &&Peer| matches!(peer.state, State::Ejected(_));
+        self.peers.values().filter(is_ejected).count()
     }
 
     fn max_ejected(&self) -> usize {
--- a/crates/policy/src/health/peer.rs
+++ b/crates/policy/src/health/peer.rs
@@ -75,7 +75,7 @@
         self.last_output = now;
         self.last_seen = now;
         if let Some(gap) = gap {
-            self.min_gap = Some(self.min_gap.map_or(gap, |least| least.min(gap)));
+            self.min_gap = Some(self.min_gap.map_or(gap, |min| min.min(gap)));
         }
     }
 
--- a/crates/policy/src/limit/account.rs
+++ b/crates/policy/src/limit/account.rs
@@ -61,7 +61,7 @@
             return;
         }
         (self.tokens_limit, self.open_limit) = limits;
-        let (tokens, open) = self.equal(entries);
+        let (tokens, open) = self.equal_share(entries);
         self.tokens = self.tokens.min(tokens);
         self.open = self.open.min(open);
         self.next_tokens = self.tokens;
@@ -69,7 +69,7 @@
     }
 
     /// Returns the share of each entry if all get the same.
-    pub(crate) fn equal(&self, entries: u32) -> (f64, u32) {
+    pub(crate) fn equal_share(&self, entries: u32) -> (f64, u32) {
         (
             self.tokens_limit / f64::from(entries),
             self.open_limit / entries,
@@ -78,9 +78,9 @@
 
     /// Returns the share that an entry may grant without a claim.
     pub(crate) fn floor(&self, settings: &Config, entries: u32) -> (f64, u32) {
-        let (tokens, open) = self.equal(entries);
-        let few = (f64::from(open) * settings.floor) as u32;
-        (tokens * settings.floor, few.max(1).min(open))
+        let (tokens, open) = self.equal_share(entries);
+        let open_floor = (f64::from(open) * settings.floor) as u32;
+        (tokens * settings.floor, open_floor.max(1).min(open))
     }
 
     pub(crate) fn share(&self) -> (f64, u32) {
@@ -118,30 +118,36 @@
     }
 
     /// Puts last period's claim in force as far as the peers leave room, and computes the next one.
-    pub(crate) fn review(&mut self, settings: &Config, entries: u32, others: &Others, told: bool) {
+    pub(crate) fn review(
+        &mut self,
+        settings: &Config,
+        entries: u32,
+        others: &Others,
+        published: bool,
+    ) {
         self.update_demand(settings);
         let floor = self.floor(settings, entries);
         let room_tokens = (self.tokens_limit - others.tokens).max(0.0);
         let room_open = self.open_limit.saturating_sub(others.open);
-        if told {
+        if published {
             self.tokens = self.tokens.max(self.next_tokens.min(room_tokens));
             self.open = self.open.max(self.next_open.min(room_open));
         } else {
             self.tokens = self.tokens.min(floor.0);
             self.open = self.open.min(floor.1);
         }
-        let equal = self.equal(entries);
-        let known = f64::from((others.fresh + 1).min(entries));
-        let silent = f64::from(entries) - known;
-        let part = |limit: f64, equal: f64, floor: f64, mine: f64, theirs: f64| {
-            let by_demand = if mine > MIN_DEMAND {
-                mine / (mine + theirs)
+        let equal = self.equal_share(entries);
+        let fresh = f64::from((others.fresh + 1).min(entries));
+        let stale = f64::from(entries) - fresh;
+        let next_share = |limit: f64, equal: f64, floor: f64, own: f64, peers: f64| {
+            let by_demand = if own > MIN_DEMAND {
+                own / (own + peers)
             } else {
                 0.0
             };
-            floor + (limit - equal * silent - floor * known).max(0.0) * by_demand
+            floor + (limit - equal * stale - floor * fresh).max(0.0) * by_demand
         };
-        self.next_tokens = part(
+        self.next_tokens = next_share(
             self.tokens_limit,
             equal.0,
             floor.0,
@@ -150,7 +156,8 @@
         );
         let (equal_open, floor_open) = (f64::from(equal.1), f64::from(floor.1));
         let limit = f64::from(self.open_limit);
-        self.next_open = part(limit, equal_open, floor_open, self.wanted, others.wanted) as u32;
+        self.next_open =
+            next_share(limit, equal_open, floor_open, self.wanted, others.wanted) as u32;
         self.tokens = self.tokens.min(self.next_tokens);
         self.open = self.open.min(self.next_open);
     }
@@ -171,9 +178,9 @@
 
     fn update_demand(&mut self, settings: &Config) {
         let seconds = settings.period.as_millis() as f64 / 1_000.0;
-        let asked = self.offered / seconds;
+        let offered = self.offered / seconds;
         let wanted = f64::from(self.in_flight + self.refused);
-        self.demand += settings.smoothing * (asked - self.demand);
+        self.demand += settings.smoothing * (offered - self.demand);
         self.wanted += settings.smoothing * (wanted - self.wanted);
         self.offered = 0.0;
         self.refused = 0;
--- a/crates/policy/src/limit/digest.rs
+++ b/crates/policy/src/limit/digest.rs
@@ -24,22 +24,22 @@
 
 impl Digest {
     /// Keeps the claims with the highest demand, sorted by name.
-    pub(crate) fn bounded(mut claims: Vec<Claim>, most: usize) -> Digest {
+    pub(crate) fn bounded(mut claims: Vec<Claim>, limit: usize) -> Digest {
         claims.sort_by(|a, b| {
             let demand = |claim: &Claim| claim.demand + claim.wanted;
             demand(b).total_cmp(&demand(a)).then(a.name.cmp(&b.name))
         });
-        claims.truncate(most);
+        claims.truncate(limit);
         claims.sort_by_key(|claim| claim.name);
         Digest { claims }
     }
 
     /// Returns the claim on that account.
     pub(crate) fn find(&self, name: u64) -> Option<&Claim> {
-        let at = self
+        let index = self
             .claims
             .binary_search_by_key(&name, |claim| claim.name)
             .ok()?;
-        self.claims.get(at)
+        self.claims.get(index)
     }
 }
--- a/crates/policy/src/limit/mod.rs
+++ b/crates/policy/src/limit/mod.rs
@@ -147,8 +147,8 @@
             .collect();
         let mut claims = Vec::new();
         for (name, account) in &mut self.accounts {
-            let told = self.published.find(*name).is_some();
-            account.review(&self.settings, self.entries, &others[name], told);
+            let published = self.published.find(*name).is_some();
+            account.review(&self.settings, self.entries, &others[name], published);
             claims.extend(account.claim(*name));
         }
         self.published = Digest::bounded(claims, self.settings.max_claims);
@@ -169,9 +169,9 @@
                 claims,
             },
         );
-        let forget = self.settings.peer_timeout.times(2);
+        let expiry = self.settings.peer_timeout.times(2);
         self.peers
-            .retain(|_, peer| now.since(peer.received_at) < forget);
+            .retain(|_, peer| now.since(peer.received_at) < expiry);
     }
 
     /// Returns the tokens per second and the open requests that this entry may grant the account
@@ -190,21 +190,21 @@
         let Some(account) = self.accounts.get(&name) else {
             return Others::default();
         };
-        let equal = account.equal(self.entries);
+        let equal = account.equal_share(self.entries);
         let floor = account.floor(&self.settings, self.entries);
         let mut others = Others::default();
         for peer in self.peers.values() {
             let claim = peer.claims.get(&name);
-            let mut least = floor;
+            let mut minimum = floor;
             if now.since(peer.received_at) < self.settings.peer_timeout {
                 others.fresh += 1;
                 others.demand += claim.map_or(0.0, |claim| claim.demand);
                 others.wanted += claim.map_or(0.0, |claim| claim.wanted);
             } else {
-                least = equal;
+                minimum = equal;
             }
-            others.tokens += claim.map_or(0.0, |claim| claim.tokens).max(least.0);
-            others.open += claim.map_or(0, |claim| claim.open).max(least.1);
+            others.tokens += claim.map_or(0.0, |claim| claim.tokens).max(minimum.0);
+            others.open += claim.map_or(0, |claim| claim.open).max(minimum.1);
         }
         let unknown = (self.entries - 1).saturating_sub(self.peers.len() as u32);
         others.tokens += equal.0 * f64::from(unknown);
--- a/crates/policy/src/quarantine/claims.rs
+++ b/crates/policy/src/quarantine/claims.rs
@@ -25,61 +25,63 @@
 impl Claims {
     /// Records a claim of our own, which is open to dispute.
     pub fn reserve(&mut self, fingerprint: u64, replica: u64) {
-        let held = Reservation {
+        let reservation = Reservation {
             fingerprint,
             expires: None,
             running: false,
         };
-        self.by_replica.insert(replica, held);
+        self.by_replica.insert(replica, reservation);
     }
 
     /// Returns whether we hold the replica for that fingerprint.
     pub fn holds(&self, fingerprint: u64, replica: u64) -> bool {
-        self.by_replica
-            .get(&replica)
-            .is_some_and(|held| held.expires.is_none() && held.fingerprint == fingerprint)
+        self.by_replica.get(&replica).is_some_and(|reservation| {
+            reservation.expires.is_none() && reservation.fingerprint == fingerprint
+        })
     }
 
     /// Makes our claim final when the suspect starts.
     pub fn start(&mut self, replica: u64) {
-        if let Some(held) = self.by_replica.get_mut(&replica) {
-            held.running = held.expires.is_none();
+        if let Some(reservation) = self.by_replica.get_mut(&replica) {
+            reservation.running = reservation.expires.is_none();
         }
     }
 
     /// Records a peer's claim. Of two conflicting claims both entries keep the same one: the claim
     /// for the lower fingerprint if they are for one replica, the claim on the lower replica if
     /// they are for one fingerprint.
-    pub fn merge(&mut self, claim: &Claim, lapses: Time) {
-        let stands = |held: &Reservation| {
-            let disputed = !held.running && claim.fingerprint < held.fingerprint;
-            held.expires.is_none() && !disputed
+    pub fn merge(&mut self, claim: &Claim, expires: Time) {
+        let prevails = |reservation: &Reservation| {
+            let disputed = !reservation.running && claim.fingerprint < reservation.fingerprint;
+            reservation.expires.is_none() && !disputed
         };
-        if self.by_replica.get(&claim.replica).is_some_and(stands) {
+        if self.by_replica.get(&claim.replica).is_some_and(prevails) {
             return;
         }
-        self.by_replica.retain(|replica, held| {
-            let same = held.fingerprint == claim.fingerprint && held.expires.is_none();
-            !same || held.running || *replica <= claim.replica
+        self.by_replica.retain(|replica, reservation| {
+            let same =
+                reservation.fingerprint == claim.fingerprint && reservation.expires.is_none();
+            !same || reservation.running || *replica <= claim.replica
         });
-        let held = Reservation {
+        let reservation = Reservation {
             fingerprint: claim.fingerprint,
-            expires: Some(lapses),
+            expires: Some(expires),
             running: false,
         };
-        self.by_replica.insert(claim.replica, held);
+        self.by_replica.insert(claim.replica, reservation);
     }
 
     /// Ends our claim for the fingerprint, whose attempt has ended.
     pub fn end_own(&mut self, fingerprint: u64) {
-        self.by_replica
-            .retain(|_, held| held.fingerprint != fingerprint || held.expires.is_some());
+        self.by_replica.retain(|_, reservation| {
+            reservation.fingerprint != fingerprint || reservation.expires.is_some()
+        });
     }
 
     /// Drops all claims for the fingerprint, which doesn't have to run alone any more.
     pub fn release(&mut self, fingerprint: u64) {
         self.by_replica
-            .retain(|_, held| held.fingerprint != fingerprint);
+            .retain(|_, reservation| reservation.fingerprint != fingerprint);
     }
 
     /// Drops the claim on a replica that is gone.
@@ -89,41 +91,44 @@
 
     /// Drops expired claims.
     pub fn remove_expired(&mut self, now: Time) {
-        self.by_replica.retain(|_, held| held.is_live(now));
+        self.by_replica
+            .retain(|_, reservation| reservation.is_live(now));
     }
 
     /// Returns whether the replica is claimed.
     pub fn is_claimed(&self, now: Time, replica: u64) -> bool {
         self.by_replica
             .get(&replica)
-            .is_some_and(|held| held.is_live(now))
+            .is_some_and(|reservation| reservation.is_live(now))
     }
 
     /// Returns how many replicas are claimed.
     pub fn count(&self, now: Time) -> usize {
         self.by_replica
             .values()
-            .filter(|held| held.is_live(now))
+            .filter(|reservation| reservation.is_live(now))
             .count()
     }
 
     /// Returns until when the fingerprint is claimed by a peer; forever if it runs here.
     pub fn claimed_until(&self, now: Time, fingerprint: u64) -> Option<Time> {
-        let held = self
+        let reservation = self
             .by_replica
             .values()
-            .filter(|held| held.running || held.expires.is_some())
-            .find(|held| held.fingerprint == fingerprint && held.is_live(now))?;
-        Some(held.expires.unwrap_or(Time::from_millis(u64::MAX)))
+            .filter(|reservation| reservation.running || reservation.expires.is_some())
+            .find(|reservation| {
+                reservation.fingerprint == fingerprint && reservation.is_live(now)
+            })?;
+        Some(reservation.expires.unwrap_or(Time::from_millis(u64::MAX)))
     }
 
     /// Returns our own claims, to send to peers.
     pub fn own(&self) -> Vec<Claim> {
         self.by_replica
             .iter()
-            .filter(|(_, held)| held.expires.is_none())
-            .map(|(replica, held)| Claim {
-                fingerprint: held.fingerprint,
+            .filter(|(_, reservation)| reservation.expires.is_none())
+            .map(|(replica, reservation)| Claim {
+                fingerprint: reservation.fingerprint,
                 replica: *replica,
             })
             .collect()
@@ -132,6 +137,6 @@
 
 impl Reservation {
     fn is_live(&self, now: Time) -> bool {
-        self.expires.is_none_or(|lapses| now < lapses)
+        self.expires.is_none_or(|expires| now < expires)
     }
 }
--- a/crates/policy/src/quarantine/crashes.rs
+++ b/crates/policy/src/quarantine/crashes.rs
@@ -21,7 +21,7 @@
 
 impl Crashes {
     /// Records a crash; the window and the bound `limit` keep the list short.
-    pub fn record(&mut self, now: Time, replica: u64, zone: u64, window: Span, most: usize) {
+    pub fn record(&mut self, now: Time, replica: u64, zone: u64, window: Span, limit: usize) {
         self.drop_old(now, window);
         if self
             .recent
@@ -36,7 +36,7 @@
             age: Span::ZERO,
         };
         self.recent.push_back((now, crash));
-        if self.recent.len() > most {
+        if self.recent.len() > limit {
             self.recent.pop_front();
         }
     }
@@ -48,21 +48,21 @@
 
     /// Forgives and returns the crashes of a zone if at least `threshold` of its replicas were lost
     /// together.
-    pub fn forgive(&mut self, zone: u64, least: usize) -> Option<Vec<u64>> {
+    pub fn forgive_zone(&mut self, zone: u64, threshold: usize) -> Option<Vec<u64>> {
         let lost: Vec<u64> = self
             .recent
             .iter()
             .filter(|(_, crash)| crash.zone == zone)
             .map(|(_, crash)| crash.replica)
             .collect();
-        (lost.len() >= least).then(|| self.remember_forgiven(lost))
+        (lost.len() >= threshold).then(|| self.remember_forgiven(lost))
     }
 
     /// Forgives and returns all crashes if at least `threshold` replicas of any zones were lost
     /// together.
-    pub fn forgive_all(&mut self, least: usize) -> Option<Vec<u64>> {
+    pub fn forgive_all(&mut self, threshold: usize) -> Option<Vec<u64>> {
         let lost: Vec<u64> = self.recent.iter().map(|(_, crash)| crash.replica).collect();
-        (lost.len() >= least).then(|| self.remember_forgiven(lost))
+        (lost.len() >= threshold).then(|| self.remember_forgiven(lost))
     }
 
     fn remember_forgiven(&mut self, lost: Vec<u64>) -> Vec<u64> {
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -110,7 +110,7 @@
             return Standing::Quarantined(record.expires.since(now));
         }
         match self.claims.claimed_until(now, fingerprint) {
-            Some(lapses) => Standing::Held(lapses),
+            Some(expires) => Standing::Held(expires),
             None => Standing::Trial,
         }
     }
@@ -160,12 +160,12 @@
 
     /// Records the crash of a replica while these fingerprints ran there.
     pub fn record_crash(&mut self, now: Time, replica: u64, zone: u64, running: &[u64]) {
-        self.accuse_cancelled(now, replica, zone);
+        self.add_crash(now, replica, zone);
         for fingerprint in running {
             let settled = self.settle_time(now, *fingerprint);
             self.accuse(now, *fingerprint, &[replica], self.config.duration, settled);
         }
-        self.forgive_zone(zone);
+        self.forgive_losses(zone);
         self.urgent = true;
     }
 
@@ -187,8 +187,8 @@
     /// Records that a cancelled copy crashed its replica after all; the replica may be unknown by
     /// now.
     pub fn record_crash_after_cancel(&mut self, now: Time, fingerprint: u64) {
-        let of_it = |copy: &&Cancelled| copy.fingerprint == fingerprint;
-        let Some(copy) = self.cancelled.iter().rfind(of_it).copied() else {
+        let matches = |copy: &&Cancelled| copy.fingerprint == fingerprint;
+        let Some(copy) = self.cancelled.iter().rfind(matches).copied() else {
             return;
         };
         self.record_crash(now, copy.replica, copy.zone, &[fingerprint]);
@@ -223,9 +223,9 @@
     /// Returns the digest for peers: the latest changes, and the rest in rotation.
     pub fn digest(&mut self, now: Time) -> Digest {
         self.crashes.drop_old(now, self.config.settle);
-        let chosen = self.records.select_for_digest(now, &self.config);
+        let selected = self.records.select_for_digest(now, &self.config);
         Digest {
-            items: chosen
+            items: selected
                 .iter()
                 .filter_map(|key| self.item(now, *key))
                 .collect(),
@@ -238,7 +238,7 @@
     pub fn merge(&mut self, now: Time, digest: &Digest) {
         let settle = self.config.settle;
         for crash in digest.crashes.iter().filter(|crash| crash.age <= settle) {
-            self.accuse_cancelled(now, crash.replica, crash.zone);
+            self.add_crash(now, crash.replica, crash.zone);
         }
         for item in &digest.items {
             let settled = match item.judged {
@@ -255,7 +255,7 @@
             self.acquit(item.fingerprint, &item.acquitted);
         }
         for crash in &digest.crashes {
-            self.forgive_zone(crash.zone);
+            self.forgive_losses(crash.zone);
         }
         for claim in &digest.claims {
             self.claims.merge(claim, now + self.config.claim_ttl);
@@ -279,9 +279,9 @@
 
     /// Returns when a fingerprint accused now is judged.
     fn settle_time(&self, now: Time, fingerprint: u64) -> Time {
-        let most = self.config.settle_jitter.as_millis().max(1);
-        let spread = rendezvous::weight(fingerprint, self.seed) % most;
-        now + self.config.settle + Span::from_millis(spread)
+        let max_jitter = self.config.settle_jitter.as_millis().max(1);
+        let jitter = rendezvous::weight(fingerprint, self.seed) % max_jitter;
+        now + self.config.settle + Span::from_millis(jitter)
     }
 
     /// Adds crashes to a fingerprint; returns whether any was new.
@@ -289,22 +289,22 @@
         &mut self,
         now: Time,
         fingerprint: u64,
-        by: &[u64],
-        left: Span,
+        replicas: &[u64],
+        remaining: Span,
         settled: Time,
     ) -> bool {
-        let by: Vec<u64> = by
+        let replicas: Vec<u64> = replicas
             .iter()
             .filter(|replica| self.crashes.is_blamable(**replica))
             .copied()
             .collect();
-        if by.is_empty() {
+        if replicas.is_empty() {
             return false;
         }
-        let expires = now + left.min(self.config.duration);
+        let expires = now + remaining.min(self.config.duration);
         let new = Record::new(settled, expires);
-        let most = self.config.max_records;
-        let Some(record) = self.records.accuse(fingerprint, &by, new, most) else {
+        let limit = self.config.max_records;
+        let Some(record) = self.records.accuse(fingerprint, &replicas, new, limit) else {
             return false;
         };
         self.new_suspects.push(fingerprint);
@@ -318,8 +318,8 @@
         true
     }
 
-    fn acquit(&mut self, fingerprint: u64, of: &[u64]) {
-        let Some(record) = self.records.acquit(fingerprint, of) else {
+    fn acquit(&mut self, fingerprint: u64, crashes: &[u64]) {
+        let Some(record) = self.records.acquit(fingerprint, crashes) else {
             return;
         };
         if record.blame() == 0 {
@@ -328,8 +328,11 @@
     }
 
     /// Forgives crashes that are the loss of a zone, or of much of the pool: they blame no request.
-    fn forgive_zone(&mut self, zone: u64) {
-        if let Some(lost) = self.crashes.forgive(zone, self.config.zone_loss_threshold) {
+    fn forgive_losses(&mut self, zone: u64) {
+        if let Some(lost) = self
+            .crashes
+            .forgive_zone(zone, self.config.zone_loss_threshold)
+        {
             self.records.forgive(&lost);
         }
         // So many crashes at once, in whatever zones, aren't the work of a killer: its copies cause
@@ -339,17 +342,17 @@
         }
     }
 
-    fn accuse_cancelled(&mut self, now: Time, replica: u64, zone: u64) {
+    fn add_crash(&mut self, now: Time, replica: u64, zone: u64) {
         let config = &self.config;
         self.claims.drop_replica(replica);
         self.crashes
             .record(now, replica, zone, config.settle, config.max_digest_items);
         self.drop_old_cancelled(now);
-        let here = |copy: &&Cancelled| copy.replica == replica;
+        let on_replica = |copy: &&Cancelled| copy.replica == replica;
         let blamed: Vec<u64> = self
             .cancelled
             .iter()
-            .filter(here)
+            .filter(on_replica)
             .map(|copy| copy.fingerprint)
             .collect();
         for fingerprint in blamed {
--- a/crates/policy/src/quarantine/records.rs
+++ b/crates/policy/src/quarantine/records.rs
@@ -30,10 +30,10 @@
         fingerprint: u64,
         crashes: &[u64],
         new: Record,
-        most: usize,
+        limit: usize,
     ) -> Option<&mut Record> {
         if !self.by_fingerprint.contains_key(&fingerprint) {
-            self.evict_least(most);
+            self.evict_least(limit);
         }
         let record = self.by_fingerprint.entry(fingerprint).or_insert(new);
         if !record.accuse(crashes) {
@@ -45,9 +45,9 @@
     }
 
     /// Acquits a fingerprint of crashes; returns its record if any was new.
-    pub fn acquit(&mut self, fingerprint: u64, of: &[u64]) -> Option<&Record> {
+    pub fn acquit(&mut self, fingerprint: u64, crashes: &[u64]) -> Option<&Record> {
         let record = self.by_fingerprint.get_mut(&fingerprint)?;
-        if !record.acquit(of) {
+        if !record.acquit(crashes) {
             return None;
         }
         self.changes += 1;
@@ -85,21 +85,21 @@
             .map(|(key, record)| (record.changed, *key))
             .collect();
         keys.sort_unstable_by(|one, other| other.cmp(one));
-        let mut chosen: Vec<u64> = keys.iter().map(|(_, key)| *key).collect();
-        if chosen.len() <= config.max_digest_items {
-            return chosen;
+        let mut selected: Vec<u64> = keys.iter().map(|(_, key)| *key).collect();
+        if selected.len() <= config.max_digest_items {
+            return selected;
         }
-        let mut rest = chosen.split_off(config.max_digest_items / 2);
+        let mut rest = selected.split_off(config.max_digest_items / 2);
         rest.sort_unstable_by_key(|key| (*key <= self.cursor, *key));
-        rest.truncate(config.max_digest_items - chosen.len());
+        rest.truncate(config.max_digest_items - selected.len());
         self.cursor = rest.last().copied().unwrap_or(0);
-        chosen.extend(rest);
-        chosen
+        selected.extend(rest);
+        selected
     }
 
     /// Evicts the record with the least evidence when there are too many.
-    fn evict_least(&mut self, most: usize) {
-        if self.by_fingerprint.len() < most {
+    fn evict_least(&mut self, limit: usize) {
+        if self.by_fingerprint.len() < limit {
             return;
         }
         let least = self
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -107,46 +107,40 @@
         }
         self.remove_past(now);
         let now = now.as_millis() as f64;
-        let shortest = settings.min_delay.as_millis() as f64;
-        let longest = settings.max_delay.as_millis() as f64;
-        let earliest = now + shortest.max(refused.wait.as_millis() as f64);
+        let min_delay = settings.min_delay.as_millis() as f64;
+        let max_delay = settings.max_delay.as_millis() as f64;
+        let earliest = now + min_delay.max(refused.wait.as_millis() as f64);
         let weight = f64::from(refused.weight.max(1));
-        let page = self.remove(refused.account);
-        let begin = page.map_or(earliest, |page| page.end_ms.max(earliest));
+        let booking = self.remove(refused.account);
+        let begin = booking.map_or(earliest, |booking| booking.end_ms.max(earliest));
         let share = weight / (self.weight + weight);
         let width = match refused.rate {
             Some(rate) if rate > 0.0 => {
                 refused.cost as f64 / (rate * share * settings.return_share) * 1_000.0
             }
-            _ => shortest,
+            _ => min_delay,
         };
         // The calendar is full: spread the rest over its second half.
-        let full = begin + width > now + longest;
-        let taken = if full { begin } else { begin + width };
-        self.insert(
-            refused.account,
-            Booking {
-                end_ms: taken,
-                weight,
-            },
-        );
+        let full = begin + width > now + max_delay;
+        let end_ms = if full { begin } else { begin + width };
+        self.insert(refused.account, Booking { end_ms, weight });
         if full {
-            return millis(longest * random.random_range(0.5..1.0));
+            return millis(max_delay * random.random_range(0.5..1.0));
         }
         millis(begin + width * random.random::<f64>() - now)
     }
 
     fn remove(&mut self, account: account::Key) -> Option<Booking> {
-        let page = self.accounts.remove(&account)?;
-        self.ends.remove(&(page.end_ms as u64, account));
-        self.weight -= page.weight;
-        Some(page)
+        let booking = self.accounts.remove(&account)?;
+        self.ends.remove(&(booking.end_ms as u64, account));
+        self.weight -= booking.weight;
+        Some(booking)
     }
 
-    fn insert(&mut self, account: account::Key, page: Booking) {
-        self.ends.insert((page.end_ms as u64, account));
-        self.weight += page.weight;
-        self.accounts.insert(account, page);
+    fn insert(&mut self, account: account::Key, booking: Booking) {
+        self.ends.insert((booking.end_ms as u64, account));
+        self.weight += booking.weight;
+        self.accounts.insert(account, booking);
     }
 
     fn remove_past(&mut self, now: Time) {
--- a/crates/policy/src/size.rs
+++ b/crates/policy/src/size.rs
@@ -41,8 +41,8 @@
         let is_long = settings.enabled && cost > mean * settings.long_factor;
         // Long jobs count as the threshold, so that a few of them don't raise it above the next
         // ones.
-        let counted = cost.min(mean * settings.long_factor);
-        self.mean_cost = Some(mean + settings.smoothing * (counted - mean));
+        let capped = cost.min(mean * settings.long_factor);
+        self.mean_cost = Some(mean + settings.smoothing * (capped - mean));
         let long = if is_long { cost } else { 0.0 };
         self.long_cost += settings.smoothing * (long - self.long_cost);
         self.total_cost += settings.smoothing * (cost - self.total_cost);
@@ -51,15 +51,15 @@
 
     /// Returns how many of `replicas` are long lanes.
     pub fn lane_count(&self, settings: &Config, replicas: usize) -> usize {
-        let part = if self.total_cost > 0.0 {
+        let share = if self.total_cost > 0.0 {
             self.long_cost / self.total_cost
         } else {
             0.0
         };
-        if !settings.enabled || part < settings.min_share {
+        if !settings.enabled || share < settings.min_share {
             return 0;
         }
-        let others = (replicas as f64 * (1.0 - part)).ceil() as usize;
+        let others = (replicas as f64 * (1.0 - share)).ceil() as usize;
         replicas.saturating_sub(others).max(1).min(replicas)
     }
 }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -45,16 +45,16 @@
         entries: u32,
         running: u32,
         report: &Report,
-        drawn: f64,
+        dither: f64,
     ) {
-        let part = equal_share(slots, entries);
+        let equal = equal_share(slots, entries);
         if report.waiting > 0 {
-            self.limit = part.max(self.limit.min(running).saturating_sub(1));
+            self.limit = equal.max(self.limit.min(running).saturating_sub(1));
             return;
         }
         let free = slots.saturating_sub(report.running);
         let borrowed = f64::from(free) * config.borrowed_shares / f64::from(entries.max(1));
-        self.limit = part.max(running + (borrowed + drawn) as u32).min(slots);
+        self.limit = equal.max(running + (borrowed + dither) as u32).min(slots);
     }
 }
 
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -50,7 +50,7 @@
     pub fn contains(&self, replica: u64) -> bool {
         self.replicas
             .get(&replica)
-            .is_some_and(|least| rendezvous::weight(replica, self.own) >= *least)
+            .is_some_and(|min_weight| rendezvous::weight(replica, self.own) >= *min_weight)
     }
 
     /// Returns the replicas that this entry uses.
@@ -91,13 +91,13 @@
 
     /// Updates the replicas that `entry` serves or served.
     fn update_served_by(&mut self, entry: u64) {
-        let touched: Vec<u64> = self
+        let affected: Vec<u64> = self
             .replicas
             .iter()
-            .filter(|(replica, least)| rendezvous::weight(**replica, entry) >= **least)
+            .filter(|(replica, min_weight)| rendezvous::weight(**replica, entry) >= **min_weight)
             .map(|(replica, _)| *replica)
             .collect();
-        for replica in touched {
+        for replica in affected {
             self.update(replica);
         }
     }
@@ -105,7 +105,7 @@
     /// Adapts the number of entries per replica to the numbers of both.
     fn adapt(&mut self) {
         let size = self.config.target_size * self.entries.len() / self.replicas.len().max(1);
-        let before = self.entries_per_replica;
+        let previous = self.entries_per_replica;
         while self.entries_per_replica < size.min(self.entries.len()) {
             self.entries_per_replica *= 2;
         }
@@ -114,7 +114,7 @@
         {
             self.entries_per_replica /= 2;
         }
-        if self.entries_per_replica == before {
+        if self.entries_per_replica == previous {
             return;
         }
         let replicas: Vec<u64> = self.replicas.keys().copied().collect();
@@ -124,8 +124,8 @@
     }
 
     fn update(&mut self, replica: u64) {
-        let least = self.min_weight(replica);
-        self.replicas.insert(replica, least);
+        let min_weight = self.min_weight(replica);
+        self.replicas.insert(replica, min_weight);
     }
 
     /// Returns the lowest weight among the entries that serve the replica; 0 if all of them do.
@@ -135,8 +135,8 @@
         }
         let weight = |entry: &u64| rendezvous::weight(replica, *entry);
         let mut weights: Vec<u64> = self.entries.iter().map(weight).collect();
-        let place = weights.len() - self.entries_per_replica;
-        let (_, least, _) = weights.select_nth_unstable(place);
-        *least
+        let index = weights.len() - self.entries_per_replica;
+        let (_, min_weight, _) = weights.select_nth_unstable(index);
+        *min_weight
     }
 }
--- a/crates/policy/src/warmup.rs
+++ b/crates/policy/src/warmup.rs
@@ -73,8 +73,8 @@
 
     fn ramp_share(&self, now: Time, joined: Time) -> f64 {
         let age = now.since(joined).as_millis() as f64;
-        let whole = self.config.duration.as_millis().max(1) as f64;
-        let start = self.config.initial_share.clamp(f64::EPSILON, 1.0);
-        (start + (1.0 - start) * age / whole).min(1.0)
+        let duration = self.config.duration.as_millis().max(1) as f64;
+        let initial = self.config.initial_share.clamp(f64::EPSILON, 1.0);
+        (initial + (1.0 - initial) * age / duration).min(1.0)
     }
 }
--- a/crates/policy/src/wave/mod.rs
+++ b/crates/policy/src/wave/mod.rs
@@ -106,7 +106,7 @@
     let mut plan = Plan::new(config, now, sources, targets);
     let mut moving = Vec::new();
     for job in jobs {
-        if plan.can_finish(job) {
+        if plan.finishes_in_time(job) {
             plan.add(job, Action::Finish);
         } else if job.kind == job::Kind::Plain {
             plan.add(job, Action::Wait);
@@ -114,13 +114,13 @@
             moving.push(*job);
         }
     }
-    let ranked = plan.ranked(moving).into_iter();
-    let left: Vec<Running> = ranked.filter(|job| !plan.transfer(job)).collect();
-    for job in left {
+    let ranked = plan.rank_all(moving).into_iter();
+    let unplaced: Vec<Running> = ranked.filter(|job| !plan.transfer(job)).collect();
+    for job in unplaced {
         plan.rerun(&job);
     }
     plan.steps.sort_by_key(|step| match step.action {
-        Action::Move { start: at, .. } => at,
+        Action::Move { start, .. } => start,
         Action::Finish | Action::Wait => now,
     });
     plan.steps
@@ -130,9 +130,9 @@
 ///
 /// The margin is bounded by a share of the notice: a fixed second would leave nothing of a notice
 /// of half a second, and streams would be rerun though their KV cache could still be moved.
-fn last_end(config: &Config, now: Time, deadline: Time) -> Time {
-    let left = deadline.since(now);
-    now + (left - config.margin.min(left.scaled(config.margin_share)))
+fn transfer_deadline(config: &Config, now: Time, deadline: Time) -> Time {
+    let notice = deadline.since(now);
+    now + (notice - config.margin.min(notice.scaled(config.margin_share)))
 }
 
 /// A plan under construction.
@@ -152,7 +152,7 @@
     /// It must not be rerun.
     must_move: bool,
     /// It belongs to the best selection of its link.
-    chosen: bool,
+    selected: bool,
     /// Tokens saved per second of notice.
     tokens_per_second: u64,
 }
@@ -168,10 +168,10 @@
 impl<'a> Plan<'a> {
     fn new(config: &'a Config, now: Time, sources: &[Source], targets: &[Target]) -> Plan<'a> {
         let link = |source: &Source| Link {
-            deadline: last_end(config, now, source.deadline),
+            deadline: transfer_deadline(config, now, source.deadline),
             lanes: vec![now; config.lanes.max(1)],
         };
-        let room = |target: &&Target| target.slots > 0;
+        let has_slots = |target: &&Target| target.slots > 0;
         Plan {
             config,
             now,
@@ -181,21 +181,21 @@
                 .collect(),
             targets: targets
                 .iter()
-                .filter(room)
+                .filter(has_slots)
                 .map(|target| (target.slots, target.tokens, target.key))
                 .collect(),
             steps: Vec::new(),
         }
     }
 
-    fn can_finish(&self, job: &Running) -> bool {
+    fn finishes_in_time(&self, job: &Running) -> bool {
         self.links.get(&job.from).is_some_and(|link| {
             self.now + job.remaining.scaled(self.config.finish_factor) <= link.deadline
         })
     }
 
     /// Returns the jobs in the order in which they are considered for a transfer.
-    fn ranked(&self, jobs: Vec<Running>) -> Vec<Running> {
+    fn rank_all(&self, jobs: Vec<Running>) -> Vec<Running> {
         let mut by_link: BTreeMap<replica::Key, Vec<Running>> = BTreeMap::new();
         for job in jobs {
             by_link.entry(job.from).or_default().push(job);
@@ -214,17 +214,17 @@
         };
         let notice = link.deadline.since(self.now).as_millis() * link.lanes.len() as u64;
         let items: Vec<Item> = jobs.iter().map(|job| self.item(job)).collect();
-        let chosen = pack::select(&items, notice);
-        let rank = |(job, chosen): (Running, bool)| {
+        let selected = pack::select(&items, notice);
+        let rank = |(job, selected): (Running, bool)| {
             let rank = Rank {
                 must_move: !job.idempotent,
-                chosen,
+                selected,
                 tokens_per_second: u64::from(job.tokens) * 1_000
-                    / self.takes(&job).as_millis().max(1),
+                    / self.transfer_time(&job).as_millis().max(1),
             };
             (rank, job)
         };
-        jobs.into_iter().zip(chosen).map(rank).collect()
+        jobs.into_iter().zip(selected).map(rank).collect()
     }
 
     fn item(&self, job: &Running) -> Item {
@@ -234,19 +234,19 @@
             false => 1 << 40,
         };
         Item {
-            duration_ms: self.takes(job).as_millis(),
+            duration_ms: self.transfer_time(job).as_millis(),
             value: u64::from(job.tokens) + bonus,
         }
     }
 
-    fn takes(&self, job: &Running) -> Span {
-        let carried = f64::from(job.tokens) / self.config.tokens_per_milli.max(f64::EPSILON);
-        self.config.setup + Span::from_millis(carried.ceil() as u64)
+    fn transfer_time(&self, job: &Running) -> Span {
+        let transmission = f64::from(job.tokens) / self.config.tokens_per_milli.max(f64::EPSILON);
+        self.config.setup + Span::from_millis(transmission.ceil() as u64)
     }
 
     /// Plans a KV transfer; returns false if the notice or the targets don't allow it.
     fn transfer(&mut self, job: &Running) -> bool {
-        let takes = self.takes(job);
+        let duration = self.transfer_time(job);
         let Some(link) = self.links.get_mut(&job.from) else {
             return false;
         };
@@ -254,13 +254,13 @@
             return false;
         };
         let start = *lane;
-        if start + takes > link.deadline {
+        if start + duration > link.deadline {
             return false;
         }
-        let Some(to) = take(&mut self.targets, job.tokens) else {
+        let Some(to) = reserve_target(&mut self.targets, job.tokens) else {
             return false;
         };
-        *lane = start + takes;
+        *lane = start + duration;
         let transfer = Transfer::Kv;
         self.add(
             job,
@@ -275,7 +275,7 @@
 
     fn rerun(&mut self, job: &Running) {
         let to = match job.idempotent && self.config.reruns {
-            true => take(&mut self.targets, job.tokens),
+            true => reserve_target(&mut self.targets, job.tokens),
             false => None,
         };
         let transfer = Transfer::Rerun;
@@ -290,17 +290,20 @@
         );
     }
 
-    fn add(&mut self, job: &Running, fate: Action) {
+    fn add(&mut self, job: &Running, action: Action) {
         self.steps.push(Step {
             job: job.id,
             from: job.from,
-            action: fate,
+            action,
         });
     }
 }
 
 /// Reserves room for a job at the target with the most free slots that has the memory for it.
-fn take(targets: &mut BinaryHeap<(u32, u64, replica::Key)>, tokens: u32) -> Option<replica::Key> {
+fn reserve_target(
+    targets: &mut BinaryHeap<(u32, u64, replica::Key)>,
+    tokens: u32,
+) -> Option<replica::Key> {
     let mut without_memory = Vec::new();
     let mut found = None;
     while let Some((slots, memory, key)) = targets.pop() {
--- a/crates/policy/src/wave/pack.rs
+++ b/crates/policy/src/wave/pack.rs
@@ -16,26 +16,26 @@
 /// Returns for each item whether it belongs to the best selection for a notice in milliseconds.
 pub(super) fn select(items: &[Item], notice: u64) -> Vec<bool> {
     let step = notice.div_ceil(STEPS as u64).max(1);
-    let room = (notice / step) as usize;
+    let capacity = (notice / step) as usize;
     let steps = |item: &Item| item.duration_ms.div_ceil(step) as usize;
-    let mut saved = vec![0_u64; room + 1];
-    let mut taken = vec![false; items.len() * (room + 1)];
+    let mut saved = vec![0_u64; capacity + 1];
+    let mut taken = vec![false; items.len() * (capacity + 1)];
     for (index, item) in items.iter().enumerate() {
-        for used in (steps(item)..=room).rev() {
+        for used in (steps(item)..=capacity).rev() {
             let with = saved[used - steps(item)] + item.value;
             if with > saved[used] {
                 saved[used] = with;
-                taken[index * (room + 1) + used] = true;
+                taken[index * (capacity + 1) + used] = true;
             }
         }
     }
-    let mut used = room;
-    let mut chosen = vec![false; items.len()];
+    let mut used = capacity;
+    let mut selected = vec![false; items.len()];
     for (index, item) in items.iter().enumerate().rev() {
-        if taken[index * (room + 1) + used] {
-            chosen[index] = true;
+        if taken[index * (capacity + 1) + used] {
+            selected[index] = true;
             used -= steps(item);
         }
     }
-    chosen
+    selected
 }
