--- a/crates/policy/benches/patterns/ablation.rs
+++ b/crates/policy/benches/patterns/ablation.rs
@@ -1,4 +1,4 @@
-//! Each module off in turn, on the pattern that it answers.
+//! Ablation: each module off in turn, on the pattern that it addresses.
 
 use policy::configs::scheduler::Settings;
 
@@ -8,14 +8,14 @@
 use crate::support::patterns;
 use crate::table;
 
-/// A module, its pattern, and how to turn it off.
+/// A module, its pattern, and how to turn the module off.
 struct Case {
     module: &'static str,
     pattern: Pattern,
     off: fn(&mut Settings),
 }
 
-/// Prints for each module two rows: on and off.
+/// Prints two rows for each module: on and off.
 pub fn print(seeds: u64, wanted: &str) {
     println!("\nEach module off in turn, on the pattern that it answers.\n");
     table::head("module, pattern", "state");
--- a/crates/policy/benches/patterns/goals.rs
+++ b/crates/policy/benches/patterns/goals.rs
@@ -1,4 +1,4 @@
-//! The goals that the table is held against.
+//! Goals that the table is compared with.
 
 use crate::support::contestant::Contestant;
 use crate::support::load::Pattern;
@@ -7,7 +7,7 @@
 use crate::table;
 use crate::table::Rows;
 
-/// Prints each goal with its figure and whether it is reached.
+/// Prints each goal with its value and whether it is met.
 pub fn print(rows: &Rows, seeds: u64) {
     println!("\n| goal | measured | reached |");
     println!("| --- | --- | --- |");
@@ -58,10 +58,10 @@
     line("false verdicts, none", &lies.to_string(), lies == 0);
 }
 
-/// Share within target against the best baseline, pattern by pattern.
+/// Compares the share within target with the best baseline, by pattern.
 fn baselines(rows: &Rows) {
     for pattern in patterns::all() {
-        // The baselines know no limits: they serve what an account wasn't promised.
+        // The baselines enforce no limits: they serve more than the account is entitled to.
         if pattern.name == "limited" {
             continue;
         }
@@ -92,7 +92,7 @@
     }
 }
 
-/// Goodput beyond capacity against goodput at capacity.
+/// Compares goodput beyond capacity with goodput at capacity.
 fn overload(rows: &Rows, seeds: u64) {
     let at = patterns::overload("capacity", 1.0);
     let goodput = |pattern: &Pattern| {
@@ -115,7 +115,7 @@
     }
 }
 
-/// What an innocent account gets beside a hot one and alone.
+/// Compares the other accounts beside a hot one with the same accounts alone.
 fn innocents(rows: &Rows, size: &str) {
     let of = |name: &str| {
         let name = format!("{name}{size}");
@@ -134,7 +134,7 @@
     }
 }
 
-/// Recomputed tokens in a zone's reclaim.
+/// Compares the tokens recomputed after the reclaim of a zone with the baselines.
 fn reclaim(rows: &Rows) {
     let recomputed = |row: &table::Row| spread(&row.tallies, |tally| tally.recomputed as f64).0;
     let of: Vec<&table::Row> = rows
@@ -166,7 +166,7 @@
     println!("| {goal} | {figure} | {word} |");
 }
 
-/// Mean and standard deviation.
+/// Returns the mean and standard deviation.
 fn spread(tallies: &[Tally], figure: impl Fn(&Tally) -> f64) -> (f64, f64) {
     table::spread(&tallies.iter().map(figure).collect::<Vec<f64>>())
 }
--- a/crates/policy/benches/patterns/main.rs
+++ b/crates/policy/benches/patterns/main.rs
@@ -1,7 +1,8 @@
-//! Prints tables of what callers receive: load pattern by policy, and each module off in turn.
+//! Prints tables of results by load pattern and policy, and with each module off in turn.
 //!
-//! `cargo bench -p policy --bench patterns -- [table|ablation|slopes] [pattern]`; all without one.
-//! Everything is virtual time but the slopes. Seeds 1 to [`SEEDS`], the same for every policy.
+//! `cargo bench -p policy --bench patterns -- [table|ablation|slopes] [pattern]`; without an
+//! argument it prints all. Everything but the slopes runs in virtual time, with seeds 1 to
+//! [`SEEDS`] for every policy.
 
 mod ablation;
 mod goals;
--- a/crates/policy/benches/patterns/slopes.rs
+++ b/crates/policy/benches/patterns/slopes.rs
@@ -1,6 +1,7 @@
-//! Time and allocations of a decision as replicas, accounts and the queue grow.
+//! Time and allocations per decision as replicas, accounts and the queue grow.
 //!
-//! Wall-clock figures of one machine: they say how cost grows, not how fast another machine is.
+//! The times are wall-clock times of one machine: they show how cost grows, not how fast another
+//! machine is.
 
 use std::alloc::GlobalAlloc;
 use std::alloc::Layout;
@@ -29,10 +30,10 @@
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 static BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// The system's allocator, counting.
+/// The system allocator with counters.
 pub struct Counting;
 
-// The only way to count allocations is to stand in the allocator's place.
+// Counting allocations requires replacing the global allocator.
 #[allow(unsafe_code)]
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
@@ -47,7 +48,7 @@
     }
 }
 
-/// A scheduler's size.
+/// Size of a scheduler's input.
 #[derive(Clone, Copy)]
 struct Size {
     replicas: u32,
@@ -55,7 +56,7 @@
     queued: u64,
 }
 
-/// Prints one row a size: each quantity alone grows 10-fold and 100-fold.
+/// Prints one row per size; each quantity grows tenfold and a hundredfold alone.
 pub fn print() {
     println!("\n| replicas | accounts | queued | µs/decision | allocations/decision | KB held |");
     println!("| --- | --- | --- | --- | --- | --- |");
@@ -119,7 +120,7 @@
     );
 }
 
-/// All slots taken, and so many jobs waiting that none of them expires during the run.
+/// Creates a scheduler with all slots taken and waiting jobs that don't expire during the run.
 fn filled(size: Size) -> (Scheduler, VecDeque<job::Id>) {
     let mut scheduler = Scheduler::new(1);
     scheduler.set_entries(1);
--- a/crates/policy/benches/patterns/table.rs
+++ b/crates/policy/benches/patterns/table.rs
@@ -1,24 +1,24 @@
-//! Pattern by policy.
+//! Table of results by pattern and policy.
 
 use crate::support::contestant::Contestant;
 use crate::support::load::Pattern;
 use crate::support::patterns;
 use crate::support::tally::Tally;
 
-/// One column: its head and its figure of a run.
+/// One column of the table.
 pub struct Column {
-    /// Head.
+    /// Heading.
     pub head: &'static str,
-    /// Digits after the point.
+    /// Digits after the decimal point.
     pub digits: usize,
-    /// The figure.
+    /// Value for one run.
     pub figure: fn(&Tally) -> f64,
 }
 
-/// Head of the column that holds the mean share of each account in turn.
+/// Heading of the column with the mean share of each account in turn.
 const BY_ACCOUNT: &str = "by account";
 
-/// The columns of every table.
+/// Columns of every table.
 pub const COLUMNS: &[Column] = &[
     column("share", 3, |tally| tally.share(None)),
     column("worst account", 3, Tally::worst_share),
@@ -53,20 +53,20 @@
     }
 }
 
-/// The runs behind one row.
+/// The runs of one row.
 pub struct Row {
-    /// Pattern's name.
+    /// Name of the pattern.
     pub pattern: &'static str,
-    /// Policy's name.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// One a seed.
+    /// Results by seed.
     pub tallies: Vec<Tally>,
 }
 
 /// All rows of a table.
 pub type Rows = Vec<Row>;
 
-/// Prints the table of all patterns, or of those whose name begins so.
+/// Prints the table of all patterns whose name starts with `wanted`.
 pub fn print(seeds: u64, wanted: &str) -> Rows {
     println!("\nEach figure: mean ± standard deviation over seeds 1 to {seeds}.\n");
     head("pattern", "policy");
@@ -88,14 +88,14 @@
     rows
 }
 
-/// One run a seed.
+/// Runs a pattern once per seed.
 pub fn runs(contestant: &Contestant, pattern: &Pattern, seeds: u64) -> Vec<Tally> {
     (1..=seeds)
         .map(|seed| contestant.run(pattern, seed))
         .collect()
 }
 
-/// Prints a table's head.
+/// Prints a table's heading.
 pub fn head(first: &str, second: &str) {
     let heads: Vec<&str> = COLUMNS.iter().map(|column| column.head).collect();
     println!("| {first} | {second} | {} |", heads.join(" | "));
@@ -133,7 +133,7 @@
     shares.join(" ")
 }
 
-/// Mean and standard deviation.
+/// Returns the mean and standard deviation.
 pub fn spread(figures: &[f64]) -> (f64, f64) {
     let count = figures.len() as f64;
     let mean = figures.iter().sum::<f64>() / count;
--- a/crates/policy/benches/routing/main.rs
+++ b/crates/policy/benches/routing/main.rs
@@ -1,7 +1,8 @@
-//! Prints what the figures of affinity, load estimates, warm-up and quarantine rest on.
+//! Prints the results that the settings of affinity, load estimates, warm-up and quarantine depend
+//! on.
 //!
-//! `cargo bench -p policy --bench routing -- [affinity|warmup|killers]`; all without a word. Virtual
-//! time, the same seeds for every row.
+//! `cargo bench -p policy --bench routing -- [affinity|warmup|killers]`; without an argument it
+//! prints all. Runs in virtual time, with the same seeds for every row.
 
 #[path = "../../tests/support/mod.rs"]
 mod support;
@@ -18,7 +19,7 @@
 
 /// Runs of each pattern.
 const SEEDS: u64 = 10;
-/// Runs of each killer pattern: what is counted is rare.
+/// Runs of each killer pattern; more, because lost replicas are rare.
 const KILLER_SEEDS: u64 = 30;
 
 fn main() {
@@ -37,7 +38,7 @@
     }
 }
 
-/// Share within target by slack of the bound and by what is expected of others.
+/// Prints the share within target by affinity slack and herd factor.
 fn print_affinity() {
     let patterns = [
         patterns::burst(),
@@ -69,7 +70,7 @@
     }
 }
 
-/// Answers within target and time to first token when a lost zone comes back cold.
+/// Prints the share within target and the time to first token when a lost zone comes back cold.
 fn print_warmup() {
     println!("warm-up  share  p99 first token (ms)  from 15 s to 25 s: share");
     for seconds in [0, 2, 5, 10, 30, 60] {
@@ -94,7 +95,7 @@
     }
 }
 
-/// Replicas lost to copies of one killer, by the time between them.
+/// Prints the replicas lost to copies of one killer, by the time between them.
 fn print_killers() {
     println!("replicas  load  ms apart  runs that lost 0, 1, 2, 3, 4, ...");
     for replicas in [9, 3] {
@@ -129,7 +130,7 @@
     tallies.iter().filter(|tally| tally.killed > 2).count()
 }
 
-/// One killer through each of the eight entries.
+/// Sends one killer through each of the eight entries.
 fn killers(load: f64, replicas: usize, gap_ms: u64) -> Pattern {
     let share = replicas as f64 / 9.0;
     let mut pattern = Pattern::new("killers", patterns::accounts(load)).scaled(share);
@@ -142,14 +143,15 @@
     pattern
 }
 
-/// A zone is lost at 10 s and back, cold, at 15 s, under a load that needs it.
+/// A zone is lost at 10 s and comes back with cold caches at 15 s, under a load that needs it.
 fn returning_zone() -> Pattern {
     let mut pattern = patterns::hot_key();
     pattern.restart_ms = Some(5_000);
     pattern.fault(10_000, Fault::LoseZone(1))
 }
 
-/// Share within target of what was first sent in the ten seconds after the zone's return.
+/// Returns the share within target of requests first sent in the ten seconds after the zone's
+/// return.
 fn share_after(pattern: &Pattern, tally: &Tally, seed: u64) -> f64 {
     let arrivals = pattern.arrivals(seed);
     let sent = arrivals.iter().zip(&tally.outcomes);
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -1,4 +1,4 @@
-//! One scheduler without any daemon: two replicas, a small flood, and what is decided.
+//! A scheduler without a daemon: two replicas, a small flood, and the resulting decisions.
 //!
 //! `cargo run -p policy --example embed`
 
@@ -29,13 +29,13 @@
         };
         scheduler.replica_joined(Time::ZERO, replica, &mut out);
     }
-    // Seven requests of one account, then one of the other: four find a slot, the rest wait.
+    // Seven requests of one account, then one of the other: four get a slot, the rest wait.
     for id in 0..8 {
         let account = account::Key(u32::from(id == 7));
         scheduler.offer(Time::from_millis(id), request(id, account), &mut out);
     }
     show(0, &mut out);
-    // A slot becomes free: the other account goes first. Later the rest has run out of time.
+    // A slot becomes free: the other account is served first. Later the rest run out of time.
     scheduler.attempt_ended(
         Time::from_millis(400),
         job::Id(0),
@@ -48,7 +48,7 @@
         .next_wake()
         .filter(|wake| wake.as_millis() < 2_000)
     {
-        // Health is judged four times a second while something runs.
+        // Health is evaluated four times per second while something runs.
         scheduler.poll(wake, &mut out);
         show(wake.as_millis(), &mut out);
     }
--- a/crates/policy/examples/health.rs
+++ b/crates/policy/examples/health.rs
@@ -1,5 +1,6 @@
-//! Wrong ejections and the delay of right ones, by the factor over the median and the weight of a
-//! period. `cargo run --release -p policy --example health`
+//! Wrong ejections, and the delay of right ones, by slow factor and gap smoothing.
+//!
+//! `cargo run --release -p policy --example health`
 
 use clock::Span;
 use clock::Time;
@@ -15,15 +16,15 @@
 const REPLICAS: u32 = 9;
 const SEEDS: u64 = 10;
 const HOUR_MS: u64 = 3_600_000;
-/// The slow replica is slow from here on.
+/// When the slow replica becomes slow.
 const ONSET_MS: u64 = 30_000;
-/// A slow replica that isn't out by then is missed.
+/// Delay after which a slow replica that isn't ejected counts as missed.
 const MISSED_MS: u64 = 180_000;
-/// Short prompts, uncached part: tokens, and how many a second reach one replica.
+/// Short prompts: uncached tokens, and arrivals per second at one replica.
 const SHORT: (u32, f64) = (200, 3.0);
-/// Archive bundles.
+/// Long prompts.
 const BUNDLE: (u32, f64) = (12_000, 0.05);
-/// Most prompt tokens in a step.
+/// Maximum number of prompt tokens in a step.
 const CHUNK: u32 = 512;
 
 fn main() {
@@ -49,7 +50,7 @@
     }
 }
 
-/// Ejections in an hour without any fault.
+/// Returns the ejections in an hour without any fault.
 fn wrong_ejections(config: Config, seed: u64) -> u32 {
     let mut pool = Pool::new(config, seed);
     let mut count = 0;
@@ -65,7 +66,7 @@
     count
 }
 
-/// Mean delay until a replica slower by that factor is out.
+/// Formats the mean delay until a replica slower by the factor is ejected.
 fn delays(config: Config, factor: f64) -> String {
     let (mut sum, mut found) = (0.0, 0);
     for seed in 0..SEEDS {
@@ -93,7 +94,7 @@
     monitor: Monitor,
     random: Pcg32,
     millis: u64,
-    /// By replica: streams, prompt tokens to compute, end of the step.
+    /// Streams, prompt tokens to compute and end of the step, by replica.
     engines: Vec<(f64, u32, f64)>,
 }
 
@@ -116,7 +117,7 @@
         self.monitor.allowance(Key(key)) == Allowance::None
     }
 
-    /// One millisecond; replica 0 is slower by the factor.
+    /// Simulates one millisecond; replica 0 is slower by the factor.
     fn step(&mut self, slower: f64) {
         self.millis += 1;
         let now = Time::ZERO + Span::from_millis(self.millis);
--- a/crates/policy/examples/mix.rs
+++ b/crates/policy/examples/mix.rs
@@ -1,4 +1,5 @@
-//! Cost and restarts of a pool by the preference for what exists, under prices drawn at random.
+//! Cost and restarts of a pool by the preference for existing instances, under random prices.
+//!
 //! `cargo run --release -p policy --example mix`
 
 use clock::Span;
@@ -18,11 +19,11 @@
 const DAYS: u32 = 7;
 const MINUTES: u32 = DAYS * 24 * 60;
 const DEMAND: u32 = 6;
-/// A new instance is paid for this long before it serves.
+/// Time that a new instance is paid for before it serves.
 const LOADING_MINUTES: u64 = 5;
-/// Part of the distance to its mean that a price moves back by in a minute.
+/// Fraction of the distance to its mean by which a price reverts per minute.
 const PULL: f64 = 0.005;
-/// Standard deviation of a price's logarithm over time.
+/// Standard deviation of a price's logarithm.
 const SWING: f64 = 0.2;
 
 fn main() {
@@ -46,11 +47,11 @@
     }
 }
 
-/// One week.
+/// Results of one simulated week.
 struct Run {
     starts: f64,
     cost: f64,
-    /// Cost if instances moved free of charge and at once.
+    /// Cost if instances could be moved instantly and free of charge.
     least: f64,
 }
 
@@ -110,7 +111,8 @@
     }
 }
 
-/// Three zones with two classes each, reclaimable at about a third of on-demand.
+/// Returns offers for two classes in each of three zones, reclaimable at about a third of
+/// on-demand.
 fn offers() -> Vec<Offer> {
     let mut offers = Vec::new();
     for zone in ["a", "b", "c"] {
@@ -133,13 +135,13 @@
     offers
 }
 
-/// The next price: reclaimable ones wander around their mean.
+/// Returns the next price; reclaimable ones revert to their mean.
 fn step(offer: &Offer, mean: f64, random: &mut Pcg32) -> f64 {
     if offer.kind.market == Market::OnDemand {
         return mean;
     }
     let log = (offer.per_hour / mean).ln();
-    // The sum of twelve even draws is close to a normal one.
+    // The sum of twelve uniform draws is approximately normal.
     let normal = (0..12).map(|_| random.random_range(-0.5..0.5)).sum::<f64>();
     mean * (log * (1.0 - PULL) + normal * SWING * (2.0 * PULL).sqrt()).exp()
 }
--- a/crates/policy/examples/reports.rs
+++ b/crates/policy/examples/reports.rs
@@ -1,5 +1,7 @@
-//! How evenly 8 entries load 9 replicas with reports a second old, by the share of own additions
-//! that is expected of the others. `cargo run --release -p policy --example reports`
+//! Balance of 8 entries over 9 replicas with stale reports, by the share of an entry's own additions
+//! that it assumes of the others.
+//!
+//! `cargo run --release -p policy --example reports`
 
 use clock::Span;
 use clock::Time;
@@ -14,15 +16,15 @@
 const REPLICAS: usize = 9;
 const SLOTS: u32 = 32;
 const SEEDS: u64 = 10;
-/// Length of a job, ms.
+/// Mean duration of a job, in milliseconds.
 const JOB: u64 = 4_000;
-/// Arrivals over all entries, a second: 70% of the slots.
+/// Arrivals per second over all entries: 70% of the slots.
 const RATE: f64 = 0.7 * (REPLICAS as f64) * (SLOTS as f64) / (JOB as f64 / 1_000.0);
 const REPORT_PERIOD: u64 = 1_000;
 const REPORT_AGE: Span = Span::from_millis(500);
 const LENGTH: u64 = 120_000;
 
-/// How an entry picks.
+/// How an entry selects a replica.
 #[derive(Clone, Copy)]
 enum Pick {
     Least,
@@ -46,7 +48,8 @@
     }
 }
 
-/// Worst and 99th percentile of the fullest replica over the mean; share of time over its slots.
+/// Returns the maximum and 99th percentile of the fullest replica's load over the mean, and the
+/// share of time in which replicas are over their slots.
 fn run(pick: Pick, herd: f64, seed: u64) -> [f64; 3] {
     let config = Config {
         herd,
--- a/crates/policy/examples/subset.rs
+++ b/crates/policy/examples/subset.rs
@@ -1,4 +1,5 @@
-//! Subset size against imbalance and movement, 840 entries before 12,000 replicas.
+//! Imbalance and movement by subset size, for 840 entries and 12,000 replicas.
+//!
 //! `cargo run --release -p policy --example subset`
 
 use std::collections::BTreeSet;
@@ -14,7 +15,7 @@
 /// Replica indices by entry.
 type Subsets = Vec<Vec<usize>>;
 
-/// A way to choose subsets, given entries, replicas and the entries wanted for each replica.
+/// Selects subsets, given entries, replicas and the number of entries per replica.
 type Way = fn(&[u64], &[u64], usize) -> Subsets;
 
 fn main() {
@@ -34,7 +35,7 @@
     }
 }
 
-/// Means over the seeds.
+/// Prints the means over the seeds.
 fn print_row(name: &str, scope: &str, way: Way, size: (usize, usize), wanted: usize, seeds: u64) {
     let mut sums = [0.0; 8];
     for seed in 0..seeds {
@@ -99,8 +100,8 @@
         .collect()
 }
 
-/// Deterministic subsetting as in "Site Reliability Engineering", chapter 20: entries in rounds, each
-/// round deals all replicas out from a shuffle of its own.
+/// Deterministic subsetting as in "Site Reliability Engineering", chapter 20: entries are grouped
+/// in rounds, and each round deals out all replicas from a shuffle of its own.
 fn shuffled_rounds(entries: &[u64], replicas: &[u64], wanted: usize) -> Subsets {
     let size = wanted * replicas.len() / entries.len();
     let rounds = replicas.len() / size;
@@ -125,7 +126,7 @@
         .collect()
 }
 
-/// Load by replica if an entry gives each of its replicas what `part` says for its subset's size.
+/// Returns the load by replica if an entry gives each of its replicas `part` of its subset's size.
 fn load(subsets: &[Vec<usize>], replicas: usize, part: impl Fn(f64) -> f64) -> Vec<f64> {
     let mut loads = vec![0.0; replicas];
     for subset in subsets {
@@ -141,7 +142,7 @@
     loads.iter().copied().fold(0.0, f64::max) / mean
 }
 
-/// Pairs that one side has and the other hasn't, counted as connections to open.
+/// Returns the number of connections that must be opened after a change.
 fn moved(before: &[Vec<usize>], after: &[Vec<usize>]) -> f64 {
     let opened = |(before, after): (&Vec<usize>, &Vec<usize>)| {
         let before: BTreeSet<usize> = before.iter().copied().collect();
--- a/crates/policy/tests/burst.rs
+++ b/crates/policy/tests/burst.rs
@@ -1,13 +1,13 @@
-//! A burst, and what its callers receive.
+//! Share of answers within target during a burst.
 
 mod support;
 
 use support::contestant::Contestant;
 use support::patterns;
 
-/// At 10 s every account sends four times as much for five seconds. Served in order, all wait behind
-/// the queue that builds up and two of three answers come too late, long after the burst. Cause: the
-/// queue is as long as the burst, and whatever is in it misses its target.
+/// At 10 s every account sends four times as much for five seconds. In order of arrival all
+/// requests wait behind the queue that builds up, and two of three answers miss their target until
+/// long after the burst.
 #[test]
 fn most_of_a_burst_is_answered_in_time() {
     for seed in 1..=2 {
@@ -20,14 +20,14 @@
     }
 }
 
-/// The same burst while one replica is six times slower than the rest.
+/// The same burst while one replica is six times slower than the others.
 #[test]
 fn a_slow_replica_costs_a_burst_little_more() {
     let both = Contestant::ours().run(&patterns::burst_and_slow(), 1);
     assert!(both.share(None) > 0.8, "{}", both.share(None));
 }
 
-/// The same burst in the pool of three, where an entry has six slots to itself.
+/// The same burst on three replicas, where an entry has six slots to itself.
 #[test]
 fn a_small_pool_comes_through_as_well() {
     let pattern = patterns::small(&patterns::burst());
--- a/crates/policy/tests/cover.rs
+++ b/crates/policy/tests/cover.rs
@@ -1,4 +1,4 @@
-//! Reclaimable and on-demand replicas, by what is left to carry the work.
+//! Planned reclaimable and on-demand replicas in reclaims and shortages.
 
 use policy::configs::cover::Config;
 use policy::cover::Bounds;
@@ -40,7 +40,7 @@
     wanted.iter().map(|zone| zone.on_demand).sum()
 }
 
-/// While reclaimable replicas are to be had, dear ones are given back, however many stand there.
+/// While reclaimable replicas are available, all on-demand replicas are released.
 #[test]
 fn an_open_market_needs_no_on_demand_replicas() {
     let zones = [zone(3, 3, true), zone(3, 3, true), zone(3, 3, true)];
@@ -49,9 +49,10 @@
     assert!(wanted.iter().all(|zone| zone.reclaimable == 3));
 }
 
-/// One zone's reclaimable replicas are taken back and the market is dry. Another zone may be next: what
-/// would then be left must carry the work until others have started, so on-demand replicas are ordered now.
-/// More than that isn't kept for it: they cost five times as much, and a reclaim is announced.
+/// One zone's reclaimable replicas are reclaimed and the market has no others. If the next zone is
+/// reclaimed too, the rest must carry the work until replacements have started, so on-demand
+/// replicas are ordered now, but no more than that: they cost five times as much, and a reclaim is
+/// announced.
 #[test]
 fn a_dry_market_is_made_up_for_before_the_next_reclaim() {
     let zones = [zone(0, 0, false), zone(3, 0, false), zone(3, 0, false)];
@@ -65,8 +66,8 @@
     assert_eq!(wanted[2].reclaimable, 3, "what is there stays");
 }
 
-/// Three zones are reclaimed in a row, and none are to be had anywhere: once a zone's replicas are announced to go,
-/// those that remain and those that were ordered by then must carry the work when the ordered ones serve.
+/// Three zones are reclaimed in a row and the market has no replacements. At each announcement the
+/// remaining replicas and those ordered at it must carry the work once the ordered ones serve.
 #[test]
 fn three_reclaims_in_a_row_leave_enough_to_carry_the_work() {
     for busy in [1.5, 2.4, 3.3, 5.0] {
@@ -89,7 +90,7 @@
     }
 }
 
-/// All reclaimable replicas are gone: on-demand ones carry the work alone, those that stand stay.
+/// Without reclaimable replicas, on-demand replicas carry the work alone, and serving ones stay.
 #[test]
 fn on_demand_replicas_carry_the_work_alone() {
     let zones = [zone(0, 0, false), zone(0, 4, false), zone(0, 0, false)];
@@ -98,7 +99,7 @@
     assert_eq!(wanted[1].on_demand, 4);
 }
 
-/// Bounds hold for both markets of a zone together, whatever the work asks for.
+/// The bounds of a zone hold for both markets together, whatever the load.
 #[test]
 fn no_zone_gets_more_than_it_may() {
     for busy in [0.0, 3.0, 9.0, 50.0] {
@@ -111,7 +112,7 @@
     }
 }
 
-/// A platform without reclaimable replicas still gets the comfortable number.
+/// A platform without reclaimable replicas gets enough on-demand ones for the target utilization.
 #[test]
 fn one_market_alone_carries_the_work() {
     let bounds = Bounds {
@@ -123,8 +124,8 @@
     assert_eq!(on_demand(&wanted), 8);
 }
 
-/// The market opens again and reclaimable replicas start. Those that stood in for them go on until the new
-/// ones serve: given back at the order, they left four seconds in which nobody carried the work.
+/// The market reopens and reclaimable replicas start. Released when those are ordered, the
+/// on-demand replicas would leave four seconds in which nothing carries the work.
 #[test]
 fn on_demand_replicas_stay_until_others_serve() {
     let mut zones = [zone(0, 0, true), zone(0, 4, true), zone(0, 0, true)];
@@ -138,9 +139,9 @@
     assert_eq!(on_demand(&wanted), 0);
 }
 
-/// On-demand replicas fill their zones to the bound when the market opens. Six reclaimable ones more in
-/// each would not fit beside them, and the order for those took the others' places four seconds before
-/// they served.
+/// On-demand replicas fill their zones to the bound when the market reopens. Ordering the full
+/// number of reclaimable ones beside them would displace on-demand replicas four seconds before the
+/// reclaimable ones serve.
 #[test]
 fn reclaimable_replicas_take_only_the_room_that_is_left() {
     let zones = [zone(0, 6, true), zone(0, 4, true), zone(0, 6, true)];
@@ -154,8 +155,8 @@
     assert!(wanted.iter().map(|zone| zone.reclaimable).sum::<u32>() > 0);
 }
 
-/// The same number is wanted while replicas start in one zone and serve in another. Given back where
-/// they serve, for the price, they were missing until the others had started.
+/// The planned number is unchanged while replicas start in one zone and serve in a dearer one.
+/// Released there for the price, they would be missing until the others have started.
 #[test]
 fn replicas_that_serve_go_before_cheaper_ones_that_start() {
     let dear = Zone {
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -1,4 +1,4 @@
-//! Ejection and slow return of replicas that stand out against their peers.
+//! Ejection and gradual readmission of replicas that stand out against their peers.
 
 use clock::Span;
 use clock::Time;
@@ -13,7 +13,7 @@
 
 const STEP: Span = Span::from_millis(50);
 
-/// A pool whose replicas each keep one stream going.
+/// A pool whose replicas each have one stream open.
 struct Pool {
     now: Time,
     monitor: Monitor,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Each replica that may be used does one piece of work a step, as `work` says.
+    /// Lets each replica that may be used do one piece of work per step.
     fn run(&mut self, span: Span, work: impl Fn(u32) -> Work) {
         let end = self.now + span;
         while self.now < end {
@@ -68,7 +68,7 @@
     }
 }
 
-/// What a replica does in a step.
+/// Work of one replica in one step.
 #[derive(Clone, Copy)]
 enum Work {
     Gap(f64),
@@ -76,8 +76,8 @@
     Silence,
 }
 
-/// One replica becomes five times slower than its peers; callers whose requests go there wait past
-/// their target until it is out.
+/// One replica becomes five times slower than its peers; requests that go there miss their target
+/// until it is ejected.
 #[test]
 fn slow_replica_goes_out_and_its_peers_stay() {
     let mut pool = Pool::new(9);
@@ -87,7 +87,8 @@
     assert_eq!(pool.out(), [4]);
 }
 
-/// A process freezes with streams open: no token, no report, no error. The callers' streams hang.
+/// A process freezes with streams open: no token, no report, no error, and the callers' streams
+/// hang.
 #[test]
 fn frozen_replica_goes_out() {
     let mut pool = Pool::new(9);
@@ -98,8 +99,8 @@
     assert_eq!(pool.out(), [2]);
 }
 
-/// An engine reads a long prompt alone: its one stream says nothing for ten seconds, but its load
-/// reports keep coming. It must stay.
+/// An engine computes a long prompt alone: its one stream is silent for ten seconds while its load
+/// reports keep coming. It must not be ejected.
 #[test]
 fn long_prefill_is_not_frozen() {
     let mut pool = Pool::new(3);
@@ -113,7 +114,7 @@
     }
 }
 
-/// A replica fails everything in a millisecond. As the idlest of all it would draw all work.
+/// A replica fails every request in a millisecond. As the least loaded it would attract all work.
 #[test]
 fn fast_failing_replica_goes_out_within_five_failures() {
     let mut pool = Pool::new(3);
@@ -124,7 +125,7 @@
     assert_eq!(pool.out(), [1]);
 }
 
-/// A bad version fails, or overload slows, every replica alike: taking some out helps nobody.
+/// A bad version fails, or overload slows, every replica alike: ejecting some helps nobody.
 #[test]
 fn common_fault_ejects_nobody() {
     let mut pool = Pool::new(9);
@@ -134,8 +135,8 @@
     assert_eq!(pool.out(), []);
 }
 
-/// A replica recovers. If all its share came back at once, cold as it is, it would be slow again;
-/// it gets one job, then twice as many after each round done well.
+/// A recovered replica that got its whole share at once, with a cold cache, would be slow again; it
+/// gets one job, then twice as many after each successful round.
 #[test]
 fn recovered_replica_comes_back_step_by_step() {
     let mut pool = Pool::new(9);
@@ -161,7 +162,7 @@
     assert_eq!(seen[6], Allowance::Full);
 }
 
-/// A replica that relapses at each probe costs a late request each time, so its terms grow.
+/// A replica that relapses at each probe costs a late request each time, so ejections get longer.
 #[test]
 fn relapses_are_probed_ever_more_rarely() {
     let mut pool = Pool::new(3);
@@ -179,7 +180,7 @@
         probes += u32::from(was_out && !out);
         was_out = out;
     }
-    // Terms of 5, 10, 20, ... 300 s: seven of them fit into ten minutes.
+    // Ejections of 5, 10, 20, ... 300 s: seven of them fit into ten minutes.
     assert!((5..=7).contains(&probes), "probed {probes} times");
 }
 
@@ -191,7 +192,7 @@
         ..Proptest::default()
     })]
 
-    /// Whatever the replicas do, no more than a third of the pool is out.
+    /// Whatever the replicas do, at most a third of the pool is ejected.
     #[test]
     fn never_more_than_a_third_is_out(
         replicas in 1_u32..15,
--- a/crates/policy/tests/hot_caller.rs
+++ b/crates/policy/tests/hot_caller.rs
@@ -1,13 +1,13 @@
-//! One account floods the entries; what the others receive.
+//! Isolation of accounts from one that floods the entries.
 
 mod support;
 
 use support::contestant::Contestant;
 use support::patterns;
 
-/// From 5 s on one small account sends 40 times its rate, twice what the fleet carries. Served in
-/// order, every other account's callers wait behind it and hardly any is answered in time. Cause: the
-/// flood is most of the queue, whoever's turn it is.
+/// From 5 s on one small account sends 40 times its rate, twice what the fleet carries. In order of
+/// arrival every other account's requests wait behind the flood, and hardly any is answered in
+/// time.
 #[test]
 fn the_others_are_served_as_if_they_were_alone() {
     let (flooded, alone) = (patterns::hot_caller(), patterns::without_hot_caller());
@@ -17,7 +17,7 @@
         let plain = Contestant::fewest().run(&flooded, seed);
         for account in [0, 1, 3, 4] {
             let share = ours.share(Some(account));
-            // Single runs of the small accounts have some 70 requests: two of them are 3 points.
+            // A run has some 70 requests of each small account: two of them are 3 points.
             assert!(
                 share > quiet.share(Some(account)) - 0.04,
                 "seed {seed}, {account}: {share}"
--- a/crates/policy/tests/idle.rs
+++ b/crates/policy/tests/idle.rs
@@ -1,4 +1,4 @@
-//! Replicas that stand idle serve whoever comes.
+//! Idle replicas serve whatever arrives.
 
 use clock::Span;
 use clock::Time;
@@ -56,9 +56,9 @@
     out.iter().filter(started).count()
 }
 
-/// An overload makes every first token come seconds late. It ends, nothing runs any more, and yet each
-/// request is refused at once for a target that can't be met: what was learnt in the overload is never
-/// unlearnt, since nothing is started that could show better.
+/// In an overload every first token is seconds late. When it ends nothing runs any more, and yet
+/// each request is refused for a target that can't be met: estimates from the overload persist,
+/// since nothing is started that could correct them.
 #[test]
 fn what_an_overload_taught_refuses_nobody_once_it_is_over() {
     let mut scheduler = scheduler();
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Account limits over all entries, with news between them that takes a while.
+//! Account limits over all entries, with delayed digests between them.
 
 use std::collections::VecDeque;
 
@@ -15,7 +15,7 @@
 const ENTRIES: usize = 8;
 const CONCURRENT: u32 = 24;
 
-/// Eight entries, their open requests, and digests on their way.
+/// Eight entries, their open requests, and digests in transit.
 struct Cluster {
     entries: Vec<Limits>,
     open: Vec<u32>,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Digests every 500 ms, 100 ms under way; entries listed in `cut` neither send nor hear.
+    /// Exchanges digests every 500 ms with a delay of 100 ms; entries in `cut` neither send nor
+    /// receive any.
     fn exchange(&mut self, ms: u64, cut: &[usize]) {
         let now = Time::from_millis(ms);
         if ms.is_multiple_of(500) {
@@ -91,8 +92,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Demand wanders between entries, some of which can't hear the others for a while. However it
-    /// goes, all entries together never hold more requests open than the limit.
+    /// Demand moves between entries, some of which are cut off for a while. All entries together
+    /// never hold more requests open than the limit.
     #[test]
     fn open_requests_never_exceed_the_limit(
         phases in prop::collection::vec((prop::collection::vec(0..4_u32, ENTRIES), 0..4_usize), 1..6),
@@ -118,8 +119,8 @@
     }
 }
 
-/// An account sends everything through one entry. If each entry kept its equal part, it would get an
-/// eighth of what it was promised; if each kept the whole, eight times as much through all of them.
+/// An account sends everything through one entry. With equal shares it would get an eighth of its
+/// limit; with the whole limit at each entry, eight times as much through all of them.
 #[test]
 fn a_share_follows_demand_to_one_entry() {
     let mut cluster = Cluster::new(0, CONCURRENT);
@@ -131,7 +132,8 @@
     assert_eq!(cluster.open[3], CONCURRENT - 7);
 }
 
-/// Tokens a second hold over all entries while demand is even and while it moves to two of them.
+/// The limit on tokens per second holds over all entries while demand is even and after it moves to
+/// two of them.
 #[test]
 fn tokens_hold_over_all_entries() {
     let mut cluster = Cluster::new(8_000, 0);
--- a/crates/policy/tests/outage.rs
+++ b/crates/policy/tests/outage.rs
@@ -1,13 +1,12 @@
-//! All replicas are gone for five seconds; every caller comes back.
+//! Recovery from an outage of all replicas for five seconds.
 
 mod support;
 
 use support::contestant::Contestant;
 use support::patterns;
 
-/// At 10 s every replica dies, at 15 s all are back. Callers who were refused come back; if they all
-/// came at once, the fleet would fall behind again. Cause: the outage makes them wait for the same
-/// moment.
+/// At 10 s every replica dies, at 15 s all are back. Refused callers retry; if they all did so at
+/// the same moment, the fleet would fall behind again.
 #[test]
 fn callers_return_spread_and_are_served() {
     for seed in 1..=2 {
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -6,9 +6,8 @@
 use support::patterns;
 use support::patterns::CAPACITY;
 
-/// Callers send 1.2, 2 and 5 times what the fleet carries, and go on. Served in order, every answer
-/// comes too late, and most of the work is for callers who have gone. Cause: all who are let in wait
-/// for all the others, beyond anybody's target.
+/// Callers send 1.2, 2 and 5 times what the fleet carries. In order of arrival every answer misses
+/// its target, and most of the work is for callers who have gone.
 #[test]
 fn goodput_holds_at_any_overload() {
     for (name, factor) in [("1.2", 1.2), ("2", 2.0), ("5", 5.0)] {
@@ -32,8 +31,8 @@
     }
 }
 
-/// A caller whose request can't be met is told so while it can still go elsewhere: nobody is refused
-/// later than 100 ms after an idle replica could no longer have answered in time, and most at once.
+/// A caller whose target can't be met is refused early enough to go elsewhere: at most 100 ms after
+/// an idle replica could no longer have answered in time, and mostly on arrival.
 #[test]
 fn refusals_come_at_once() {
     let ours = Contestant::ours().run(&patterns::overload("2", 2.0), 1);
@@ -50,8 +49,8 @@
     );
 }
 
-/// Twice the capacity is asked for, and three of five accounts have a lower priority. Without regard
-/// to it all lose half; the accounts that matter most should hardly notice.
+/// Callers send twice the capacity, and three of five accounts have a lower priority. Without
+/// priorities all lose half; the accounts with the highest priority should hardly be affected.
 #[test]
 fn lower_priorities_are_shed_first() {
     let ours = Contestant::ours().run(&patterns::priorities(), 1);
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Killer requests: what they cost, and what their neighbours suffer.
+//! Killer requests: how many replicas they cost, and what happens to requests that ran beside them.
 
 use clock::Span;
 use clock::Time;
@@ -13,12 +13,12 @@
 const ENTRIES: usize = 8;
 const REPLICAS: u64 = 9;
 const KILLER: u64 = 666;
-/// From the start of a killer to the crash.
+/// Time from the start of a killer to the crash of its replica.
 const FUSE: Span = Span::from_millis(20);
-/// From a crash or a digest's sending to its receipt.
+/// Transit time of a digest.
 const FLIGHT: Span = Span::from_millis(2);
 
-/// Something that an entry learns at a moment.
+/// Evidence that an entry receives at a given time.
 type Event = dyn Fn(&mut Quarantine, Time);
 
 /// Entries that share replicas; a killer crashes each replica on which it starts.
@@ -27,11 +27,11 @@
     entries: Vec<Quarantine>,
     alive: Vec<u64>,
     lost: Vec<u64>,
-    /// Killers that run: entry, replica, time of the crash.
+    /// Running killers: entry, replica, time of the crash.
     running: Vec<(usize, u64, Time)>,
-    /// Copies of the killer that wait at an entry.
+    /// Entries at which a copy of the killer waits.
     waiting: Vec<usize>,
-    /// Claims for copies: entry, replica, when they stand.
+    /// Claims for copies: entry, replica, time from which they may be used.
     claimed: Vec<(usize, u64, Time)>,
     quarantined: usize,
 }
@@ -140,8 +140,8 @@
     }
 }
 
-/// A caller whose request crashes replicas sends it through one entry after the other as each gives
-/// up. Without shared memory of it every entry would lose two replicas of its own.
+/// A caller resends a request that crashes replicas through one entry after the other. Without
+/// shared evidence every entry would lose two replicas of its own.
 #[test]
 fn killer_through_each_entry_costs_two_replicas() {
     let mut system = System::new();
@@ -153,9 +153,9 @@
     assert_eq!(system.quarantined, ENTRIES);
 }
 
-/// Copies of one killer arrive at all entries in the same millisecond, so no entry can have heard of
+/// Copies of one killer arrive at all entries in the same millisecond, before any entry can know of
 /// a crash. They meet at the same replica; after its crash each entry holds its copy until the
-/// others' news has come, and one of them risks the second replica.
+/// others' digests have arrived, and one of them risks the second replica.
 #[test]
 fn killers_through_all_entries_at_once_cost_two_replicas() {
     let mut system = System::new();
@@ -165,7 +165,7 @@
     assert_eq!(system.quarantined, ENTRIES);
 }
 
-/// A request that merely shared the crashed replica must get its answer: it runs alone, ends well
+/// A request that merely ran on the crashed replica must get its answer: it runs alone, ends well
 /// and is clear from then on, also at the peers.
 #[test]
 fn innocent_is_acquitted_everywhere() {
@@ -189,8 +189,8 @@
     assert_eq!(peer.standing(later, KILLER), Standing::Trial);
 }
 
-/// Two suspects of one crash have the same place, and their entries claim it in the same moment. If
-/// both ran there and one were a killer, both would be refused for good. One entry yields, at both.
+/// Two suspects of one crash have the same replica, and their entries claim it at the same time. If
+/// both ran there and one were a killer, both would be refused for good. One entry yields.
 #[test]
 fn two_suspects_never_share_a_place() {
     let mut one = Quarantine::new(Config::default(), 1);
@@ -210,8 +210,9 @@
     assert!(other.is_reserved(at + FLIGHT, 3));
 }
 
-/// A zone goes without notice: its replicas crash within moments of each other, some seen here,
-/// some told by a peer. If all that ran there had to run alone, callers would wait for minutes.
+/// A zone is lost without notice: its replicas crash within moments of each other, some seen here,
+/// some reported by a peer. If everything that ran there had to run alone, callers would wait for
+/// minutes.
 #[test]
 fn loss_of_a_zone_blames_nobody() {
     let mut here = Quarantine::new(Config::default(), 1);
@@ -229,9 +230,9 @@
     assert_eq!(here.standing(Time::from_millis(3_000), 14), Standing::Clear);
 }
 
-/// After its term a quarantined request is let out on parole, so that a repaired engine can serve
-/// it; if it crashes once more, it is quarantined again: one replica a term. A peer whose record
-/// expires a little later must not bring the old one back.
+/// After its duration a quarantined request is released on parole, so that a repaired engine can
+/// serve it; one more crash quarantines it again. A peer whose record expires a little later must
+/// not bring the old one back.
 #[test]
 fn quarantine_expires_to_parole_and_stays_expired() {
     let config = Config::default();
@@ -271,7 +272,7 @@
     })]
 
     /// Whatever is reported, digests stay bounded, and two entries that exchange them often enough
-    /// hold the same requests quarantined.
+    /// quarantine the same requests.
     #[test]
     fn digests_are_bounded_and_converge(
         crashes in proptest::collection::vec((0_u64..400, 0_u64..5, 0_u64..300, any::<bool>()), 1..300)
@@ -301,7 +302,7 @@
         }
     }
 
-    /// When a replica goes, only the keys that ranked it first find a new first choice.
+    /// When a replica leaves, only the keys that ranked it first get a new first choice.
     #[test]
     fn rendezvous_moves_only_what_it_must(key in any::<u64>(), gone in 0_u64..9) {
         let nodes = |without| (0..9_u64).filter(move |node| Some(*node) != without).map(|node| (node, node));
@@ -311,8 +312,9 @@
     }
 }
 
-/// A quarter of a pool is lost in one moment, in all zones. Nothing that ran there is a killer, yet each
-/// request that is tried again was held and run apart, one after the other, while the pool was short.
+/// A quarter of a pool is lost at once, in all zones. Nothing that ran there is a killer, but
+/// unless such crashes are forgiven each retried request is held and run alone while the pool is
+/// short.
 #[test]
 fn a_loss_across_zones_makes_no_suspects() {
     let mut quarantine = Quarantine::new(Config::default(), 1);
@@ -326,10 +328,9 @@
     }
 }
 
-/// A killer's copies run at two replicas. The first crash is known in time to stop the copy at the
-/// second, but it had done its work: that replica crashes while the cancellation is on its way, when
-/// no copy is counted there any more. Unless that crash is held against it, the killer has a clean
-/// trial to come, which costs a third replica.
+/// Copies of a killer run on two replicas. After the first crash the second copy is cancelled, but
+/// its replica crashes while the cancellation is in transit, when no copy is counted there any
+/// more. Unless that crash is held against the killer, its trial costs a third replica.
 #[test]
 fn a_copy_that_was_stopped_too_late_is_still_blamed() {
     let heard_from_a_peer = |entry: &mut Quarantine, now: Time| {
@@ -354,7 +355,7 @@
     }
 }
 
-/// An ordinary suspect's copy was stopped; its replica crashes much later, of something else.
+/// A suspect's copy was cancelled; its replica crashes much later for another reason.
 #[test]
 fn a_stopped_copy_is_not_blamed_for_a_later_crash() {
     let mut entry = Quarantine::new(Config::default(), 1);
@@ -370,8 +371,8 @@
     );
 }
 
-/// Two entries stopped a copy at the same replica and hear of its crash from each other. Each hearing
-/// called for news at once, so the two told each other of it without end, and memory ran out.
+/// Two entries cancelled a copy on the same replica and receive its crash from each other. If each
+/// receipt were urgent, the two would send digests without end and run out of memory.
 #[test]
 fn news_of_one_crash_is_urgent_once() {
     let mut entry = Quarantine::new(Config::default(), 1);
--- a/crates/policy/tests/sizes.rs
+++ b/crates/policy/tests/sizes.rs
@@ -5,9 +5,9 @@
 use support::contestant::Contestant;
 use support::patterns;
 
-/// Bundles of 12,000 tokens arrive among captions. Spread over all replicas, each holds up the
-/// captions behind it for more than a second, and a fifth of them misses its target; kept out
-/// altogether, the bundles would never be read. Cause: a replica computes prompts in order.
+/// Prompts of 12,000 tokens arrive among short ones. A replica computes prompts in order: spread
+/// over all replicas, each long prompt delays the short ones behind it for more than a second, and
+/// a fifth of them misses the target; excluded altogether, the long ones would starve.
 #[test]
 fn captions_pass_and_bundles_are_read() {
     let pattern = patterns::long_among_short();
--- a/crates/policy/tests/subset.rs
+++ b/crates/policy/tests/subset.rs
@@ -24,7 +24,7 @@
         .collect()
 }
 
-/// With today's eight entries and nine replicas everyone uses everything.
+/// With eight entries and nine replicas every entry uses every replica.
 #[test]
 fn few_entries_use_all_replicas() {
     let (entries, replicas) = (names("entry", 8), names("replica", 9));
@@ -42,9 +42,9 @@
         ..Proptest::default()
     })]
 
-    /// However entries and replicas come and go, every entry that knows the same ones computes the
-    /// same: each replica is served by at least the wanted number of entries, or by all if there are
-    /// fewer.
+    /// However entries and replicas join and leave, entries with the same knowledge compute the
+    /// same assignment: each replica is served by at least the wanted number of entries, or by all
+    /// if there are fewer.
     #[test]
     fn each_replica_is_served(
         wanted in 1_usize..6,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// When an entry goes, its replicas find one new entry each and no other pair changes.
+    /// When an entry leaves, each of its replicas gets one new entry and no other pair changes.
     #[test]
     fn leaving_entry_moves_only_its_own(gone in 1_usize..20) {
         let (entries, replicas) = (names("entry", 20), names("replica", 100));
--- a/crates/policy/tests/support/baseline.rs
+++ b/crates/policy/tests/support/baseline.rs
@@ -1,7 +1,7 @@
-//! The plain ways of spreading work that the table compares with.
+//! Baseline balancers to compare the scheduler with.
 //!
-//! Like an ordinary balancer they hand each request on as it comes, in order, and leave the waiting
-//! to the engines. What fails is tried again elsewhere if it may be, at most [`ATTEMPTS`] times.
+//! Like an ordinary balancer they forward each request on arrival and leave queueing to the
+//! engines. Failed requests that may be retried are retried elsewhere, at most [`ATTEMPTS`] times.
 
 use std::collections::BTreeMap;
 
@@ -19,21 +19,21 @@
 
 use super::policy::Policy;
 
-/// Most attempts of one request.
+/// Maximum number of attempts of one request.
 const ATTEMPTS: u32 = 3;
 
-/// How the next replica is chosen.
+/// Selection of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Way {
-    /// Each in turn.
+    /// Each replica in turn.
     RoundRobin,
-    /// The one with the fewest requests of this entry.
+    /// The replica with the fewest outstanding requests of this entry.
     FewestOutstanding,
-    /// The better of two drawn at random.
+    /// The less loaded of two random replicas.
     RandomOfTwo,
 }
 
-/// A plain balancer at one entry.
+/// A baseline balancer at one entry.
 pub struct Baseline {
     way: Way,
     random: Pcg64,
@@ -46,7 +46,7 @@
 }
 
 impl Baseline {
-    /// A balancer without replicas.
+    /// Creates a balancer without replicas.
     pub fn new(way: Way, seed: u64) -> Baseline {
         Baseline {
             way,
--- a/crates/policy/tests/support/contestant.rs
+++ b/crates/policy/tests/support/contestant.rs
@@ -1,4 +1,4 @@
-//! The policies that the table compares.
+//! The policies that the benchmarks compare.
 
 use policy::configs::scheduler::Settings;
 use policy::scheduler::Scheduler;
@@ -10,27 +10,27 @@
 use super::tally::Tally;
 use super::world::World;
 
-/// A way to make one entry's policy.
+/// A kind of policy for the entries of a simulation.
 #[derive(Clone, Debug)]
 pub enum Contestant {
     /// The scheduler with these settings.
     Ours(Box<Settings>),
-    /// A plain balancer.
+    /// A baseline balancer.
     Plain(Way),
 }
 
 impl Contestant {
-    /// The scheduler with its defaults.
+    /// Returns the scheduler with default settings.
     pub fn ours() -> Contestant {
         Contestant::Ours(Box::default())
     }
 
-    /// The baseline that most balancers default to.
+    /// Returns the baseline that most balancers default to.
     pub fn fewest() -> Contestant {
         Contestant::Plain(Way::FewestOutstanding)
     }
 
-    /// Its name in the table.
+    /// Returns its name in the table.
     pub fn name(&self) -> &'static str {
         match self {
             Contestant::Ours(_) => "ours",
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Ours and all baselines.
+    /// Returns the scheduler and all baselines.
     pub fn all() -> Vec<Contestant> {
         vec![
             Contestant::ours(),
@@ -50,7 +50,7 @@
         ]
     }
 
-    /// Runs a pattern.
+    /// Simulates a pattern.
     pub fn run(&self, pattern: &Pattern, seed: u64) -> Tally {
         let contestant = self.clone();
         let make = move |seed: u64| -> Box<dyn Policy> {
--- a/crates/policy/tests/support/engine.rs
+++ b/crates/policy/tests/support/engine.rs
@@ -1,27 +1,27 @@
-//! A fake model engine: continuous batching with chunked prefill and a prefix cache.
+//! Simulated model engine: continuous batching with chunked prefill and a prefix cache.
 //!
-//! Work goes in steps. A step computes at most one chunk of prompt tokens and gives each sequence
-//! whose prompt is done one token; it takes longer the more of both it holds.
+//! Work is done in steps. A step computes at most one chunk of prompt tokens and generates one
+//! token for each sequence whose prompt is done; its duration grows with both.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
 
 use policy::job;
 
-/// What an engine can do; times in microseconds.
+/// Capacity and speed of an engine; times in microseconds.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Sequences that run at once.
+    /// Maximum number of running sequences.
     pub slots: usize,
     /// Fixed part of a step.
     pub step_us: u64,
-    /// Added for each sequence that gets a token.
+    /// Time added per sequence that gets a token.
     pub sequence_us: u64,
-    /// Added for each prompt token computed.
+    /// Time added per computed prompt token.
     pub prompt_token_us: u64,
-    /// Most prompt tokens in one step.
+    /// Maximum number of prompt tokens in one step.
     pub chunk: u32,
-    /// Tokens of prefixes that the cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
 }
 
@@ -38,94 +38,94 @@
     }
 }
 
-/// A request as the engine holds it.
+/// A request in the engine.
 #[derive(Clone, Debug)]
 pub struct Sequence {
-    /// Which entry sent it.
+    /// Entry that sent it.
     pub entry: usize,
-    /// Under which name.
+    /// Job id at that entry.
     pub id: job::Id,
     /// Prompt tokens still to compute.
     pub prompt_left: u32,
-    /// Prompt tokens (and earlier output) in all.
+    /// All prompt tokens, with the output of earlier attempts.
     pub prompt: u32,
     /// Hash of the shared prefix.
     pub prefix: u64,
-    /// Tokens of the prompt that the prefix covers.
+    /// Prompt tokens that the prefix covers.
     pub shared: u32,
-    /// Output tokens made over all attempts.
+    /// Output tokens generated in all attempts.
     pub made: u32,
-    /// Output tokens at which the answer is whole.
+    /// Output tokens of the complete answer.
     pub wanted: u32,
-    /// Content hash, for killers.
+    /// Content hash.
     pub fingerprint: u64,
     /// Prompt and output tokens computed in this attempt.
     pub computed: u64,
 }
 
-/// What a step brought about.
+/// Output of a step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// One more token of that sequence; whether it was the last.
+    /// A token of a sequence, and whether it was the last.
     Token(usize, job::Id, bool),
 }
 
-/// A prefix was stored or evicted.
+/// Storage or eviction of a prefix.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheEvent {
-    /// Rises by one with each event of an engine.
+    /// Sequence number among the events of an engine.
     pub sequence: u64,
     /// Hash of the prefix.
     pub prefix: u64,
-    /// Whether it is held now.
+    /// Whether the prefix is in the cache now.
     pub stored: bool,
 }
 
-/// Health of a fake engine.
+/// Health of a simulated engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    /// As its shape says.
+    /// Runs at the speed of its shape.
     Well,
     /// Every step takes this many times longer.
     Slow(f64),
-    /// Accepts work, never gets on.
+    /// Accepts work but makes no progress.
     Frozen,
     /// Fails every request at once.
     FailsFast,
-    /// Says at once that it did not start the request.
+    /// Declines every request at once, without starting it.
     Declines,
     /// The process is gone.
     Dead,
 }
 
-/// One incarnation.
+/// One incarnation of a replica.
 #[derive(Clone, Debug)]
 pub struct Engine {
     shape: Shape,
-    /// How it does.
+    /// Current health.
     pub health: Health,
-    /// Being computed.
+    /// Sequences being computed.
     pub running: Vec<Sequence>,
-    /// Waiting inside the engine, in order of arrival.
+    /// Sequences waiting inside the engine, in order of arrival.
     pub waiting: VecDeque<Sequence>,
-    /// Prefixes held, least recently used first, with their lengths.
+    /// Cached prefixes with their lengths, least recently used first.
     cache: VecDeque<(u64, u32)>,
-    /// What became of the cache since somebody asked.
+    /// Cache events since the last call of `take_events`.
     events: Vec<CacheEvent>,
-    /// Events so far.
+    /// Number of cache events so far.
     sequence: u64,
     /// Whether a step is in progress.
     pub stepping: bool,
     /// Prompt and output tokens computed so far.
     pub computed: u64,
-    /// Microseconds of steps done.
+    /// Duration of all steps so far, in microseconds.
     pub busy_us: u64,
     /// Fingerprints that crash it.
     pub killers: BTreeSet<u64>,
 }
 
 impl Engine {
-    /// An idle engine with an empty cache.
+    /// Creates an idle engine with an empty cache.
     pub fn new(shape: Shape) -> Engine {
         Engine {
             shape,
@@ -142,12 +142,12 @@
         }
     }
 
-    /// Puts a sequence in the engine's own queue.
+    /// Adds a sequence to the engine's own queue.
     pub fn submit(&mut self, sequence: Sequence) {
         self.waiting.push_back(sequence);
     }
 
-    /// Takes a sequence out, with its state.
+    /// Removes a sequence with its state.
     pub fn remove(&mut self, entry: usize, id: job::Id) -> Option<Sequence> {
         let matches = |held: &Sequence| held.entry == entry && held.id == id;
         if let Some(at) = self.running.iter().position(matches) {
@@ -157,7 +157,7 @@
         self.waiting.remove(at)
     }
 
-    /// Everything it held; the cache is lost.
+    /// Crashes the engine and returns the sequences it held.
     pub fn crash(&mut self) -> Vec<Sequence> {
         self.health = Health::Dead;
         self.cache.clear();
@@ -166,14 +166,14 @@
         lost
     }
 
-    /// Whether it holds a request that crashes it once it runs.
+    /// Returns whether a request is running that crashes the engine.
     pub fn holds_killer(&self) -> bool {
         self.running
             .iter()
             .any(|held| self.killers.contains(&held.fingerprint))
     }
 
-    /// Begins a step; its length in microseconds, or none if there is nothing to do.
+    /// Begins a step and returns its duration in microseconds; none if there is nothing to do.
     pub fn begin(&mut self) -> Option<u64> {
         if matches!(self.health, Health::Frozen | Health::Dead) {
             return None;
@@ -204,7 +204,7 @@
         })
     }
 
-    /// Ends the step begun last.
+    /// Ends the current step.
     pub fn finish(&mut self) -> Vec<Output> {
         self.stepping = false;
         let mut outputs = Vec::new();
@@ -234,12 +234,12 @@
         outputs
     }
 
-    /// Sequences running and waiting.
+    /// Returns the numbers of running and waiting sequences.
     pub fn load(&self) -> (usize, usize) {
         (self.running.len(), self.waiting.len())
     }
 
-    /// Moves waiting sequences into free slots; a cached prefix needs no computing.
+    /// Moves waiting sequences into free slots; a cached prefix isn't computed again.
     fn fill(&mut self) {
         while self.running.len() < self.shape.slots {
             let Some(mut next) = self.waiting.pop_front() else {
@@ -255,7 +255,7 @@
         }
     }
 
-    /// What became of the cache since the last call.
+    /// Returns the cache events since the last call.
     pub fn take_events(&mut self) -> Vec<CacheEvent> {
         std::mem::take(&mut self.events)
     }
@@ -269,7 +269,7 @@
         });
     }
 
-    /// Notes a prefix as used just now and drops the oldest beyond the cache's size.
+    /// Marks a prefix as most recently used and evicts the oldest beyond the cache's capacity.
     fn remember(&mut self, prefix: u64, shared: u32) {
         let held = self.cache.len();
         self.cache.retain(|(held, _)| *held != prefix);
--- a/crates/policy/tests/support/load.rs
+++ b/crates/policy/tests/support/load.rs
@@ -1,4 +1,4 @@
-//! Load patterns as data: who sends what, how the fleet is built and what goes wrong when.
+//! Data of a load pattern: accounts and their requests, the fleet, and scheduled faults.
 
 use policy::account;
 use rand::RngExt;
@@ -8,39 +8,39 @@
 use super::engine::Health;
 use super::engine::Shape;
 
-/// One client account and what it sends.
+/// One client account and its requests.
 #[derive(Clone, Debug)]
 pub struct Profile {
     /// Weight, priority and limits.
     pub spec: account::Spec,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Mean prompt length; spread evenly from half to one and a half of it.
+    /// Mean prompt length; uniform from half to one and a half of it.
     pub prompt: u32,
     /// Part of the prompt that requests with one prefix share.
     pub shared: u32,
-    /// How many prefixes it uses, the first ones more often.
+    /// Number of prefixes; the first ones are used more often.
     pub prefixes: u64,
-    /// Mean output length; spread evenly from half to one and a half of it.
+    /// Mean output length; uniform from half to one and a half of it.
     pub output: u32,
-    /// Target for the first token, milliseconds.
+    /// Target for the time to first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Target between tokens, milliseconds.
+    /// Target for the time between tokens, in milliseconds.
     pub token_gap_ms: u64,
     /// Whether its requests may run twice.
     pub idempotent: bool,
-    /// From, to (milliseconds) and factor of its rate.
+    /// Start, end (in milliseconds) and factor of changes of its rate.
     pub surges: Vec<(u64, u64, f64)>,
-    /// Sends everything through this entry.
+    /// Entry through which all its requests are sent; none for random entries.
     pub entry: Option<usize>,
-    /// Sends all requests with one prefix.
+    /// Whether all its requests have the same prefix.
     pub hot_key: bool,
-    /// Whether callers come back after a refusal.
+    /// Whether its callers retry after a refusal.
     pub persistent: bool,
 }
 
 impl Profile {
-    /// An ordinary account: short questions with a shared beginning.
+    /// An ordinary account: short prompts with a shared prefix.
     pub fn new(name: &str, weight: u32, rate: f64) -> Profile {
         Profile {
             spec: account::Spec {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The same with long archive bundles.
+    /// The same account with long prompts.
     pub fn long(mut self) -> Profile {
         self.prompt = 12_000;
         self.shared = 2_000;
@@ -74,13 +74,13 @@
         self
     }
 
-    /// The same at another rate in a stretch of time.
+    /// The same account with another rate for a while.
     pub fn surge(mut self, from_ms: u64, to_ms: u64, factor: f64) -> Profile {
         self.surges.push((from_ms, to_ms, factor));
         self
     }
 
-    /// The same with another priority.
+    /// The same account with another priority.
     pub fn priority(mut self, priority: u8) -> Profile {
         self.spec.priority = priority;
         self
@@ -95,74 +95,74 @@
     }
 }
 
-/// What goes wrong.
+/// A scheduled fault.
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// The replica's health changes.
     Health(usize, Health),
     /// The replica's process dies.
     Kill(usize),
-    /// A fresh incarnation takes the replica's place.
+    /// A new incarnation takes the replica's place.
     Restart(usize),
-    /// All replicas of the zone get notice and are gone that many milliseconds later.
+    /// All replicas of the zone get a notice and are gone that many milliseconds later.
     ReclaimZone(usize, u64),
     /// All replicas of the zone die without notice.
     LoseZone(usize),
-    /// A fresh incarnation for each dead replica of the zone.
+    /// A new incarnation takes the place of each dead replica of the zone.
     ReturnZone(usize),
 }
 
-/// How load reports travel.
+/// Timing and loss of reports.
 #[derive(Clone, Copy, Debug)]
 pub struct Reports {
-    /// Milliseconds between two of them.
+    /// Milliseconds between two reports.
     pub period_ms: u64,
-    /// Milliseconds until one arrives.
+    /// Milliseconds until a report arrives.
     pub lag_ms: u64,
-    /// Share that is lost.
+    /// Share of reports that are lost.
     pub loss: f64,
 }
 
-/// A request that kills the engine that runs it.
+/// A request that crashes the engine that runs it.
 #[derive(Clone, Copy, Debug)]
 pub struct Killer {
-    /// First sent when.
+    /// When it is first sent, in milliseconds.
     pub at_ms: u64,
-    /// Through which entry.
+    /// Entry through which it is sent.
     pub entry: usize,
 }
 
 /// One load pattern.
 #[derive(Clone, Debug)]
 pub struct Pattern {
-    /// Its name in the table.
+    /// Name in the table.
     pub name: &'static str,
-    /// Who sends.
+    /// Client accounts.
     pub profiles: Vec<Profile>,
-    /// For how long.
+    /// Duration of the load.
     pub seconds: u64,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
     /// Replicas, spread over the zones in turn.
     pub replicas: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// What an engine can do.
+    /// Capacity and speed of the engines.
     pub shape: Shape,
     /// Load reports.
     pub reports: Reports,
-    /// Cache events; none unless a pattern asks for them.
+    /// Cache events; none by default.
     pub cache_events: Option<Reports>,
-    /// What goes wrong, at which millisecond.
+    /// Faults and their times in milliseconds.
     pub faults: Vec<(u64, Fault)>,
-    /// One killer request, sent again through each entry.
+    /// Submissions of one killer request.
     pub killers: Vec<Killer>,
     /// Milliseconds until a killed replica is back; none for never.
     pub restart_ms: Option<u64>,
 }
 
 impl Pattern {
-    /// Both users' model pool: 9 replicas in three zones, 8 entries.
+    /// A model pool of 9 replicas in three zones, with 8 entries.
     pub fn new(name: &'static str, profiles: Vec<Profile>) -> Pattern {
         Pattern {
             name,
@@ -184,13 +184,13 @@
         }
     }
 
-    /// The same with a fault.
+    /// Adds a fault.
     pub fn fault(mut self, at_ms: u64, fault: Fault) -> Pattern {
         self.faults.push((at_ms, fault));
         self
     }
 
-    /// The same, all rates multiplied.
+    /// Multiplies all rates.
     pub fn scaled(mut self, factor: f64) -> Pattern {
         for profile in &mut self.profiles {
             profile.rate *= factor;
@@ -198,7 +198,7 @@
         self
     }
 
-    /// All requests of the run in order of time; the same for every policy.
+    /// Returns all requests of the run, ordered by time; equal for every policy.
     pub fn arrivals(&self, seed: u64) -> Vec<Arrival> {
         let mut arrivals = Vec::new();
         for (index, profile) in self.profiles.iter().enumerate() {
@@ -219,7 +219,8 @@
         random: &mut Pcg64,
         arrivals: &mut Vec<Arrival>,
     ) {
-        // Thinning: draw at the highest rate, keep each with the share of the rate then in force.
+        // Thinning: draw at the peak rate, and keep each arrival with the probability of the
+        // current rate.
         let highest = profile
             .surges
             .iter()
@@ -263,37 +264,37 @@
     }
 }
 
-/// One request that a caller wants answered.
+/// A request to be answered.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When it is first sent.
+    /// When it is first sent, in milliseconds.
     pub at_ms: u64,
     /// Index of its account's profile.
     pub account: usize,
-    /// Through which entry.
+    /// Entry through which it is sent first.
     pub entry: usize,
     /// Prompt tokens.
     pub prompt: u32,
-    /// Of them shared.
+    /// Prompt tokens covered by the prefix.
     pub shared: u32,
-    /// Hash of the shared part.
+    /// Hash of the prefix.
     pub prefix: u64,
-    /// Output tokens of the whole answer.
+    /// Output tokens of the complete answer.
     pub output: u32,
-    /// Most tokens that the caller asks for.
+    /// Maximum number of output tokens that the caller asks for.
     pub max_new: u32,
     /// Content hash.
     pub fingerprint: u64,
-    /// Whether it crashes what runs it.
+    /// Whether it crashes the engine that runs it.
     pub killer: bool,
 }
 
-/// Evenly from half to one and a half of the mean.
+/// Returns a uniform random number from half to one and a half of the mean.
 fn spread(mean: u32, random: &mut Pcg64) -> u32 {
     (f64::from(mean) * random.random_range(0.5..1.5)).max(1.0) as u32
 }
 
-/// Every killer has the same content.
+/// Returns the arrival of a killer; all killers have the same content.
 fn killer_arrival(killer: &Killer, profile: &Profile) -> Arrival {
     Arrival {
         at_ms: killer.at_ms,
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,9 +1,10 @@
-//! Small fakes around the schedulers: replicas, callers and the news between entries, in virtual time.
+//! Simulation of replicas, callers and digests between entries around the schedulers, in virtual
+//! time.
 //!
-//! One [`world::World`] holds some entries (each with its own [`policy::Policy`]), the replicas that
-//! they share and the callers. Everything follows from the seed.
+//! A [`world::World`] has several entries (each with its own [`policy::Policy`]), the replicas that
+//! they share and the callers. Everything is deterministic for a seed.
 
-// Each test and the bench uses its own part of the module.
+// Each test and bench uses only part of the module.
 #![allow(dead_code)]
 
 pub mod baseline;
--- a/crates/policy/tests/support/patterns.rs
+++ b/crates/policy/tests/support/patterns.rs
@@ -1,7 +1,7 @@
-//! The load patterns of the table and the tests, at both users' sizes.
+//! Load patterns of the benchmarks and tests, for the pools of nine and of three replicas.
 //!
-//! [`CAPACITY`] is where goodput of this mix stops rising: on 9 replicas of the default shape every
-//! policy meets all targets at 48 requests a second, none gets beyond 54.
+//! [`CAPACITY`] is where the goodput of this mix stops rising: on 9 replicas of the default shape
+//! every policy meets all targets at 48 requests per second, and none exceeds 54.
 
 use super::engine::Health;
 use super::engine::Shape;
@@ -11,10 +11,10 @@
 use super::load::Profile;
 use super::load::Reports;
 
-/// Requests a second of [`accounts`] that 9 replicas carry.
+/// Requests per second of [`accounts`] that 9 replicas carry.
 pub const CAPACITY: f64 = 52.0;
 
-/// Two large and three small accounts at that share of capacity.
+/// Returns two large and three small accounts with a total load relative to capacity.
 pub fn accounts(load: f64) -> Vec<Profile> {
     let rate = load * CAPACITY;
     vec![
@@ -26,7 +26,7 @@
     ]
 }
 
-/// All patterns in the order of the table.
+/// Returns all patterns in the order of the table.
 pub fn all() -> Vec<Pattern> {
     vec![
         steady(),
@@ -70,26 +70,26 @@
     pattern
 }
 
-/// Most of capacity, nothing wrong.
+/// 80% of capacity without faults.
 pub fn steady() -> Pattern {
     Pattern::new("steady-0.8", accounts(0.8))
 }
 
-/// Three times the load for five seconds.
+/// Four times the load for five seconds.
 pub fn burst() -> Pattern {
     let surge = |profile: Profile| profile.surge(10_000, 15_000, 4.0);
     let profiles = accounts(0.6).into_iter().map(surge).collect();
     Pattern::new("burst", profiles)
 }
 
-/// One small account sends 40 times its rate from 5 s on, twice what the fleet can carry alone.
+/// One small account sends 40 times its rate from 5 s on, twice what the fleet can carry.
 pub fn hot_caller() -> Pattern {
     let mut profiles = accounts(0.5);
     profiles[2] = profiles[2].clone().surge(5_000, 30_000, 40.0);
     Pattern::new("hot-caller", profiles)
 }
 
-/// The same without the hot account: what an innocent account gets alone.
+/// The same without the hot account, to compare the other accounts with.
 pub fn without_hot_caller() -> Pattern {
     let mut profiles = accounts(0.5);
     profiles[2].rate = 0.0;
@@ -108,26 +108,26 @@
     Pattern::new("hot-key", profiles)
 }
 
-/// One replica goes bad at 5 s and is well again at 20 s.
+/// One replica becomes unhealthy at 5 s and recovers at 20 s.
 pub fn slow_replica(health: Health, name: &'static str) -> Pattern {
     Pattern::new(name, accounts(0.7))
         .fault(5_000, Fault::Health(4, health))
         .fault(20_000, Fault::Health(4, Health::Well))
 }
 
-/// Archive bundles among captions.
+/// Prompts of 12,000 tokens among short ones.
 pub fn long_among_short() -> Pattern {
     let mut profiles = accounts(0.45);
     profiles[1] = Profile::new("bundles", 4, 2.6).long();
     Pattern::new("long-among-short", profiles)
 }
 
-/// More than the fleet can carry, for the whole run.
+/// More load than the fleet can carry, for the whole run.
 pub fn overload(name: &'static str, factor: f64) -> Pattern {
     Pattern::new(name, accounts(factor))
 }
 
-/// Overload, in which three accounts may wait longer for better times than the others.
+/// Overload by accounts of three priorities.
 pub fn priorities() -> Pattern {
     let mut profiles = accounts(2.0);
     profiles[1] = profiles[1].clone().priority(5);
@@ -136,7 +136,7 @@
     Pattern::new("priorities-2", profiles)
 }
 
-/// A zone gets three seconds' notice while long answers are being written, and comes back later.
+/// A zone is reclaimed with three seconds' notice during long answers, and comes back later.
 pub fn zone_reclaim() -> Pattern {
     let mut profiles = accounts(0.17);
     for profile in &mut profiles {
@@ -148,7 +148,7 @@
     pattern
 }
 
-/// A zone's replicas come back with empty caches while the others are full of long prefixes.
+/// A zone's replicas come back with empty caches while the others have long prefixes cached.
 pub fn cold_return() -> Pattern {
     let mut profiles = accounts(0.55);
     for profile in &mut profiles {
@@ -161,7 +161,7 @@
     pattern
 }
 
-/// Callers were promised a gap between tokens that a full batch doesn't keep.
+/// Targets for the token gap that a full batch doesn't meet.
 pub fn tight_gap() -> Pattern {
     let mut profiles = accounts(1.5);
     for profile in &mut profiles {
@@ -177,7 +177,7 @@
     pattern
 }
 
-/// Everything is gone for five seconds; every caller comes back.
+/// All replicas are lost for five seconds.
 pub fn outage() -> Pattern {
     let mut pattern = Pattern::new("outage", accounts(0.7));
     pattern.restart_ms = Some(5_000);
@@ -198,7 +198,7 @@
     pattern
 }
 
-/// One request that kills what runs it, sent again through each entry in turn.
+/// One request that crashes its replica, resent through each entry in turn.
 pub fn killer() -> Pattern {
     let mut pattern = Pattern::new("killer", accounts(0.5));
     pattern.killers = (0..8)
@@ -219,7 +219,7 @@
         .fault(20_000, Fault::Health(4, Health::Well))
 }
 
-/// A zone's reclaim while one account floods.
+/// A zone is reclaimed while one account floods the entries.
 pub fn reclaim_and_hot_caller() -> Pattern {
     let mut pattern = hot_caller();
     pattern.name = "reclaim+hot";
@@ -227,11 +227,11 @@
     pattern.fault(10_000, Fault::ReclaimZone(1, 5_000))
 }
 
-/// The plain pool of 3 replicas at twice its capacity: short calls, answered in one piece.
+/// A pool of 3 plain replicas at twice its capacity: short calls, answered in one piece.
 pub fn plain_overload() -> Pattern {
     let mut profiles = accounts(1.0);
     for profile in &mut profiles {
-        // A call occupies its server for 20 to 60 ms on its own.
+        // A call alone occupies its server for 20 to 60 ms.
         profile.prompt = 400;
         profile.shared = 0;
         profile.output = 1;
@@ -249,7 +249,7 @@
     pattern
 }
 
-/// One account has limits on tokens and open requests, and sends three times as much.
+/// One account has limits on tokens and open requests, and exceeds them threefold.
 pub fn limited() -> Pattern {
     let mut profiles = accounts(0.6);
     profiles[0].spec.tokens_per_second = 5_000;
@@ -258,7 +258,7 @@
     Pattern::new("limited", profiles)
 }
 
-/// The same with a third of the load on 3 replicas, one a zone: both users' smaller pool.
+/// The same pattern with a third of the load on 3 replicas, one per zone.
 pub fn small(pattern: &Pattern) -> Pattern {
     let mut pattern = pattern.clone().scaled(1.0 / 3.0);
     pattern.replicas = 3;
--- a/crates/policy/tests/support/policy.rs
+++ b/crates/policy/tests/support/policy.rs
@@ -1,4 +1,4 @@
-//! What the fakes ask of a policy, and the scheduler under test in that form.
+//! Interface of the simulation to a policy, and its implementation by the scheduler.
 
 use clock::Time;
 use policy::account;
@@ -10,35 +10,35 @@
 
 use crate::support::engine::CacheEvent;
 
-/// One entry's decisions.
+/// Decisions of one entry.
 pub trait Policy {
     /// Adds an account.
     fn set_account(&mut self, key: account::Key, spec: account::Spec);
     /// Adds a replica.
     fn joined(&mut self, now: Time, spec: replica::Spec, out: &mut Vec<Decision>) -> replica::Key;
-    /// A load report came.
+    /// Handles a load report.
     fn reported(&mut self, now: Time, key: replica::Key, report: replica::Report);
-    /// A cache event came; a plain balancer has no use for it.
+    /// Handles a cache event; baselines ignore it.
     fn cached(&mut self, _: Time, _: replica::Key, _: &CacheEvent) {}
-    /// A replica got its notice.
+    /// Handles the notice of a replica.
     fn leaving(&mut self, now: Time, key: replica::Key, deadline: Time, out: &mut Vec<Decision>);
-    /// A replica is gone.
+    /// Removes a lost replica.
     fn lost(&mut self, now: Time, key: replica::Key);
-    /// A request came.
+    /// Handles a new request.
     fn offer(&mut self, now: Time, job: Job, out: &mut Vec<Decision>);
-    /// Its first token came.
+    /// Handles the first token of a request.
     fn first_token(&mut self, now: Time, id: job::Id);
-    /// More tokens came.
+    /// Handles further tokens.
     fn progressed(&mut self, now: Time, id: job::Id, tokens: u32);
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     fn ended(&mut self, now: Time, id: job::Id, end: job::End, made: u32, out: &mut Vec<Decision>);
-    /// The caller went away.
+    /// Cancels a request whose caller is gone.
     fn cancel(&mut self, now: Time, id: job::Id, out: &mut Vec<Decision>);
-    /// Time passed.
+    /// Handles due timers.
     fn poll(&mut self, now: Time, out: &mut Vec<Decision>);
-    /// When to poll next.
+    /// Returns when to poll next.
     fn next_wake(&self) -> Option<Time>;
-    /// The scheduler under test, if this is one, for news between entries.
+    /// Returns the scheduler, if this is one, to exchange digests between entries.
     fn scheduler(&mut self) -> Option<&mut Scheduler> {
         None
     }
--- a/crates/policy/tests/support/tally.rs
+++ b/crates/policy/tests/support/tally.rs
@@ -1,71 +1,71 @@
-//! What the callers received, counted.
+//! Results of a simulation, as seen by the callers.
 
 use std::collections::BTreeMap;
 
-/// What became of one request, over all its comings back.
+/// Result of one request over all its submissions.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Index of the account's profile.
     pub account: usize,
-    /// Whether the whole answer came.
+    /// Whether the complete answer was received.
     pub answered: bool,
-    /// Whether it came within both targets, counted from the sending that was answered.
+    /// Whether it met both targets, counted from the submission that was answered.
     pub in_target: bool,
-    /// Milliseconds from that sending to the first token.
+    /// Milliseconds from that submission to the first token.
     pub first_token_ms: Option<u64>,
-    /// Times it was sent.
+    /// Number of submissions.
     pub sends: u32,
-    /// Refusals within 100 ms of the sending.
+    /// Refusals within 100 ms of the submission.
     pub refused_at_once: u32,
     /// Refusals later than that.
     pub refused_late: u32,
-    /// Refusals more than 100 ms after an idle engine could not have met the target any more.
+    /// Refusals more than 100 ms after even an idle engine could no longer meet the target.
     pub refused_after_certain: u32,
-    /// Refusals without a time to come back.
+    /// Refusals without a time to retry.
     pub refused_for_good: u32,
-    /// Times the caller lost patience.
+    /// Times that the caller gave up waiting.
     pub given_up: u32,
-    /// Prompt and output tokens it asks for, output weighted.
+    /// Prompt tokens plus weighted output tokens.
     pub cost: f64,
 }
 
-/// One run's figures.
+/// Results of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Each request.
+    /// Results by request.
     pub outcomes: Vec<Outcome>,
     /// Weight of each account.
     pub weights: Vec<f64>,
-    /// Seconds of load.
+    /// Duration of the load in seconds.
     pub seconds: f64,
     /// Seconds of live replicas in that time.
     pub replica_seconds: f64,
-    /// Tokens computed in all.
+    /// Tokens computed in total.
     pub computed: u64,
-    /// Tokens computed for sendings that were given up or refused.
+    /// Tokens computed for submissions that were given up or refused.
     pub useless: u64,
-    /// Tokens computed once more after a move or a crash.
+    /// Tokens recomputed after a move or a crash.
     pub recomputed: u64,
-    /// Replicas that died of a killer request.
+    /// Replicas crashed by a killer request.
     pub killed: u32,
-    /// Refusals that said "not run" of something handed on.
+    /// Refusals with the verdict "not run" for requests that were handed to an engine.
     pub false_not_run: u32,
     /// Non-idempotent requests that ran twice.
     pub doubled: u32,
-    /// Sendings without any end.
+    /// Submissions that never got an answer or a refusal.
     pub forgotten: u32,
-    /// Most requests of each account open at once, over all entries.
+    /// Maximum number of open requests of each account, over all entries.
     pub most_open: BTreeMap<usize, u32>,
 }
 
 impl Tally {
-    /// Requests of one account, or of all.
+    /// Returns the requests of one account, or of all.
     pub fn of(&self, account: Option<usize>) -> impl Iterator<Item = &Outcome> {
         let wanted = move |outcome: &&Outcome| account.is_none_or(|key| key == outcome.account);
         self.outcomes.iter().filter(wanted)
     }
 
-    /// Share of requests answered within target.
+    /// Returns the share of requests answered within target.
     pub fn share(&self, account: Option<usize>) -> f64 {
         let all = self.of(account).count();
         let good = self.of(account).filter(|outcome| outcome.in_target).count();
@@ -76,18 +76,18 @@
         }
     }
 
-    /// The worst account's share within target.
+    /// Returns the lowest share within target of any account.
     pub fn worst_share(&self) -> f64 {
         let shares = (0..self.weights.len()).map(|account| self.share(Some(account)));
         shares.fold(1.0, f64::min)
     }
 
-    /// Answers within target a second.
+    /// Returns the answers within target per second.
     pub fn goodput(&self) -> f64 {
         self.of(None).filter(|outcome| outcome.in_target).count() as f64 / self.seconds
     }
 
-    /// Time to the first token that this share of the answers did not exceed.
+    /// Returns the quantile of the time to first token, in milliseconds.
     pub fn first_token(&self, quantile: f64) -> f64 {
         let mut times: Vec<u64> = self
             .of(None)
@@ -100,22 +100,23 @@
             .map_or(f64::NAN, |ms| *ms as f64)
     }
 
-    /// A sum over all requests.
+    /// Returns a sum over all requests.
     pub fn sum(&self, count: impl Fn(&Outcome) -> u32) -> f64 {
         self.of(None).map(|outcome| f64::from(count(outcome))).sum()
     }
 
-    /// Replica-seconds for each answer within target.
+    /// Returns the replica-seconds per answer within target.
     pub fn cost(&self) -> f64 {
         self.replica_seconds / (self.goodput() * self.seconds)
     }
 
-    /// Share of the computed tokens that nobody got.
+    /// Returns the share of computed tokens that no caller received.
     pub fn useless_share(&self) -> f64 {
         self.useless as f64 / (self.computed as f64).max(1.0)
     }
 
-    /// Jain's index over what each account got against its weighted max-min share of all work done.
+    /// Returns Jain's fairness index of the work served to each account relative to its weighted
+    /// max-min share of all work done.
     pub fn jain(&self) -> f64 {
         let accounts = self.weights.len();
         let mut demand = vec![0.0; accounts];
@@ -143,7 +144,7 @@
     }
 }
 
-/// Divides `total` by weight, nobody getting more than its demand.
+/// Divides `total` by weight without giving any account more than its demand.
 fn max_min(demand: &[f64], weights: &[f64], total: f64) -> Vec<f64> {
     let mut given = vec![0.0; demand.len()];
     let mut left = total;
--- a/crates/policy/tests/support/world/attempts.rs
+++ b/crates/policy/tests/support/world/attempts.rs
@@ -1,4 +1,4 @@
-//! Carries decisions out on the engines and tells the entries what came of it.
+//! Executes decisions on the engines and reports the results to the entries.
 
 use policy::decision::Decision;
 use policy::decision::Transfer;
@@ -13,10 +13,11 @@
 use crate::support::world::Send;
 use crate::support::world::World;
 
-/// A caller gives a stream up that stands still this long.
+/// Time without a token after which a caller abandons a stream, in milliseconds.
 const STALL_MS: u64 = 10_000;
-/// KV export and import: this long, and one millisecond more for each so many tokens.
+/// Fixed time of a KV transfer, in milliseconds.
 const TRANSFER_MS: u64 = 50;
+/// Tokens that a KV transfer carries per millisecond.
 const TRANSFER_TOKENS_PER_MS: u64 = 23;
 
 impl World {
@@ -136,7 +137,7 @@
         });
     }
 
-    /// Keeps count of what was computed for an attempt that came to nothing.
+    /// Records the tokens computed for an attempt that was lost.
     pub(super) fn note_lost(&mut self, sequence: &Sequence) {
         if let Some(send) = self.sends.get_mut(&sequence.id) {
             send.spent += sequence.computed;
@@ -165,7 +166,7 @@
             self.kick(target);
             return;
         }
-        // One link a replica: transfers go one after the other.
+        // A replica has one link: transfers go one after the other.
         let takes = TRANSFER_MS + u64::from(computed) / TRANSFER_TOKENS_PER_MS;
         let begin = self
             .links
--- a/crates/policy/tests/support/world/callers.rs
+++ b/crates/policy/tests/support/world/callers.rs
@@ -1,4 +1,4 @@
-//! What callers do: send, read, come back, lose patience.
+//! Callers: they send requests, read answers, retry and give up.
 
 use clock::Span;
 use policy::account;
@@ -12,13 +12,13 @@
 use crate::support::world::Send;
 use crate::support::world::World;
 
-/// Most times that a caller sends one request.
+/// Maximum number of times that a caller sends one request.
 const SENDS: u32 = 4;
-/// A caller waits this many targets for the first token.
+/// Time that a caller waits for the first token, in multiples of its target.
 const PATIENCE_TARGETS: u64 = 4;
-/// A caller gives a stream up that stands still this long.
+/// Time without a token after which a caller abandons a stream, in milliseconds.
 const STALL_MS: u64 = 10_000;
-/// A refusal within this time of the sending counts as at once.
+/// Time after the submission within which a refusal counts as immediate, in milliseconds.
 const AT_ONCE_MS: u64 = 100;
 
 impl World {
@@ -96,7 +96,7 @@
         let arrival = &self.arrivals[send.request];
         let profile = &self.pattern.profiles[arrival.account];
         let shape = &self.pattern.shape;
-        // An engine that holds the shared prefix computes the rest alone.
+        // An engine that holds the shared prefix computes only the rest.
         let own = u64::from(arrival.prompt - arrival.shared);
         let ideal = (own * shape.prompt_token_us + shape.step_us) / 1_000;
         let waited = self.now_ms - send.sent;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The caller sends again, unless the load is over by then.
+    /// Sends the request again after a delay, unless the load is over by then.
     pub(super) fn come_back(&mut self, after_ms: u64, request: usize) {
         if self.now_ms + after_ms < self.pattern.seconds * 1_000 {
             self.after(after_ms, Event::Send(request));
--- a/crates/policy/tests/support/world/fleet.rs
+++ b/crates/policy/tests/support/world/fleet.rs
@@ -1,4 +1,4 @@
-//! Replicas: reports, faults, comings and goings.
+//! Replicas: load reports, cache events, faults, joining and leaving.
 
 use clock::Span;
 use clock::Time;
@@ -48,7 +48,7 @@
         self.with(entry, |policy, now, _| policy.reported(now, key, report));
     }
 
-    /// Every entry gets what became of the caches, but for what is lost on the way.
+    /// Sends the cache events to every entry, except those lost in transit.
     pub(super) fn sample_caches(&mut self) {
         let Some(way) = self.pattern.cache_events else {
             return;
--- a/crates/policy/tests/support/world/mod.rs
+++ b/crates/policy/tests/support/world/mod.rs
@@ -1,4 +1,4 @@
-//! Runs one pattern under one policy in virtual time.
+//! Simulates one load pattern under one policy in virtual time.
 
 mod attempts;
 mod callers;
@@ -28,14 +28,14 @@
 use crate::support::tally::Outcome;
 use crate::support::tally::Tally;
 
-/// How long after the last arrival the run goes on.
+/// How long the simulation continues after the last arrival, in milliseconds.
 const DRAIN_MS: u64 = 60_000;
-/// Entries exchange news this often.
+/// Interval between digests of an entry, in milliseconds.
 const EXCHANGE_MS: u64 = 500;
-/// Output tokens weigh so much against prompt tokens in an account's cost.
+/// Weight of an output token against a prompt token in a request's cost.
 const OUTPUT_WEIGHT: f64 = 12.0;
 
-/// Something that happens.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 enum Event {
     Send(usize),
@@ -55,7 +55,7 @@
     Arrive(usize, usize, usize, Box<Sequence>),
 }
 
-/// One sending as its caller sees it.
+/// One submission of a request by its caller.
 #[derive(Debug)]
 struct Send {
     request: usize,
@@ -69,7 +69,7 @@
     replica: Option<usize>,
 }
 
-/// The whole setting.
+/// State of the simulation.
 pub struct World {
     pattern: Pattern,
     now_ms: u64,
@@ -79,7 +79,7 @@
     entries: Vec<Box<dyn Policy>>,
     wakes: Vec<Option<u64>>,
     engines: Vec<Engine>,
-    /// Which engine stands at each place of the fleet.
+    /// Engine at each place of the fleet.
     places: Vec<usize>,
     zones: Vec<usize>,
     live_since: Vec<Option<u64>>,
@@ -88,17 +88,18 @@
     arrivals: Vec<Arrival>,
     sends: BTreeMap<job::Id, Send>,
     ran: BTreeSet<usize>,
-    /// When the link of a leaving engine is free.
+    /// Time at which the link of a leaving engine becomes free, in milliseconds.
     links: BTreeMap<usize, u64>,
     open: Vec<u32>,
     random: Pcg64,
-    /// Draws for cache events alone: patterns without them draw the same with or without this.
+    /// Random numbers for cache events only, so that other draws are the same with and without
+    /// them.
     cache_random: Pcg64,
     tally: Tally,
 }
 
 impl World {
-    /// The pattern with one policy an entry.
+    /// Creates the simulation of a pattern, with a policy made for each entry.
     pub fn new(pattern: Pattern, seed: u64, make: &dyn Fn(u64) -> Box<dyn Policy>) -> World {
         let arrivals = pattern.arrivals(seed);
         let entries: Vec<Box<dyn Policy>> = (0..pattern.entries)
@@ -132,7 +133,7 @@
         world
     }
 
-    /// Runs to the end and counts.
+    /// Runs to the end and returns the results.
     pub fn run(mut self) -> Tally {
         let last = self.pattern.seconds * 1_000 + DRAIN_MS;
         while let Some(Reverse((at, key))) = self.events.pop() {
@@ -221,7 +222,7 @@
                 .any(|event| matches!(event, Event::Send(_)))
     }
 
-    /// Lets an entry act and carries its decisions out.
+    /// Calls an entry's policy and executes its decisions.
     fn with(&mut self, entry: usize, act: impl FnOnce(&mut dyn Policy, Time, &mut Vec<Decision>)) {
         let now = self.now();
         let mut out = Vec::new();
--- a/crates/policy/tests/support/world/news.rs
+++ b/crates/policy/tests/support/world/news.rs
@@ -1,17 +1,17 @@
-//! What entries tell each other.
+//! Digests that entries exchange.
 
 use policy::scheduler::Digest;
 
 use crate::support::world::Event;
 use crate::support::world::World;
 
-/// Entries exchange news this often.
+/// Interval between digests of an entry, in milliseconds.
 const EXCHANGE_MS: u64 = 500;
-/// News takes this long.
+/// Transit time of a digest, in milliseconds.
 const NEWS_MS: u64 = 5;
 
 impl World {
-    /// Every entry tells all others its news, which arrives a little later.
+    /// Sends every entry's digest to all others.
     pub(super) fn exchange(&mut self) {
         for from in 0..self.entries.len() {
             self.tell(from);
--- a/crates/policy/tests/warmup.rs
+++ b/crates/policy/tests/warmup.rs
@@ -1,12 +1,12 @@
-//! New replicas get work at a rising rate.
+//! Gradual load on new replicas.
 
 use clock::Time;
 use policy::configs::warmup::Config;
 use policy::replica::Key;
 use policy::warmup::Warmup;
 
-/// A replica joins a busy pool with an empty cache. As the idlest it would draw every request, each
-/// a full prefill, and all of them would be late.
+/// A replica joins a busy pool with an empty cache. As the least loaded it would attract every
+/// request, each a full prefill, and all of them would be late.
 #[test]
 fn new_replica_gets_its_part_step_by_step() {
     let config = Config::default();
@@ -28,8 +28,8 @@
     assert_eq!(last, 32);
 }
 
-/// After an outage all replicas are new. Held back like one newcomer they would serve a tenth of
-/// the callers who are all coming back.
+/// After an outage all replicas are new. Limited like a single new one, they would serve a tenth of
+/// the callers who retry.
 #[test]
 fn pool_of_new_replicas_is_not_held_back() {
     let mut warmup = Warmup::new(Config::default());
--- a/crates/policy/tests/wave.rs
+++ b/crates/policy/tests/wave.rs
@@ -1,4 +1,4 @@
-//! What becomes of running jobs in a reclaim wave.
+//! Planned actions for running jobs in a wave of reclaims.
 
 use clock::Span;
 use clock::Time;
@@ -56,9 +56,9 @@
     }
 }
 
-/// A replica with ten seconds left runs two archive bundles of 100,000 tokens and small jobs. The
-/// link carries two bundles in the notice; moved in order of arrival, the small ones would take the
-/// time and a bundle would be computed again.
+/// A replica with ten seconds left runs two jobs of 100,000 tokens and many small ones. The link
+/// carries two large jobs within the notice; in order of arrival the small ones would take that
+/// time, and a large job would be recomputed.
 #[test]
 fn bundles_go_before_captions() {
     let mut jobs: Vec<Running> = (0..40).map(|id| running(id, 500)).collect();
@@ -81,8 +81,8 @@
     assert!(rerun <= 20_000, "{rerun} tokens are computed again");
 }
 
-/// What ends in time stays where it is; a plain call can't be moved; a filing that mustn't run
-/// twice is moved first of all, and is never run again even if nothing can take it.
+/// A job that ends in time stays, a plain call can't be moved, and a job that must not run twice is
+/// moved first and never rerun, even if nothing can take it.
 #[test]
 fn each_job_gets_the_fate_it_can_bear() {
     let ending = Running {
@@ -121,8 +121,8 @@
     assert_eq!(fate(&full, 3), Action::Wait);
 }
 
-/// A zone goes at once: three replicas leave, six stay, and all moves together must not overfill
-/// any of them; the costliest jobs of the whole zone get the room there is.
+/// A zone is reclaimed: three replicas leave, six stay. All moves together must not overfill any of
+/// them, and the costliest jobs of the whole zone get the room there is.
 #[test]
 fn zone_shares_the_room_of_those_that_stay() {
     let mut jobs = Vec::new();
@@ -149,8 +149,8 @@
         ..Proptest::default()
     })]
 
-    /// Any wave: each job has one fate, targets take no more than they can, transfers of a link
-    /// don't overlap and end within its notice, and what mustn't run again isn't.
+    /// In any wave each job has one action, targets take no more than they can, transfers of a link
+    /// don't overlap and end within its notice, and jobs that must not be rerun aren't.
     #[test]
     fn plans_are_feasible(
         jobs in proptest::collection::vec((0_u32..3, 1_u32..80_000, 0_u64..40_000, any::<bool>()), 0..60),
@@ -191,8 +191,8 @@
         }
     }
 
-    /// On one link with room enough the plan saves at least four fifths of what the best of all
-    /// choices saves.
+    /// On one link with enough room at the target the plan saves at least four fifths of the
+    /// optimum.
     #[test]
     fn plan_is_near_the_best(sizes in proptest::collection::vec(1_000_u32..120_000, 1..12)) {
         let config = Config::default();
