--- a/crates/policy/benches/patterns/ablation.rs
+++ b/crates/policy/benches/patterns/ablation.rs
@@ -2,10 +2,10 @@
 
 use policy::configs::scheduler::Settings;
 
-use crate::support::contestant::Contestant;
 use crate::support::engine::Health;
 use crate::support::load::Pattern;
 use crate::support::patterns;
+use crate::support::variant::Variant;
 use crate::table;
 
 /// A module, its pattern, and how to turn the module off.
@@ -26,8 +26,12 @@
         let mut settings = Settings::default();
         (case.off)(&mut settings);
         let name = format!("{}, {}", case.module, case.pattern.name);
-        let on = table::runs(&Contestant::ours(), &case.pattern, seeds);
-        let off = table::runs(&Contestant::Ours(Box::new(settings)), &case.pattern, seeds);
+        let on = table::runs(&Variant::scheduler(), &case.pattern, seeds);
+        let off = table::runs(
+            &Variant::Scheduler(Box::new(settings)),
+            &case.pattern,
+            seeds,
+        );
         table::row(&name, "on", &on);
         table::row(&name, "off", &off);
     }
--- a/crates/policy/benches/patterns/goals.rs
+++ b/crates/policy/benches/patterns/goals.rs
@@ -1,9 +1,9 @@
 //! Goals that the table is compared with.
 
-use crate::support::contestant::Contestant;
 use crate::support::load::Pattern;
 use crate::support::patterns;
 use crate::support::tally::Tally;
+use crate::support::variant::Variant;
 use crate::table;
 use crate::table::Rows;
 
@@ -23,7 +23,7 @@
         .collect();
     let useless = ours
         .iter()
-        .map(|tally| tally.useless_share())
+        .map(|tally| tally.wasted_share())
         .fold(0.0, f64::max);
     line(
         "useless work, worst run of any pattern, at most 0.1",
@@ -38,7 +38,7 @@
     );
     let late: f64 = ours
         .iter()
-        .map(|tally| tally.sum(|one| one.refused_after_certain))
+        .map(|tally| tally.sum(|one| one.refused_after_infeasible))
         .sum();
     line(
         "refusals later than 100 ms after certainty, none",
@@ -47,7 +47,7 @@
     );
     let lost: u32 = ours
         .iter()
-        .map(|tally| tally.forgotten + tally.doubled)
+        .map(|tally| tally.unanswered + tally.duplicated)
         .sum();
     line(
         "requests forgotten or doubled, none",
@@ -96,7 +96,7 @@
 fn overload(rows: &Rows, seeds: u64) {
     let at = patterns::overload("capacity", 1.0);
     let goodput = |pattern: &Pattern| {
-        let tallies = table::runs(&Contestant::ours(), pattern, seeds);
+        let tallies = table::runs(&Variant::scheduler(), pattern, seeds);
         spread(&tallies, Tally::goodput).0
     };
     let (large, small) = (goodput(&at), goodput(&patterns::small(&at)));
--- a/crates/policy/benches/patterns/table.rs
+++ b/crates/policy/benches/patterns/table.rs
@@ -1,9 +1,9 @@
 //! Table of results by pattern and policy.
 
-use crate::support::contestant::Contestant;
 use crate::support::load::Pattern;
 use crate::support::patterns;
 use crate::support::tally::Tally;
+use crate::support::variant::Variant;
 
 /// One column of the table.
 pub struct Column {
@@ -24,24 +24,24 @@
     column("worst account", 3, Tally::worst_share),
     column(BY_ACCOUNT, 0, |_| 0.0),
     column("goodput/s", 1, Tally::goodput),
-    column("p50 ms", 0, |tally| tally.first_token(0.5)),
-    column("p95 ms", 0, |tally| tally.first_token(0.95)),
-    column("p99 ms", 0, |tally| tally.first_token(0.99)),
+    column("p50 ms", 0, |tally| tally.first_token_quantile(0.5)),
+    column("p95 ms", 0, |tally| tally.first_token_quantile(0.95)),
+    column("p99 ms", 0, |tally| tally.first_token_quantile(0.99)),
     column("refused at once", 0, |tally| {
-        tally.sum(|outcome| outcome.refused_at_once)
+        tally.sum(|outcome| outcome.refused_immediately)
     }),
     column("refused late", 0, |tally| {
         tally.sum(|outcome| outcome.refused_late)
     }),
     column("after certain", 0, |tally| {
-        tally.sum(|outcome| outcome.refused_after_certain)
+        tally.sum(|outcome| outcome.refused_after_infeasible)
     }),
     column("jain", 3, Tally::jain),
-    column("replica s/answer", 3, Tally::cost),
+    column("replica s/answer", 3, Tally::replica_seconds_per_answer),
     column("recomputed", 0, |tally| tally.recomputed as f64),
-    column("useless", 3, Tally::useless_share),
+    column("useless", 3, Tally::wasted_share),
     column("killed", 0, |tally| f64::from(tally.killed)),
-    column("forgotten", 0, |tally| f64::from(tally.forgotten)),
+    column("forgotten", 0, |tally| f64::from(tally.unanswered)),
     column("false verdicts", 0, |tally| f64::from(tally.false_not_run)),
 ];
 
@@ -75,7 +75,7 @@
         if !pattern.name.starts_with(wanted) {
             continue;
         }
-        for contestant in Contestant::all() {
+        for contestant in Variant::all() {
             let tallies = runs(&contestant, &pattern, seeds);
             row(pattern.name, contestant.name(), &tallies);
             rows.push(Row {
@@ -89,7 +89,7 @@
 }
 
 /// Runs a pattern once per seed.
-pub fn runs(contestant: &Contestant, pattern: &Pattern, seeds: u64) -> Vec<Tally> {
+pub fn runs(contestant: &Variant, pattern: &Pattern, seeds: u64) -> Vec<Tally> {
     (1..=seeds)
         .map(|seed| contestant.run(pattern, seed))
         .collect()
--- a/crates/policy/benches/routing/main.rs
+++ b/crates/policy/benches/routing/main.rs
@@ -10,12 +10,12 @@
 use clock::Span;
 use policy::configs::scheduler::Settings;
 
-use support::contestant::Contestant;
 use support::load::Fault;
 use support::load::Killer;
 use support::load::Pattern;
 use support::patterns;
 use support::tally::Tally;
+use support::variant::Variant;
 
 /// Runs of each pattern.
 const SEEDS: u64 = 10;
@@ -89,7 +89,7 @@
         println!(
             "{seconds:5} s  {:.3}  {:20.0}  {:.3}",
             mean(&|tally| tally.share(None)),
-            mean(&|tally| tally.first_token(0.99)),
+            mean(&|tally| tally.first_token_quantile(0.99)),
             after.iter().sum::<f64>() / after.len() as f64,
         );
     }
@@ -116,7 +116,7 @@
 }
 
 fn run(settings: Settings, pattern: &Pattern, seeds: u64) -> Vec<Tally> {
-    let ours = Contestant::Ours(Box::new(settings));
+    let ours = Variant::Scheduler(Box::new(settings));
     (1..=seeds).map(|seed| ours.run(pattern, seed)).collect()
 }
 
--- a/crates/policy/tests/burst.rs
+++ b/crates/policy/tests/burst.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use support::contestant::Contestant;
 use support::patterns;
+use support::variant::Variant;
 
 /// At 10 s every account sends four times as much for five seconds. In order of arrival all
 /// requests wait behind the queue that builds up, and two of three answers miss their target until
@@ -11,19 +11,19 @@
 #[test]
 fn most_of_a_burst_is_answered_in_time() {
     for seed in 1..=2 {
-        let ours = Contestant::ours().run(&patterns::burst(), seed);
-        let plain = Contestant::fewest().run(&patterns::burst(), seed);
+        let ours = Variant::scheduler().run(&patterns::burst(), seed);
+        let plain = Variant::least_outstanding().run(&patterns::burst(), seed);
         assert!(ours.share(None) > 0.9, "seed {seed}: {}", ours.share(None));
         assert!(ours.share(None) > plain.share(None) + 0.3);
-        assert_eq!(ours.forgotten, 0);
-        assert_eq!(ours.useless, 0);
+        assert_eq!(ours.unanswered, 0);
+        assert_eq!(ours.wasted, 0);
     }
 }
 
 /// The same burst while one replica is six times slower than the others.
 #[test]
 fn a_slow_replica_costs_a_burst_little_more() {
-    let both = Contestant::ours().run(&patterns::burst_and_slow(), 1);
+    let both = Variant::scheduler().run(&patterns::burst_and_slow(), 1);
     assert!(both.share(None) > 0.8, "{}", both.share(None));
 }
 
@@ -31,6 +31,6 @@
 #[test]
 fn a_small_pool_comes_through_as_well() {
     let pattern = patterns::small(&patterns::burst());
-    let ours = Contestant::ours().run(&pattern, 1);
+    let ours = Variant::scheduler().run(&pattern, 1);
     assert!(ours.share(None) > 0.85, "{}", ours.share(None));
 }
--- a/crates/policy/tests/hot_caller.rs
+++ b/crates/policy/tests/hot_caller.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use support::contestant::Contestant;
 use support::patterns;
+use support::variant::Variant;
 
 /// From 5 s on one small account sends 40 times its rate, twice what the fleet carries. In order of
 /// arrival every other account's requests wait behind the flood, and hardly any is answered in
@@ -12,9 +12,9 @@
 fn the_others_are_served_as_if_they_were_alone() {
     let (flooded, alone) = (patterns::hot_caller(), patterns::without_hot_caller());
     for seed in 1..=2 {
-        let ours = Contestant::ours().run(&flooded, seed);
-        let quiet = Contestant::ours().run(&alone, seed);
-        let plain = Contestant::fewest().run(&flooded, seed);
+        let ours = Variant::scheduler().run(&flooded, seed);
+        let quiet = Variant::scheduler().run(&alone, seed);
+        let plain = Variant::least_outstanding().run(&flooded, seed);
         for account in [0, 1, 3, 4] {
             let share = ours.share(Some(account));
             // A run has some 70 requests of each small account: two of them are 3 points.
@@ -35,7 +35,7 @@
 /// The flood goes on while a zone is reclaimed.
 #[test]
 fn the_others_come_through_a_reclaim_as_well() {
-    let ours = Contestant::ours().run(&patterns::reclaim_and_hot_caller(), 1);
+    let ours = Variant::scheduler().run(&patterns::reclaim_and_hot_caller(), 1);
     for account in [0, 1, 3, 4] {
         let share = ours.share(Some(account));
         assert!(share > 0.9, "{account}: {share}");
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use support::contestant::Contestant;
 use support::patterns;
 use support::patterns::CAPACITY;
+use support::variant::Variant;
 
 /// Callers send 1.2, 2 and 5 times what the fleet carries. In order of arrival every answer misses
 /// its target, and most of the work is for callers who have gone.
@@ -12,17 +12,17 @@
 fn goodput_holds_at_any_overload() {
     for (name, factor) in [("1.2", 1.2), ("2", 2.0), ("5", 5.0)] {
         let pattern = patterns::overload(name, factor);
-        let ours = Contestant::ours().run(&pattern, 1);
+        let ours = Variant::scheduler().run(&pattern, 1);
         assert!(
             ours.goodput() > 0.9 * CAPACITY,
             "{name}: {}",
             ours.goodput()
         );
-        assert!(ours.useless_share() < 0.1);
+        assert!(ours.wasted_share() < 0.1);
         assert!(ours.jain() > 0.98, "{name}: {}", ours.jain());
-        assert_eq!(ours.forgotten, 0);
+        assert_eq!(ours.unanswered, 0);
         assert_eq!(ours.false_not_run, 0);
-        let small = Contestant::ours().run(&patterns::small(&pattern), 1);
+        let small = Variant::scheduler().run(&patterns::small(&pattern), 1);
         assert!(
             small.goodput() > 0.3 * CAPACITY,
             "{name}, 3 replicas: {}",
@@ -35,15 +35,15 @@
 /// an idle replica could no longer have answered in time, and mostly on arrival.
 #[test]
 fn refusals_come_at_once() {
-    let ours = Contestant::ours().run(&patterns::overload("2", 2.0), 1);
-    assert_eq!(ours.sum(|outcome| outcome.refused_after_certain), 0.0);
+    let ours = Variant::scheduler().run(&patterns::overload("2", 2.0), 1);
+    assert_eq!(ours.sum(|outcome| outcome.refused_after_infeasible), 0.0);
     let (at_once, late) = (
-        ours.sum(|outcome| outcome.refused_at_once),
+        ours.sum(|outcome| outcome.refused_immediately),
         ours.sum(|outcome| outcome.refused_late),
     );
     assert!(at_once > 3.0 * late, "{at_once} at once, {late} later");
     assert_eq!(
-        ours.sum(|outcome| outcome.refused_for_good),
+        ours.sum(|outcome| outcome.refused_permanently),
         0.0,
         "all are told when to come back"
     );
@@ -53,7 +53,7 @@
 /// priorities all lose half; the accounts with the highest priority should hardly be affected.
 #[test]
 fn lower_priorities_are_shed_first() {
-    let ours = Contestant::ours().run(&patterns::priorities(), 1);
+    let ours = Variant::scheduler().run(&patterns::priorities(), 1);
     let shares: Vec<f64> = (0..5).map(|account| ours.share(Some(account))).collect();
     assert!(shares[0] > 0.9 && shares[2] > 0.75, "{shares:?}");
     assert!(
@@ -65,7 +65,7 @@
 /// Short calls of a plain service at twice the capacity of its three replicas.
 #[test]
 fn plain_calls_are_held_to_their_target() {
-    let ours = Contestant::ours().run(&patterns::plain_overload(), 1);
-    let plain = Contestant::fewest().run(&patterns::plain_overload(), 1);
+    let ours = Variant::scheduler().run(&patterns::plain_overload(), 1);
+    let plain = Variant::least_outstanding().run(&patterns::plain_overload(), 1);
     assert!(ours.goodput() > 10.0 * plain.goodput());
 }
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -3,8 +3,7 @@
 
 mod support;
 
-use support::baseline::Way;
-use support::contestant::Contestant;
+use support::baseline::Strategy;
 use support::engine::Health;
 use support::load::Fault;
 use support::load::Killer;
@@ -13,6 +12,7 @@
 use support::patterns;
 use support::patterns::small;
 use support::tally::Tally;
+use support::variant::Variant;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
@@ -24,19 +24,24 @@
 
 impl Comparison {
     /// Runs the pattern over all seeds. Under any fault each request ends, "not run" is true, and a job
+
     /// that must not run twice doesn't.
     fn run(pattern: &Pattern) -> Comparison {
-        let run_seeds = |contestant: Contestant| -> Vec<Tally> {
+        let run_seeds = |contestant: Variant| -> Vec<Tally> {
             SEEDS.map(|seed| contestant.run(pattern, seed)).collect()
         };
-        let ours = run_seeds(Contestant::ours());
+        let ours = run_seeds(Variant::scheduler());
         for tally in &ours {
-            assert_eq!(tally.forgotten, 0, "{}", pattern.name);
+            assert_eq!(tally.unanswered, 0, "{}", pattern.name);
             assert_eq!(tally.false_not_run, 0, "{}", pattern.name);
-            assert_eq!(tally.doubled, 0, "{}", pattern.name);
+            assert_eq!(tally.duplicated, 0, "{}", pattern.name);
         }
-        let ways = [Way::RoundRobin, Way::FewestOutstanding, Way::RandomOfTwo];
-        let plain = ways.map(|way| run_seeds(Contestant::Plain(way))).to_vec();
+        let ways = [
+            Strategy::RoundRobin,
+            Strategy::LeastOutstanding,
+            Strategy::RandomOfTwo,
+        ];
+        let plain = ways.map(|way| run_seeds(Variant::Baseline(way))).to_vec();
         let comparison = Comparison { ours, plain };
         println!(
             "{:24} {} replicas  share {:.3}  best plain {:.3}  lost to killers {}",
@@ -203,14 +208,14 @@
             let for_good = |killer: bool| {
                 let outcomes = tally.outcomes.iter().zip(&arrivals);
                 let counted = outcomes.filter(|(outcome, arrival)| {
-                    arrival.killer == killer && outcome.refused_for_good > 0
+                    arrival.killer == killer && outcome.refused_permanently > 0
                 });
                 counted.count()
             };
             for (outcome, arrival) in tally.outcomes.iter().zip(&arrivals) {
                 // It got its final answer, or was asked to retry as often as its caller would.
-                let ended = outcome.refused_for_good > 0 || outcome.sends == 4;
-                assert!(!arrival.killer || ended && outcome.given_up == 0 && !outcome.answered);
+                let ended = outcome.refused_permanently > 0 || outcome.submissions == 4;
+                assert!(!arrival.killer || ended && outcome.abandoned == 0 && !outcome.answered);
             }
             assert!(for_good(true) >= min_refused);
             assert!(for_good(false) <= 2, "{} innocents", for_good(false));
--- a/crates/policy/tests/sizes.rs
+++ b/crates/policy/tests/sizes.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use support::contestant::Contestant;
 use support::patterns;
+use support::variant::Variant;
 
 /// Prompts of 12,000 tokens arrive among short ones. A replica computes prompts in order: spread
 /// over all replicas, each long prompt delays the short ones behind it for more than a second, and
@@ -14,14 +14,17 @@
     let bundles = Some(1);
     let (mut ours, mut plain) = (0.0, 0.0);
     for seed in 1..=3 {
-        let tally = Contestant::ours().run(&pattern, seed);
+        let tally = Variant::scheduler().run(&pattern, seed);
         assert!(
             tally.share(bundles) > 0.85,
             "seed {seed}: {}",
             tally.share(bundles)
         );
         ours += tally.share(Some(0)) / 3.0;
-        plain += Contestant::fewest().run(&pattern, seed).share(Some(0)) / 3.0;
+        plain += Variant::least_outstanding()
+            .run(&pattern, seed)
+            .share(Some(0))
+            / 3.0;
     }
     assert!(ours > plain + 0.03, "captions {ours} against {plain}");
 }
--- a/crates/policy/tests/support/baseline.rs
+++ b/crates/policy/tests/support/baseline.rs
@@ -24,21 +24,21 @@
 
 /// Selection of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum Strategy {
     /// Each replica in turn.
     RoundRobin,
     /// The replica with the fewest outstanding requests of this entry.
-    FewestOutstanding,
+    LeastOutstanding,
     /// The less loaded of two random replicas.
     RandomOfTwo,
 }
 
 /// A baseline balancer at one entry.
 pub struct Baseline {
-    way: Way,
+    strategy: Strategy,
     random: Pcg64,
-    turn: usize,
-    next: u32,
+    next_index: usize,
+    next_key: u32,
     usable: Vec<replica::Key>,
     specs: BTreeMap<replica::Key, replica::Spec>,
     outstanding: BTreeMap<replica::Key, u32>,
@@ -47,12 +47,12 @@
 
 impl Baseline {
     /// Creates a balancer without replicas.
-    pub fn new(way: Way, seed: u64) -> Baseline {
+    pub fn new(way: Strategy, seed: u64) -> Baseline {
         Baseline {
-            way,
+            strategy: way,
             random: Pcg64::seed_from_u64(seed),
-            turn: seed as usize,
-            next: 0,
+            next_index: seed as usize,
+            next_key: 0,
             usable: Vec::new(),
             specs: BTreeMap::new(),
             outstanding: BTreeMap::new(),
@@ -71,18 +71,18 @@
             return None;
         }
         let load = |key: &replica::Key| self.outstanding.get(key).copied().unwrap_or(0);
-        match self.way {
-            Way::RoundRobin => {
-                self.turn += 1;
-                Some(candidates[self.turn % candidates.len()])
+        match self.strategy {
+            Strategy::RoundRobin => {
+                self.next_index += 1;
+                Some(candidates[self.next_index % candidates.len()])
             }
-            Way::FewestOutstanding => {
-                self.turn += 1;
-                let start = self.turn % candidates.len();
+            Strategy::LeastOutstanding => {
+                self.next_index += 1;
+                let start = self.next_index % candidates.len();
                 let rotated = candidates[start..].iter().chain(&candidates[..start]);
                 rotated.min_by_key(|key| load(key)).copied()
             }
-            Way::RandomOfTwo => {
+            Strategy::RandomOfTwo => {
                 let first = candidates[self.random.random_range(0..candidates.len())];
                 let second = candidates[self.random.random_range(0..candidates.len())];
                 Some(if load(&second) < load(&first) {
@@ -125,21 +125,26 @@
 impl Policy for Baseline {
     fn set_account(&mut self, _key: account::Key, _spec: account::Spec) {}
 
-    fn joined(&mut self, _now: Time, spec: replica::Spec, _: &mut Vec<Decision>) -> replica::Key {
-        let key = replica::Key(self.next);
-        self.next += 1;
+    fn add_replica(
+        &mut self,
+        _now: Time,
+        spec: replica::Spec,
+        _: &mut Vec<Decision>,
+    ) -> replica::Key {
+        let key = replica::Key(self.next_key);
+        self.next_key += 1;
         self.specs.insert(key, spec);
         self.usable.push(key);
         key
     }
 
-    fn reported(&mut self, _now: Time, _key: replica::Key, _report: replica::Report) {}
+    fn handle_report(&mut self, _now: Time, _key: replica::Key, _report: replica::Report) {}
 
-    fn leaving(&mut self, _now: Time, key: replica::Key, _: Time, _: &mut Vec<Decision>) {
+    fn handle_notice(&mut self, _now: Time, key: replica::Key, _: Time, _: &mut Vec<Decision>) {
         self.usable.retain(|held| *held != key);
     }
 
-    fn lost(&mut self, _now: Time, key: replica::Key) {
+    fn remove_replica(&mut self, _now: Time, key: replica::Key) {
         self.usable.retain(|held| *held != key);
     }
 
@@ -150,9 +155,9 @@
 
     fn first_token(&mut self, _now: Time, _id: job::Id) {}
 
-    fn progressed(&mut self, _now: Time, _id: job::Id, _tokens: u32) {}
+    fn record_tokens(&mut self, _now: Time, _id: job::Id, _tokens: u32) {}
 
-    fn ended(&mut self, _: Time, id: job::Id, end: job::End, _: u32, out: &mut Vec<Decision>) {
+    fn handle_end(&mut self, _: Time, id: job::Id, end: job::End, _: u32, out: &mut Vec<Decision>) {
         self.release(id);
         let Some((job, _, attempts)) = self.open.get(&id) else {
             return;
--- a/crates/policy/tests/support/engine.rs
+++ b/crates/policy/tests/support/engine.rs
@@ -46,7 +46,7 @@
     /// Job id at that entry.
     pub id: job::Id,
     /// Prompt tokens still to compute.
-    pub prompt_left: u32,
+    pub prompt_remaining: u32,
     /// All prompt tokens, with the output of earlier attempts.
     pub prompt: u32,
     /// Hash of the shared prefix.
@@ -54,9 +54,9 @@
     /// Prompt tokens that the prefix covers.
     pub shared: u32,
     /// Output tokens generated in all attempts.
-    pub made: u32,
+    pub generated: u32,
     /// Output tokens of the complete answer.
-    pub wanted: u32,
+    pub output_tokens: u32,
     /// Content hash.
     pub fingerprint: u64,
     /// Prompt and output tokens computed in this attempt.
@@ -85,7 +85,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
     /// Runs at the speed of its shape.
-    Well,
+    Healthy,
     /// Every step takes this many times longer.
     Slow(f64),
     /// Accepts work but makes no progress.
@@ -129,7 +129,7 @@
     pub fn new(shape: Shape) -> Engine {
         Engine {
             shape,
-            health: Health::Well,
+            health: Health::Healthy,
             running: Vec::new(),
             waiting: VecDeque::new(),
             cache: VecDeque::new(),
@@ -167,30 +167,30 @@
     }
 
     /// Returns whether a request is running that crashes the engine.
-    pub fn holds_killer(&self) -> bool {
+    pub fn runs_killer(&self) -> bool {
         self.running
             .iter()
             .any(|held| self.killers.contains(&held.fingerprint))
     }
 
     /// Begins a step and returns its duration in microseconds; none if there is nothing to do.
-    pub fn begin(&mut self) -> Option<u64> {
+    pub fn begin_step(&mut self) -> Option<u64> {
         if matches!(self.health, Health::Frozen | Health::Dead) {
             return None;
         }
-        self.fill();
+        self.admit_waiting();
         if self.running.is_empty() {
             return None;
         }
         let decoding = self
             .running
             .iter()
-            .filter(|held| held.prompt_left == 0)
+            .filter(|held| held.prompt_remaining == 0)
             .count() as u64;
         let pending: u64 = self
             .running
             .iter()
-            .map(|held| u64::from(held.prompt_left))
+            .map(|held| u64::from(held.prompt_remaining))
             .sum();
         let prompt = pending.min(u64::from(self.shape.chunk));
         let plain = self.shape.step_us
@@ -205,31 +205,36 @@
     }
 
     /// Ends the current step.
-    pub fn finish(&mut self) -> Vec<Output> {
+    pub fn finish_step(&mut self) -> Vec<Output> {
         self.stepping = false;
         let mut outputs = Vec::new();
         let mut budget = self.shape.chunk;
         let mut warmed = Vec::new();
         for held in &mut self.running {
-            if held.prompt_left == 0 {
-                held.made += 1;
+            if held.prompt_remaining == 0 {
+                held.generated += 1;
                 held.computed += 1;
                 self.computed += 1;
-                outputs.push(Output::Token(held.entry, held.id, held.made >= held.wanted));
+                outputs.push(Output::Token(
+                    held.entry,
+                    held.id,
+                    held.generated >= held.output_tokens,
+                ));
                 continue;
             }
-            let done = held.prompt_left.min(budget);
-            held.prompt_left -= done;
+            let done = held.prompt_remaining.min(budget);
+            held.prompt_remaining -= done;
             budget -= done;
             held.computed += u64::from(done);
             self.computed += u64::from(done);
-            if done > 0 && held.prompt_left == 0 {
+            if done > 0 && held.prompt_remaining == 0 {
                 warmed.push((held.prefix, held.shared));
             }
         }
-        self.running.retain(|held| held.made < held.wanted);
+        self.running
+            .retain(|held| held.generated < held.output_tokens);
         for (prefix, shared) in warmed {
-            self.remember(prefix, shared);
+            self.touch_prefix(prefix, shared);
         }
         outputs
     }
@@ -240,16 +245,16 @@
     }
 
     /// Moves waiting sequences into free slots; a cached prefix isn't computed again.
-    fn fill(&mut self) {
+    fn admit_waiting(&mut self) {
         while self.running.len() < self.shape.slots {
             let Some(mut next) = self.waiting.pop_front() else {
                 return;
             };
-            let hit = next.prompt_left == next.prompt
+            let hit = next.prompt_remaining == next.prompt
                 && self.cache.iter().any(|(prefix, _)| *prefix == next.prefix);
             if hit {
-                next.prompt_left -= next.shared.min(next.prompt_left - 1);
-                self.remember(next.prefix, next.shared);
+                next.prompt_remaining -= next.shared.min(next.prompt_remaining - 1);
+                self.touch_prefix(next.prefix, next.shared);
             }
             self.running.push(next);
         }
@@ -260,7 +265,7 @@
         std::mem::take(&mut self.events)
     }
 
-    fn note(&mut self, prefix: u64, stored: bool) {
+    fn record_event(&mut self, prefix: u64, stored: bool) {
         self.sequence += 1;
         self.events.push(CacheEvent {
             sequence: self.sequence,
@@ -270,11 +275,11 @@
     }
 
     /// Marks a prefix as most recently used and evicts the oldest beyond the cache's capacity.
-    fn remember(&mut self, prefix: u64, shared: u32) {
+    fn touch_prefix(&mut self, prefix: u64, shared: u32) {
         let held = self.cache.len();
         self.cache.retain(|(held, _)| *held != prefix);
         if self.cache.len() == held {
-            self.note(prefix, true);
+            self.record_event(prefix, true);
         }
         self.cache.push_back((prefix, shared));
         let mut size: u64 = self
@@ -286,7 +291,7 @@
             let Some((evicted, tokens)) = self.cache.pop_front() else {
                 return;
             };
-            self.note(evicted, false);
+            self.record_event(evicted, false);
             size -= u64::from(tokens);
         }
     }
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -8,10 +8,10 @@
 #![allow(dead_code)]
 
 pub mod baseline;
-pub mod contestant;
 pub mod engine;
 pub mod load;
 pub mod patterns;
 pub mod policy;
 pub mod tally;
+pub mod variant;
 pub mod world;
--- a/crates/policy/tests/support/patterns.rs
+++ b/crates/policy/tests/support/patterns.rs
@@ -112,7 +112,7 @@
 pub fn slow_replica(health: Health, name: &'static str) -> Pattern {
     Pattern::new(name, accounts(0.7))
         .fault(5_000, Fault::Health(4, health))
-        .fault(20_000, Fault::Health(4, Health::Well))
+        .fault(20_000, Fault::Health(4, Health::Healthy))
 }
 
 /// Prompts of 12,000 tokens among short ones.
@@ -216,7 +216,7 @@
     pattern.name = "burst+slow";
     pattern
         .fault(8_000, Fault::Health(4, Health::Slow(6.0)))
-        .fault(20_000, Fault::Health(4, Health::Well))
+        .fault(20_000, Fault::Health(4, Health::Healthy))
 }
 
 /// A zone is reclaimed while one account floods the entries.
--- a/crates/policy/tests/support/policy.rs
+++ b/crates/policy/tests/support/policy.rs
@@ -15,23 +15,41 @@
     /// Adds an account.
     fn set_account(&mut self, key: account::Key, spec: account::Spec);
     /// Adds a replica.
-    fn joined(&mut self, now: Time, spec: replica::Spec, out: &mut Vec<Decision>) -> replica::Key;
+    fn add_replica(
+        &mut self,
+        now: Time,
+        spec: replica::Spec,
+        out: &mut Vec<Decision>,
+    ) -> replica::Key;
     /// Handles a load report.
-    fn reported(&mut self, now: Time, key: replica::Key, report: replica::Report);
+    fn handle_report(&mut self, now: Time, key: replica::Key, report: replica::Report);
     /// Handles a cache event; baselines ignore it.
-    fn cached(&mut self, _: Time, _: replica::Key, _: &CacheEvent) {}
+    fn handle_cache_event(&mut self, _: Time, _: replica::Key, _: &CacheEvent) {}
     /// Handles the notice of a replica.
-    fn leaving(&mut self, now: Time, key: replica::Key, deadline: Time, out: &mut Vec<Decision>);
+    fn handle_notice(
+        &mut self,
+        now: Time,
+        key: replica::Key,
+        deadline: Time,
+        out: &mut Vec<Decision>,
+    );
     /// Removes a lost replica.
-    fn lost(&mut self, now: Time, key: replica::Key);
+    fn remove_replica(&mut self, now: Time, key: replica::Key);
     /// Handles a new request.
     fn offer(&mut self, now: Time, job: Job, out: &mut Vec<Decision>);
     /// Handles the first token of a request.
     fn first_token(&mut self, now: Time, id: job::Id);
     /// Handles further tokens.
-    fn progressed(&mut self, now: Time, id: job::Id, tokens: u32);
+    fn record_tokens(&mut self, now: Time, id: job::Id, tokens: u32);
     /// Handles the end of an attempt.
-    fn ended(&mut self, now: Time, id: job::Id, end: job::End, made: u32, out: &mut Vec<Decision>);
+    fn handle_end(
+        &mut self,
+        now: Time,
+        id: job::Id,
+        end: job::End,
+        made: u32,
+        out: &mut Vec<Decision>,
+    );
     /// Cancels a request whose caller is gone.
     fn cancel(&mut self, now: Time, id: job::Id, out: &mut Vec<Decision>);
     /// Handles due timers.
@@ -49,23 +67,34 @@
         Scheduler::set_account(self, key, spec);
     }
 
-    fn joined(&mut self, now: Time, spec: replica::Spec, out: &mut Vec<Decision>) -> replica::Key {
+    fn add_replica(
+        &mut self,
+        now: Time,
+        spec: replica::Spec,
+        out: &mut Vec<Decision>,
+    ) -> replica::Key {
         self.replica_joined(now, spec, out)
     }
 
-    fn reported(&mut self, now: Time, key: replica::Key, report: replica::Report) {
+    fn handle_report(&mut self, now: Time, key: replica::Key, report: replica::Report) {
         self.replica_reported(now, key, report);
     }
 
-    fn cached(&mut self, now: Time, key: replica::Key, event: &CacheEvent) {
+    fn handle_cache_event(&mut self, now: Time, key: replica::Key, event: &CacheEvent) {
         self.replica_cache_event(now, key, event.sequence, event.prefix, event.stored);
     }
 
-    fn leaving(&mut self, now: Time, key: replica::Key, deadline: Time, out: &mut Vec<Decision>) {
+    fn handle_notice(
+        &mut self,
+        now: Time,
+        key: replica::Key,
+        deadline: Time,
+        out: &mut Vec<Decision>,
+    ) {
         self.replica_leaving(now, key, deadline, out);
     }
 
-    fn lost(&mut self, now: Time, key: replica::Key) {
+    fn remove_replica(&mut self, now: Time, key: replica::Key) {
         self.replica_lost(now, key);
     }
 
@@ -77,11 +106,18 @@
         Scheduler::first_token(self, now, id);
     }
 
-    fn progressed(&mut self, now: Time, id: job::Id, tokens: u32) {
+    fn record_tokens(&mut self, now: Time, id: job::Id, tokens: u32) {
         Scheduler::progressed(self, now, id, tokens);
     }
 
-    fn ended(&mut self, now: Time, id: job::Id, end: job::End, made: u32, out: &mut Vec<Decision>) {
+    fn handle_end(
+        &mut self,
+        now: Time,
+        id: job::Id,
+        end: job::End,
+        made: u32,
+        out: &mut Vec<Decision>,
+    ) {
         self.attempt_ended(now, id, end, made, out);
     }
 
--- a/crates/policy/tests/support/tally.rs
+++ b/crates/policy/tests/support/tally.rs
@@ -14,17 +14,17 @@
     /// Milliseconds from that submission to the first token.
     pub first_token_ms: Option<u64>,
     /// Number of submissions.
-    pub sends: u32,
+    pub submissions: u32,
     /// Refusals within 100 ms of the submission.
-    pub refused_at_once: u32,
+    pub refused_immediately: u32,
     /// Refusals later than that.
     pub refused_late: u32,
     /// Refusals more than 100 ms after even an idle engine could no longer meet the target.
-    pub refused_after_certain: u32,
+    pub refused_after_infeasible: u32,
     /// Refusals without a time to retry.
-    pub refused_for_good: u32,
+    pub refused_permanently: u32,
     /// Times that the caller gave up waiting.
-    pub given_up: u32,
+    pub abandoned: u32,
     /// Prompt tokens plus weighted output tokens.
     pub cost: f64,
 }
@@ -43,7 +43,7 @@
     /// Tokens computed in total.
     pub computed: u64,
     /// Tokens computed for submissions that were given up or refused.
-    pub useless: u64,
+    pub wasted: u64,
     /// Tokens recomputed after a move or a crash.
     pub recomputed: u64,
     /// Replicas crashed by a killer request.
@@ -51,24 +51,27 @@
     /// Refusals with the verdict "not run" for requests that were handed to an engine.
     pub false_not_run: u32,
     /// Non-idempotent requests that ran twice.
-    pub doubled: u32,
+    pub duplicated: u32,
     /// Submissions that never got an answer or a refusal.
-    pub forgotten: u32,
+    pub unanswered: u32,
     /// Maximum number of open requests of each account, over all entries.
-    pub most_open: BTreeMap<usize, u32>,
+    pub max_open: BTreeMap<usize, u32>,
 }
 
 impl Tally {
     /// Returns the requests of one account, or of all.
-    pub fn of(&self, account: Option<usize>) -> impl Iterator<Item = &Outcome> {
+    pub fn requests(&self, account: Option<usize>) -> impl Iterator<Item = &Outcome> {
         let wanted = move |outcome: &&Outcome| account.is_none_or(|key| key == outcome.account);
         self.outcomes.iter().filter(wanted)
     }
 
     /// Returns the share of requests answered within target.
     pub fn share(&self, account: Option<usize>) -> f64 {
-        let all = self.of(account).count();
-        let good = self.of(account).filter(|outcome| outcome.in_target).count();
+        let all = self.requests(account).count();
+        let good = self
+            .requests(account)
+            .filter(|outcome| outcome.in_target)
+            .count();
         if all == 0 {
             1.0
         } else {
@@ -84,13 +87,16 @@
 
     /// Returns the answers within target per second.
     pub fn goodput(&self) -> f64 {
-        self.of(None).filter(|outcome| outcome.in_target).count() as f64 / self.seconds
+        self.requests(None)
+            .filter(|outcome| outcome.in_target)
+            .count() as f64
+            / self.seconds
     }
 
     /// Returns the quantile of the time to first token, in milliseconds.
-    pub fn first_token(&self, quantile: f64) -> f64 {
+    pub fn first_token_quantile(&self, quantile: f64) -> f64 {
         let mut times: Vec<u64> = self
-            .of(None)
+            .requests(None)
             .filter_map(|outcome| outcome.first_token_ms)
             .collect();
         times.sort_unstable();
@@ -102,17 +108,19 @@
 
     /// Returns a sum over all requests.
     pub fn sum(&self, count: impl Fn(&Outcome) -> u32) -> f64 {
-        self.of(None).map(|outcome| f64::from(count(outcome))).sum()
+        self.requests(None)
+            .map(|outcome| f64::from(count(outcome)))
+            .sum()
     }
 
     /// Returns the replica-seconds per answer within target.
-    pub fn cost(&self) -> f64 {
+    pub fn replica_seconds_per_answer(&self) -> f64 {
         self.replica_seconds / (self.goodput() * self.seconds)
     }
 
     /// Returns the share of computed tokens that no caller received.
-    pub fn useless_share(&self) -> f64 {
-        self.useless as f64 / (self.computed as f64).max(1.0)
+    pub fn wasted_share(&self) -> f64 {
+        self.wasted as f64 / (self.computed as f64).max(1.0)
     }
 
     /// Returns Jain's fairness index of the work served to each account relative to its weighted
--- a/crates/policy/tests/support/contestant.rs
+++ b/crates/policy/tests/support/variant.rs
@@ -4,7 +4,7 @@
 use policy::scheduler::Scheduler;
 
 use super::baseline::Baseline;
-use super::baseline::Way;
+use super::baseline::Strategy;
 use super::load::Pattern;
 use super::policy::Policy;
 use super::tally::Tally;
@@ -12,41 +12,41 @@
 
 /// A kind of policy for the entries of a simulation.
 #[derive(Clone, Debug)]
-pub enum Contestant {
+pub enum Variant {
     /// The scheduler with these settings.
-    Ours(Box<Settings>),
+    Scheduler(Box<Settings>),
     /// A baseline balancer.
-    Plain(Way),
+    Baseline(Strategy),
 }
 
-impl Contestant {
+impl Variant {
     /// Returns the scheduler with default settings.
-    pub fn ours() -> Contestant {
-        Contestant::Ours(Box::default())
+    pub fn scheduler() -> Variant {
+        Variant::Scheduler(Box::default())
     }
 
     /// Returns the baseline that most balancers default to.
-    pub fn fewest() -> Contestant {
-        Contestant::Plain(Way::FewestOutstanding)
+    pub fn least_outstanding() -> Variant {
+        Variant::Baseline(Strategy::LeastOutstanding)
     }
 
     /// Returns its name in the table.
     pub fn name(&self) -> &'static str {
         match self {
-            Contestant::Ours(_) => "ours",
-            Contestant::Plain(Way::RoundRobin) => "fifo+round-robin",
-            Contestant::Plain(Way::FewestOutstanding) => "fewest",
-            Contestant::Plain(Way::RandomOfTwo) => "random-of-two",
+            Variant::Scheduler(_) => "ours",
+            Variant::Baseline(Strategy::RoundRobin) => "fifo+round-robin",
+            Variant::Baseline(Strategy::LeastOutstanding) => "fewest",
+            Variant::Baseline(Strategy::RandomOfTwo) => "random-of-two",
         }
     }
 
     /// Returns the scheduler and all baselines.
-    pub fn all() -> Vec<Contestant> {
+    pub fn all() -> Vec<Variant> {
         vec![
-            Contestant::ours(),
-            Contestant::Plain(Way::RoundRobin),
-            Contestant::Plain(Way::FewestOutstanding),
-            Contestant::Plain(Way::RandomOfTwo),
+            Variant::scheduler(),
+            Variant::Baseline(Strategy::RoundRobin),
+            Variant::Baseline(Strategy::LeastOutstanding),
+            Variant::Baseline(Strategy::RandomOfTwo),
         ]
     }
 
@@ -55,8 +55,10 @@
         let contestant = self.clone();
         let make = move |seed: u64| -> Box<dyn Policy> {
             match &contestant {
-                Contestant::Ours(settings) => Box::new(Scheduler::with_settings(seed, **settings)),
-                Contestant::Plain(way) => Box::new(Baseline::new(*way, seed)),
+                Variant::Scheduler(settings) => {
+                    Box::new(Scheduler::with_settings(seed, **settings))
+                }
+                Variant::Baseline(way) => Box::new(Baseline::new(*way, seed)),
             }
         };
         World::new(pattern.clone(), seed, &make).run()
--- a/crates/policy/tests/support/world/attempts.rs
+++ b/crates/policy/tests/support/world/attempts.rs
@@ -10,137 +10,137 @@
 use crate::support::engine::Sequence;
 use crate::support::load::Arrival;
 use crate::support::world::Event;
-use crate::support::world::Send;
+use crate::support::world::Submission;
 use crate::support::world::World;
 
 /// Time without a token after which a caller abandons a stream, in milliseconds.
-const STALL_MS: u64 = 10_000;
+const STALL_TIMEOUT_MS: u64 = 10_000;
 /// Fixed time of a KV transfer, in milliseconds.
 const TRANSFER_MS: u64 = 50;
 /// Tokens that a KV transfer carries per millisecond.
 const TRANSFER_TOKENS_PER_MS: u64 = 23;
 
 impl World {
-    pub(super) fn carry_out(&mut self, entry: usize, decision: Decision) {
+    pub(super) fn execute(&mut self, entry: usize, decision: Decision) {
         match decision {
             Decision::Start { job, replica } => self.start(entry, job, replica),
-            Decision::Refuse { job, refusal } => self.refused(job, &refusal),
+            Decision::Refuse { job, refusal } => self.record_refusal(job, &refusal),
             Decision::Move { job, from, to, how } => self.transfer(entry, job, from, to, how),
             Decision::Cancel { job, replica } => {
-                let engine = self.found[entry][&replica];
+                let engine = self.engines_by_key[entry][&replica];
                 let held = self.engines[engine].remove(entry, job);
-                self.tally.useless += held.map_or(0, |sequence| sequence.computed);
+                self.tally.wasted += held.map_or(0, |sequence| sequence.computed);
             }
         }
     }
 
     pub(super) fn start(&mut self, entry: usize, id: job::Id, replica: replica::Key) {
-        let engine = self.found[entry][&replica];
-        let prompt = |send: &Send, arrival: &Arrival| arrival.prompt + send.made;
-        let Some(send) = self.sends.get_mut(&id) else {
+        let engine = self.engines_by_key[entry][&replica];
+        let prompt = |send: &Submission, arrival: &Arrival| arrival.prompt + send.generated;
+        let Some(send) = self.submissions.get_mut(&id) else {
             return;
         };
         let arrival = &self.arrivals[send.request];
-        let again = send.handed;
+        let again = send.handed_over;
         let sequence = Sequence {
             entry,
             id,
-            prompt_left: prompt(send, arrival),
+            prompt_remaining: prompt(send, arrival),
             prompt: prompt(send, arrival),
             prefix: arrival.prefix,
             shared: arrival.shared,
-            made: send.made,
-            wanted: arrival.output,
+            generated: send.generated,
+            output_tokens: arrival.output,
             fingerprint: arrival.fingerprint,
             computed: 0,
         };
         match self.engines[engine].health {
             Health::Dead | Health::Declines => {
-                self.after(1, Event::Ended(entry, id, job::End::NotStarted, 0));
+                self.schedule_after(1, Event::Ended(entry, id, job::End::NotStarted, 0));
                 return;
             }
             Health::FailsFast => {
-                send.handed = true;
-                self.after(2, Event::Ended(entry, id, job::End::Failed, 0));
+                send.handed_over = true;
+                self.schedule_after(2, Event::Ended(entry, id, job::End::Failed, 0));
                 return;
             }
             _ => {}
         }
         let idempotent = self.pattern.profiles[arrival.account].idempotent;
-        if !idempotent && !self.ran.insert(send.request) {
-            self.tally.doubled += 1;
+        if !idempotent && !self.non_idempotent_started.insert(send.request) {
+            self.tally.duplicated += 1;
         }
         if again {
             self.tally.recomputed += u64::from(sequence.prompt);
         }
-        send.handed = true;
+        send.handed_over = true;
         send.replica = Some(engine);
         self.engines[engine].submit(sequence);
-        self.kick(engine);
+        self.begin_step(engine);
     }
 
-    pub(super) fn kick(&mut self, engine: usize) {
+    pub(super) fn begin_step(&mut self, engine: usize) {
         if self.engines[engine].stepping {
             return;
         }
-        if let Some(us) = self.engines[engine].begin() {
-            self.after(us.div_ceil(1_000), Event::Step(engine));
+        if let Some(us) = self.engines[engine].begin_step() {
+            self.schedule_after(us.div_ceil(1_000), Event::Step(engine));
         }
     }
 
-    pub(super) fn step(&mut self, engine: usize) {
+    pub(super) fn finish_step(&mut self, engine: usize) {
         if self.engines[engine].health == Health::Dead {
             return;
         }
-        let outputs = self.engines[engine].finish();
+        let outputs = self.engines[engine].finish_step();
         for Output::Token(entry, id, last) in outputs {
-            self.token(entry, id, last);
+            self.deliver_token(entry, id, last);
         }
-        if self.engines[engine].holds_killer() {
+        if self.engines[engine].runs_killer() {
             self.tally.killed += 1;
             self.kill(engine);
             return;
         }
-        self.kick(engine);
+        self.begin_step(engine);
     }
 
-    pub(super) fn token(&mut self, entry: usize, id: job::Id, last: bool) {
+    pub(super) fn deliver_token(&mut self, entry: usize, id: job::Id, last: bool) {
         let now = self.now_ms;
-        let Some(send) = self.sends.get_mut(&id) else {
+        let Some(send) = self.submissions.get_mut(&id) else {
             return;
         };
-        send.made += 1;
-        send.last = now;
-        let (made, request, sent) = (send.made, send.request, send.sent);
-        let first = send.first.is_none();
+        send.generated += 1;
+        send.last_token_ms = now;
+        let (made, request, sent) = (send.generated, send.request, send.sent_ms);
+        let first = send.first_token_ms.is_none();
         if first {
-            send.first = Some(now);
+            send.first_token_ms = Some(now);
             self.tally.outcomes[request].first_token_ms = Some(now - sent);
-            self.after(STALL_MS, Event::Patience(id, made));
-            self.with(entry, |policy, now, _| policy.first_token(now, id));
+            self.schedule_after(STALL_TIMEOUT_MS, Event::CheckPatience(id, made));
+            self.call_policy(entry, |policy, now, _| policy.first_token(now, id));
         }
-        self.with(entry, |policy, now, _| policy.progressed(now, id, 1));
+        self.call_policy(entry, |policy, now, _| policy.record_tokens(now, id, 1));
         if last {
-            self.answered(id);
-            self.with(entry, |policy, now, out| {
-                policy.ended(now, id, job::End::Finished, made, out)
+            self.record_answer(id);
+            self.call_policy(entry, |policy, now, out| {
+                policy.handle_end(now, id, job::End::Finished, made, out)
             });
         }
     }
 
-    pub(super) fn ended(&mut self, entry: usize, id: job::Id, end: job::End, made: u32) {
-        if let Some(send) = self.sends.get_mut(&id) {
+    pub(super) fn deliver_end(&mut self, entry: usize, id: job::Id, end: job::End, made: u32) {
+        if let Some(send) = self.submissions.get_mut(&id) {
             send.replica = None;
         }
-        self.with(entry, |policy, now, out| {
-            policy.ended(now, id, end, made, out)
+        self.call_policy(entry, |policy, now, out| {
+            policy.handle_end(now, id, end, made, out)
         });
     }
 
     /// Records the tokens computed for an attempt that was lost.
-    pub(super) fn note_lost(&mut self, sequence: &Sequence) {
-        if let Some(send) = self.sends.get_mut(&sequence.id) {
-            send.spent += sequence.computed;
+    pub(super) fn record_lost(&mut self, sequence: &Sequence) {
+        if let Some(send) = self.submissions.get_mut(&sequence.id) {
+            send.computed += sequence.computed;
         }
     }
 
@@ -152,18 +152,18 @@
         to: replica::Key,
         how: Transfer,
     ) {
-        let source = self.found[entry][&from];
-        let target = self.found[entry][&to];
+        let source = self.engines_by_key[entry][&from];
+        let target = self.engines_by_key[entry][&to];
         let Some(mut sequence) = self.engines[source].remove(entry, id) else {
             return;
         };
-        let computed = sequence.prompt - sequence.prompt_left;
+        let computed = sequence.prompt - sequence.prompt_remaining;
         if how == Transfer::Rerun {
-            sequence.prompt += sequence.made;
-            sequence.prompt_left = sequence.prompt;
+            sequence.prompt += sequence.generated;
+            sequence.prompt_remaining = sequence.prompt;
             self.tally.recomputed += u64::from(computed);
             self.engines[target].submit(sequence);
-            self.kick(target);
+            self.begin_step(target);
             return;
         }
         // A replica has one link: transfers go one after the other.
@@ -175,26 +175,32 @@
             .unwrap_or(0)
             .max(self.now_ms);
         self.links.insert(source, begin + takes);
-        self.at(
+        self.schedule(
             begin + takes,
-            Event::Arrive(entry, source, target, Box::new(sequence)),
+            Event::Transferred(entry, source, target, Box::new(sequence)),
         );
     }
 
-    pub(super) fn arrive(&mut self, entry: usize, from: usize, to: usize, sequence: Sequence) {
-        if !self.sends.contains_key(&sequence.id) {
+    pub(super) fn finish_transfer(
+        &mut self,
+        entry: usize,
+        from: usize,
+        to: usize,
+        sequence: Sequence,
+    ) {
+        if !self.submissions.contains_key(&sequence.id) {
             return;
         }
         let cut = self.engines[from].health == Health::Dead;
         if cut || self.engines[to].health == Health::Dead {
-            self.note_lost(&sequence);
-            self.ended(entry, sequence.id, job::End::Crashed, sequence.made);
+            self.record_lost(&sequence);
+            self.deliver_end(entry, sequence.id, job::End::Crashed, sequence.generated);
             return;
         }
-        if let Some(send) = self.sends.get_mut(&sequence.id) {
+        if let Some(send) = self.submissions.get_mut(&sequence.id) {
             send.replica = Some(to);
         }
         self.engines[to].submit(sequence);
-        self.kick(to);
+        self.begin_step(to);
     }
 }
--- a/crates/policy/tests/support/world/callers.rs
+++ b/crates/policy/tests/support/world/callers.rs
@@ -9,25 +9,25 @@
 use verdict::Verdict;
 
 use crate::support::world::Event;
-use crate::support::world::Send;
+use crate::support::world::Submission;
 use crate::support::world::World;
 
 /// Maximum number of times that a caller sends one request.
-const SENDS: u32 = 4;
+const MAX_SUBMISSIONS: u32 = 4;
 /// Time that a caller waits for the first token, in multiples of its target.
 const PATIENCE_TARGETS: u64 = 4;
 /// Time without a token after which a caller abandons a stream, in milliseconds.
-const STALL_MS: u64 = 10_000;
+const STALL_TIMEOUT_MS: u64 = 10_000;
 /// Time after the submission within which a refusal counts as immediate, in milliseconds.
-const AT_ONCE_MS: u64 = 100;
+const IMMEDIATE_MS: u64 = 100;
 
 impl World {
-    pub(super) fn send(&mut self, request: usize) {
+    pub(super) fn submit(&mut self, request: usize) {
         let arrival = self.arrivals[request].clone();
         let outcome = &mut self.tally.outcomes[request];
-        let id = job::Id((request as u64) * 16 + u64::from(outcome.sends));
-        let entry = (arrival.entry + 3 * outcome.sends as usize) % self.entries.len();
-        outcome.sends += 1;
+        let id = job::Id((request as u64) * 16 + u64::from(outcome.submissions));
+        let entry = (arrival.entry + 3 * outcome.submissions as usize) % self.entries.len();
+        outcome.submissions += 1;
         let profile = &self.pattern.profiles[arrival.account];
         let job = Job {
             id,
@@ -44,113 +44,114 @@
             terms: job::Terms::default(),
         };
         let patience = profile.first_token_ms * PATIENCE_TARGETS;
-        let send = Send {
+        let send = Submission {
             request,
             entry,
-            sent: self.now_ms,
-            first: None,
-            last: self.now_ms,
-            made: 0,
-            handed: false,
-            spent: 0,
+            sent_ms: self.now_ms,
+            first_token_ms: None,
+            last_token_ms: self.now_ms,
+            generated: 0,
+            handed_over: false,
+            computed: 0,
             replica: None,
         };
-        self.sends.insert(id, send);
+        self.submissions.insert(id, send);
         self.open[arrival.account] += 1;
-        let most = self.tally.most_open.entry(arrival.account).or_default();
+        let most = self.tally.max_open.entry(arrival.account).or_default();
         *most = (*most).max(self.open[arrival.account]);
-        self.after(patience, Event::Patience(id, 0));
-        self.with(entry, |policy, now, out| policy.offer(now, job, out));
+        self.schedule_after(patience, Event::CheckPatience(id, 0));
+        self.call_policy(entry, |policy, now, out| policy.offer(now, job, out));
     }
 
-    pub(super) fn answered(&mut self, id: job::Id) {
-        let Some(send) = self.close_send(id) else {
+    pub(super) fn record_answer(&mut self, id: job::Id) {
+        let Some(send) = self.close_submission(id) else {
             return;
         };
         let arrival = &self.arrivals[send.request];
         let profile = &self.pattern.profiles[arrival.account];
-        let first = send.first.unwrap_or(self.now_ms);
+        let first = send.first_token_ms.unwrap_or(self.now_ms);
         let gaps = u64::from(arrival.output.saturating_sub(1)).max(1);
         let gap = (self.now_ms - first) as f64 / gaps as f64;
         let outcome = &mut self.tally.outcomes[send.request];
         outcome.answered = true;
         outcome.in_target =
-            first - send.sent <= profile.first_token_ms && gap <= profile.token_gap_ms as f64;
+            first - send.sent_ms <= profile.first_token_ms && gap <= profile.token_gap_ms as f64;
     }
 
-    pub(super) fn close_send(&mut self, id: job::Id) -> Option<Send> {
-        let send = self.sends.remove(&id)?;
+    pub(super) fn close_submission(&mut self, id: job::Id) -> Option<Submission> {
+        let send = self.submissions.remove(&id)?;
         let account = self.arrivals[send.request].account;
         self.open[account] -= 1;
         Some(send)
     }
 
-    pub(super) fn refused(&mut self, id: job::Id, refusal: &Refusal) {
-        let Some(send) = self.close_send(id) else {
+    pub(super) fn record_refusal(&mut self, id: job::Id, refusal: &Refusal) {
+        let Some(send) = self.close_submission(id) else {
             return;
         };
-        if refusal.verdict == Verdict::NotRun && send.handed {
+        if refusal.verdict == Verdict::NotRun && send.handed_over {
             self.tally.false_not_run += 1;
         }
-        self.tally.useless += send.spent;
+        self.tally.wasted += send.computed;
         let arrival = &self.arrivals[send.request];
         let profile = &self.pattern.profiles[arrival.account];
         let shape = &self.pattern.shape;
         // An engine that holds the shared prefix computes only the rest.
         let own = u64::from(arrival.prompt - arrival.shared);
         let ideal = (own * shape.prompt_token_us + shape.step_us) / 1_000;
-        let waited = self.now_ms - send.sent;
+        let waited = self.now_ms - send.sent_ms;
         let outcome = &mut self.tally.outcomes[send.request];
-        if waited <= AT_ONCE_MS {
-            outcome.refused_at_once += 1;
+        if waited <= IMMEDIATE_MS {
+            outcome.refused_immediately += 1;
         } else {
             outcome.refused_late += 1;
         }
         let certain = profile.first_token_ms.saturating_sub(ideal);
-        if !send.handed && ideal < profile.first_token_ms && waited > certain + AT_ONCE_MS {
-            outcome.refused_after_certain += 1;
+        if !send.handed_over && ideal < profile.first_token_ms && waited > certain + IMMEDIATE_MS {
+            outcome.refused_after_infeasible += 1;
         }
         let safe = profile.idempotent || refusal.verdict == Verdict::NotRun;
         match refusal.retry_after {
-            Some(span) if safe && profile.persistent && outcome.sends < SENDS => {
-                self.come_back(span.as_millis().max(1), send.request);
+            Some(span) if safe && profile.persistent && outcome.submissions < MAX_SUBMISSIONS => {
+                self.retry_after(span.as_millis().max(1), send.request);
             }
             Some(_) => {}
-            None => outcome.refused_for_good += 1,
+            None => outcome.refused_permanently += 1,
         }
     }
 
-    pub(super) fn patience(&mut self, id: job::Id, made: u32) {
-        let Some(send) = self.sends.get(&id) else {
+    pub(super) fn check_patience(&mut self, id: job::Id, made: u32) {
+        let Some(send) = self.submissions.get(&id) else {
             return;
         };
-        if send.first.is_some() && made == 0 {
+        if send.first_token_ms.is_some() && made == 0 {
             return;
         }
-        if send.made > made {
-            let again = (send.last + STALL_MS).max(self.now_ms + 1);
-            let made = send.made;
-            self.at(again, Event::Patience(id, made));
+        if send.generated > made {
+            let again = (send.last_token_ms + STALL_TIMEOUT_MS).max(self.now_ms + 1);
+            let made = send.generated;
+            self.schedule(again, Event::CheckPatience(id, made));
             return;
         }
-        let Some(send) = self.close_send(id) else {
+        let Some(send) = self.close_submission(id) else {
             return;
         };
-        self.tally.useless += send.spent;
+        self.tally.wasted += send.computed;
         let outcome = &mut self.tally.outcomes[send.request];
-        outcome.given_up += 1;
+        outcome.abandoned += 1;
         let profile = &self.pattern.profiles[self.arrivals[send.request].account];
-        let again = profile.idempotent && profile.persistent && outcome.sends < SENDS;
-        self.with(send.entry, |policy, now, out| policy.cancel(now, id, out));
+        let again =
+            profile.idempotent && profile.persistent && outcome.submissions < MAX_SUBMISSIONS;
+        self.call_policy(send.entry, |policy, now, out| policy.cancel(now, id, out));
         if again {
-            self.come_back(1, send.request);
+            self.retry_after(1, send.request);
         }
     }
 
     /// Sends the request again after a delay, unless the load is over by then.
-    pub(super) fn come_back(&mut self, after_ms: u64, request: usize) {
+    pub(super) fn retry_after(&mut self, after_ms: u64, request: usize) {
         if self.now_ms + after_ms < self.pattern.seconds * 1_000 {
-            self.after(after_ms, Event::Send(request));
+            self.schedule_after(after_ms, Event::Submit(request));
         }
     }
 }
--- a/crates/policy/tests/support/world/news.rs
+++ b/crates/policy/tests/support/world/digests.rs
@@ -6,30 +6,30 @@
 use crate::support::world::World;
 
 /// Interval between digests of an entry, in milliseconds.
-const EXCHANGE_MS: u64 = 500;
+const DIGEST_PERIOD_MS: u64 = 500;
 /// Transit time of a digest, in milliseconds.
-const NEWS_MS: u64 = 5;
+const DIGEST_TRANSIT_MS: u64 = 5;
 
 impl World {
     /// Sends every entry's digest to all others.
-    pub(super) fn exchange(&mut self) {
+    pub(super) fn send_digests(&mut self) {
         for from in 0..self.entries.len() {
-            self.tell(from);
+            self.send_digest(from);
         }
-        self.after(EXCHANGE_MS, Event::Exchange);
+        self.schedule_after(DIGEST_PERIOD_MS, Event::SendDigests);
     }
 
-    pub(super) fn tell(&mut self, from: usize) {
+    pub(super) fn send_digest(&mut self, from: usize) {
         let now = self.now();
         if let Some(scheduler) = self.entries[from].scheduler() {
             let digest = scheduler.digest(now);
-            self.after(NEWS_MS, Event::News(from, Box::new(digest)));
+            self.schedule_after(DIGEST_TRANSIT_MS, Event::Digest(from, Box::new(digest)));
         }
     }
 
-    pub(super) fn news(&mut self, from: usize, digest: &Digest) {
+    pub(super) fn deliver_digest(&mut self, from: usize, digest: &Digest) {
         for to in (0..self.entries.len()).filter(|to| *to != from) {
-            self.with(to, |policy, now, out| {
+            self.call_policy(to, |policy, now, out| {
                 if let Some(scheduler) = policy.scheduler() {
                     scheduler.absorb(now, from as u64, digest, out);
                 }
--- a/crates/policy/tests/support/world/fleet.rs
+++ b/crates/policy/tests/support/world/fleet.rs
@@ -15,7 +15,7 @@
 use crate::support::world::World;
 
 impl World {
-    pub(super) fn sample(&mut self) {
+    pub(super) fn send_reports(&mut self) {
         for place in 0..self.places.len() {
             let engine = self.places[place];
             if matches!(self.engines[engine].health, Health::Dead | Health::Frozen) {
@@ -32,24 +32,26 @@
                     kv_used: running as f64 / self.pattern.shape.slots as f64,
                     age: Span::from_millis(self.pattern.reports.lag_ms),
                 };
-                self.after(
+                self.schedule_after(
                     self.pattern.reports.lag_ms,
                     Event::Report(entry, engine, report),
                 );
             }
         }
-        self.after(self.pattern.reports.period_ms, Event::Sample);
+        self.schedule_after(self.pattern.reports.period_ms, Event::SendReports);
     }
 
-    pub(super) fn report(&mut self, entry: usize, engine: usize, report: replica::Report) {
-        let Some(key) = self.keys[entry].get(&engine).copied() else {
+    pub(super) fn deliver_report(&mut self, entry: usize, engine: usize, report: replica::Report) {
+        let Some(key) = self.keys_by_engine[entry].get(&engine).copied() else {
             return;
         };
-        self.with(entry, |policy, now, _| policy.reported(now, key, report));
+        self.call_policy(entry, |policy, now, _| {
+            policy.handle_report(now, key, report)
+        });
     }
 
     /// Sends the cache events to every entry, except those lost in transit.
-    pub(super) fn sample_caches(&mut self) {
+    pub(super) fn send_cache_events(&mut self) {
         let Some(way) = self.pattern.cache_events else {
             return;
         };
@@ -57,27 +59,29 @@
             for event in self.engines[engine].take_events() {
                 for entry in 0..self.entries.len() {
                     if self.cache_random.random::<f64>() >= way.loss {
-                        self.after(way.lag_ms, Event::Cached(entry, engine, event));
+                        self.schedule_after(way.lag_ms, Event::CacheEvent(entry, engine, event));
                     }
                 }
             }
         }
-        self.after(way.period_ms, Event::SampleCaches);
+        self.schedule_after(way.period_ms, Event::SendCacheEvents);
     }
 
-    pub(super) fn cached(&mut self, entry: usize, engine: usize, event: CacheEvent) {
-        let Some(key) = self.keys[entry].get(&engine).copied() else {
+    pub(super) fn deliver_cache_event(&mut self, entry: usize, engine: usize, event: CacheEvent) {
+        let Some(key) = self.keys_by_engine[entry].get(&engine).copied() else {
             return;
         };
-        self.with(entry, |policy, now, _| policy.cached(now, key, &event));
+        self.call_policy(entry, |policy, now, _| {
+            policy.handle_cache_event(now, key, &event)
+        });
     }
 
-    pub(super) fn fault(&mut self, index: usize) {
+    pub(super) fn apply_fault(&mut self, index: usize) {
         match self.pattern.faults[index].1.clone() {
             Fault::Health(place, health) => {
                 let engine = self.places[place];
                 self.engines[engine].health = health;
-                self.kick(engine);
+                self.begin_step(engine);
             }
             Fault::Kill(place) => self.kill(self.places[place]),
             Fault::Restart(place) => self.restart(place),
@@ -106,12 +110,12 @@
         for place in self.in_zone(zone) {
             let engine = self.places[place];
             for entry in 0..self.entries.len() {
-                let key = self.keys[entry][&engine];
-                self.with(entry, |policy, now, out| {
-                    policy.leaving(now, key, deadline, out)
+                let key = self.keys_by_engine[entry][&engine];
+                self.call_policy(entry, |policy, now, out| {
+                    policy.handle_notice(now, key, deadline, out)
                 });
             }
-            self.after(notice_ms, Event::Gone(engine));
+            self.schedule_after(notice_ms, Event::Reclaimed(engine));
         }
     }
 
@@ -121,40 +125,40 @@
         }
         let lost = self.engines[engine].crash();
         if let Some(since) = self.live_since[engine].take() {
-            self.count_life(since);
+            self.record_lifetime(since);
         }
         for sequence in lost {
-            self.note_lost(&sequence);
-            self.after(
+            self.record_lost(&sequence);
+            self.schedule_after(
                 1,
                 Event::Ended(
                     sequence.entry,
                     sequence.id,
                     job::End::Crashed,
-                    sequence.made,
+                    sequence.generated,
                 ),
             );
         }
         for entry in 0..self.entries.len() {
-            if let Some(key) = self.keys[entry].remove(&engine) {
-                self.with(entry, |policy, now, _| policy.lost(now, key));
+            if let Some(key) = self.keys_by_engine[entry].remove(&engine) {
+                self.call_policy(entry, |policy, now, _| policy.remove_replica(now, key));
             }
         }
         let Some(ms) = self.pattern.restart_ms else {
             return;
         };
         if let Some(place) = self.places.iter().position(|held| *held == engine) {
-            self.after(ms, Event::Restart(place));
+            self.schedule_after(ms, Event::Restart(place));
         }
     }
 
     pub(super) fn restart(&mut self, place: usize) {
         if self.engines[self.places[place]].health == Health::Dead {
-            self.join(place);
+            self.add_replica(place);
         }
     }
 
-    pub(super) fn join(&mut self, place: usize) {
+    pub(super) fn add_replica(&mut self, place: usize) {
         let engine = self.engines.len();
         let mut fresh = Engine::new(self.pattern.shape.clone());
         fresh.killers.insert(0);
@@ -171,17 +175,17 @@
             };
             let now = self.now();
             let mut out = Vec::new();
-            let key = self.entries[entry].joined(now, spec, &mut out);
-            self.keys[entry].insert(engine, key);
-            self.found[entry].insert(key, engine);
+            let key = self.entries[entry].add_replica(now, spec, &mut out);
+            self.keys_by_engine[entry].insert(engine, key);
+            self.engines_by_key[entry].insert(key, engine);
             for decision in out {
-                self.carry_out(entry, decision);
+                self.execute(entry, decision);
             }
-            self.arm(entry);
+            self.schedule_wake(entry);
         }
     }
 
-    pub(super) fn count_life(&mut self, since: u64) {
+    pub(super) fn record_lifetime(&mut self, since: u64) {
         let end = self.now_ms.min(self.pattern.seconds * 1_000);
         self.tally.replica_seconds += end.saturating_sub(since) as f64 / 1_000.0;
     }
--- a/crates/policy/tests/support/world/mod.rs
+++ b/crates/policy/tests/support/world/mod.rs
@@ -2,8 +2,8 @@
 
 mod attempts;
 mod callers;
+mod digests;
 mod fleet;
-mod news;
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -31,41 +31,41 @@
 /// How long the simulation continues after the last arrival, in milliseconds.
 const DRAIN_MS: u64 = 60_000;
 /// Interval between digests of an entry, in milliseconds.
-const EXCHANGE_MS: u64 = 500;
+const DIGEST_PERIOD_MS: u64 = 500;
 /// Weight of an output token against a prompt token in a request's cost.
 const OUTPUT_WEIGHT: f64 = 12.0;
 
 /// A scheduled event.
 #[derive(Clone, Debug)]
 enum Event {
-    Send(usize),
+    Submit(usize),
     Step(usize),
     Ended(usize, job::Id, job::End, u32),
-    Patience(job::Id, u32),
+    CheckPatience(job::Id, u32),
     Wake(usize),
-    Sample,
+    SendReports,
     Report(usize, usize, replica::Report),
-    SampleCaches,
-    Cached(usize, usize, CacheEvent),
+    SendCacheEvents,
+    CacheEvent(usize, usize, CacheEvent),
     Fault(usize),
-    Gone(usize),
+    Reclaimed(usize),
     Restart(usize),
-    Exchange,
-    News(usize, Box<Digest>),
-    Arrive(usize, usize, usize, Box<Sequence>),
+    SendDigests,
+    Digest(usize, Box<Digest>),
+    Transferred(usize, usize, usize, Box<Sequence>),
 }
 
 /// One submission of a request by its caller.
 #[derive(Debug)]
-struct Send {
+struct Submission {
     request: usize,
     entry: usize,
-    sent: u64,
-    first: Option<u64>,
-    last: u64,
-    made: u32,
-    handed: bool,
-    spent: u64,
+    sent_ms: u64,
+    first_token_ms: Option<u64>,
+    last_token_ms: u64,
+    generated: u32,
+    handed_over: bool,
+    computed: u64,
     replica: Option<usize>,
 }
 
@@ -83,11 +83,11 @@
     places: Vec<usize>,
     zones: Vec<usize>,
     live_since: Vec<Option<u64>>,
-    keys: Vec<BTreeMap<usize, replica::Key>>,
-    found: Vec<BTreeMap<replica::Key, usize>>,
+    keys_by_engine: Vec<BTreeMap<usize, replica::Key>>,
+    engines_by_key: Vec<BTreeMap<replica::Key, usize>>,
     arrivals: Vec<Arrival>,
-    sends: BTreeMap<job::Id, Send>,
-    ran: BTreeSet<usize>,
+    submissions: BTreeMap<job::Id, Submission>,
+    non_idempotent_started: BTreeSet<usize>,
     /// Time at which the link of a leaving engine becomes free, in milliseconds.
     links: BTreeMap<usize, u64>,
     open: Vec<u32>,
@@ -117,10 +117,10 @@
             places: vec![usize::MAX; pattern.replicas],
             zones: Vec::new(),
             live_since: Vec::new(),
-            keys: vec![BTreeMap::new(); count],
-            found: vec![BTreeMap::new(); count],
-            sends: BTreeMap::new(),
-            ran: BTreeSet::new(),
+            keys_by_engine: vec![BTreeMap::new(); count],
+            engines_by_key: vec![BTreeMap::new(); count],
+            submissions: BTreeMap::new(),
+            non_idempotent_started: BTreeSet::new(),
             links: BTreeMap::new(),
             open: vec![0; pattern.profiles.len()],
             random: Pcg64::seed_from_u64(seed ^ 0x5eed),
@@ -156,7 +156,7 @@
             }
         }
         for place in 0..self.pattern.replicas {
-            self.join(place);
+            self.add_replica(place);
         }
         for (index, arrival) in self.arrivals.clone().iter().enumerate() {
             self.tally.outcomes.push(Outcome {
@@ -164,49 +164,53 @@
                 cost: f64::from(arrival.prompt) + OUTPUT_WEIGHT * f64::from(arrival.output),
                 ..Outcome::default()
             });
-            self.at(arrival.at_ms, Event::Send(index));
+            self.schedule(arrival.at_ms, Event::Submit(index));
         }
         for (index, (at, _)) in self.pattern.faults.clone().iter().enumerate() {
-            self.at(*at, Event::Fault(index));
+            self.schedule(*at, Event::Fault(index));
         }
-        self.at(self.pattern.reports.period_ms, Event::Sample);
+        self.schedule(self.pattern.reports.period_ms, Event::SendReports);
         if let Some(events) = self.pattern.cache_events {
-            self.at(events.period_ms, Event::SampleCaches);
+            self.schedule(events.period_ms, Event::SendCacheEvents);
         }
-        self.at(EXCHANGE_MS, Event::Exchange);
+        self.schedule(DIGEST_PERIOD_MS, Event::SendDigests);
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Send(request) => self.send(request),
-            Event::Step(engine) => self.step(engine),
-            Event::Ended(entry, id, end, made) => self.ended(entry, id, end, made),
-            Event::Patience(id, made) => self.patience(id, made),
+            Event::Submit(request) => self.submit(request),
+            Event::Step(engine) => self.finish_step(engine),
+            Event::Ended(entry, id, end, made) => self.deliver_end(entry, id, end, made),
+            Event::CheckPatience(id, made) => self.check_patience(id, made),
             Event::Wake(entry) => {
                 self.wakes[entry] = None;
-                self.with(entry, |policy, now, out| policy.poll(now, out));
+                self.call_policy(entry, |policy, now, out| policy.poll(now, out));
             }
-            Event::Sample => self.sample(),
-            Event::Report(entry, engine, report) => self.report(entry, engine, report),
-            Event::SampleCaches => self.sample_caches(),
-            Event::Cached(entry, engine, event) => self.cached(entry, engine, event),
-            Event::Fault(index) => self.fault(index),
-            Event::Gone(engine) => self.kill(engine),
+            Event::SendReports => self.send_reports(),
+            Event::Report(entry, engine, report) => self.deliver_report(entry, engine, report),
+            Event::SendCacheEvents => self.send_cache_events(),
+            Event::CacheEvent(entry, engine, event) => {
+                self.deliver_cache_event(entry, engine, event)
+            }
+            Event::Fault(index) => self.apply_fault(index),
+            Event::Reclaimed(engine) => self.kill(engine),
             Event::Restart(place) => self.restart(place),
-            Event::Exchange => self.exchange(),
-            Event::News(from, digest) => self.news(from, &digest),
-            Event::Arrive(entry, from, to, sequence) => self.arrive(entry, from, to, *sequence),
+            Event::SendDigests => self.send_digests(),
+            Event::Digest(from, digest) => self.deliver_digest(from, &digest),
+            Event::Transferred(entry, from, to, sequence) => {
+                self.finish_transfer(entry, from, to, *sequence)
+            }
         }
     }
 
-    fn at(&mut self, at_ms: u64, event: Event) {
+    fn schedule(&mut self, at_ms: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at_ms, self.sequence)));
         self.waiting.insert(self.sequence, event);
     }
 
-    fn after(&mut self, ms: u64, event: Event) {
-        self.at(self.now_ms + ms, event);
+    fn schedule_after(&mut self, ms: u64, event: Event) {
+        self.schedule(self.now_ms + ms, event);
     }
 
     fn now(&self) -> Time {
@@ -215,46 +219,50 @@
 
     fn is_over(&self, at: u64) -> bool {
         at > self.pattern.seconds * 1_000
-            && self.sends.is_empty()
+            && self.submissions.is_empty()
             && !self
                 .waiting
                 .values()
-                .any(|event| matches!(event, Event::Send(_)))
+                .any(|event| matches!(event, Event::Submit(_)))
     }
 
     /// Calls an entry's policy and executes its decisions.
-    fn with(&mut self, entry: usize, act: impl FnOnce(&mut dyn Policy, Time, &mut Vec<Decision>)) {
+    fn call_policy(
+        &mut self,
+        entry: usize,
+        act: impl FnOnce(&mut dyn Policy, Time, &mut Vec<Decision>),
+    ) {
         let now = self.now();
         let mut out = Vec::new();
         act(self.entries[entry].as_mut(), now, &mut out);
         for decision in out {
-            self.carry_out(entry, decision);
+            self.execute(entry, decision);
         }
-        self.arm(entry);
+        self.schedule_wake(entry);
         let scheduler = self.entries[entry].scheduler();
         if scheduler.is_some_and(|scheduler| scheduler.take_urgent()) {
-            self.tell(entry);
+            self.send_digest(entry);
         }
     }
 
-    fn arm(&mut self, entry: usize) {
+    fn schedule_wake(&mut self, entry: usize) {
         let Some(wake) = self.entries[entry].next_wake() else {
             return;
         };
         let wake = wake.as_millis().max(self.now_ms);
         if self.wakes[entry].is_none_or(|armed| wake < armed) {
             self.wakes[entry] = Some(wake);
-            self.at(wake, Event::Wake(entry));
+            self.schedule(wake, Event::Wake(entry));
         }
     }
 
     fn close(mut self) -> Tally {
         for since in std::mem::take(&mut self.live_since).into_iter().flatten() {
-            self.count_life(since);
+            self.record_lifetime(since);
         }
         self.tally.seconds = self.pattern.seconds as f64;
         self.tally.computed = self.engines.iter().map(|engine| engine.computed).sum();
-        self.tally.forgotten = self.sends.len() as u32;
+        self.tally.unanswered = self.submissions.len() as u32;
         self.tally
     }
 }
