--- a/crates/policy/tests/burst.rs
+++ b/crates/policy/tests/burst.rs
@@ -11,12 +11,16 @@
 #[test]
 fn most_of_a_burst_is_answered_in_time() {
     for seed in 1..=2 {
-        let ours = Variant::scheduler().run(&patterns::burst(), seed);
-        let plain = Variant::least_outstanding().run(&patterns::burst(), seed);
-        assert!(ours.share(None) > 0.9, "seed {seed}: {}", ours.share(None));
-        assert!(ours.share(None) > plain.share(None) + 0.3);
-        assert_eq!(ours.unanswered, 0);
-        assert_eq!(ours.wasted, 0);
+        let scheduler = Variant::scheduler().run(&patterns::burst(), seed);
+        let baseline = Variant::least_outstanding().run(&patterns::burst(), seed);
+        assert!(
+            scheduler.share(None) > 0.9,
+            "seed {seed}: {}",
+            scheduler.share(None)
+        );
+        assert!(scheduler.share(None) > baseline.share(None) + 0.3);
+        assert_eq!(scheduler.unanswered, 0);
+        assert_eq!(scheduler.wasted, 0);
     }
 }
 
@@ -29,8 +33,8 @@
 
 /// The same burst on three replicas, where an entry has six slots to itself.
 #[test]
-fn a_small_pool_comes_through_as_well() {
+fn most_of_a_burst_on_a_small_pool_is_answered_in_time() {
     let pattern = patterns::small(&patterns::burst());
-    let ours = Variant::scheduler().run(&pattern, 1);
-    assert!(ours.share(None) > 0.85, "{}", ours.share(None));
+    let scheduler = Variant::scheduler().run(&pattern, 1);
+    assert!(scheduler.share(None) > 0.85, "{}", scheduler.share(None));
 }
--- a/crates/policy/tests/cover.rs
+++ b/crates/policy/tests/cover.rs
@@ -16,13 +16,13 @@
 fn zone(reclaimable: u32, on_demand: u32, open: bool) -> Zone {
     Zone {
         price: 1.0,
-        reclaimable: standing(reclaimable),
-        on_demand: standing(on_demand),
+        reclaimable: serving(reclaimable),
+        on_demand: serving(on_demand),
         open,
     }
 }
 
-fn standing(count: u32) -> Stock {
+fn serving(count: u32) -> Stock {
     Stock {
         live: count,
         expected: count,
@@ -54,7 +54,7 @@
 /// replicas are ordered now, but no more than that: they cost five times as much, and a reclaim is
 /// announced.
 #[test]
-fn a_dry_market_is_made_up_for_before_the_next_reclaim() {
+fn on_demand_replicas_prepare_for_the_next_reclaim() {
     let zones = [zone(0, 0, false), zone(3, 0, false), zone(3, 0, false)];
     let wanted = plan(&Config::default(), 2.4, &zones, BOUNDS);
     assert_eq!(on_demand(&wanted), 0, "three are left for 2.4");
@@ -72,20 +72,20 @@
 fn three_reclaims_in_a_row_leave_enough_to_carry_the_work() {
     for busy in [1.5, 2.4, 3.3, 5.0] {
         let mut zones = [zone(6, 0, true), zone(6, 0, true), zone(6, 0, true)];
-        for gone in 0..3 {
+        for reclaimed in 0..3 {
             for zone in &mut zones {
                 zone.open = false;
             }
-            zones[gone].reclaimable = standing(0);
+            zones[reclaimed].reclaimable = serving(0);
             let left: u32 = zones.iter().map(|zone| zone.reclaimable.live).sum();
             let served: u32 = zones.iter().map(|zone| zone.on_demand.live).sum();
-            assert!(f64::from(left + served) >= busy * 0.5 || gone == 2);
+            assert!(f64::from(left + served) >= busy * 0.5 || reclaimed == 2);
             let wanted = plan(&Config::default(), busy, &zones, BOUNDS);
             for (zone, wanted) in zones.iter_mut().zip(&wanted) {
-                zone.on_demand = standing(wanted.on_demand);
+                zone.on_demand = serving(wanted.on_demand);
             }
-            let after = left + on_demand(&wanted);
-            assert!(f64::from(after) >= busy / 0.6, "{busy}: {after}");
+            let capacity = left + on_demand(&wanted);
+            assert!(f64::from(capacity) >= busy / 0.6, "{busy}: {capacity}");
         }
     }
 }
@@ -101,7 +101,7 @@
 
 /// The bounds of a zone hold for both markets together, whatever the load.
 #[test]
-fn no_zone_gets_more_than_it_may() {
+fn bounds_hold_for_both_markets_together() {
     for busy in [0.0, 3.0, 9.0, 50.0] {
         for open in [true, false] {
             let zones = [zone(2, 0, open), zone(6, 0, open), zone(0, 6, true)];
@@ -114,7 +114,7 @@
 
 /// A platform without reclaimable replicas gets enough on-demand ones for the target utilization.
 #[test]
-fn one_market_alone_carries_the_work() {
+fn on_demand_replicas_suffice_without_a_reclaimable_market() {
     let bounds = Bounds {
         reclaimable: false,
         ..BOUNDS
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -61,7 +61,7 @@
         self.monitor.record_start(self.now, key);
     }
 
-    fn out(&self) -> Vec<u32> {
+    fn ejected(&self) -> Vec<u32> {
         (0..self.replicas)
             .filter(|key| self.monitor.allowance(Key(*key)) == Allowance::None)
             .collect()
@@ -79,24 +79,24 @@
 /// One replica becomes five times slower than its peers; requests that go there miss their target
 /// until it is ejected.
 #[test]
-fn slow_replica_goes_out_and_its_peers_stay() {
+fn only_a_slow_replica_is_ejected() {
     let mut pool = Pool::new(9);
     pool.run(Span::from_seconds(4), |key| {
         Work::Gap(if key == 4 { 150.0 } else { 30.0 })
     });
-    assert_eq!(pool.out(), [4]);
+    assert_eq!(pool.ejected(), [4]);
 }
 
 /// A process freezes with streams open: no token, no report, no error, and the callers' streams
 /// hang.
 #[test]
-fn frozen_replica_goes_out() {
+fn frozen_replica_is_ejected() {
     let mut pool = Pool::new(9);
     pool.run(Span::from_seconds(4), |key| match key {
         2 => Work::Silence,
         _ => Work::Gap(30.0),
     });
-    assert_eq!(pool.out(), [2]);
+    assert_eq!(pool.ejected(), [2]);
 }
 
 /// An engine computes a long prompt alone: its one stream is silent for ten seconds while its load
@@ -110,19 +110,19 @@
             0 => Work::Silence,
             _ => Work::Gap(30.0),
         });
-        assert_eq!(pool.out(), []);
+        assert_eq!(pool.ejected(), []);
     }
 }
 
 /// A replica fails every request in a millisecond. As the least loaded it would attract all work.
 #[test]
-fn fast_failing_replica_goes_out_within_five_failures() {
+fn fast_failing_replica_is_ejected_within_five_failures() {
     let mut pool = Pool::new(3);
     pool.run(Span::from_millis(500), |key| match key {
         1 => Work::Fail,
         _ => Work::Gap(30.0),
     });
-    assert_eq!(pool.out(), [1]);
+    assert_eq!(pool.ejected(), [1]);
 }
 
 /// A bad version fails, or overload slows, every replica alike: ejecting some helps nobody.
@@ -130,15 +130,15 @@
 fn common_fault_ejects_nobody() {
     let mut pool = Pool::new(9);
     pool.run(Span::from_seconds(5), |_| Work::Fail);
-    assert_eq!(pool.out(), []);
+    assert_eq!(pool.ejected(), []);
     pool.run(Span::from_seconds(5), |_| Work::Gap(900.0));
-    assert_eq!(pool.out(), []);
+    assert_eq!(pool.ejected(), []);
 }
 
 /// A recovered replica that got its whole share at once, with a cold cache, would be slow again; it
 /// gets one job, then twice as many after each successful round.
 #[test]
-fn recovered_replica_comes_back_step_by_step() {
+fn recovered_replica_is_readmitted_gradually() {
     let mut pool = Pool::new(9);
     pool.run(Span::from_seconds(2), |key| {
         if key == 0 {
@@ -147,7 +147,7 @@
             Work::Gap(30.0)
         }
     });
-    assert_eq!(pool.out(), [0]);
+    assert_eq!(pool.ejected(), [0]);
     let mut seen = Vec::new();
     for _ in 0..200 {
         pool.run(STEP, |_| Work::Gap(30.0));
@@ -167,7 +167,7 @@
 fn relapses_are_probed_ever_more_rarely() {
     let mut pool = Pool::new(3);
     let mut probes = 0;
-    let mut was_out = false;
+    let mut was_ejected = false;
     for _ in 0..20 * 600 {
         pool.run(STEP, |key| {
             if key == 0 {
@@ -176,9 +176,9 @@
                 Work::Gap(30.0)
             }
         });
-        let out = pool.out() == [0];
-        probes += u32::from(was_out && !out);
-        was_out = out;
+        let ejected = pool.ejected() == [0];
+        probes += u32::from(was_ejected && !ejected);
+        was_ejected = ejected;
     }
     // Ejections of 5, 10, 20, ... 300 s: seven of them fit into ten minutes.
     assert!((5..=7).contains(&probes), "probed {probes} times");
@@ -194,7 +194,7 @@
 
     /// Whatever the replicas do, at most a third of the pool is ejected.
     #[test]
-    fn never_more_than_a_third_is_out(
+    fn at_most_a_third_is_ejected(
         replicas in 1_u32..15,
         work in proptest::collection::vec((0_u32..3, 1.0_f64..1_000.0), 15),
         leaves in 0_u32..15,
@@ -206,7 +206,7 @@
                 (1, _) => Work::Silence,
                 (_, gap) => Work::Gap(gap),
             });
-            prop_assert!(pool.out().len() as u32 <= replicas / 3);
+            prop_assert!(pool.ejected().len() as u32 <= replicas / 3);
             if round == 10 && leaves < replicas {
                 pool.monitor.remove(Key(leaves));
                 break;
@@ -214,8 +214,8 @@
         }
         pool.monitor.tick(pool.now + Span::from_seconds(1));
         let left = replicas - u32::from(leaves < replicas);
-        let gone = leaves < replicas;
-        let out = pool.out().iter().filter(|key| !(gone && **key == leaves)).count() as u32;
-        prop_assert!(out <= left / 3);
+        let has_left = leaves < replicas;
+        let ejected = pool.ejected().iter().filter(|key| !(has_left && **key == leaves)).count() as u32;
+        prop_assert!(ejected <= left / 3);
     }
 }
--- a/crates/policy/tests/hot_caller.rs
+++ b/crates/policy/tests/hot_caller.rs
@@ -12,33 +12,33 @@
 fn the_others_are_served_as_if_they_were_alone() {
     let (flooded, alone) = (patterns::hot_caller(), patterns::without_hot_caller());
     for seed in 1..=2 {
-        let ours = Variant::scheduler().run(&flooded, seed);
-        let quiet = Variant::scheduler().run(&alone, seed);
-        let plain = Variant::least_outstanding().run(&flooded, seed);
+        let scheduler = Variant::scheduler().run(&flooded, seed);
+        let unflooded = Variant::scheduler().run(&alone, seed);
+        let baseline = Variant::least_outstanding().run(&flooded, seed);
         for account in [0, 1, 3, 4] {
-            let share = ours.share(Some(account));
+            let share = scheduler.share(Some(account));
             // A run has some 70 requests of each small account: two of them are 3 points.
             assert!(
-                share > quiet.share(Some(account)) - 0.04,
+                share > unflooded.share(Some(account)) - 0.04,
                 "seed {seed}, {account}: {share}"
             );
-            assert!(share > plain.share(Some(account)) + 0.5);
+            assert!(share > baseline.share(Some(account)) + 0.5);
         }
         assert!(
-            ours.goodput() > 45.0,
+            scheduler.goodput() > 45.0,
             "the flood fills what is left: {}",
-            ours.goodput()
+            scheduler.goodput()
         );
     }
 }
 
 /// The flood goes on while a zone is reclaimed.
 #[test]
-fn the_others_come_through_a_reclaim_as_well() {
-    let ours = Variant::scheduler().run(&patterns::reclaim_and_hot_caller(), 1);
+fn the_others_are_served_during_a_reclaim() {
+    let scheduler = Variant::scheduler().run(&patterns::reclaim_and_hot_caller(), 1);
     for account in [0, 1, 3, 4] {
-        let share = ours.share(Some(account));
+        let share = scheduler.share(Some(account));
         assert!(share > 0.9, "{account}: {share}");
     }
-    assert_eq!(ours.recomputed, 0);
+    assert_eq!(scheduler.recomputed, 0);
 }
--- a/crates/policy/tests/idle.rs
+++ b/crates/policy/tests/idle.rs
@@ -60,7 +60,7 @@
 /// each request is refused for a target that can't be met: estimates from the overload persist,
 /// since nothing is started that could correct them.
 #[test]
-fn what_an_overload_taught_refuses_nobody_once_it_is_over() {
+fn estimates_from_an_overload_refuse_nobody_afterwards() {
     let mut scheduler = scheduler();
     let mut out = Vec::new();
     let mut now = Time::from_millis(1_000);
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -19,7 +19,7 @@
 struct Cluster {
     entries: Vec<Limits>,
     open: Vec<u32>,
-    news: VecDeque<(u64, usize, Digest)>,
+    in_transit: VecDeque<(u64, usize, Digest)>,
 }
 
 impl Cluster {
@@ -40,46 +40,50 @@
         Cluster {
             entries,
             open: vec![0; ENTRIES],
-            news: VecDeque::new(),
+            in_transit: VecDeque::new(),
         }
     }
 
-    /// Exchanges digests every 500 ms with a delay of 100 ms; entries in `cut` neither send nor
+    /// Exchanges digests every 500 ms with a delay of 100 ms; entries in `disconnected` neither send nor
     /// receive any.
-    fn exchange(&mut self, ms: u64, cut: &[usize]) {
+    fn exchange(&mut self, ms: u64, disconnected: &[usize]) {
         let now = Time::from_millis(ms);
         if ms.is_multiple_of(500) {
             for (from, entry) in self.entries.iter_mut().enumerate() {
                 let digest = entry.digest(now);
-                if !cut.contains(&from) {
-                    self.news.push_back((ms + 100, from, digest));
+                if !disconnected.contains(&from) {
+                    self.in_transit.push_back((ms + 100, from, digest));
                 }
             }
         }
-        while self.news.front().is_some_and(|(at, _, _)| *at <= ms) {
-            let Some((_, from, digest)) = self.news.pop_front() else {
+        while self
+            .in_transit
+            .front()
+            .is_some_and(|(arrival, _, _)| *arrival <= ms)
+        {
+            let Some((_, from, digest)) = self.in_transit.pop_front() else {
                 return;
             };
             for (to, entry) in self.entries.iter_mut().enumerate() {
-                if to != from && !cut.contains(&to) {
+                if to != from && !disconnected.contains(&to) {
                     entry.merge(now, from as u64, &digest);
                 }
             }
         }
     }
 
-    fn ask(&mut self, ms: u64, at: usize, tokens: u64) -> bool {
-        let admitted = self.entries[at]
+    fn admit(&mut self, ms: u64, entry: usize, tokens: u64) -> bool {
+        let admitted = self.entries[entry]
             .admit(Time::from_millis(ms), KEY, tokens)
             .is_ok();
-        self.open[at] += u32::from(admitted);
+        self.open[entry] += u32::from(admitted);
         admitted
     }
 
-    fn end(&mut self, at: usize, tokens: u64) {
-        if self.open[at] > 0 {
-            self.open[at] -= 1;
-            self.entries[at].release(KEY, tokens, tokens);
+    fn end(&mut self, entry: usize, tokens: u64) {
+        if self.open[entry] > 0 {
+            self.open[entry] -= 1;
+            self.entries[entry].release(KEY, tokens, tokens);
         }
     }
 }
@@ -100,17 +104,17 @@
     ) {
         let mut cluster = Cluster::new(0, CONCURRENT);
         let mut ms = 0;
-        for (demand, cut) in phases {
-            let cut: Vec<usize> = (0..cut).collect();
+        for (demand, disconnected) in phases {
+            let disconnected: Vec<usize> = (0..disconnected).collect();
             for _ in 0..80 {
                 ms += 50;
-                cluster.exchange(ms, &cut);
-                for (at, demand) in demand.iter().enumerate() {
+                cluster.exchange(ms, &disconnected);
+                for (entry, demand) in demand.iter().enumerate() {
                     for _ in 0..*demand {
-                        cluster.ask(ms, at, 1);
+                        cluster.admit(ms, entry, 1);
                     }
                     if ms.is_multiple_of(400) {
-                        cluster.end(at, 1);
+                        cluster.end(entry, 1);
                     }
                 }
                 prop_assert!(cluster.open.iter().sum::<u32>() <= CONCURRENT, "{:?}", cluster.open);
@@ -126,7 +130,7 @@
     let mut cluster = Cluster::new(0, CONCURRENT);
     for ms in (50..10_000).step_by(50) {
         cluster.exchange(ms, &[]);
-        cluster.ask(ms, 3, 1);
+        cluster.admit(ms, 3, 1);
     }
     // The other seven keep a floor of one each.
     assert_eq!(cluster.open[3], CONCURRENT - 7);
@@ -141,10 +145,10 @@
     for ms in (10..20_000_u64).step_by(10) {
         cluster.exchange(ms, &[]);
         let busy = if ms < 10_000 { ENTRIES } else { 2 };
-        for at in 0..busy {
-            if cluster.ask(ms, at, 100) {
+        for entry in 0..busy {
+            if cluster.admit(ms, entry, 100) {
                 granted += 100;
-                cluster.end(at, 100);
+                cluster.end(entry, 100);
             }
         }
     }
--- a/crates/policy/tests/outage.rs
+++ b/crates/policy/tests/outage.rs
@@ -10,15 +10,19 @@
 #[test]
 fn callers_return_spread_and_are_served() {
     for seed in 1..=2 {
-        let ours = Variant::scheduler().run(&patterns::outage(), seed);
-        let plain = Variant::least_outstanding().run(&patterns::outage(), seed);
-        assert!(ours.share(None) > 0.8, "seed {seed}: {}", ours.share(None));
-        assert!(ours.share(None) >= plain.share(None));
+        let scheduler = Variant::scheduler().run(&patterns::outage(), seed);
+        let baseline = Variant::least_outstanding().run(&patterns::outage(), seed);
         assert!(
-            ours.first_token_quantile(0.99) < 1_000.0,
+            scheduler.share(None) > 0.8,
+            "seed {seed}: {}",
+            scheduler.share(None)
+        );
+        assert!(scheduler.share(None) >= baseline.share(None));
+        assert!(
+            scheduler.first_token_quantile(0.99) < 1_000.0,
             "those served are served in time"
         );
-        assert_eq!(ours.false_not_run, 0);
-        assert_eq!(ours.unanswered, 0);
+        assert_eq!(scheduler.false_not_run, 0);
+        assert_eq!(scheduler.unanswered, 0);
     }
 }
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -12,16 +12,16 @@
 fn goodput_holds_at_any_overload() {
     for (name, factor) in [("1.2", 1.2), ("2", 2.0), ("5", 5.0)] {
         let pattern = patterns::overload(name, factor);
-        let ours = Variant::scheduler().run(&pattern, 1);
+        let scheduler = Variant::scheduler().run(&pattern, 1);
         assert!(
-            ours.goodput() > 0.9 * CAPACITY,
+            scheduler.goodput() > 0.9 * CAPACITY,
             "{name}: {}",
-            ours.goodput()
+            scheduler.goodput()
         );
-        assert!(ours.wasted_share() < 0.1);
-        assert!(ours.jain() > 0.98, "{name}: {}", ours.jain());
-        assert_eq!(ours.unanswered, 0);
-        assert_eq!(ours.false_not_run, 0);
+        assert!(scheduler.wasted_share() < 0.1);
+        assert!(scheduler.jain() > 0.98, "{name}: {}", scheduler.jain());
+        assert_eq!(scheduler.unanswered, 0);
+        assert_eq!(scheduler.false_not_run, 0);
         let small = Variant::scheduler().run(&patterns::small(&pattern), 1);
         assert!(
             small.goodput() > 0.3 * CAPACITY,
@@ -35,15 +35,18 @@
 /// an idle replica could no longer have answered in time, and mostly on arrival.
 #[test]
 fn refusals_come_at_once() {
-    let ours = Variant::scheduler().run(&patterns::overload("2", 2.0), 1);
-    assert_eq!(ours.sum(|outcome| outcome.refused_after_infeasible), 0.0);
+    let scheduler = Variant::scheduler().run(&patterns::overload("2", 2.0), 1);
+    assert_eq!(
+        scheduler.sum(|outcome| outcome.refused_after_infeasible),
+        0.0
+    );
     let (at_once, late) = (
-        ours.sum(|outcome| outcome.refused_immediately),
-        ours.sum(|outcome| outcome.refused_late),
+        scheduler.sum(|outcome| outcome.refused_immediately),
+        scheduler.sum(|outcome| outcome.refused_late),
     );
     assert!(at_once > 3.0 * late, "{at_once} at once, {late} later");
     assert_eq!(
-        ours.sum(|outcome| outcome.refused_permanently),
+        scheduler.sum(|outcome| outcome.refused_permanently),
         0.0,
         "all are told when to come back"
     );
@@ -53,8 +56,10 @@
 /// priorities all lose half; the accounts with the highest priority should hardly be affected.
 #[test]
 fn lower_priorities_are_shed_first() {
-    let ours = Variant::scheduler().run(&patterns::priorities(), 1);
-    let shares: Vec<f64> = (0..5).map(|account| ours.share(Some(account))).collect();
+    let scheduler = Variant::scheduler().run(&patterns::priorities(), 1);
+    let shares: Vec<f64> = (0..5)
+        .map(|account| scheduler.share(Some(account)))
+        .collect();
     assert!(shares[0] > 0.9 && shares[2] > 0.75, "{shares:?}");
     assert!(
         shares[1] < 0.5 && shares[3] < 0.3 && shares[4] < 0.3,
@@ -65,7 +70,7 @@
 /// Short calls of a plain service at twice the capacity of its three replicas.
 #[test]
 fn plain_calls_are_held_to_their_target() {
-    let ours = Variant::scheduler().run(&patterns::plain_overload(), 1);
-    let plain = Variant::least_outstanding().run(&patterns::plain_overload(), 1);
-    assert!(ours.goodput() > 10.0 * plain.goodput());
+    let scheduler = Variant::scheduler().run(&patterns::plain_overload(), 1);
+    let baseline = Variant::least_outstanding().run(&patterns::plain_overload(), 1);
+    assert!(scheduler.goodput() > 10.0 * baseline.goodput());
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -14,9 +14,9 @@
 const REPLICAS: u64 = 9;
 const KILLER: u64 = 666;
 /// Time from the start of a killer to the crash of its replica.
-const FUSE: Span = Span::from_millis(20);
+const TIME_TO_CRASH: Span = Span::from_millis(20);
 /// Transit time of a digest.
-const FLIGHT: Span = Span::from_millis(2);
+const TRANSIT: Span = Span::from_millis(2);
 
 /// Evidence that an entry receives at a given time.
 type Event = dyn Fn(&mut Quarantine, Time);
@@ -55,7 +55,7 @@
     fn settle(&mut self) {
         let limit = self.now + Span::from_seconds(60);
         while !(self.waiting.is_empty() && self.claimed.is_empty() && self.running.is_empty()) {
-            assert!(self.now < limit, "a copy never got its answer");
+            assert!(self.now < limit, "a copy never got an answer");
             self.step();
         }
     }
@@ -64,7 +64,7 @@
         for entry in std::mem::take(&mut self.waiting) {
             match self.entries[entry].standing(self.now, KILLER) {
                 Standing::Clear => {
-                    let replica = self.place(entry);
+                    let replica = self.choose_replica(entry);
                     self.start(entry, replica);
                 }
                 Standing::Trial => self.reserve(entry),
@@ -74,22 +74,23 @@
         }
         self.use_claims();
         self.now = self.now + Span::from_millis(1);
-        self.crash_due();
-        self.tell();
+        self.crash_next();
+        self.send_digests();
     }
 
-    fn place(&self, entry: usize) -> u64 {
+    fn choose_replica(&self, entry: usize) -> u64 {
         let alive = self.alive.iter().map(|replica| (*replica, *replica));
-        let place = self.entries[entry].choose_replica(KILLER, alive);
-        place.expect("a replica")
+        let replica = self.entries[entry].choose_replica(KILLER, alive);
+        replica.expect("a replica")
     }
 
     fn start(&mut self, entry: usize, replica: u64) {
-        self.running.push((entry, replica, self.now + FUSE));
+        self.running
+            .push((entry, replica, self.now + TIME_TO_CRASH));
     }
 
     fn reserve(&mut self, entry: usize) {
-        let replica = self.place(entry);
+        let replica = self.choose_replica(entry);
         self.entries[entry].reserve(KILLER, replica);
         let stands = self.now + Config::default().claim_delay;
         self.claimed.push((entry, replica, stands));
@@ -108,7 +109,7 @@
         }
     }
 
-    fn crash_due(&mut self) {
+    fn crash_next(&mut self) {
         let now = self.now;
         let due = self.running.iter().find(|(_, _, at)| *at <= now).copied();
         let Some((_, replica, _)) = due else {
@@ -126,13 +127,13 @@
         }
     }
 
-    fn tell(&mut self) {
+    fn send_digests(&mut self) {
         for from in 0..ENTRIES {
             if !self.entries[from].take_urgent() {
                 continue;
             }
             let digest = self.entries[from].digest(self.now);
-            let arrives = self.now + FLIGHT;
+            let arrives = self.now + TRANSIT;
             for to in (0..ENTRIES).filter(|to| *to != from) {
                 self.entries[to].merge(arrives, &digest);
             }
@@ -143,7 +144,7 @@
 /// A caller resends a request that crashes replicas through one entry after the other. Without
 /// shared evidence every entry would lose two replicas of its own.
 #[test]
-fn killer_through_each_entry_costs_two_replicas() {
+fn killer_resent_through_each_entry_costs_two_replicas() {
     let mut system = System::new();
     for entry in 0..ENTRIES {
         system.waiting.push(entry);
@@ -201,13 +202,13 @@
     one.reserve(7, 3);
     other.reserve(8, 3);
     let (first, second) = (one.digest(at), other.digest(at));
-    one.merge(at + FLIGHT, &second);
-    other.merge(at + FLIGHT, &first);
+    one.merge(at + TRANSIT, &second);
+    other.merge(at + TRANSIT, &first);
     assert!(one.holds_claim(7, 3));
     assert!(!other.holds_claim(8, 3));
     one.start_trial(3);
     other.end_trial(8);
-    assert!(other.is_reserved(at + FLIGHT, 3));
+    assert!(other.is_reserved(at + TRANSIT, 3));
 }
 
 /// A zone is lost without notice: its replicas crash within moments of each other, some seen here,
@@ -221,12 +222,12 @@
     here.record_crash(Time::ZERO, 1, 0, &[10, 11, 12]);
     here.record_crash(at, 2, 0, &[12, 13]);
     peer.record_crash(at, 3, 0, &[12, 14]);
-    let late = peer.digest(at);
-    here.merge(at + FLIGHT, &late);
+    let delayed = peer.digest(at);
+    here.merge(at + TRANSIT, &delayed);
     for fingerprint in 10..15 {
-        assert_eq!(here.standing(at + FLIGHT, fingerprint), Standing::Clear);
+        assert_eq!(here.standing(at + TRANSIT, fingerprint), Standing::Clear);
     }
-    here.merge(Time::from_millis(2_000), &late);
+    here.merge(Time::from_millis(2_000), &delayed);
     assert_eq!(here.standing(Time::from_millis(3_000), 14), Standing::Clear);
 }
 
@@ -240,25 +241,25 @@
     let mut peer = Quarantine::new(config, 2);
     here.record_crash(Time::ZERO, 1, 0, &[KILLER]);
     here.record_crash(Time::from_millis(900), 2, 1, &[KILLER]);
-    let told = Time::from_millis(950);
+    let sent = Time::from_millis(950);
     assert!(matches!(
-        here.standing(told, KILLER),
+        here.standing(sent, KILLER),
         Standing::Quarantined(_)
     ));
-    peer.merge(told, &here.digest(told));
+    peer.merge(sent, &here.digest(sent));
     assert!(matches!(
-        peer.standing(told, KILLER),
+        peer.standing(sent, KILLER),
         Standing::Quarantined(_)
     ));
 
-    let over = Time::from_millis(900) + config.duration;
-    here.tick(over);
-    assert_eq!(here.standing(over, KILLER), Standing::Trial);
-    here.merge(over, &peer.digest(over));
-    assert_eq!(here.standing(over, KILLER), Standing::Trial);
-    here.record_crash(over, 3, 0, &[KILLER]);
+    let expiry = Time::from_millis(900) + config.duration;
+    here.tick(expiry);
+    assert_eq!(here.standing(expiry, KILLER), Standing::Trial);
+    here.merge(expiry, &peer.digest(expiry));
+    assert_eq!(here.standing(expiry, KILLER), Standing::Trial);
+    here.record_crash(expiry, 3, 0, &[KILLER]);
     assert!(matches!(
-        here.standing(over, KILLER),
+        here.standing(expiry, KILLER),
         Standing::Quarantined(_)
     ));
 }
@@ -332,23 +333,23 @@
 /// its replica crashes while the cancellation is in transit, when no copy is counted there any
 /// more. Unless that crash is held against the killer, its trial costs a third replica.
 #[test]
-fn a_copy_that_was_stopped_too_late_is_still_blamed() {
-    let heard_from_a_peer = |entry: &mut Quarantine, now: Time| {
+fn a_copy_cancelled_too_late_is_still_blamed() {
+    let reported_by_peer = |entry: &mut Quarantine, now: Time| {
         let mut peer = Quarantine::new(Config::default(), 2);
         peer.record_crash(now, 7, 1, &[5]);
         entry.merge(now, &peer.digest(now));
     };
-    let seen_here = |entry: &mut Quarantine, now: Time| entry.record_crash(now, 7, 1, &[5]);
-    let told_by_the_copy =
+    let observed = |entry: &mut Quarantine, now: Time| entry.record_crash(now, 7, 1, &[5]);
+    let reported_by_copy =
         |entry: &mut Quarantine, now: Time| entry.record_crash_after_cancel(now, KILLER);
-    let ways: [&Event; 3] = [&heard_from_a_peer, &seen_here, &told_by_the_copy];
-    for crash_of_the_second in ways {
+    let reports: [&Event; 3] = [&reported_by_peer, &observed, &reported_by_copy];
+    for report_crash in reports {
         let mut entry = Quarantine::new(Config::default(), 1);
         let start = Time::ZERO + Span::from_seconds(1);
         entry.record_crash(start, 3, 0, &[KILLER]);
         assert_eq!(entry.take_suspects(), [KILLER]);
         entry.record_cancellation(start, KILLER, 7, 1);
-        crash_of_the_second(&mut entry, start + FLIGHT);
+        report_crash(&mut entry, start + TRANSIT);
         let later = start + Span::from_seconds(1);
         let standing = entry.standing(later, KILLER);
         assert!(matches!(standing, Standing::Quarantined(_)), "{standing:?}");
@@ -357,7 +358,7 @@
 
 /// A suspect's copy was cancelled; its replica crashes much later for another reason.
 #[test]
-fn a_stopped_copy_is_not_blamed_for_a_later_crash() {
+fn a_cancelled_copy_is_not_blamed_for_a_later_crash() {
     let mut entry = Quarantine::new(Config::default(), 1);
     let start = Time::ZERO + Span::from_seconds(1);
     entry.record_crash(start, 3, 0, &[9]);
@@ -374,7 +375,7 @@
 /// Two entries cancelled a copy on the same replica and receive its crash from each other. If each
 /// receipt were urgent, the two would send digests without end and run out of memory.
 #[test]
-fn news_of_one_crash_is_urgent_once() {
+fn one_crash_is_urgent_only_once() {
     let mut entry = Quarantine::new(Config::default(), 1);
     let mut peer = Quarantine::new(Config::default(), 2);
     let now = Time::ZERO + Span::from_seconds(1);
@@ -382,10 +383,10 @@
         one.record_cancellation(now, KILLER, 7, 1);
     }
     entry.record_crash(now, 7, 1, &[KILLER]);
-    let mut told = 0;
+    let mut rounds = 0;
     while entry.take_urgent() || peer.take_urgent() {
-        told += 1;
-        assert!(told < 10, "the two never fall silent");
+        rounds += 1;
+        assert!(rounds < 10, "the two send digests without end");
         peer.merge(now, &entry.digest(now));
         entry.merge(now, &peer.digest(now));
     }
--- a/crates/policy/tests/sizes.rs
+++ b/crates/policy/tests/sizes.rs
@@ -9,22 +9,25 @@
 /// over all replicas, each long prompt delays the short ones behind it for more than a second, and
 /// a fifth of them misses the target; excluded altogether, the long ones would starve.
 #[test]
-fn captions_pass_and_bundles_are_read() {
+fn long_jobs_neither_delay_short_ones_nor_starve() {
     let pattern = patterns::long_among_short();
-    let bundles = Some(1);
-    let (mut ours, mut plain) = (0.0, 0.0);
+    let long_jobs = Some(1);
+    let (mut scheduler, mut baseline) = (0.0, 0.0);
     for seed in 1..=3 {
         let tally = Variant::scheduler().run(&pattern, seed);
         assert!(
-            tally.share(bundles) > 0.85,
+            tally.share(long_jobs) > 0.85,
             "seed {seed}: {}",
-            tally.share(bundles)
+            tally.share(long_jobs)
         );
-        ours += tally.share(Some(0)) / 3.0;
-        plain += Variant::least_outstanding()
+        scheduler += tally.share(Some(0)) / 3.0;
+        baseline += Variant::least_outstanding()
             .run(&pattern, seed)
             .share(Some(0))
             / 3.0;
     }
-    assert!(ours > plain + 0.03, "captions {ours} against {plain}");
+    assert!(
+        scheduler > baseline + 0.03,
+        "short jobs {scheduler} against {baseline}"
+    );
 }
--- a/crates/policy/tests/subset.rs
+++ b/crates/policy/tests/subset.rs
@@ -86,7 +86,7 @@
 
     /// When an entry leaves, each of its replicas gets one new entry and no other pair changes.
     #[test]
-    fn leaving_entry_moves_only_its_own(gone in 1_usize..20) {
+    fn leaving_entry_moves_only_its_own_pairs(gone in 1_usize..20) {
         let (entries, replicas) = (names("entry", 20), names("replica", 100));
         for own in entries.iter().filter(|entry| **entry != entries[gone]) {
             let mut subset = subset(Config { entries_per_replica: 3, target_size: 0 }, *own, &entries, &replicas);
--- a/crates/policy/tests/warmup.rs
+++ b/crates/policy/tests/warmup.rs
@@ -8,7 +8,7 @@
 /// A replica joins a busy pool with an empty cache. As the least loaded it would attract every
 /// request, each a full prefill, and all of them would be late.
 #[test]
-fn new_replica_gets_its_part_step_by_step() {
+fn new_replica_gets_load_gradually() {
     let config = Config::default();
     let mut warmup = Warmup::new(config);
     warmup.add(Time::ZERO, Key(0));
--- a/crates/policy/tests/wave.rs
+++ b/crates/policy/tests/wave.rs
@@ -44,14 +44,14 @@
     }
 }
 
-fn fate(steps: &[Step], id: u64) -> Action {
+fn action(steps: &[Step], id: u64) -> Action {
     let step = steps.iter().find(|step| step.job == job::Id(id));
-    step.expect("each job has a fate").action
+    step.expect("each job has an action").action
 }
 
-fn how(steps: &[Step], id: u64) -> Option<Transfer> {
-    match fate(steps, id) {
-        Action::Move { transfer: how, .. } => Some(how),
+fn transfer(steps: &[Step], id: u64) -> Option<Transfer> {
+    match action(steps, id) {
+        Action::Move { transfer, .. } => Some(transfer),
         Action::Finish | Action::Wait => None,
     }
 }
@@ -60,7 +60,7 @@
 /// carries two large jobs within the notice; in order of arrival the small ones would take that
 /// time, and a large job would be recomputed.
 #[test]
-fn bundles_go_before_captions() {
+fn long_jobs_are_moved_before_short_ones() {
     let mut jobs: Vec<Running> = (0..40).map(|id| running(id, 500)).collect();
     jobs.push(running(100, 100_000));
     jobs.push(running(101, 100_000));
@@ -71,20 +71,20 @@
         &jobs,
         &[target(1, 64)],
     );
-    assert_eq!(how(&steps, 100), Some(Transfer::Kv));
-    assert_eq!(how(&steps, 101), Some(Transfer::Kv));
+    assert_eq!(transfer(&steps, 100), Some(Transfer::Kv));
+    assert_eq!(transfer(&steps, 101), Some(Transfer::Kv));
     let rerun: u32 = jobs
         .iter()
-        .filter(|job| how(&steps, job.id.0) == Some(Transfer::Rerun))
+        .filter(|job| transfer(&steps, job.id.0) == Some(Transfer::Rerun))
         .map(|job| job.tokens)
         .sum();
-    assert!(rerun <= 20_000, "{rerun} tokens are computed again");
+    assert!(rerun <= 20_000, "{rerun} tokens are recomputed");
 }
 
 /// A job that ends in time stays, a plain call can't be moved, and a job that must not run twice is
 /// moved first and never rerun, even if nothing can take it.
 #[test]
-fn each_job_gets_the_fate_it_can_bear() {
+fn each_job_gets_a_permitted_action() {
     let ending = Running {
         remaining: Span::from_seconds(5),
         ..running(1, 9_000)
@@ -106,25 +106,25 @@
         &jobs,
         &[target(1, 9)],
     );
-    assert_eq!(fate(&steps, 1), Action::Finish);
-    assert_eq!(fate(&steps, 2), Action::Wait);
+    assert_eq!(action(&steps, 1), Action::Finish);
+    assert_eq!(action(&steps, 2), Action::Wait);
     assert!(matches!(
-        fate(&steps, 3),
+        action(&steps, 3),
         Action::Move {
             transfer: Transfer::Kv,
             start: Time::ZERO,
             ..
         }
     ));
-    assert_eq!(how(&steps, 4), Some(Transfer::Kv));
+    assert_eq!(transfer(&steps, 4), Some(Transfer::Kv));
     let full = wave::plan(&Config::default(), Time::ZERO, &[source(0)], &jobs, &[]);
-    assert_eq!(fate(&full, 3), Action::Wait);
+    assert_eq!(action(&full, 3), Action::Wait);
 }
 
 /// A zone is reclaimed: three replicas leave, six stay. All moves together must not overfill any of
 /// them, and the costliest jobs of the whole zone get the room there is.
 #[test]
-fn zone_shares_the_room_of_those_that_stay() {
+fn moves_of_a_zone_fit_into_the_remaining_replicas() {
     let mut jobs = Vec::new();
     for id in 0..48 {
         let from = Key(id as u32 % 3);
@@ -136,7 +136,7 @@
     let sources = [source(0), source(1), source(2)];
     let targets: Vec<Target> = (3..9).map(|key| target(key, 4)).collect();
     let steps = wave::plan(&Config::default(), Time::ZERO, &sources, &jobs, &targets);
-    let moved = |id: &u64| how(&steps, *id).is_some();
+    let moved = |id: &u64| transfer(&steps, *id).is_some();
     assert_eq!((0..48).filter(moved).count(), 24);
     assert!((24..48).all(|id| moved(&id)));
 }
@@ -174,19 +174,19 @@
         let mut left = targets.clone();
         for step in &steps {
             let job = jobs[step.job.0 as usize];
-            let Action::Move { to, transfer: how, start: at } = step.action else { continue };
+            let Action::Move { to, transfer, start } = step.action else { continue };
             let target = left.iter_mut().find(|target| target.key == to).expect("a target");
             prop_assert!(target.slots >= 1 && target.tokens >= u64::from(job.tokens));
             target.slots -= 1;
             target.tokens -= u64::from(job.tokens);
-            if how == Transfer::Rerun {
+            if transfer == Transfer::Rerun {
                 prop_assert!(job.idempotent);
                 continue;
             }
             let link = &mut free[step.from.0 as usize];
-            prop_assert!(at >= *link);
+            prop_assert!(start >= *link);
             let carried = f64::from(job.tokens) / config.tokens_per_milli;
-            *link = at + config.setup + Span::from_millis(carried.ceil() as u64);
+            *link = start + config.setup + Span::from_millis(carried.ceil() as u64);
             prop_assert!(*link + config.margin <= NOTICE);
         }
     }
@@ -194,11 +194,11 @@
     /// On one link with enough room at the target the plan saves at least four fifths of the
     /// optimum.
     #[test]
-    fn plan_is_near_the_best(sizes in proptest::collection::vec(1_000_u32..120_000, 1..12)) {
+    fn plan_is_near_the_optimum(sizes in proptest::collection::vec(1_000_u32..120_000, 1..12)) {
         let config = Config::default();
         let jobs: Vec<Running> = sizes.iter().enumerate().map(|(id, tokens)| running(id as u64, *tokens)).collect();
         let steps = wave::plan(&config, Time::ZERO, &[source(0)], &jobs, &[target(1, 64)]);
-        let saved: u32 = jobs.iter().filter(|job| how(&steps, job.id.0) == Some(Transfer::Kv)).map(|job| job.tokens).sum();
+        let saved: u32 = jobs.iter().filter(|job| transfer(&steps, job.id.0) == Some(Transfer::Kv)).map(|job| job.tokens).sum();
         let notice = NOTICE.as_millis() - config.margin.as_millis();
         let cost = |tokens: u32| config.setup.as_millis() + (f64::from(tokens) / config.tokens_per_milli).ceil() as u64;
         let best = (0..1_u32 << sizes.len()).filter_map(|chosen| {
