--- a/crates/policy/benches/patterns/ablation.rs
+++ b/crates/policy/benches/patterns/ablation.rs
@@ -16,11 +16,11 @@
 }
 
 /// Prints two rows for each module: on and off.
-pub fn print(seeds: u64, wanted: &str) {
+pub fn print(seeds: u64, prefix: &str) {
     println!("\nEach module off in turn, on the pattern that it answers.\n");
     table::head("module, pattern", "state");
     for case in cases() {
-        if !case.module.starts_with(wanted) {
+        if !case.module.starts_with(prefix) {
             continue;
         }
         let mut settings = Settings::default();
--- a/crates/policy/benches/patterns/main.rs
+++ b/crates/policy/benches/patterns/main.rs
@@ -18,19 +18,19 @@
 const SEEDS: u64 = 10;
 
 fn main() {
-    let mut words = std::env::args()
+    let mut arguments = std::env::args()
         .skip(1)
-        .filter(|word| !word.starts_with('-'));
-    let what = words.next().unwrap_or_default();
-    let pattern = words.next().unwrap_or_default();
-    if what.is_empty() || what == "table" {
+        .filter(|argument| !argument.starts_with('-'));
+    let section = arguments.next().unwrap_or_default();
+    let pattern = arguments.next().unwrap_or_default();
+    if section.is_empty() || section == "table" {
         let rows = table::print(SEEDS, &pattern);
         goals::print(&rows, SEEDS);
     }
-    if what.is_empty() || what == "ablation" {
+    if section.is_empty() || section == "ablation" {
         ablation::print(SEEDS, &pattern);
     }
-    if what.is_empty() || what == "slopes" {
+    if section.is_empty() || section == "slopes" {
         slopes::print();
     }
 }
--- a/crates/policy/benches/patterns/slopes.rs
+++ b/crates/policy/benches/patterns/slopes.rs
@@ -87,20 +87,20 @@
 /// Ends one job and offers one, over and over, in a scheduler that is full.
 fn measure(size: Size) {
     let before = BYTES.load(Ordering::Relaxed);
-    let (mut scheduler, mut running) = filled(size);
-    let held = BYTES.load(Ordering::Relaxed).saturating_sub(before);
+    let (mut scheduler, mut running) = full_scheduler(size);
+    let held_bytes = BYTES.load(Ordering::Relaxed).saturating_sub(before);
     let mut out = Vec::with_capacity(16);
     let mut next = 1_000_000_000;
     let mut decided = 0;
     let allocations = ALLOCATIONS.load(Ordering::Relaxed);
     let started = Instant::now();
-    for turn in 0..DECISIONS {
-        let now = Time::from_millis(2_000 + turn / 10);
+    for index in 0..DECISIONS {
+        let now = Time::from_millis(2_000 + index / 10);
         let Some(id) = running.pop_front() else {
             break;
         };
         next += 1;
-        scheduler.offer(now, offer(next, size.accounts), &mut out);
+        scheduler.offer(now, job(next, size.accounts), &mut out);
         scheduler.attempt_ended(now, id, End::Finished, 100, &mut out);
         decided += 2;
         for decision in out.drain(..) {
@@ -116,12 +116,12 @@
         size.replicas,
         size.accounts,
         size.queued,
-        held / 1_024
+        held_bytes / 1_024
     );
 }
 
 /// Creates a scheduler with all slots taken and waiting jobs that don't expire during the run.
-fn filled(size: Size) -> (Scheduler, VecDeque<job::Id>) {
+fn full_scheduler(size: Size) -> (Scheduler, VecDeque<job::Id>) {
     let mut scheduler = Scheduler::new(1);
     scheduler.set_entries(1);
     for key in 0..size.accounts {
@@ -147,7 +147,7 @@
     let slots = u64::from(size.replicas) * 16;
     let mut running = VecDeque::new();
     for id in 0..slots + size.queued {
-        scheduler.offer(Time::from_millis(1_000), offer(id, size.accounts), &mut out);
+        scheduler.offer(Time::from_millis(1_000), job(id, size.accounts), &mut out);
         for decision in out.drain(..) {
             if let Decision::Start { job, .. } = decision {
                 running.push_back(job);
@@ -157,7 +157,7 @@
     (scheduler, running)
 }
 
-fn offer(id: u64, accounts: u32) -> Job {
+fn job(id: u64, accounts: u32) -> Job {
     Job {
         id: job::Id(id),
         account: account::Key((id % u64::from(accounts)) as u32),
--- a/crates/policy/benches/patterns/table.rs
+++ b/crates/policy/benches/patterns/table.rs
@@ -67,20 +67,20 @@
 pub type Rows = Vec<Row>;
 
 /// Prints the table of all patterns whose name starts with `wanted`.
-pub fn print(seeds: u64, wanted: &str) -> Rows {
+pub fn print(seeds: u64, prefix: &str) -> Rows {
     println!("\nEach figure: mean ± standard deviation over seeds 1 to {seeds}.\n");
     head("pattern", "policy");
     let mut rows = Rows::new();
     for pattern in patterns::all() {
-        if !pattern.name.starts_with(wanted) {
+        if !pattern.name.starts_with(prefix) {
             continue;
         }
-        for contestant in Variant::all() {
-            let tallies = runs(&contestant, &pattern, seeds);
-            row(pattern.name, contestant.name(), &tallies);
+        for variant in Variant::all() {
+            let tallies = runs(&variant, &pattern, seeds);
+            row(pattern.name, variant.name(), &tallies);
             rows.push(Row {
                 pattern: pattern.name,
-                policy: contestant.name(),
+                policy: variant.name(),
                 tallies,
             });
         }
@@ -89,10 +89,8 @@
 }
 
 /// Runs a pattern once per seed.
-pub fn runs(contestant: &Variant, pattern: &Pattern, seeds: u64) -> Vec<Tally> {
-    (1..=seeds)
-        .map(|seed| contestant.run(pattern, seed))
-        .collect()
+pub fn runs(variant: &Variant, pattern: &Pattern, seeds: u64) -> Vec<Tally> {
+    (1..=seeds).map(|seed| variant.run(pattern, seed)).collect()
 }
 
 /// Prints a table's heading.
--- a/crates/policy/benches/routing/main.rs
+++ b/crates/policy/benches/routing/main.rs
@@ -23,17 +23,17 @@
 const KILLER_SEEDS: u64 = 30;
 
 fn main() {
-    let mut words = std::env::args()
+    let mut arguments = std::env::args()
         .skip(1)
         .filter(|word| !word.starts_with('-'));
-    let what = words.next().unwrap_or_default();
-    if what.is_empty() || what == "affinity" {
+    let section = arguments.next().unwrap_or_default();
+    if section.is_empty() || section == "affinity" {
         print_affinity();
     }
-    if what.is_empty() || what == "warmup" {
+    if section.is_empty() || section == "warmup" {
         print_warmup();
     }
-    if what.is_empty() || what == "killers" {
+    if section.is_empty() || section == "killers" {
         print_killers();
     }
 }
@@ -116,8 +116,8 @@
 }
 
 fn run(settings: Settings, pattern: &Pattern, seeds: u64) -> Vec<Tally> {
-    let ours = Variant::Scheduler(Box::new(settings));
-    (1..=seeds).map(|seed| ours.run(pattern, seed)).collect()
+    let variant = Variant::Scheduler(Box::new(settings));
+    (1..=seeds).map(|seed| variant.run(pattern, seed)).collect()
 }
 
 fn share(settings: Settings, pattern: &Pattern) -> f64 {
--- a/crates/policy/examples/health.rs
+++ b/crates/policy/examples/health.rs
@@ -29,11 +29,11 @@
 
 fn main() {
     println!("factor  weight  wrong ejections/hour  delay of x3, x5, x10 (s; - for missed)");
-    for slow in [2.0, 2.5, 3.0, 4.0] {
-        for sample in [0.025, 0.05, 0.1, 1.0] {
+    for slow_factor in [2.0, 2.5, 3.0, 4.0] {
+        for gap_smoothing in [0.025, 0.05, 0.1, 1.0] {
             let config = Config {
-                slow_factor: slow,
-                gap_smoothing: sample,
+                slow_factor,
+                gap_smoothing,
                 ..Config::default()
             };
             let wrong: u32 = (0..SEEDS).map(|seed| wrong_ejections(config, seed)).sum();
@@ -42,7 +42,7 @@
                 .map(|factor| delays(config, *factor))
                 .collect();
             println!(
-                "{slow:6.1}  {sample:6.3}  {:20.1}  {}",
+                "{slow_factor:6.1}  {gap_smoothing:6.3}  {:20.1}  {}",
                 f64::from(wrong) / SEEDS as f64,
                 delays.join("  ")
             );
@@ -54,13 +54,13 @@
 fn wrong_ejections(config: Config, seed: u64) -> u32 {
     let mut pool = Pool::new(config, seed);
     let mut count = 0;
-    let mut out = vec![false; REPLICAS as usize];
+    let mut was_ejected = vec![false; REPLICAS as usize];
     while pool.millis < HOUR_MS {
         pool.step(1.0);
         for key in 0..REPLICAS {
-            let is_out = pool.is_out(key);
-            count += u32::from(is_out && !out[key as usize]);
-            out[key as usize] = is_out;
+            let is_ejected = pool.is_ejected(key);
+            count += u32::from(is_ejected && !was_ejected[key as usize]);
+            was_ejected[key as usize] = is_ejected;
         }
     }
     count
@@ -68,20 +68,20 @@
 
 /// Formats the mean delay until a replica slower by the factor is ejected.
 fn delays(config: Config, factor: f64) -> String {
-    let (mut sum, mut found) = (0.0, 0);
+    let (mut sum, mut ejected) = (0.0, 0);
     for seed in 0..SEEDS {
         let mut pool = Pool::new(config, seed);
         while pool.millis < ONSET_MS + MISSED_MS {
             pool.step(if pool.millis > ONSET_MS { factor } else { 1.0 });
-            if pool.millis > ONSET_MS && pool.is_out(0) {
+            if pool.millis > ONSET_MS && pool.is_ejected(0) {
                 sum += (pool.millis - ONSET_MS) as f64 / 1_000.0;
-                found += 1;
+                ejected += 1;
                 break;
             }
         }
     }
-    let missed = SEEDS - found;
-    let mean = sum / found.max(1) as f64;
+    let missed = SEEDS - ejected;
+    let mean = sum / ejected.max(1) as f64;
     if missed == 0 {
         format!("{mean:.1}")
     } else {
@@ -113,7 +113,7 @@
         }
     }
 
-    fn is_out(&self, key: u32) -> bool {
+    fn is_ejected(&self, key: u32) -> bool {
         self.monitor.allowance(Key(key)) == Allowance::None
     }
 
@@ -141,7 +141,7 @@
             prompt -= chunk;
             end = self.millis as f64 + takes;
             streams = (streams + self.random.random_range(-1.0..1.0)).clamp(1.0, 16.0);
-            if !self.is_out(key) {
+            if !self.is_ejected(key) {
                 self.monitor.record_progress(now, Key(key), Some(takes));
                 if self.random.random_bool(0.1) {
                     self.monitor.record_end(now, Key(key), End::Finished);
--- a/crates/policy/examples/mix.rs
+++ b/crates/policy/examples/mix.rs
@@ -33,7 +33,7 @@
         let count = runs.len() as f64;
         let mean = |value: fn(&Run) -> f64| runs.iter().map(value).sum::<f64>() / count;
         let cost = mean(|run| run.cost);
-        let spread = runs
+        let variance = runs
             .iter()
             .map(|run| (run.cost - cost).powi(2))
             .sum::<f64>()
@@ -41,8 +41,8 @@
         println!(
             "{stay:15.2}  {:10.1}  {cost:9.3}  {:.2}  {:.3}",
             mean(|run| run.starts),
-            spread.sqrt(),
-            mean(|run| run.cost / run.least),
+            variance.sqrt(),
+            mean(|run| run.cost / run.lower_bound),
         );
     }
 }
@@ -52,7 +52,7 @@
     starts: f64,
     cost: f64,
     /// Cost if instances could be moved instantly and free of charge.
-    least: f64,
+    lower_bound: f64,
 }
 
 fn run(stay: f64, seed: u64) -> Run {
@@ -61,11 +61,11 @@
         hysteresis: stay,
         ..Config::default()
     };
-    let (mut mix, mut free) = (Mix::new(config), Mix::new(config));
+    let (mut mix, mut unconstrained) = (Mix::new(config), Mix::new(config));
     let mut offers = offers();
     let means: Vec<f64> = offers.iter().map(|offer| offer.per_hour).collect();
     let mut instances: Vec<(Instance, u64)> = Vec::new();
-    let (mut starts, mut cost, mut least) = (0_u32, 0.0, 0.0);
+    let (mut starts, mut cost, mut lower_bound) = (0_u32, 0.0, 0.0);
     for minute in 0..u64::from(MINUTES) {
         for (offer, mean) in offers.iter_mut().zip(&means) {
             offer.per_hour = step(offer, *mean, &mut random);
@@ -102,12 +102,12 @@
             .iter()
             .map(|(instance, _)| price(&offers, &instance.kind))
             .sum::<f64>();
-        least += free.plan(now, DEMAND, &offers, &[]).per_hour;
+        lower_bound += unconstrained.plan(now, DEMAND, &offers, &[]).per_hour;
     }
     Run {
         starts: f64::from(starts) / f64::from(DAYS),
         cost: cost / f64::from(MINUTES),
-        least: least / f64::from(MINUTES),
+        lower_bound: lower_bound / f64::from(MINUTES),
     }
 }
 
--- a/crates/policy/examples/reports.rs
+++ b/crates/policy/examples/reports.rs
@@ -58,7 +58,7 @@
     let mut random = Pcg32::seed_from_u64(seed);
     let mut loads = vec![vec![Load::new(config, SLOTS); REPLICAS]; ENTRIES];
     let mut ends: Vec<(u64, usize, usize)> = Vec::new();
-    let mut old = vec![0; REPLICAS];
+    let mut stale = vec![0; REPLICAS];
     let mut peaks = Vec::new();
     for millis in 0..LENGTH {
         let now = Time::from_millis(millis);
@@ -78,36 +78,37 @@
                 replica,
             ));
         }
-        let there = count(&loads);
+        let running_jobs = count(&loads);
         if millis % REPORT_PERIOD == REPORT_PERIOD - REPORT_AGE.as_millis() {
-            old.clone_from(&there);
+            stale.clone_from(&running_jobs);
         }
         if millis % REPORT_PERIOD == 0 {
-            tell(&mut loads, now, &old);
+            send_reports(&mut loads, now, &stale);
         }
         if millis > 3 * JOB && millis % 10 == 0 {
-            let mean = there.iter().sum::<u32>() as f64 / REPLICAS as f64;
-            let most = f64::from(there.iter().copied().max().unwrap_or(0));
-            let over = there.iter().filter(|jobs| **jobs > SLOTS).count();
-            peaks.push((most / mean, over as f64 / REPLICAS as f64));
+            let mean = running_jobs.iter().sum::<u32>() as f64 / REPLICAS as f64;
+            let max = f64::from(running_jobs.iter().copied().max().unwrap_or(0));
+            let overloaded = running_jobs.iter().filter(|jobs| **jobs > SLOTS).count();
+            peaks.push((max / mean, overloaded as f64 / REPLICAS as f64));
         }
     }
     peaks.sort_by(|one, other| one.0.total_cmp(&other.0));
-    let over = peaks.iter().map(|(_, over)| over).sum::<f64>() / peaks.len() as f64;
+    let overloaded =
+        peaks.iter().map(|(_, overloaded)| overloaded).sum::<f64>() / peaks.len() as f64;
     [
         peaks[peaks.len() - 1].0,
         peaks[peaks.len() * 99 / 100].0,
-        over,
+        overloaded,
     ]
 }
 
 fn choose(loads: &[Load], now: Time, pick: Pick, random: &mut Pcg32) -> usize {
-    let usual = loads
+    let mean_own = loads
         .iter()
         .map(|load| f64::from(load.own_jobs()))
         .sum::<f64>()
         / REPLICAS as f64;
-    let jobs = |replica: &usize| loads[*replica].jobs(now, usual);
+    let jobs = |replica: &usize| loads[*replica].jobs(now, mean_own);
     let candidates: Vec<usize> = match pick {
         Pick::Least => (0..REPLICAS).collect(),
         Pick::TwoRandom => (0..2).map(|_| random.random_range(0..REPLICAS)).collect(),
@@ -123,9 +124,9 @@
     (0..REPLICAS).map(at).collect()
 }
 
-fn tell(loads: &mut [Vec<Load>], now: Time, old: &[u32]) {
+fn send_reports(loads: &mut [Vec<Load>], now: Time, stale: &[u32]) {
     for entry in loads {
-        for (load, running) in entry.iter_mut().zip(old) {
+        for (load, running) in entry.iter_mut().zip(stale) {
             let report = Report {
                 running: *running,
                 waiting: 0,
--- a/crates/policy/examples/subset.rs
+++ b/crates/policy/examples/subset.rs
@@ -16,54 +16,66 @@
 type Subsets = Vec<Vec<usize>>;
 
 /// Selects subsets, given entries, replicas and the number of entries per replica.
-type Way = fn(&[u64], &[u64], usize) -> Subsets;
+type Strategy = fn(&[u64], &[u64], usize) -> Subsets;
 
 fn main() {
     let zone = (840 / ZONES, 12_000 / ZONES);
     println!(
         "way              scope   entries/replica  subset mean  min  max  unserved  peak/mean even  by size  moved: entry  replica"
     );
-    for (name, way) in [
-        ("replica chooses", replica_chooses as Way),
-        ("entry chooses", entry_chooses as Way),
-        ("shuffled rounds", shuffled_rounds as Way),
+    for (name, strategy) in [
+        ("replica chooses", replica_chooses as Strategy),
+        ("entry chooses", entry_chooses as Strategy),
+        ("shuffled rounds", shuffled_rounds as Strategy),
     ] {
-        for wanted in [1, 2, 4, 8, 16] {
-            print_row(name, "zone", way, zone, wanted, SEEDS);
+        for entries_per_replica in [1, 2, 4, 8, 16] {
+            print_row(name, "zone", strategy, zone, entries_per_replica, SEEDS);
         }
-        print_row(name, "region", way, (840, 12_000), 4, 1);
+        print_row(name, "region", strategy, (840, 12_000), 4, 1);
     }
 }
 
 /// Prints the means over the seeds.
-fn print_row(name: &str, scope: &str, way: Way, size: (usize, usize), wanted: usize, seeds: u64) {
+fn print_row(
+    name: &str,
+    scope: &str,
+    strategy: Strategy,
+    size: (usize, usize),
+    entries_per_replica: usize,
+    seeds: u64,
+) {
     let mut sums = [0.0; 8];
     for seed in 0..seeds {
-        let row = measure(way, size, wanted, seed);
+        let row = measure(strategy, size, entries_per_replica, seed);
         for (sum, value) in sums.iter_mut().zip(row) {
             *sum += value / seeds as f64;
         }
     }
     let [mean, min, max, unserved, even, by_size, entry, replica] = sums;
     println!(
-        "{name:16} {scope:7} {wanted:15}  {mean:11.1} {min:4.1} {max:4.1}  {unserved:8.1}  {even:14.2}  {by_size:7.2}  {entry:12.1}  {replica:7.1}"
+        "{name:16} {scope:7} {entries_per_replica:15}  {mean:11.1} {min:4.1} {max:4.1}  {unserved:8.1}  {even:14.2}  {by_size:7.2}  {entry:12.1}  {replica:7.1}"
     );
 }
 
-fn measure(way: Way, (entries, replicas): (usize, usize), wanted: usize, seed: u64) -> [f64; 8] {
+fn measure(
+    strategy: Strategy,
+    (entries, replicas): (usize, usize),
+    entries_per_replica: usize,
+    seed: u64,
+) -> [f64; 8] {
     let names = |kind: &str, count: usize| -> Vec<u64> {
         let name = |index| rendezvous::identity(&format!("{kind}-{seed}-{index}"));
         (0..count).map(name).collect()
     };
     let (entries, replicas) = (names("entry", entries), names("replica", replicas));
-    let subsets = way(&entries, &replicas, wanted);
+    let subsets = strategy(&entries, &replicas, entries_per_replica);
     let sizes: Vec<f64> = subsets.iter().map(|subset| subset.len() as f64).collect();
     let total: f64 = sizes.iter().sum();
     let even = load(&subsets, replicas.len(), |size| 1.0 / size);
     let by_size = load(&subsets, replicas.len(), |_| 1.0);
     let unserved = by_size.iter().filter(|load| **load == 0.0).count();
-    let fewer_entries = way(&entries[1..], &replicas, wanted);
-    let fewer_replicas = way(&entries, &replicas[1..], wanted);
+    let fewer_entries = strategy(&entries[1..], &replicas, entries_per_replica);
+    let fewer_replicas = strategy(&entries, &replicas[1..], entries_per_replica);
     let shifted: Subsets = fewer_replicas
         .iter()
         .map(|subset| subset.iter().map(|replica| replica + 1).collect())
@@ -81,10 +93,10 @@
 }
 
 /// Each replica is served by the entries that rank first for it.
-fn replica_chooses(entries: &[u64], replicas: &[u64], wanted: usize) -> Subsets {
+fn replica_chooses(entries: &[u64], replicas: &[u64], entries_per_replica: usize) -> Subsets {
     let mut subsets = vec![Vec::new(); entries.len()];
     for (index, replica) in replicas.iter().enumerate() {
-        for entry in first(*replica, entries, wanted) {
+        for entry in top_ranked(*replica, entries, entries_per_replica) {
             subsets[entry].push(index);
         }
     }
@@ -92,18 +104,18 @@
 }
 
 /// Each entry uses the replicas that rank first for it.
-fn entry_chooses(entries: &[u64], replicas: &[u64], wanted: usize) -> Subsets {
-    let size = wanted * replicas.len() / entries.len();
+fn entry_chooses(entries: &[u64], replicas: &[u64], entries_per_replica: usize) -> Subsets {
+    let size = entries_per_replica * replicas.len() / entries.len();
     entries
         .iter()
-        .map(|entry| first(*entry, replicas, size))
+        .map(|entry| top_ranked(*entry, replicas, size))
         .collect()
 }
 
 /// Deterministic subsetting as in "Site Reliability Engineering", chapter 20: entries are grouped
 /// in rounds, and each round deals out all replicas from a shuffle of its own.
-fn shuffled_rounds(entries: &[u64], replicas: &[u64], wanted: usize) -> Subsets {
-    let size = wanted * replicas.len() / entries.len();
+fn shuffled_rounds(entries: &[u64], replicas: &[u64], entries_per_replica: usize) -> Subsets {
+    let size = entries_per_replica * replicas.len() / entries.len();
     let rounds = replicas.len() / size;
     let deal = |index: usize| {
         let mut order: Vec<usize> = (0..replicas.len()).collect();
@@ -115,7 +127,7 @@
 }
 
 /// Indices of the `count` nodes that rank first for `key`.
-fn first(key: u64, nodes: &[u64], count: usize) -> Vec<usize> {
+fn top_ranked(key: u64, nodes: &[u64], count: usize) -> Vec<usize> {
     let weight = |(index, node): (usize, &u64)| (rendezvous::weight(key, *node), index);
     let mut ranked: Vec<(u64, usize)> = nodes.iter().enumerate().map(weight).collect();
     ranked.sort_unstable_by(|one, other| other.cmp(one));
--- a/crates/policy/tests/support/baseline.rs
+++ b/crates/policy/tests/support/baseline.rs
@@ -47,9 +47,9 @@
 
 impl Baseline {
     /// Creates a balancer without replicas.
-    pub fn new(way: Strategy, seed: u64) -> Baseline {
+    pub fn new(strategy: Strategy, seed: u64) -> Baseline {
         Baseline {
-            strategy: way,
+            strategy,
             random: Pcg64::seed_from_u64(seed),
             next_index: seed as usize,
             next_key: 0,
@@ -105,16 +105,16 @@
             return;
         };
         *self.outstanding.entry(replica).or_default() += 1;
-        if let Some((_, at, attempts)) = self.open.get_mut(&id) {
-            *at = Some(replica);
+        if let Some((_, replica_slot, attempts)) = self.open.get_mut(&id) {
+            *replica_slot = Some(replica);
             *attempts += 1;
         }
         out.push(Decision::Start { job: id, replica });
     }
 
     fn release(&mut self, id: job::Id) -> Option<replica::Key> {
-        let (_, at, _) = self.open.get_mut(&id)?;
-        let replica = at.take()?;
+        let (_, replica_slot, _) = self.open.get_mut(&id)?;
+        let replica = replica_slot.take()?;
         if let Some(count) = self.outstanding.get_mut(&replica) {
             *count = count.saturating_sub(1);
         }
@@ -141,11 +141,11 @@
     fn handle_report(&mut self, _now: Time, _key: replica::Key, _report: replica::Report) {}
 
     fn handle_notice(&mut self, _now: Time, key: replica::Key, _: Time, _: &mut Vec<Decision>) {
-        self.usable.retain(|held| *held != key);
+        self.usable.retain(|other| *other != key);
     }
 
     fn remove_replica(&mut self, _now: Time, key: replica::Key) {
-        self.usable.retain(|held| *held != key);
+        self.usable.retain(|other| *other != key);
     }
 
     fn offer(&mut self, _now: Time, job: Job, out: &mut Vec<Decision>) {
@@ -162,7 +162,7 @@
         let Some((job, _, attempts)) = self.open.get(&id) else {
             return;
         };
-        let again = match end {
+        let retryable = match end {
             job::End::Finished | job::End::Left => {
                 self.open.remove(&id);
                 return;
@@ -170,7 +170,7 @@
             job::End::NotStarted | job::End::NotSent => true,
             job::End::Failed | job::End::Crashed => job.idempotent,
         };
-        if again && *attempts < ATTEMPTS {
+        if retryable && *attempts < ATTEMPTS {
             self.start(id, out);
             return;
         }
--- a/crates/policy/tests/support/engine.rs
+++ b/crates/policy/tests/support/engine.rs
@@ -149,12 +149,12 @@
 
     /// Removes a sequence with its state.
     pub fn remove(&mut self, entry: usize, id: job::Id) -> Option<Sequence> {
-        let matches = |held: &Sequence| held.entry == entry && held.id == id;
-        if let Some(at) = self.running.iter().position(matches) {
-            return Some(self.running.remove(at));
+        let matches = |sequence: &Sequence| sequence.entry == entry && sequence.id == id;
+        if let Some(index) = self.running.iter().position(matches) {
+            return Some(self.running.remove(index));
         }
-        let at = self.waiting.iter().position(matches)?;
-        self.waiting.remove(at)
+        let index = self.waiting.iter().position(matches)?;
+        self.waiting.remove(index)
     }
 
     /// Crashes the engine and returns the sequences it held.
@@ -170,7 +170,7 @@
     pub fn runs_killer(&self) -> bool {
         self.running
             .iter()
-            .any(|held| self.killers.contains(&held.fingerprint))
+            .any(|sequence| self.killers.contains(&sequence.fingerprint))
     }
 
     /// Begins a step and returns its duration in microseconds; none if there is nothing to do.
@@ -185,22 +185,22 @@
         let decoding = self
             .running
             .iter()
-            .filter(|held| held.prompt_remaining == 0)
+            .filter(|sequence| sequence.prompt_remaining == 0)
             .count() as u64;
         let pending: u64 = self
             .running
             .iter()
-            .map(|held| u64::from(held.prompt_remaining))
+            .map(|sequence| u64::from(sequence.prompt_remaining))
             .sum();
         let prompt = pending.min(u64::from(self.shape.chunk));
-        let plain = self.shape.step_us
+        let duration = self.shape.step_us
             + decoding * self.shape.sequence_us
             + prompt * self.shape.prompt_token_us;
         self.stepping = true;
-        self.busy_us += plain;
+        self.busy_us += duration;
         Some(match self.health {
-            Health::Slow(factor) => (plain as f64 * factor) as u64,
-            _ => plain,
+            Health::Slow(factor) => (duration as f64 * factor) as u64,
+            _ => duration,
         })
     }
 
@@ -209,31 +209,31 @@
         self.stepping = false;
         let mut outputs = Vec::new();
         let mut budget = self.shape.chunk;
-        let mut warmed = Vec::new();
-        for held in &mut self.running {
-            if held.prompt_remaining == 0 {
-                held.generated += 1;
-                held.computed += 1;
+        let mut computed_prefixes = Vec::new();
+        for sequence in &mut self.running {
+            if sequence.prompt_remaining == 0 {
+                sequence.generated += 1;
+                sequence.computed += 1;
                 self.computed += 1;
                 outputs.push(Output::Token(
-                    held.entry,
-                    held.id,
-                    held.generated >= held.output_tokens,
+                    sequence.entry,
+                    sequence.id,
+                    sequence.generated >= sequence.output_tokens,
                 ));
                 continue;
             }
-            let done = held.prompt_remaining.min(budget);
-            held.prompt_remaining -= done;
-            budget -= done;
-            held.computed += u64::from(done);
-            self.computed += u64::from(done);
-            if done > 0 && held.prompt_remaining == 0 {
-                warmed.push((held.prefix, held.shared));
+            let computed = sequence.prompt_remaining.min(budget);
+            sequence.prompt_remaining -= computed;
+            budget -= computed;
+            sequence.computed += u64::from(computed);
+            self.computed += u64::from(computed);
+            if computed > 0 && sequence.prompt_remaining == 0 {
+                computed_prefixes.push((sequence.prefix, sequence.shared));
             }
         }
         self.running
-            .retain(|held| held.generated < held.output_tokens);
-        for (prefix, shared) in warmed {
+            .retain(|sequence| sequence.generated < sequence.output_tokens);
+        for (prefix, shared) in computed_prefixes {
             self.touch_prefix(prefix, shared);
         }
         outputs
@@ -247,16 +247,19 @@
     /// Moves waiting sequences into free slots; a cached prefix isn't computed again.
     fn admit_waiting(&mut self) {
         while self.running.len() < self.shape.slots {
-            let Some(mut next) = self.waiting.pop_front() else {
+            let Some(mut sequence) = self.waiting.pop_front() else {
                 return;
             };
-            let hit = next.prompt_remaining == next.prompt
-                && self.cache.iter().any(|(prefix, _)| *prefix == next.prefix);
-            if hit {
-                next.prompt_remaining -= next.shared.min(next.prompt_remaining - 1);
-                self.touch_prefix(next.prefix, next.shared);
+            let is_cached = sequence.prompt_remaining == sequence.prompt
+                && self
+                    .cache
+                    .iter()
+                    .any(|(prefix, _)| *prefix == sequence.prefix);
+            if is_cached {
+                sequence.prompt_remaining -= sequence.shared.min(sequence.prompt_remaining - 1);
+                self.touch_prefix(sequence.prefix, sequence.shared);
             }
-            self.running.push(next);
+            self.running.push(sequence);
         }
     }
 
@@ -276,9 +279,9 @@
 
     /// Marks a prefix as most recently used and evicts the oldest beyond the cache's capacity.
     fn touch_prefix(&mut self, prefix: u64, shared: u32) {
-        let held = self.cache.len();
-        self.cache.retain(|(held, _)| *held != prefix);
-        if self.cache.len() == held {
+        let previous_len = self.cache.len();
+        self.cache.retain(|(cached, _)| *cached != prefix);
+        if self.cache.len() == previous_len {
             self.record_event(prefix, true);
         }
         self.cache.push_back((prefix, shared));
--- a/crates/policy/tests/support/load.rs
+++ b/crates/policy/tests/support/load.rs
@@ -221,31 +221,35 @@
     ) {
         // Thinning: draw at the peak rate, and keep each arrival with the probability of the
         // current rate.
-        let highest = profile
+        let max_factor = profile
             .surges
             .iter()
-            .fold(1.0, |most: f64, surge| most.max(surge.2));
-        let peak = profile.rate * highest;
+            .fold(1.0, |max: f64, surge| max.max(surge.2));
+        let peak = profile.rate * max_factor;
         if peak <= 0.0 {
             return;
         }
-        let mut at = 0.0;
+        let mut at_ms = 0.0;
         loop {
-            at += -(1.0 - random.random::<f64>()).ln() / peak * 1_000.0;
-            if at >= (self.seconds * 1_000) as f64 {
+            at_ms += -(1.0 - random.random::<f64>()).ln() / peak * 1_000.0;
+            if at_ms >= (self.seconds * 1_000) as f64 {
                 return;
             }
-            let kept = random.random::<f64>() * peak < profile.rate_at(at as u64);
-            let arrival = self.draw(index, profile, at as u64, random);
-            if kept {
+            let accepted = random.random::<f64>() * peak < profile.rate_at(at_ms as u64);
+            let arrival = self.draw(index, profile, at_ms as u64, random);
+            if accepted {
                 arrivals.push(arrival);
             }
         }
     }
 
     fn draw(&self, index: usize, profile: &Profile, at_ms: u64, random: &mut Pcg64) -> Arrival {
-        let skewed = random.random::<f64>().powi(2) * profile.prefixes as f64;
-        let key = if profile.hot_key { 0 } else { skewed as u64 };
+        let prefix_index = random.random::<f64>().powi(2) * profile.prefixes as f64;
+        let prefix = if profile.hot_key {
+            0
+        } else {
+            prefix_index as u64
+        };
         let prompt = spread(profile.prompt, random).max(profile.shared + 1);
         let output = spread(profile.output, random);
         let entry = random.random_range(0..self.entries);
@@ -255,7 +259,7 @@
             entry: profile.entry.unwrap_or(entry),
             prompt,
             shared: profile.shared,
-            prefix: (index as u64 + 1) * 1_000_003 + key,
+            prefix: (index as u64 + 1) * 1_000_003 + prefix,
             output,
             max_new: profile.output * 2,
             fingerprint: random.random::<u64>() | 1,
--- a/crates/policy/tests/support/tally.rs
+++ b/crates/policy/tests/support/tally.rs
@@ -61,8 +61,8 @@
 impl Tally {
     /// Returns the requests of one account, or of all.
     pub fn requests(&self, account: Option<usize>) -> impl Iterator<Item = &Outcome> {
-        let wanted = move |outcome: &&Outcome| account.is_none_or(|key| key == outcome.account);
-        self.outcomes.iter().filter(wanted)
+        let selected = move |outcome: &&Outcome| account.is_none_or(|key| key == outcome.account);
+        self.outcomes.iter().filter(selected)
     }
 
     /// Returns the share of requests answered within target.
@@ -154,28 +154,28 @@
 
 /// Divides `total` by weight without giving any account more than its demand.
 fn max_min(demand: &[f64], weights: &[f64], total: f64) -> Vec<f64> {
-    let mut given = vec![0.0; demand.len()];
+    let mut shares = vec![0.0; demand.len()];
     let mut left = total;
-    let mut open: Vec<usize> = (0..demand.len()).collect();
-    while !open.is_empty() && left > 1e-9 {
-        let weight: f64 = open.iter().map(|at| weights[*at]).sum();
-        let level = left / weight;
-        let full: Vec<usize> = open
+    let mut unsatisfied: Vec<usize> = (0..demand.len()).collect();
+    while !unsatisfied.is_empty() && left > 1e-9 {
+        let weight: f64 = unsatisfied.iter().map(|account| weights[*account]).sum();
+        let per_weight = left / weight;
+        let satisfied: Vec<usize> = unsatisfied
             .iter()
             .copied()
-            .filter(|at| demand[*at] <= level * weights[*at])
+            .filter(|account| demand[*account] <= per_weight * weights[*account])
             .collect();
-        if full.is_empty() {
-            for at in &open {
-                given[*at] = level * weights[*at];
+        if satisfied.is_empty() {
+            for account in &unsatisfied {
+                shares[*account] = per_weight * weights[*account];
             }
-            return given;
+            return shares;
         }
-        for at in &full {
-            given[*at] = demand[*at];
-            left -= demand[*at];
+        for account in &satisfied {
+            shares[*account] = demand[*account];
+            left -= demand[*account];
         }
-        open.retain(|at| !full.contains(at));
+        unsatisfied.retain(|account| !satisfied.contains(account));
     }
-    given
+    shares
 }
--- a/crates/policy/tests/support/variant.rs
+++ b/crates/policy/tests/support/variant.rs
@@ -52,13 +52,13 @@
 
     /// Simulates a pattern.
     pub fn run(&self, pattern: &Pattern, seed: u64) -> Tally {
-        let contestant = self.clone();
+        let variant = self.clone();
         let make = move |seed: u64| -> Box<dyn Policy> {
-            match &contestant {
+            match &variant {
                 Variant::Scheduler(settings) => {
                     Box::new(Scheduler::with_settings(seed, **settings))
                 }
-                Variant::Baseline(way) => Box::new(Baseline::new(*way, seed)),
+                Variant::Baseline(strategy) => Box::new(Baseline::new(*strategy, seed)),
             }
         };
         World::new(pattern.clone(), seed, &make).run()
--- a/crates/policy/tests/support/world/attempts.rs
+++ b/crates/policy/tests/support/world/attempts.rs
@@ -28,28 +28,29 @@
             Decision::Move { job, from, to, how } => self.transfer(entry, job, from, to, how),
             Decision::Cancel { job, replica } => {
                 let engine = self.engines_by_key[entry][&replica];
-                let held = self.engines[engine].remove(entry, job);
-                self.tally.wasted += held.map_or(0, |sequence| sequence.computed);
+                let removed = self.engines[engine].remove(entry, job);
+                self.tally.wasted += removed.map_or(0, |sequence| sequence.computed);
             }
         }
     }
 
     pub(super) fn start(&mut self, entry: usize, id: job::Id, replica: replica::Key) {
         let engine = self.engines_by_key[entry][&replica];
-        let prompt = |send: &Submission, arrival: &Arrival| arrival.prompt + send.generated;
-        let Some(send) = self.submissions.get_mut(&id) else {
+        let prompt =
+            |submission: &Submission, arrival: &Arrival| arrival.prompt + submission.generated;
+        let Some(submission) = self.submissions.get_mut(&id) else {
             return;
         };
-        let arrival = &self.arrivals[send.request];
-        let again = send.handed_over;
+        let arrival = &self.arrivals[submission.request];
+        let resubmitted = submission.handed_over;
         let sequence = Sequence {
             entry,
             id,
-            prompt_remaining: prompt(send, arrival),
-            prompt: prompt(send, arrival),
+            prompt_remaining: prompt(submission, arrival),
+            prompt: prompt(submission, arrival),
             prefix: arrival.prefix,
             shared: arrival.shared,
-            generated: send.generated,
+            generated: submission.generated,
             output_tokens: arrival.output,
             fingerprint: arrival.fingerprint,
             computed: 0,
@@ -60,21 +61,21 @@
                 return;
             }
             Health::FailsFast => {
-                send.handed_over = true;
+                submission.handed_over = true;
                 self.schedule_after(2, Event::Ended(entry, id, job::End::Failed, 0));
                 return;
             }
             _ => {}
         }
         let idempotent = self.pattern.profiles[arrival.account].idempotent;
-        if !idempotent && !self.non_idempotent_started.insert(send.request) {
+        if !idempotent && !self.non_idempotent_started.insert(submission.request) {
             self.tally.duplicated += 1;
         }
-        if again {
+        if resubmitted {
             self.tally.recomputed += u64::from(sequence.prompt);
         }
-        send.handed_over = true;
-        send.replica = Some(engine);
+        submission.handed_over = true;
+        submission.replica = Some(engine);
         self.engines[engine].submit(sequence);
         self.begin_step(engine);
     }
@@ -106,41 +107,42 @@
 
     pub(super) fn deliver_token(&mut self, entry: usize, id: job::Id, last: bool) {
         let now = self.now_ms;
-        let Some(send) = self.submissions.get_mut(&id) else {
+        let Some(submission) = self.submissions.get_mut(&id) else {
             return;
         };
-        send.generated += 1;
-        send.last_token_ms = now;
-        let (made, request, sent) = (send.generated, send.request, send.sent_ms);
-        let first = send.first_token_ms.is_none();
-        if first {
-            send.first_token_ms = Some(now);
-            self.tally.outcomes[request].first_token_ms = Some(now - sent);
-            self.schedule_after(STALL_TIMEOUT_MS, Event::CheckPatience(id, made));
+        submission.generated += 1;
+        submission.last_token_ms = now;
+        let (generated, request, sent_ms) =
+            (submission.generated, submission.request, submission.sent_ms);
+        let is_first = submission.first_token_ms.is_none();
+        if is_first {
+            submission.first_token_ms = Some(now);
+            self.tally.outcomes[request].first_token_ms = Some(now - sent_ms);
+            self.schedule_after(STALL_TIMEOUT_MS, Event::CheckPatience(id, generated));
             self.call_policy(entry, |policy, now, _| policy.first_token(now, id));
         }
         self.call_policy(entry, |policy, now, _| policy.record_tokens(now, id, 1));
         if last {
             self.record_answer(id);
             self.call_policy(entry, |policy, now, out| {
-                policy.handle_end(now, id, job::End::Finished, made, out)
+                policy.handle_end(now, id, job::End::Finished, generated, out)
             });
         }
     }
 
-    pub(super) fn deliver_end(&mut self, entry: usize, id: job::Id, end: job::End, made: u32) {
-        if let Some(send) = self.submissions.get_mut(&id) {
-            send.replica = None;
+    pub(super) fn deliver_end(&mut self, entry: usize, id: job::Id, end: job::End, generated: u32) {
+        if let Some(submission) = self.submissions.get_mut(&id) {
+            submission.replica = None;
         }
         self.call_policy(entry, |policy, now, out| {
-            policy.handle_end(now, id, end, made, out)
+            policy.handle_end(now, id, end, generated, out)
         });
     }
 
     /// Records the tokens computed for an attempt that was lost.
     pub(super) fn record_lost(&mut self, sequence: &Sequence) {
-        if let Some(send) = self.submissions.get_mut(&sequence.id) {
-            send.computed += sequence.computed;
+        if let Some(submission) = self.submissions.get_mut(&sequence.id) {
+            submission.computed += sequence.computed;
         }
     }
 
@@ -167,16 +169,16 @@
             return;
         }
         // A replica has one link: transfers go one after the other.
-        let takes = TRANSFER_MS + u64::from(computed) / TRANSFER_TOKENS_PER_MS;
-        let begin = self
+        let duration = TRANSFER_MS + u64::from(computed) / TRANSFER_TOKENS_PER_MS;
+        let start = self
             .links
             .get(&source)
             .copied()
             .unwrap_or(0)
             .max(self.now_ms);
-        self.links.insert(source, begin + takes);
+        self.links.insert(source, start + duration);
         self.schedule(
-            begin + takes,
+            start + duration,
             Event::Transferred(entry, source, target, Box::new(sequence)),
         );
     }
@@ -191,14 +193,14 @@
         if !self.submissions.contains_key(&sequence.id) {
             return;
         }
-        let cut = self.engines[from].health == Health::Dead;
-        if cut || self.engines[to].health == Health::Dead {
+        let source_dead = self.engines[from].health == Health::Dead;
+        if source_dead || self.engines[to].health == Health::Dead {
             self.record_lost(&sequence);
             self.deliver_end(entry, sequence.id, job::End::Crashed, sequence.generated);
             return;
         }
-        if let Some(send) = self.submissions.get_mut(&sequence.id) {
-            send.replica = Some(to);
+        if let Some(submission) = self.submissions.get_mut(&sequence.id) {
+            submission.replica = Some(to);
         }
         self.engines[to].submit(sequence);
         self.begin_step(to);
--- a/crates/policy/tests/support/world/callers.rs
+++ b/crates/policy/tests/support/world/callers.rs
@@ -44,7 +44,7 @@
             terms: job::Terms::default(),
         };
         let patience = profile.first_token_ms * PATIENCE_TARGETS;
-        let send = Submission {
+        let submission = Submission {
             request,
             entry,
             sent_ms: self.now_ms,
@@ -55,96 +55,101 @@
             computed: 0,
             replica: None,
         };
-        self.submissions.insert(id, send);
+        self.submissions.insert(id, submission);
         self.open[arrival.account] += 1;
-        let most = self.tally.max_open.entry(arrival.account).or_default();
-        *most = (*most).max(self.open[arrival.account]);
+        let max_open = self.tally.max_open.entry(arrival.account).or_default();
+        *max_open = (*max_open).max(self.open[arrival.account]);
         self.schedule_after(patience, Event::CheckPatience(id, 0));
         self.call_policy(entry, |policy, now, out| policy.offer(now, job, out));
     }
 
     pub(super) fn record_answer(&mut self, id: job::Id) {
-        let Some(send) = self.close_submission(id) else {
+        let Some(submission) = self.close_submission(id) else {
             return;
         };
-        let arrival = &self.arrivals[send.request];
+        let arrival = &self.arrivals[submission.request];
         let profile = &self.pattern.profiles[arrival.account];
-        let first = send.first_token_ms.unwrap_or(self.now_ms);
+        let first_token = submission.first_token_ms.unwrap_or(self.now_ms);
         let gaps = u64::from(arrival.output.saturating_sub(1)).max(1);
-        let gap = (self.now_ms - first) as f64 / gaps as f64;
-        let outcome = &mut self.tally.outcomes[send.request];
+        let gap = (self.now_ms - first_token) as f64 / gaps as f64;
+        let outcome = &mut self.tally.outcomes[submission.request];
         outcome.answered = true;
-        outcome.in_target =
-            first - send.sent_ms <= profile.first_token_ms && gap <= profile.token_gap_ms as f64;
+        outcome.in_target = first_token - submission.sent_ms <= profile.first_token_ms
+            && gap <= profile.token_gap_ms as f64;
     }
 
     pub(super) fn close_submission(&mut self, id: job::Id) -> Option<Submission> {
-        let send = self.submissions.remove(&id)?;
-        let account = self.arrivals[send.request].account;
+        let submission = self.submissions.remove(&id)?;
+        let account = self.arrivals[submission.request].account;
         self.open[account] -= 1;
-        Some(send)
+        Some(submission)
     }
 
     pub(super) fn record_refusal(&mut self, id: job::Id, refusal: &Refusal) {
-        let Some(send) = self.close_submission(id) else {
+        let Some(submission) = self.close_submission(id) else {
             return;
         };
-        if refusal.verdict == Verdict::NotRun && send.handed_over {
+        if refusal.verdict == Verdict::NotRun && submission.handed_over {
             self.tally.false_not_run += 1;
         }
-        self.tally.wasted += send.computed;
-        let arrival = &self.arrivals[send.request];
+        self.tally.wasted += submission.computed;
+        let arrival = &self.arrivals[submission.request];
         let profile = &self.pattern.profiles[arrival.account];
         let shape = &self.pattern.shape;
         // An engine that holds the shared prefix computes only the rest.
         let own = u64::from(arrival.prompt - arrival.shared);
         let ideal = (own * shape.prompt_token_us + shape.step_us) / 1_000;
-        let waited = self.now_ms - send.sent_ms;
-        let outcome = &mut self.tally.outcomes[send.request];
+        let waited = self.now_ms - submission.sent_ms;
+        let outcome = &mut self.tally.outcomes[submission.request];
         if waited <= IMMEDIATE_MS {
             outcome.refused_immediately += 1;
         } else {
             outcome.refused_late += 1;
         }
-        let certain = profile.first_token_ms.saturating_sub(ideal);
-        if !send.handed_over && ideal < profile.first_token_ms && waited > certain + IMMEDIATE_MS {
+        let infeasible_after = profile.first_token_ms.saturating_sub(ideal);
+        if !submission.handed_over
+            && ideal < profile.first_token_ms
+            && waited > infeasible_after + IMMEDIATE_MS
+        {
             outcome.refused_after_infeasible += 1;
         }
         let safe = profile.idempotent || refusal.verdict == Verdict::NotRun;
         match refusal.retry_after {
             Some(span) if safe && profile.persistent && outcome.submissions < MAX_SUBMISSIONS => {
-                self.retry_after(span.as_millis().max(1), send.request);
+                self.retry_after(span.as_millis().max(1), submission.request);
             }
             Some(_) => {}
             None => outcome.refused_permanently += 1,
         }
     }
 
-    pub(super) fn check_patience(&mut self, id: job::Id, made: u32) {
-        let Some(send) = self.submissions.get(&id) else {
+    pub(super) fn check_patience(&mut self, id: job::Id, generated: u32) {
+        let Some(submission) = self.submissions.get(&id) else {
             return;
         };
-        if send.first_token_ms.is_some() && made == 0 {
+        if submission.first_token_ms.is_some() && generated == 0 {
             return;
         }
-        if send.generated > made {
-            let again = (send.last_token_ms + STALL_TIMEOUT_MS).max(self.now_ms + 1);
-            let made = send.generated;
-            self.schedule(again, Event::CheckPatience(id, made));
+        if submission.generated > generated {
+            let retry = (submission.last_token_ms + STALL_TIMEOUT_MS).max(self.now_ms + 1);
+            let generated = submission.generated;
+            self.schedule(retry, Event::CheckPatience(id, generated));
             return;
         }
-        let Some(send) = self.close_submission(id) else {
+        let Some(submission) = self.close_submission(id) else {
             return;
         };
-        self.tally.wasted += send.computed;
-        let outcome = &mut self.tally.outcomes[send.request];
+        self.tally.wasted += submission.computed;
+        let outcome = &mut self.tally.outcomes[submission.request];
         outcome.abandoned += 1;
-        let profile = &self.pattern.profiles[self.arrivals[send.request].account];
-        let again =
+        let profile = &self.pattern.profiles[self.arrivals[submission.request].account];
+        let retry =
             profile.idempotent && profile.persistent && outcome.submissions < MAX_SUBMISSIONS;
-        self.call_policy(send.entry, |policy, now, out| policy.cancel(now, id, out));
-        if again {
-            self.retry_after(1, send.request);
+        self.call_policy(submission.entry, |policy, now, out| {
+            policy.cancel(now, id, out)
+        });
+        if retry {
+            self.retry_after(1, submission.request);
         }
     }
 
--- a/crates/policy/tests/support/world/digests.rs
+++ b/crates/policy/tests/support/world/digests.rs
@@ -13,25 +13,25 @@
 impl World {
     /// Sends every entry's digest to all others.
     pub(super) fn send_digests(&mut self) {
-        for from in 0..self.entries.len() {
-            self.send_digest(from);
+        for sender in 0..self.entries.len() {
+            self.send_digest(sender);
         }
         self.schedule_after(DIGEST_PERIOD_MS, Event::SendDigests);
     }
 
-    pub(super) fn send_digest(&mut self, from: usize) {
+    pub(super) fn send_digest(&mut self, sender: usize) {
         let now = self.now();
-        if let Some(scheduler) = self.entries[from].scheduler() {
+        if let Some(scheduler) = self.entries[sender].scheduler() {
             let digest = scheduler.digest(now);
-            self.schedule_after(DIGEST_TRANSIT_MS, Event::Digest(from, Box::new(digest)));
+            self.schedule_after(DIGEST_TRANSIT_MS, Event::Digest(sender, Box::new(digest)));
         }
     }
 
-    pub(super) fn deliver_digest(&mut self, from: usize, digest: &Digest) {
-        for to in (0..self.entries.len()).filter(|to| *to != from) {
-            self.call_policy(to, |policy, now, out| {
+    pub(super) fn deliver_digest(&mut self, sender: usize, digest: &Digest) {
+        for receiver in (0..self.entries.len()).filter(|receiver| *receiver != sender) {
+            self.call_policy(receiver, |policy, now, out| {
                 if let Some(scheduler) = policy.scheduler() {
-                    scheduler.absorb(now, from as u64, digest, out);
+                    scheduler.absorb(now, sender as u64, digest, out);
                 }
             });
         }
--- a/crates/policy/tests/support/world/fleet.rs
+++ b/crates/policy/tests/support/world/fleet.rs
@@ -52,19 +52,22 @@
 
     /// Sends the cache events to every entry, except those lost in transit.
     pub(super) fn send_cache_events(&mut self) {
-        let Some(way) = self.pattern.cache_events else {
+        let Some(reports) = self.pattern.cache_events else {
             return;
         };
         for engine in 0..self.engines.len() {
             for event in self.engines[engine].take_events() {
                 for entry in 0..self.entries.len() {
-                    if self.cache_random.random::<f64>() >= way.loss {
-                        self.schedule_after(way.lag_ms, Event::CacheEvent(entry, engine, event));
+                    if self.cache_random.random::<f64>() >= reports.loss {
+                        self.schedule_after(
+                            reports.lag_ms,
+                            Event::CacheEvent(entry, engine, event),
+                        );
                     }
                 }
             }
         }
-        self.schedule_after(way.period_ms, Event::SendCacheEvents);
+        self.schedule_after(reports.period_ms, Event::SendCacheEvents);
     }
 
     pub(super) fn deliver_cache_event(&mut self, entry: usize, engine: usize, event: CacheEvent) {
@@ -147,7 +150,7 @@
         let Some(ms) = self.pattern.restart_ms else {
             return;
         };
-        if let Some(place) = self.places.iter().position(|held| *held == engine) {
+        if let Some(place) = self.places.iter().position(|occupant| *occupant == engine) {
             self.schedule_after(ms, Event::Restart(place));
         }
     }
@@ -160,9 +163,9 @@
 
     pub(super) fn add_replica(&mut self, place: usize) {
         let engine = self.engines.len();
-        let mut fresh = Engine::new(self.pattern.shape.clone());
-        fresh.killers.insert(0);
-        self.engines.push(fresh);
+        let mut new_engine = Engine::new(self.pattern.shape.clone());
+        new_engine.killers.insert(0);
+        self.engines.push(new_engine);
         self.live_since.push(Some(self.now_ms));
         self.places[place] = engine;
         self.zones.push(place % self.pattern.zones);
