--- a/crates/policy/examples/reports.rs
+++ b/crates/policy/examples/reports.rs
@@ -62,11 +62,11 @@
     let mut peaks = Vec::new();
     for millis in 0..LENGTH {
         let now = Time::from_millis(millis);
-        ends.retain(|(at, entry, replica)| {
-            if *at == millis {
+        ends.retain(|(end, entry, replica)| {
+            if *end == millis {
                 loads[*entry][*replica].ended(now, 0);
             }
-            *at > millis
+            *end > millis
         });
         if random.random_bool(RATE / 1_000.0) {
             let entry = random.random_range(0..ENTRIES);
@@ -120,8 +120,8 @@
 }
 
 fn count(loads: &[Vec<Load>]) -> Vec<u32> {
-    let at = |replica: usize| loads.iter().map(|entry| entry[replica].own_jobs()).sum();
-    (0..REPLICAS).map(at).collect()
+    let running = |replica: usize| loads.iter().map(|entry| entry[replica].own_jobs()).sum();
+    (0..REPLICAS).map(running).collect()
 }
 
 fn send_reports(loads: &mut [Vec<Load>], now: Time, stale: &[u32]) {
--- a/crates/policy/src/warmup.rs
+++ b/crates/policy/src/warmup.rs
@@ -44,15 +44,15 @@
 
     /// Removes a replica.
     pub fn remove(&mut self, key: replica::Key) {
-        if let Some(at) = self.joined_at.remove(&key) {
-            self.order.remove(&(at, key));
+        if let Some(joined) = self.joined_at.remove(&key) {
+            self.order.remove(&(joined, key));
         }
     }
 
     /// Returns the share of its capacity that the replica may use, above 0 and at most 1, relative
     /// to the warmest of its pool.
     pub fn capacity_share(&self, now: Time, key: replica::Key) -> f64 {
-        let oldest = self.order.first().map(|(at, _)| *at);
+        let oldest = self.order.first().map(|(joined, _)| *joined);
         let (Some(joined), Some(oldest)) = (self.joined_at.get(&key), oldest) else {
             return 1.0;
         };
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -92,14 +92,14 @@
     fn reserve(&mut self, entry: usize) {
         let replica = self.choose_replica(entry);
         self.entries[entry].reserve(KILLER, replica);
-        let stands = self.now + Config::default().claim_delay;
-        self.claimed.push((entry, replica, stands));
+        let usable_from = self.now + Config::default().claim_delay;
+        self.claimed.push((entry, replica, usable_from));
     }
 
     fn use_claims(&mut self) {
-        for (entry, replica, stands) in std::mem::take(&mut self.claimed) {
-            if self.now < stands {
-                self.claimed.push((entry, replica, stands));
+        for (entry, replica, usable_from) in std::mem::take(&mut self.claimed) {
+            if self.now < usable_from {
+                self.claimed.push((entry, replica, usable_from));
             } else if self.entries[entry].holds_claim(KILLER, replica) {
                 self.entries[entry].start_trial(replica);
                 self.start(entry, replica);
@@ -111,18 +111,22 @@
 
     fn crash_next(&mut self) {
         let now = self.now;
-        let due = self.running.iter().find(|(_, _, at)| *at <= now).copied();
+        let due = self
+            .running
+            .iter()
+            .find(|(_, _, crash)| *crash <= now)
+            .copied();
         let Some((_, replica, _)) = due else {
             return;
         };
         self.lost.push(replica);
         self.alive.retain(|alive| *alive != replica);
-        for (entry, at, crash) in std::mem::take(&mut self.running) {
-            if at == replica {
+        for (entry, running_on, crash) in std::mem::take(&mut self.running) {
+            if running_on == replica {
                 self.entries[entry].record_crash(now, replica, replica % 3, &[KILLER]);
                 self.waiting.push(entry);
             } else {
-                self.running.push((entry, at, crash));
+                self.running.push((entry, running_on, crash));
             }
         }
     }
--- a/crates/policy/tests/support/world/fleet.rs
+++ b/crates/policy/tests/support/world/fleet.rs
@@ -61,7 +61,7 @@
                     if self.cache_random.random::<f64>() >= reports.loss {
                         self.schedule_after(
                             reports.lag_ms,
-                            Event::CacheEvent(entry, engine, event),
+                            Event::CacheUpdate(entry, engine, event),
                         );
                     }
                 }
--- a/crates/policy/tests/support/world/mod.rs
+++ b/crates/policy/tests/support/world/mod.rs
@@ -46,7 +46,7 @@
     SendReports,
     Report(usize, usize, replica::Report),
     SendCacheEvents,
-    CacheEvent(usize, usize, CacheEvent),
+    CacheUpdate(usize, usize, CacheEvent),
     Fault(usize),
     Reclaimed(usize),
     Restart(usize),
@@ -103,7 +103,7 @@
     pub fn new(pattern: Pattern, seed: u64, make: &dyn Fn(u64) -> Box<dyn Policy>) -> World {
         let arrivals = pattern.arrivals(seed);
         let entries: Vec<Box<dyn Policy>> = (0..pattern.entries)
-            .map(|at| make(seed * 100 + at as u64))
+            .map(|index| make(seed * 100 + index as u64))
             .collect();
         let count = pattern.entries;
         let mut world = World {
@@ -136,11 +136,11 @@
     /// Runs to the end and returns the results.
     pub fn run(mut self) -> Tally {
         let last = self.pattern.seconds * 1_000 + DRAIN_MS;
-        while let Some(Reverse((at, key))) = self.events.pop() {
-            if at > last || self.is_over(at) {
+        while let Some(Reverse((at_ms, key))) = self.events.pop() {
+            if at_ms > last || self.is_over(at_ms) {
                 break;
             }
-            self.now_ms = at;
+            self.now_ms = at_ms;
             if let Some(event) = self.waiting.remove(&key) {
                 self.handle(event);
             }
@@ -166,8 +166,8 @@
             });
             self.schedule(arrival.at_ms, Event::Submit(index));
         }
-        for (index, (at, _)) in self.pattern.faults.clone().iter().enumerate() {
-            self.schedule(*at, Event::Fault(index));
+        for (index, (at_ms, _)) in self.pattern.faults.clone().iter().enumerate() {
+            self.schedule(*at_ms, Event::Fault(index));
         }
         self.schedule(self.pattern.reports.period_ms, Event::SendReports);
         if let Some(events) = self.pattern.cache_events {
@@ -180,8 +180,8 @@
         match event {
             Event::Submit(request) => self.submit(request),
             Event::Step(engine) => self.finish_step(engine),
-            Event::Ended(entry, id, end, made) => self.deliver_end(entry, id, end, made),
-            Event::CheckPatience(id, made) => self.check_patience(id, made),
+            Event::Ended(entry, id, end, generated) => self.deliver_end(entry, id, end, generated),
+            Event::CheckPatience(id, generated) => self.check_patience(id, generated),
             Event::Wake(entry) => {
                 self.wakes[entry] = None;
                 self.call_policy(entry, |policy, now, out| policy.poll(now, out));
@@ -189,14 +189,14 @@
             Event::SendReports => self.send_reports(),
             Event::Report(entry, engine, report) => self.deliver_report(entry, engine, report),
             Event::SendCacheEvents => self.send_cache_events(),
-            Event::CacheEvent(entry, engine, event) => {
+            Event::CacheUpdate(entry, engine, event) => {
                 self.deliver_cache_event(entry, engine, event)
             }
             Event::Fault(index) => self.apply_fault(index),
             Event::Reclaimed(engine) => self.kill(engine),
             Event::Restart(place) => self.restart(place),
             Event::SendDigests => self.send_digests(),
-            Event::Digest(from, digest) => self.deliver_digest(from, &digest),
+            Event::Digest(sender, digest) => self.deliver_digest(sender, &digest),
             Event::Transferred(entry, from, to, sequence) => {
                 self.finish_transfer(entry, from, to, *sequence)
             }
@@ -217,8 +217,8 @@
         Time::from_millis(self.now_ms)
     }
 
-    fn is_over(&self, at: u64) -> bool {
-        at > self.pattern.seconds * 1_000
+    fn is_over(&self, at_ms: u64) -> bool {
+        at_ms > self.pattern.seconds * 1_000
             && self.submissions.is_empty()
             && !self
                 .waiting
