--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -24,11 +24,10 @@
 
 impl Comparison {
     /// Runs the pattern over all seeds. Under any fault each request ends, "not run" is true, and a job
-
     /// that must not run twice doesn't.
     fn run(pattern: &Pattern) -> Comparison {
-        let run_seeds = |contestant: Variant| -> Vec<Tally> {
-            SEEDS.map(|seed| contestant.run(pattern, seed)).collect()
+        let run_seeds = |variant: Variant| -> Vec<Tally> {
+            SEEDS.map(|seed| variant.run(pattern, seed)).collect()
         };
         let ours = run_seeds(Variant::scheduler());
         for tally in &ours {
@@ -36,12 +35,14 @@
             assert_eq!(tally.false_not_run, 0, "{}", pattern.name);
             assert_eq!(tally.duplicated, 0, "{}", pattern.name);
         }
-        let ways = [
+        let strategies = [
             Strategy::RoundRobin,
             Strategy::LeastOutstanding,
             Strategy::RandomOfTwo,
         ];
-        let plain = ways.map(|way| run_seeds(Variant::Baseline(way))).to_vec();
+        let plain = strategies
+            .map(|strategy| run_seeds(Variant::Baseline(strategy)))
+            .to_vec();
         let comparison = Comparison { ours, plain };
         println!(
             "{:24} {} replicas  share {:.3}  best plain {:.3}  lost to killers {}",
