--- a/crates/gateway/src/failure_detector.rs
+++ b/crates/gateway/src/failure_detector.rs
@@ -1,10 +1,11 @@
 //! Failure detection among entries.
 //!
-//! Few entries exchange heartbeats directly. Among many, hubs receive one from every entry twice a second, and every
-//! entry one from each hub. An entry that misses them suspects the sender, and a hub announces it to all; a later
-//! heartbeat refutes the suspicion. So the time to detect a failure doesn't grow with the number of entries, as that of
-//! gossiped heartbeats does. Ground: suspicion and refutation as in SWIM, Das, Gupta and Motivala 2002; an entry that
-//! ran late itself suspects nobody, as in Lifeguard, Dadgar et al. 2017.
+//! Few entries exchange heartbeats directly. Among many, hubs receive one from every entry twice a second,
+//! and every entry one from each hub. An entry that misses them suspects the sender, and a hub announces it
+//! to all; a later heartbeat refutes the suspicion. The time to detect a failure therefore doesn't grow with
+//! the number of entries, as it does with gossiped heartbeats. Suspicion and refutation follow SWIM (Das,
+//! Gupta and Motivala, 2002); an entry that was delayed itself suspects nobody, as in Lifeguard (Dadgar et
+//! al., 2017).
 
 use clock::Span;
 use clock::Time;
@@ -20,22 +21,22 @@
 use crate::effect::Lane;
 use crate::gateway::Gateway;
 
-/// Missing heartbeats of a sender that sends two a second or more.
+/// Time without a heartbeat after which a sender is suspected; it sends at least two a second.
 const HEARTBEAT_TIMEOUT: Span = Span::from_millis(1_250);
-/// A longer pause between two looks means that this entry was late itself.
+/// Longest time between two ticks before this entry is taken to have been delayed itself.
 const MAX_TICK_GAP: Span = Span::from_millis(900);
 
-/// For how long this entry has received heartbeats without a gap of its own.
+/// Tracks since when this entry has been able to receive heartbeats without a gap.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Monitor {
     since: Time,
     last_tick: Time,
-    /// Whether it was a hub at the last look.
+    /// Whether this entry was a hub at the last tick.
     was_hub: bool,
 }
 
 impl Monitor {
-    /// Notes a look; since when there is no gap.
+    /// Records a tick and returns since when there has been no gap.
     fn observe(&mut self, now: Time, hub: bool) -> Time {
         if now.since(self.last_tick) > MAX_TICK_GAP || hub && !self.was_hub {
             self.since = now;
@@ -47,13 +48,14 @@
 }
 
 impl Gateway {
-    /// Suspects entries whose direct heartbeats are missing; a hub announces it.
+    /// Suspects entries whose direct heartbeats are missing; as a hub, announces them.
     pub(crate) fn failure_detector_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let hub = self.hub.is_hub(self.identity.incarnation);
         let since = self.hub.monitor.observe(now, hub);
         let peers = || self.membership.peers();
         let is_silent = |known: &Member| now.since(known.last_seen.max(since)) >= HEARTBEAT_TIMEOUT;
-        // Without any heartbeat, this entry is the one that is cut off.
+
+        // If all heartbeats are missing, this entry is the one that is cut off.
         if peers().all(|(_, known)| is_silent(known)) {
             return;
         }
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Announces suspected entries to all.
+    /// Announces suspected entries to all peers.
     fn announce_suspects(&mut self, silent: &[(holder::Id, u64)], effects: &mut Vec<Effect>) {
         let items = silent.iter().map(|(id, count)| Item {
             topic: Topic::Silent,
@@ -90,7 +92,7 @@
             items: items.collect(),
             ..Digest::default()
         };
-        // Also to the suspected ones, so that a live one refutes it.
+        // Suspected entries are included, so that a live one refutes it.
         for (_, known) in self.membership.peers() {
             let address = known.record.row.peer_address.clone();
             effects.push(Effect::SendDigest {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// A hub suspects an entry.
+    /// Handles a hub's suspicion of an entry.
     pub(crate) fn suspicion_reported(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let Some(id) = holder::Id::parse(&item.key) else {
             return;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The state of one entry and the step that takes it from event to event.
+//! The state of one entry and the function that advances it by one event.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -45,121 +45,122 @@
 use crate::work::Demand;
 use crate::work::Work;
 
-/// One entry.
+/// The state of one entry.
 pub struct Gateway {
     pub(crate) identity: Identity,
     pub(crate) settings: Settings,
     pub(crate) random: Pcg64Mcg,
-    /// The newest configuration seen in this life; its version never falls.
-    pub(crate) catalog: Option<Rc<Catalog>>,
-    /// When the list of servers was read first.
+
+/// The newest configuration known to this process; its version never decreases.
+pub ( crate ) catalog : Option < Rc < Catalog > > , 
+/// When the list of servers was first read.
     pub(crate) servers_known_since: Time,
-    /// When `catalog` came in force.
+    /// When `catalog` took effect.
     pub(crate) configured_since: Time,
-    /// The document that `catalog` was read from.
+    /// The document that `catalog` was parsed from.
     pub(crate) document: Bytes,
     pub(crate) scheduler: Scheduler,
     pub(crate) quotas: Quotas,
-    /// Charges that wait for the entry that decides on them.
+    /// Charges awaiting the decision of another entry.
     pub(crate) charges: Charges,
-    /// Which entries fill roles for all.
+    /// The entries that act as hubs, readers of the server list and homes of quotas.
     pub(crate) roster: Roster,
     pub(crate) servers: Servers,
-    /// Limits that backend servers named.
+    /// Rate limits that backend servers set in their answers.
     pub(crate) limits: Limits,
-    /// The pool in which each backend server stands, by its incarnation.
+    /// The scheduler pool of each backend server, by incarnation.
     pub(crate) replica_pools: BTreeMap<SmolStr, SmolStr>,
     pub(crate) rollouts: Rollouts,
     /// The list of servers as rows, and the reports on it.
     pub(crate) watch: Watch,
-    /// Whether this entry reads the list, and who does.
+    /// Whether this entry reads the list of servers itself.
     pub(crate) following: Following,
-    /// Request requests by serial.
+    /// Open requests by serial number.
     pub(crate) requests: BTreeMap<u64, Request>,
-    /// When the final answer of each open request is due.
+    /// Deadlines of all open requests.
     pub(crate) timeouts: BTreeSet<(Time, u64)>,
-    /// Scheduler's keys of accounts by name; an account keeps its key through all versions.
+    /// The scheduler's keys of accounts by name; an account keeps its key across versions.
     pub(crate) accounts: BTreeMap<SmolStr, account::Key>,
-    /// Scheduler's keys of services by name.
+    /// The scheduler's keys of pools by name.
     pub(crate) pools: BTreeMap<SmolStr, pool::Key>,
     pub(crate) membership: Membership,
-    /// How often all members were read again since the start.
+    /// Number of full reads of the member list since the start.
     pub(crate) member_reads: usize,
-    /// Peers whose configuration is older than ours.
+    /// Peers whose configuration is older than this entry's.
     pub(crate) lagging: Lagging,
-    /// Requests that began to run.
+    /// Requests that started to run, by window and account.
     pub(crate) usage: Usage,
-    /// Work that arrived here, by service.
+    /// Work that arrived at this entry, by service.
     pub(crate) work: BTreeMap<SmolStr, Work>,
-    /// The same at peers; that of lost ones stays, so that the sum doesn't fall.
+    /// Work that arrived at peers. Lost peers are kept, so that the sum doesn't decrease.
     pub(crate) peer_work: BTreeMap<holder::Id, BTreeMap<SmolStr, Work>>,
-    /// What was heard as a hub.
+    /// State of the exchange of counts by hubs.
     pub(crate) hub: Hub,
-    /// How fast work arrives.
+    /// Arrival rate of work over all entries.
     pub(crate) demand: Demand,
-    /// What the holder of the duties' lease does.
+    /// The lease on the duties and what its holder does.
     pub(crate) duties: Duties,
-    /// What peers run at each backend server, by the hash of its incarnation, and when they said so.
+    /// Running requests that peers report, by hash of the server's incarnation, and when they reported them.
     pub(crate) peer_loads: BTreeMap<holder::Id, (Time, BTreeMap<u64, u32>)>,
-    /// When the next bulletin is due.
+    /// When the next bulletin is sent.
     pub(crate) next_bulletin: Time,
-    /// When what is held against requests is told next, if there is nothing new.
+    /// When the quarantine is next published even if it hasn't changed.
     pub(crate) next_quarantine: Time,
-    /// Orders our pieces of news.
+    /// Version of the last item sent; receivers order items by it.
     pub(crate) item_version: u64,
     /// When the process was asked to stop.
     pub(crate) stop_requested_at: Option<Time>,
-    /// Whether the table service answers our calls.
+    /// Whether the table service answers.
     pub(crate) contact: Contact,
-    /// When the table service failed a call last.
+    /// When a call of the table service last failed.
     pub(crate) store_failed_at: Option<Time>,
-    /// Whether the list of servers couldn't be read since it was read last.
+    /// Whether reading the list of servers has failed since the last successful read.
     pub(crate) list_unavailable: bool,
-    /// Names the next call of the table service.
+    /// Id of the next call of the table service.
     pub(crate) next_store_call: u64,
-    /// Calls that wait for their turn within our share of the table service.
+    /// Calls waiting for this entry's share of the table service's rate.
     pub(crate) throttle: Throttle<call::Id>,
-    /// Calls that found the queue full.
+    /// Calls rejected because the queue was full.
     pub(crate) store_rejected: Vec<call::Id>,
-    /// What waits for which call of the table service.
+    /// Who awaits the outcome of each call of the table service.
     pub(crate) store_calls: BTreeMap<call::Id, Waiter>,
 }
 
-/// How an entry stands.
+/// Snapshot of an entry's state for metrics and readiness checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Requests open here.
+    /// Open requests.
     pub open_requests: u64,
-    /// Configuration version in force here; 0 while there is none.
+    /// Version of the configuration in force; 0 while there is none.
     pub version: u64,
-    /// Entries known here, this one included.
+    /// Known entries, including this one.
     pub members: u64,
-    /// Backend servers known here.
+    /// Known backend servers.
     pub servers: u64,
-    /// Everything up to this revision of the list of servers is known.
+    /// Revision up to which the list of servers is known.
     pub list_revision: u64,
-    /// Milliseconds since the table service said so, here or to a peer.
+    /// Milliseconds since the table service confirmed that revision to this entry or a peer.
     pub list_age_ms: u64,
-    /// Whether callers may be sent here.
+    /// Whether the entry accepts callers.
     pub ready: bool,
-    /// Whether a stop was asked for.
+    /// Whether a stop was requested.
     pub stopping: bool,
-    /// Milliseconds since the configuration came in force.
+    /// Milliseconds since the configuration took effect.
     pub version_age_ms: u64,
-    /// Servers that leave but are still there.
+    /// Servers that are leaving but still present.
     pub leaving: u64,
     /// Servers whose rows are missing.
     pub missing: u64,
-    /// Requests in the queues.
+    /// Queued requests.
     pub waiting: u64,
-    /// Repeats that may still be made, all services together.
+    /// Retries left in the budgets of all services.
     pub repeats_left: u64,
-    /// Fencing number of the duties' lease while it is held; 0 while it isn't.
+    /// Fencing number of the duties' lease; 0 unless this entry holds it.
     pub fence: u64,
 }
 
 impl Gateway {
-    /// An entry that has seen nothing yet; `seed` feeds every random choice.
+    /// Creates an entry without any knowledge of its surroundings; `seed` feeds every random choice.
     pub fn new(identity: Identity, settings: Settings, seed: u64) -> Gateway {
         let scheduler = Scheduler::with_settings(seed, settings.scheduler);
         Gateway {
@@ -211,13 +212,13 @@
         }
     }
 
-    /// Takes one event and appends what follows from it.
+    /// Applies one event and appends the resulting effects.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         self.dispatch(now, event, effects);
         self.dispatch_store_calls(now, effects);
     }
 
-    /// Passes an event to the part that it concerns.
+    /// Passes an event to its handler.
     fn dispatch(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Arrived { serial, arrival } => self.arrived(now, serial, &arrival, effects),
@@ -266,18 +267,19 @@
         }
     }
 
-    /// Whether callers may be sent here.
+    /// Whether the entry accepts callers.
     pub fn is_ready(&self) -> bool {
         self.catalog.is_some() && self.stop_requested_at.is_none()
     }
 
-    /// The limits on what callers may send.
-    pub fn limits(&self) -> crate::catalog::Limits {
-        let catalog = self.catalog.as_ref();
-        catalog.map_or_else(Default::default, |catalog| catalog.limits.clone())
+
+/// Returns the limits on the size and number of callers' requests.
+pub fn limits ( & self ) -> crate :: catalog :: Limits {
+let catalog = self . catalog . as_ref ( ) ;
+catalog . map_or_else ( Default :: default , | catalog | catalog . limits . clone ( ) ) 
     }
 
-    /// How this entry stands, for metrics.
+    /// Returns a snapshot for metrics and readiness checks.
     pub fn status(&self, now: Time) -> Status {
         let pools = || self.pools.values();
         let waiting: usize = pools().map(|pool| self.scheduler.waiting(*pool)).sum();
@@ -300,7 +302,7 @@
         }
     }
 
-    /// When [`Event::Tick`] is wanted next.
+    /// Returns when [`Event::Tick`] is next needed.
     pub fn next_wake(&self, now: Time) -> Time {
         let timeout = self.timeouts.first().map(|(at, _)| *at);
         let wakes = [
@@ -320,8 +322,8 @@
         first.unwrap_or(now)
     }
 
-    /// Takes over what may change while the entry runs; leases and membership keep their terms, which others
-    /// count on.
+    /// Applies those settings that may change at run time. Leases and membership keep their terms, which
+    /// other entries rely on.
     fn settings_read(&mut self, now: Time, settings: Settings, effects: &mut Vec<Effect>) {
         let line = Line::info("reloaded")
             .with("seeds", settings.seeds.len())
@@ -337,7 +339,7 @@
         self.settings.grace = settings.grace;
     }
 
-    /// Lets time pass in every part.
+    /// Advances all parts to the time `now`.
     fn tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.peers_tick(now, effects);
         self.servers_tick(now, effects);
@@ -349,7 +351,7 @@
         self.stop_tick(now, effects);
     }
 
-    /// Calls the scheduler and carries its decisions out.
+    /// Calls the scheduler and carries out its decisions.
     pub(crate) fn with_scheduler<T>(
         &mut self,
         now: Time,
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -1,11 +1,12 @@
-//! How counts travel among many entries.
+//! Exchange of counts among many entries.
 //!
-//! Up to [`MAX_DIRECT_ENTRIES`] entries each tells all others. Beyond, that would be thousands of messages a second, so
-//! each tells two hubs, and these tell everyone the sum of all others' counts. Any entry can be a hub, by
-//! [`role::roster`]. Both send, and one is followed_hub to.
+//! Up to [`MAX_DIRECT_ENTRIES`] entries send their counts to all others. With more, that would be thousands
+//! of messages a second, so each sends them to two hubs, and each hub sends every entry the sum of all
+//! others' counts. Any entry can be a hub, by [`role::roster`]. Both hubs send sums; an entry follows one of
+//! them.
 //!
-//! There is no way back to telling all others: entries that were replaced stand among the members until they
-//! are known gone, and while the way changed to and fro their counts would be charged twice.
+//! The switch to hubs is never undone: replaced entries remain members until their failure is detected, and
+//! if the exchange alternated meanwhile, their counts would be charged twice.
 
 use std::collections::BTreeMap;
 
@@ -29,52 +30,53 @@
 use crate::work;
 use crate::work::Work;
 
-/// Most entries that tell each other directly: 16 messages four times a second, about one percent of a core.
+/// Most entries that exchange counts directly: 16 messages four times a second take about one percent of a
+/// core.
 const MAX_DIRECT_ENTRIES: usize = 16;
-/// Time between two hand-overs. While entries are replaced, not all agree on who the hubs are, and each of several
-/// hears a part.
+/// Time between two hand-overs. While entries are replaced, they may disagree on who the hubs are, and each
+/// hub receives only part of the counts.
 const HAND_OVER_INTERVAL: Span = Span::from_millis(2_000);
-/// A hub has heard all entries once it has been one for so long: three tellings.
+/// Time after which a new hub has received counts from all entries: three rounds.
 const COLLECTION_TIME: Span = Span::from_millis(1_500);
-/// Stands in the key of what a hub tells of another entry's past, between the two names.
+/// Separates the two ids in the key of a bulletin that a former hub forwards for another entry.
 pub(crate) const PAST_SEPARATOR: char = '/';
-/// Entries told of in one message as a hub hands over: about 10 KB.
+/// Entries per hand-over message, which is then about 10 KB.
 const ENTRIES_PER_MESSAGE: usize = 32;
-/// In whose name a sum is taken in; no entry draws this number.
+/// Id under which sums are stored; no entry draws this number.
 pub(crate) const SUM_SENDER: holder::Id = holder::Id(u64::MAX);
 
-/// What a hub has heard.
+/// State of the exchange by hubs, and the counts that a hub receives.
 #[derive(Debug, Default)]
 pub(crate) struct Hub {
-    /// Whether counts travel by hubs.
+    /// Whether counts are exchanged by hubs.
     enabled: bool,
-    /// By entry; that of ended ones stays, since their counts still hold.
+    /// Latest counts by entry. Those of ended entries are kept, since they still belong to the sum.
     contributions: BTreeMap<holder::Id, Contribution>,
-    /// For how long heartbeats were received here without a gap.
+    /// Tracks gaps in the heartbeats that this entry receives.
     pub(crate) monitor: Monitor,
-    /// Whose sums are taken in, and when the last one came.
+    /// The hub whose sums are applied, and when the last one arrived.
     pub(crate) followed_hub: Option<(holder::Id, Time)>,
-    /// The hubs as they were last.
+    /// The hubs as of the last round.
     hubs: Vec<holder::Id>,
-    /// When this entry last became one, or, while it is none, when others did.
+    /// When this entry last became a hub, or, while it is none, when the hubs last changed.
     since: Time,
-    /// When it tells the others next what it was told.
+    /// When received counts are next forwarded to the other hubs.
     next_hand_over: Time,
 }
 
-/// What a hub knows of one entry.
+/// One entry's part of a hub's sum.
 #[derive(Debug)]
 struct Contribution {
     received_at: Time,
-    /// What it had counted when it was heard first. A new hub hears all entries anew; were its sum to rise by
-    /// all they ever counted, accounts would be charged for their past a second time, and replicas ordered for it.
-    /// None if others told of it.
+    /// Counts in the first message received from the entry. A new hub starts from scratch: without a baseline
+    /// its sum would rise by everything ever counted, so that accounts would be charged again for the past,
+    /// and replicas ordered for it. None if the counts were forwarded by another hub.
     baseline: Option<Baseline>,
-    /// What it told last, with the charges since then.
+    /// The latest counts, with charges and work since the baseline.
     counts: Bulletin,
 }
 
-/// What an entry had counted when it was heard first.
+/// Counts of an entry that a hub subtracts from all later ones.
 #[derive(Debug)]
 struct Baseline {
     charged: Counts,
@@ -82,7 +84,7 @@
 }
 
 impl Baseline {
-    /// Leaves what came since then.
+    /// Reduces a bulletin to what was counted since the baseline.
     fn subtract_from(&self, bulletin: &mut Bulletin) {
         for (account, count) in &mut bulletin.charged {
             *count = count.saturating_sub(self.charged.get(account).copied().unwrap_or(0));
@@ -94,31 +96,31 @@
 }
 
 impl Hub {
-    /// Whether that entry was a hub when the hubs were looked up last.
+    /// Whether an entry was a hub as of the last round.
     pub(crate) fn is_hub(&self, entry: holder::Id) -> bool {
         self.hubs.contains(&entry)
     }
 }
 
 impl Gateway {
-    /// Whether counts travel by hubs.
+    /// Whether counts are exchanged by hubs.
     pub(crate) fn uses_hubs(&self) -> bool {
         self.hub.enabled
     }
 
-    /// Whether this entry has had time to hear what all others count.
+    /// Whether this entry has had time to receive the counts of all others.
     pub(crate) fn has_collected_counts(&self, now: Time) -> bool {
         now >= self.hub.since + COLLECTION_TIME
     }
 
-    /// Goes over to hubs once there are too many entries.
+    /// Switches to hubs when there are too many entries for direct exchange.
     pub(crate) fn use_hubs_if_many(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if !self.hub.enabled && self.membership.directory().address_count() > MAX_DIRECT_ENTRIES {
             self.use_hubs(now, effects);
         }
     }
 
-    /// From here on sums count in place of what single entries told.
+    /// Switches to hubs and drops what single entries reported, since sums replace it.
     pub(crate) fn use_hubs(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.hub.enabled {
             return;
@@ -134,7 +136,7 @@
         effects.push(Effect::Log(Line::info("hubs_used")));
     }
 
-    /// Tells the hubs what is counted here; a hub tells all others.
+    /// Sends this entry's counts to the hubs, and as a hub the sums to all entries.
     pub(crate) fn send_via_hubs(&mut self, now: Time, own: Bulletin, effects: &mut Vec<Effect>) {
         let me = self.identity.incarnation;
         let hubs = self.roster.hubs().to_vec();
@@ -182,11 +184,12 @@
         effects.push(Effect::Log(line));
     }
 
-    /// Tells the hubs what all entries had told this one, also those that have ended.
+    /// Forwards the usage counts of all entries to the other hubs, including those of ended entries.
     ///
-    /// Guards against counts that go with a hub: a new one hears the live entries alone, and while a quarter of a
-    /// large system was stopped and started in turn, reports of usage missed up to a third. Which have ended isn't
-    /// known at once, so nobody is left out; whoever lives speaks for itself soon.
+    /// Guards against counts that are lost with a hub: a new hub receives counts from live entries only, and
+    /// while a quarter of a large system was restarted in turn, usage reports missed up to a third. Ended
+    /// entries aren't detected at once, so all are forwarded; newer counts from a live entry replace them
+    /// soon.
     fn hand_over(&mut self, hubs: &[holder::Id], effects: &mut Vec<Effect>) {
         let me = self.identity.incarnation;
         let told: Vec<(holder::Id, Bulletin)> = self
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Notes what another entry had counted, by the word of a former hub.
+    /// Merges the usage counts of an entry that a former hub forwards.
     fn past_counts_received(&mut self, entry: holder::Id, bulletin: Bulletin) {
         let contribution = self
             .hub
@@ -217,7 +220,7 @@
         usage::merge_max(&mut contribution.counts.begun, &bulletin.begun);
     }
 
-    /// The sum without what that entry told itself.
+    /// Returns the sum without the counts of `entry`, for sending to it.
     fn sum_without(&self, total: &Bulletin, entry: holder::Id) -> Bulletin {
         let rest = match self.hub.contributions.get(&entry) {
             Some(theirs) => total.without(&theirs.counts),
@@ -229,7 +232,7 @@
         }
     }
 
-    /// Notes what an entry tells this one as a hub.
+    /// Records the counts that an entry sends to this one as a hub.
     pub(crate) fn counts_received(&mut self, now: Time, from: holder::Id, mut bulletin: Bulletin) {
         if bulletin.past {
             return self.past_counts_received(from, bulletin);
@@ -252,7 +255,7 @@
         self.hub.contributions.insert(from, contribution);
     }
 
-    /// The sum of all that was heard; what entries run counts only while they are heard.
+    /// Returns the sum of all contributions; running requests count only if the contribution is recent.
     fn total_counts(&self, now: Time) -> Bulletin {
         let quiet = self.failure_timeout();
         let mut total = Bulletin {
@@ -271,6 +274,7 @@
         total
     }
 
+    /// Sends this entry's counts, or a sum, to `to` and returns the approximate size in bytes.
     fn send_bulletin(
         &mut self,
         to: holder::Id,
@@ -282,7 +286,7 @@
         self.send_bulletins(to, &own, list, effects)
     }
 
-    /// Sends the counts of some entries and a report on the list in one message; about how many bytes.
+    /// Sends bulletins and a report on the server list in one message; returns the approximate size in bytes.
     fn send_bulletins(
         &mut self,
         to: holder::Id,
@@ -304,7 +308,7 @@
             }
         }
         let digest = Digest {
-            // By it the receiver knows the present life at our address, to which its answers go.
+            // Tells the receiver which incarnation now has this address, so that it replies to the right one.
             own: self.membership.beat(),
             items,
             ..Digest::default()
@@ -325,7 +329,7 @@
 
     fn count_item(&mut self, of: holder::Id, payload: Vec<u8>, past: bool) -> Item {
         self.item_version += 1;
-        // Under a key of its own: versions of one key are its entry's.
+        // Forwarded counts need a key of their own: versions of one key are ordered by its entry.
         let key = match past {
             true => format_smolstr!("{of}{PAST_SEPARATOR}{}", self.identity.incarnation),
             false => format_smolstr!("{of}"),
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -1,4 +1,4 @@
-//! Requests as they arrive: who sent them, and where they may go.
+//! Validation and admission of arriving requests.
 
 use clock::Span;
 use clock::Time;
@@ -24,22 +24,22 @@
 use crate::request::Request;
 use crate::work;
 
-/// When a caller may come back to an entry without a configuration: about one read of it.
+/// Retry delay for callers of an entry without a configuration: about the time to read one.
 const NOT_READY_RETRY: Span = Span::from_millis(300);
-/// When a caller of an entry that is about to end may come back; it then asks for other addresses.
+/// Retry delay for callers of an entry that is about to stop; they ask for other addresses first.
 const LEAVING_RETRY: Span = Span::from_millis(50);
-/// Tokens that a plain call counts as in the scheduler.
+/// Tokens that a request without a prompt counts as in the scheduler.
 const PLAIN_CALL_TOKENS: u32 = 1;
-/// Name of the account that requests on public routes are charged to.
+/// Name of the scheduler account for requests on public routes.
 const PUBLIC_ACCOUNT: &str = "";
-/// Part of a request's time after which a replica that said nothing is given up for another: what
-/// remains is enough to be served there within the deadline.
+/// Fraction of a request's remaining time after which a silent replica is given up for another. The rest is
+/// enough to be served there within the deadline.
 const SILENCE_FRACTION: f64 = 0.4;
-/// The same for a stream's silences, in targets for its pauses: its caller gives up after eight.
+/// Longest silence within a stream, in multiples of the target for its pauses. Callers give up after eight.
 const MAX_STREAM_PAUSES: u64 = 3;
 
 impl Gateway {
-    /// Admits a request, or gives it its final answer at once.
+    /// Opens and charges a request, or refuses it.
     pub(crate) fn arrived(
         &mut self,
         now: Time,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Queues a request that its quota has room for.
+    /// Queues a request whose charge was granted.
     pub(crate) fn admit(
         &mut self,
         now: Time,
@@ -83,7 +83,7 @@
         });
     }
 
-    /// The line on a request that is refused before it is queued, with what decided that.
+    /// Returns the log line for a request that is refused before it is queued.
     fn early_refusal_line(&self, now: Time, arrival: &Arrival) -> Line {
         let version = self.catalog.as_ref().map_or(0, |catalog| catalog.version);
         Line::info("request_refused")
@@ -96,7 +96,7 @@
             )
     }
 
-    /// The caller is gone: nothing is owed to it any more.
+    /// Cancels a request whose caller disconnected.
     pub(crate) fn caller_gone(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
         let Some(request) = self.close_request(serial, effects) else {
             return;
@@ -111,7 +111,7 @@
         effects.push(Effect::Log(line));
     }
 
-    /// Takes an open request off the books; a charge for what didn't run is given back.
+    /// Removes an open request and refunds its charge if it didn't run.
     pub(crate) fn close_request(
         &mut self,
         serial: u64,
@@ -126,7 +126,7 @@
         Some(request)
     }
 
-    /// Sends the final word and logs it.
+    /// Sends a refusal and logs it.
     pub(crate) fn send_refusal(
         &self,
         serial: u64,
@@ -147,7 +147,7 @@
         });
     }
 
-    /// Checks route and key, and makes the open request.
+    /// Resolves a request's route and account, and builds its open state.
     fn validate(&mut self, now: Time, serial: u64, arrival: &Arrival) -> Result<Request, Refusal> {
         let Some(catalog) = self.catalog.clone() else {
             let refusal = Refusal::not_run(Reason::NotReady, "no configuration is known here yet");
@@ -200,7 +200,7 @@
         })
     }
 
-    /// One of the route's services, by weight.
+    /// Draws one of the route's services by weight.
     fn choose_service(&mut self, route: &Route) -> SmolStr {
         let total: f64 = route.shares.iter().map(|share| share.weight).sum();
         let mut drawn = self.random.random::<f64>() * total;
@@ -214,7 +214,7 @@
         last.map(|share| share.service.clone()).unwrap_or_default()
     }
 
-    /// What the scheduler gets to know of a request.
+    /// Builds the scheduler's view of a request.
     fn build_job(
         &self,
         serial: u64,
@@ -262,7 +262,7 @@
     Refusal::not_run(Reason::NoBackend, "the service is not configured")
 }
 
-/// The account that sent the request; none on public routes.
+/// Returns the account that a request's key belongs to; none on public routes.
 fn authenticate<'a>(
     catalog: &'a Catalog,
     route: &Route,
@@ -276,7 +276,7 @@
     account.map(Some).ok_or_else(refusal)
 }
 
-/// What the request counts against its account's quota.
+/// Returns the cost of a request in the unit of its account's quota.
 fn quota_cost(account: &Account, arrival: &Arrival) -> u64 {
     if !account.in_tokens {
         return 1;
@@ -287,7 +287,8 @@
     }
 }
 
-/// How long a replica may be silent before another one is tried; only for what may be repeated.
+/// Returns how long a replica may be silent before another one is tried; none if the request can't be
+/// repeated.
 fn silence_timeout(route: &Route, left: Span) -> Option<Span> {
     let pauses = || route.pause.map(|pause| pause.times(MAX_STREAM_PAUSES));
     if route.attempts < 2 {
@@ -303,7 +304,7 @@
     }
 }
 
-/// The moment `span` before `now`.
+/// Returns the time `span` before `now`.
 fn time_before(now: Time, span: Span) -> Time {
     Time::from_millis(now.as_millis().saturating_sub(span.as_millis()))
 }
--- a/crates/gateway/src/lagging.rs
+++ b/crates/gateway/src/lagging.rs
@@ -1,7 +1,8 @@
-//! Configuration for peers that can't read it themselves.
+//! Sends the configuration to peers that can't read it themselves.
 //!
-//! Most read a change within milliseconds; one that the table service turns away would serve an old version for as
-//! long as that lasts. Entries take turns in helping it, by a hash that all compute alike.
+//! Most entries read a change within milliseconds; one whose reads the table service refuses would serve the
+//! old version until they succeed. Entries take turns in helping it, in an order that all derive from the
+//! same hash.
 
 use std::collections::BTreeMap;
 
@@ -14,38 +15,38 @@
 use crate::effect::Effect;
 use crate::gateway::Gateway;
 
-/// A peer that still tells an older version so long after ours came in force is sent ours. Most read
-/// it themselves within a few milliseconds; one that the table service turns away can't.
+/// Time after a change at which a peer that still reports an older version is sent ours. Most read it
+/// themselves within a few milliseconds.
 const LAG_GRACE: Span = Span::from_millis(300);
-/// Time between two sendings to the same peer, among few entries.
+/// Time between two sends to the same peer, up to [`LAG_BASE_ENTRIES`] entries.
 const LAG_RETRY_INTERVAL: Span = Span::from_millis(500);
-/// Time from one helper's rank to the next one's, among few entries.
+/// Delay between the turns of two helpers, up to [`LAG_BASE_ENTRIES`] entries.
 const HELPER_STAGGER: Span = Span::from_millis(120);
-/// Among so many entries and fewer the times above hold; they grow with more. What another has read is heard
-/// later there, and what all would send meanwhile fills their links: 10,000 documents a second among 79, which
-/// made every answer late for ten seconds.
+/// Number of entries up to which the times above hold; with more, they grow in proportion. Reports of applied
+/// versions arrive later there, and sends in the meantime fill the links: 79 entries sent 10,000 documents a
+/// second, which delayed every answer for ten seconds.
 const LAG_BASE_ENTRIES: u32 = 8;
 
-/// Peers whose configuration is older than ours.
+/// Peers whose configuration is older than this entry's.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Lagging {
-    /// When each is sent ours.
+    /// When the configuration is next sent to each peer.
     due: BTreeMap<holder::Id, Time>,
 }
 
 impl Lagging {
-    /// When the next one is due.
+    /// Returns when the next send is due.
     pub fn next_wake(&self) -> Option<Time> {
         self.due.values().min().copied()
     }
 }
 
 impl Gateway {
-    /// Notes peers that tell an older configuration than ours.
+    /// Updates the peers that report an older configuration than this entry's.
     ///
-    /// Guards against earlier lives, which stand among the members with the version that they had and the address of
-    /// the entry that took their place: after all entries of a large system were killed, each sent its configuration
-    /// to thirty others, and a link of 10 Mbit/s was full for 13 s.
+    /// Of the incarnations at an address only the latest counts. Earlier ones remain members with their old
+    /// version: after all entries of a large system were killed, each sent its configuration to thirty
+    /// others, and a link of 10 Mbit/s was saturated for 13 s.
     pub(crate) fn update_lagging(&mut self, now: Time) {
         let Some(ours) = self.catalog.as_ref().map(|catalog| catalog.version) else {
             return;
@@ -66,7 +67,7 @@
         self.lagging.due = due;
     }
 
-    /// The other live entries, each of which helps some peers first.
+    /// Returns the live peers, which help as well.
     fn helpers(&self, now: Time) -> Vec<holder::Id> {
         let quiet = self.failure_timeout();
         let peers = self.membership.peers();
@@ -74,7 +75,7 @@
         live.map(|(id, _)| id).collect()
     }
 
-    /// How many of them go before this one in helping that peer.
+    /// Returns how many helpers precede this entry in helping `peer`.
     fn helper_rank(&self, helpers: &[holder::Id], peer: holder::Id) -> u64 {
         let weight = |id: holder::Id| rendezvous::weight(peer.0, id.0);
         let ours = weight(self.identity.incarnation);
@@ -82,12 +83,12 @@
         helpers.iter().filter(ahead).count() as u64
     }
 
-    /// By how much lagging peers are helped more slowly than among few entries.
+    /// Returns the factor by which the times grow with the number of entries.
     fn lag_factor(&self) -> u64 {
         u64::from((self.entry_count() / LAG_BASE_ENTRIES).max(1))
     }
 
-    /// Sends our configuration to peers that lag behind.
+    /// Sends the configuration to the lagging peers that are due.
     pub(crate) fn send_configurations(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let due: Vec<holder::Id> = self
             .lagging
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,7 +1,7 @@
-//! Limits that backend servers in need name in their answers.
+//! Rate limits that overloaded backend servers set in their answers.
 //!
-//! Each entry reports the limits in its answers with its counts; of several reports on a server the newest counts. Each
-//! limit is dealt to some of the entries by [`policy::pace`].
+//! Each entry reports the limits it received along with its counts; of several reports on a server the newest
+//! counts. [`policy::pace`] divides each limit among some of the entries.
 
 use std::collections::BTreeMap;
 
@@ -19,39 +19,39 @@
 use crate::effect::Effect;
 use crate::gateway::Gateway;
 
-/// How long it is reported that a limit is lifted: an older report may still be under way.
+/// How long a lifted limit is still reported, so that it overrides older reports in transit.
 const LIFTED_RETENTION: Span = Span::from_seconds(60);
 
-/// What servers said last, by incarnation.
+/// The latest limits by the server's incarnation.
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
     by_server: BTreeMap<SmolStr, Limit>,
 }
 
-/// What a server said.
+/// The latest answer of a server with regard to its limit.
 #[derive(Clone, Copy, Debug)]
 struct Limit {
     received_at: Time,
-    /// None if it named no limit.
+    /// The limit; none if the answer set none.
     rate: Option<Rate>,
-    /// Whether it stood in an answer to this entry, which reports it.
+    /// Whether this entry received the answer itself, so that it reports the limit.
     local: bool,
 }
 
-/// One entry's report on a server's limit.
+/// An entry's report on a server's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests in a thousand seconds, from all entries together; none once the limit is lifted.
+    /// Requests per thousand seconds from all entries together; none once the limit is lifted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<u32>,
-    /// Since the server said so, milliseconds.
+    /// Milliseconds since the server's answer.
     pub age_ms: u64,
 }
 
-/// Reports on limits, by the hash of the server's incarnation.
+/// Reports on limits by hash of the server's incarnation.
 pub type Reports = BTreeMap<u64, Report>;
 
-/// Takes the newer report on each server.
+/// Merges reports, keeping the newer one on each server.
 pub(crate) fn merge_newest(into: &mut Reports, reports: &Reports) {
     for (server, report) in reports {
         let known = into.entry(*server).or_insert(*report);
@@ -62,13 +62,13 @@
 }
 
 impl Limits {
-    /// Whether a server's limit is in force.
+    /// Returns whether a server's limit is in force.
     pub(crate) fn is_limited(&self, incarnation: &str) -> bool {
         let named = self.by_server.get(incarnation);
         named.is_some_and(|limit| limit.rate.is_some())
     }
 
-    /// Limits in answers to this entry.
+    /// Returns the limits that this entry received itself.
     pub(crate) fn reports(&self, now: Time) -> Reports {
         let here = self.by_server.iter().filter(|(_, limit)| limit.local);
         let reports = here.map(|(incarnation, limit)| {
@@ -81,7 +81,7 @@
         reports.collect()
     }
 
-    /// Notes what a server said, unless something newer is known; whether its limit is another one now.
+    /// Records a limit unless a newer one is known; returns whether the rate changed.
     fn record(&mut self, incarnation: &SmolStr, limit: Limit) -> bool {
         let known = self.by_server.get(incarnation).copied();
         if known.is_some_and(|known| known.received_at >= limit.received_at && !limit.local) {
@@ -97,7 +97,7 @@
 }
 
 impl Gateway {
-    /// A server said in an answer how many requests it takes from all entries together, or that it takes any.
+    /// Handles a server's answer with a limit on requests from all entries together, or without any.
     pub(crate) fn limit_named(
         &mut self,
         now: Time,
@@ -113,7 +113,7 @@
         self.apply_limit(now, incarnation, limit, effects);
     }
 
-    /// Another entry reported limits.
+    /// Handles another entry's reports on limits.
     pub(crate) fn limits_reported(
         &mut self,
         now: Time,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Deals all limits anew, since the entries may be others.
+    /// Applies all limits again, since this entry's shares depend on the other entries.
     pub(crate) fn limits_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let servers = &mut self.servers;
         self.limits.by_server.retain(|incarnation, limit| {
@@ -151,6 +151,7 @@
         }
     }
 
+    /// Records a limit and, if the rate changed, applies it.
     fn apply_limit(
         &mut self,
         now: Time,
@@ -171,7 +172,7 @@
         self.apply_share(now, incarnation, rate, effects);
     }
 
-    /// Sets what this entry may send to a server.
+    /// Passes this entry's share of a limit to the scheduler.
     fn apply_share(
         &mut self,
         now: Time,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other entries: who they are, what they count, and whose configuration lags behind.
+//! Exchange with other entries: membership, counts and the quarantine.
 
 use std::collections::BTreeMap;
 
@@ -28,21 +28,21 @@
 use crate::store_calls::Waiter;
 use crate::work;
 
-/// When all members are read again after the start. Entries that start together each find only those that
-/// were quicker; news of the others take long to come round, and until then each group would believe in
-/// hubs of its own.
+/// Times after the start at which all members are read again. Entries that start together find only those
+/// that registered earlier; gossip about the others takes long, and until then each group would choose hubs
+/// of its own.
 const MEMBER_READ_TIMES: [Span; 3] = [
     Span::from_millis(1_200),
     Span::from_millis(3_000),
     Span::from_millis(8_000),
 ];
-/// Time between two tellings of what is held against requests, while there is nothing new.
+/// Time between two publications of an unchanged quarantine.
 const QUARANTINE_INTERVAL: Span = Span::from_seconds(10);
-/// Where counts travel by hubs, they are told in so many times the interval.
+/// Factor by which the bulletin interval grows when counts are exchanged by hubs.
 const HUB_INTERVAL_FACTOR: u64 = 2;
 
 impl Gateway {
-    /// Lets the membership machine act on the time, and tells peers what we count.
+    /// Advances the membership, and publishes this entry's counts when they are due.
     pub(crate) fn peers_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if let Some(at) = MEMBER_READ_TIMES
             .get(self.member_reads)
@@ -70,7 +70,8 @@
             self.publish_bulletin(now, effects);
             self.update_lagging(now);
         }
-        // Only when there is something new, or from time to time: each piece travels to all entries.
+
+        // Each item travels to all entries, so it is published only on changes and once in a while.
         if now >= self.next_quarantine || self.scheduler.take_urgent() {
             self.next_quarantine = now + QUARANTINE_INTERVAL;
             self.publish_quarantine(now, effects);
@@ -78,7 +79,7 @@
         self.send_configurations(now, effects);
     }
 
-    /// Time to the next bulletin: longer by hubs, whose messages go to everyone.
+    /// Returns the time between two bulletins, which is longer with hubs, since they write to every entry.
     fn bulletin_interval(&self) -> Span {
         match self.uses_hubs() {
             true => self.settings.bulletin_interval.times(HUB_INTERVAL_FACTOR),
@@ -86,8 +87,8 @@
         }
     }
 
-    /// How long a member may be silent before it isn't counted on. News of many takes several rounds to
-    /// come round.
+    /// Returns after how long without a sign of life a member is taken for failed. Gossip among many members
+    /// needs several rounds to reach everyone.
     pub(crate) fn failure_timeout(&self) -> Span {
         let members = self.membership.directory().address_count();
         let quiet = self.settings.members.heartbeat_timeout_for(members);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Takes one event into the membership machine and carries out what it asks for.
+    /// Passes an event to the membership and applies the resulting effects.
     pub(crate) fn step_membership(
         &mut self,
         now: Time,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Tells all entries that a backend server leaves.
+    /// Publishes that a backend server is leaving.
     pub(crate) fn publish_leaving(
         &mut self,
         now: Time,
@@ -121,7 +122,7 @@
         self.publish_server_item(now, Topic::Leaving, incarnation, 1, effects);
     }
 
-    /// Tells all entries that a backend server's row ended at that revision of the list.
+    /// Publishes that a backend server's row was removed at `revision` of the list.
     pub(crate) fn publish_ended(
         &mut self,
         now: Time,
@@ -132,7 +133,8 @@
         self.publish_server_item(now, Topic::Ended, incarnation, revision, effects);
     }
 
-    /// Tells all entries of a backend server; of equal versions by several entries one goes round.
+    /// Publishes an item on a backend server. If several entries publish the same version, one copy is
+    /// gossiped.
     fn publish_server_item(
         &mut self,
         now: Time,
@@ -151,7 +153,7 @@
         self.step_membership(now, MemberEvent::Publish(item), effects);
     }
 
-    /// Carries out one thing that the membership machine asks for.
+    /// Applies one effect of the membership.
     fn apply_membership_effect(
         &mut self,
         now: Time,
@@ -198,12 +200,12 @@
         effects.push(Effect::Log(Line::info("members").with("count", members)));
     }
 
-    /// How many entries there are, those counted once that were started anew.
+    /// Returns the number of entries, counting a restarted one once.
     pub(crate) fn entry_count(&self) -> u32 {
         u32::try_from(self.membership.directory().address_count().max(1)).unwrap_or(u32::MAX)
     }
 
-    /// Takes in a piece of news.
+    /// Handles an item from a peer.
     fn item_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         match item.topic {
             Topic::Leaving => self.leaving_reported(now, &item.key, effects),
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Tells all entries what we count.
+    /// Publishes this entry's counts.
     fn publish_bulletin(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let mut running: BTreeMap<u64, u32> = BTreeMap::new();
         for request in self.requests.values() {
@@ -257,7 +259,7 @@
         }
     }
 
-    /// Tells all entries what we hold against requests that crash backend servers.
+    /// Publishes which requests this entry quarantines for crashing backend servers.
     fn publish_quarantine(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let digest = self.scheduler.digest(now);
         if digest.quarantine.items.is_empty() && digest.quarantine.claims.is_empty() {
@@ -294,8 +296,8 @@
         };
         if bulletin.sums > 0 {
             self.use_hubs(now, effects);
-            // Guards against a sum for an earlier life of ours, which has our address: our own counts stand in it.
-            // They were charged and reported twice for some seconds after each start.
+            // A sum for an earlier incarnation at this address contains our own counts: applied, they were
+            // charged and reported twice for some seconds after each restart.
             if bulletin.without != Some(self.identity.incarnation.0) {
                 return;
             }
@@ -312,12 +314,12 @@
         }
     }
 
-    /// Takes in a hub's sum: it stands for all entries but this one, in place of what they told directly.
+    /// Applies a hub's sum, which stands for all entries but this one and replaces their own reports.
     ///
-    /// Only one hub is followed_hub to, the first as long as it is heard. Sums of two differ by what each has not
-    /// heard yet; taken in turn, the difference would be charged again and again.
+    /// Only one hub is followed, the first on the roster while it sends. The sums of two hubs differ by what
+    /// each hasn't received yet; applied alternately, they would charge that difference repeatedly.
     pub(crate) fn sum_received(&mut self, now: Time, hub: holder::Id, sum: Bulletin) {
-        // Of usage each sum tells something: what one hub hasn't heard yet the other may have.
+        // Usage is merged from both hubs: one may have received what the other has not.
         self.usage.absorb_sum(SUM_SENDER, &sum.begun);
         let first = self.roster.hubs().first() == Some(&hub);
         let (followed_hub, heard) = self.hub.followed_hub.unwrap_or((hub, now));
@@ -327,7 +329,7 @@
         }
         let changed = self.hub.followed_hub.is_none() || followed_hub != hub;
         if changed {
-            // What it tells first says nothing of what came since the other one told its last.
+            // The first sum of another hub has no known relation to the last one of the hub followed before.
             self.peer_work.remove(&SUM_SENDER);
         }
         self.hub.followed_hub = Some((hub, now));
@@ -384,11 +386,11 @@
         }
     }
 
-    /// The speed of a service's replicas as most entries see it.
+    /// Returns the prompt speed of a service's replicas, as the median over all entries.
     pub(crate) fn replica_speed(&self, service: &SmolStr) -> f64 {
         let all = self.peer_work.values().chain([&self.work]);
         let of = all.filter_map(|work| Some(work.get(service)?.speed));
-        // A sum's speed is that of many; what is seen here alone may be far off.
+        // A sum holds the median of many entries, while the speed seen here alone may be far off.
         let summed = self
             .peer_work
             .get(&SUM_SENDER)
@@ -397,7 +399,7 @@
         speed.unwrap_or_else(|| work::median_speed(of))
     }
 
-    /// How many requests a backend server runs, over all entries.
+    /// Returns the number of requests that all entries run at a backend server.
     pub(crate) fn running_requests(&self, key: replica::Key, incarnation: &str) -> u32 {
         let identity = rendezvous::identity(incarnation);
         let others = self.peer_loads.values();
@@ -409,7 +411,7 @@
         own.count() as u32 + others.sum::<u32>()
     }
 
-    /// Gives the scheduler what all entries run at each replica.
+    /// Reports the total load of each replica to the scheduler.
     fn report_loads(&mut self, now: Time) {
         let fresh = self.failure_timeout();
         self.peer_loads
@@ -438,7 +440,7 @@
     }
 }
 
-/// A new membership machine of an entry.
+/// Creates the membership state of an entry.
 pub(crate) fn membership(identity: &Identity, settings: &Settings, seed: u64) -> Membership {
     let row = Row {
         id: identity.incarnation,
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -1,4 +1,4 @@
-//! Takes in what the list of servers and peers say of backend servers.
+//! Membership of backend servers, by the list of servers and reports of peers.
 
 use clock::Span;
 use clock::Time;
@@ -14,7 +14,7 @@
 use watch::server::Server;
 use watch::server::Update;
 
-/// By whose word a server leaves or is gone.
+/// Where it was learned that a server is leaving or gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
     /// Its row, read here or by a reader of the list.
@@ -33,10 +33,11 @@
 }
 
 impl Gateway {
-    /// The list was read or changed.
+    /// Applies a read of the list: all rows, or changes.
     pub(crate) fn apply_reading(&mut self, now: Time, reading: Reading, effects: &mut Vec<Effect>) {
         self.distrust_after_store_failure();
-        // Leases that lapsed are back within two seconds of the table service's return, not of our last failed call.
+        // Lapsed leases are renewed within two seconds of the table service's return, not of our last failed
+        // call.
         if std::mem::take(&mut self.list_unavailable) {
             self.servers
                 .distrust_until(now + self.settings.missing_row_grace);
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Notes how far the list is known. Rows that a restored table service lacks may be those of live servers.
+    /// Advances the known position in the list. After a restore of the table service missing rows are
+    /// distrusted, since live servers may lack theirs.
     pub(crate) fn advance_position(&mut self, at: Time, revision: u64) {
         let restored = self.servers.restored();
         self.servers.advance_position(at, revision);
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Another entry reported changes, to everybody at once.
+    /// Applies changes that another entry read and reported to everyone.
     pub(crate) fn servers_reported(&mut self, now: Time, news: Update, effects: &mut Vec<Effect>) {
         self.distrust_after_store_failure();
         let Update::Changes { written, removed } = news else {
@@ -77,10 +79,11 @@
         }
         let ids: Vec<SmolStr> = removed.into_iter().map(|row| row.id).collect();
         let absent = self.servers.incarnations_of(&ids);
-        self.servers_missing(now, absent, effects);
+        self.mark_missing(now, absent, effects);
     }
 
-    /// Missing rows aren't believed for a time after the table service failed: leases of live servers lapse then.
+    /// Distrusts missing rows for a time after the table service failed, since leases of live servers lapse
+    /// then.
     fn distrust_after_store_failure(&mut self) {
         if let Some(failed) = self.store_failed_at {
             self.servers
@@ -88,7 +91,7 @@
         }
     }
 
-    /// The whole list was read: after the start, and after each gap.
+    /// Applies a complete read of the list: after the start, and after each gap.
     fn apply_snapshot(&mut self, now: Time, servers: Vec<Server>, effects: &mut Vec<Effect>) {
         let mut absent = self.servers.incarnations();
         absent.retain(|known| servers.iter().all(|one| one.incarnation != *known));
@@ -101,13 +104,14 @@
         for server in servers {
             self.row_read(now, server, effects);
         }
-        self.servers_missing(now, absent, effects);
+        self.mark_missing(now, absent, effects);
     }
 
-    /// Rows ended, as the feed told.
+    /// Applies removals of rows.
     ///
-    /// Peers are told, unless leases may have lapsed: an entry that can't follow the list would hand requests to
-    /// servers that left without a word until its way is back, and others see their rows end within milliseconds.
+    /// They are published unless leases may have lapsed: an entry that can't follow the list would otherwise
+    /// send requests to servers that vanished without notice, while others see the removal within
+    /// milliseconds.
     fn apply_removals(&mut self, now: Time, removed: &[Removal], effects: &mut Vec<Effect>) {
         let mut absent = Vec::new();
         for row in removed {
@@ -118,12 +122,12 @@
                 absent.push(incarnation);
             }
         }
-        self.servers_missing(now, absent, effects);
+        self.mark_missing(now, absent, effects);
     }
 
-    /// A peer followed the list without a gap and saw a server's row end at that revision.
+    /// Handles a peer's report that a server's row was removed at `revision`, from a list without a gap.
     ///
-    /// It only ever takes a server away: one whose row is back joins by our own reading.
+    /// A report only ever removes a server; one whose row is back joins by our own read.
     pub(crate) fn ended_reported(
         &mut self,
         now: Time,
@@ -140,7 +144,7 @@
         }
     }
 
-    /// The list can't be followed.
+    /// Handles a failure to follow the list.
     pub(crate) fn servers_lost(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.store_failed_at = Some(now);
         self.list_unavailable = true;
@@ -148,7 +152,7 @@
         effects.push(Effect::Log(line));
     }
 
-    /// Missing servers are gone once the list can be trusted.
+    /// Removes servers whose rows are missing once missing rows are trusted.
     pub(crate) fn servers_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if !self.servers.is_trusted(now) {
             return;
@@ -156,14 +160,14 @@
         self.remove_missing(now, Source::Row, effects);
     }
 
-    /// Gives up all servers whose rows are missing.
+    /// Removes all servers whose rows are missing.
     pub(crate) fn remove_missing(&mut self, now: Time, source: Source, effects: &mut Vec<Effect>) {
         for incarnation in self.servers.missing() {
             self.server_gone(now, &incarnation, source, effects);
         }
     }
 
-    /// A peer says that a server leaves.
+    /// Handles a peer's report that a server is leaving.
     pub(crate) fn leaving_reported(
         &mut self,
         now: Time,
@@ -179,7 +183,7 @@
         );
     }
 
-    /// A row was read here; that its server leaves is published to all.
+    /// Applies a row read by this entry, and publishes if its server is leaving.
     fn row_read(&mut self, now: Time, server: Server, effects: &mut Vec<Effect>) {
         let incarnation = server.incarnation.clone();
         if self.apply_row(now, server, effects) {
@@ -187,7 +191,7 @@
         }
     }
 
-    /// A row says that of its server; whether it is news that the server leaves.
+    /// Applies a row; returns whether it was the first to say that its server is leaving.
     fn apply_row(&mut self, now: Time, server: Server, effects: &mut Vec<Effect>) -> bool {
         let incarnation = server.incarnation.clone();
         let left = server.leaves_in.unwrap_or(DEFAULT_NOTICE);
@@ -209,7 +213,7 @@
         news
     }
 
-    /// A new life of a server ends the one before.
+    /// Removes earlier incarnations of a server.
     fn remove_previous_incarnations(
         &mut self,
         now: Time,
@@ -239,7 +243,7 @@
         self.join(now, server, pool, effects);
     }
 
-    /// Lets a server take work in a pool.
+    /// Adds a replica to a scheduler pool.
     pub(crate) fn join(
         &mut self,
         now: Time,
@@ -256,14 +260,14 @@
         self.replica_pools.insert(server.incarnation.clone(), pool);
         let mut decisions = Vec::new();
         let key = self.scheduler.replica_joined(now, spec, &mut decisions);
-        // Waiting requests may be placed there at once: their place must be known first.
+        // The scheduler may place waiting requests at once, for which the server must be known first.
         self.servers.add(key, server);
         for decision in decisions {
             self.apply_decision(now, decision, effects);
         }
     }
 
-    /// A server takes no new work from now on, by the word of `source`; whether that is news.
+    /// Stops new work for a server that is leaving; returns whether that wasn't known.
     fn server_leaves(
         &mut self,
         now: Time,
@@ -293,7 +297,8 @@
         true
     }
 
-    fn servers_missing(&mut self, now: Time, absent: Vec<SmolStr>, effects: &mut Vec<Effect>) {
+    /// Marks servers as missing, and their replicas as doubted until missing rows are trusted.
+    fn mark_missing(&mut self, now: Time, absent: Vec<SmolStr>, effects: &mut Vec<Effect>) {
         let mut doubted = Vec::new();
         for incarnation in absent {
             if let Some(known) = self.servers.get_mut(&incarnation)
@@ -303,7 +308,7 @@
                 doubted.push(known.key);
             }
         }
-        // Where missing rows count by now, nothing is left to set_doubted.
+        // If missing rows are trusted, the servers are removed instead.
         if self.servers.is_trusted(now) {
             return self.servers_tick(now, effects);
         }
@@ -312,10 +317,11 @@
         }
     }
 
-    /// A server may be gone, or is known again to be there.
+    /// Tells the scheduler that a server may be gone, or is back.
     ///
-    /// A missing row isn't believed for some time after a gap, since leases of live servers lapse in an outage of the
-    /// table service. Where only this entry's way was cut, the row of a server that left is missing just the same.
+    /// A missing row isn't trusted for some time after a gap, since leases of live servers lapse while the
+    /// table service is down. If only this entry lost its connection, the row of a server that left is
+    /// missing just the same.
     fn set_doubted(
         &mut self,
         now: Time,
@@ -328,7 +334,7 @@
         });
     }
 
-    /// A server is given up, by the word of `source`.
+    /// Removes a server that is gone.
     fn server_gone(
         &mut self,
         now: Time,
@@ -352,7 +358,7 @@
         effects.push(Effect::CloseServer {
             incarnation: incarnation.clone(),
         });
-        // Its attempts go on until their connections end: a row may be gone before its server is.
+        // Its attempts go on until their connections end: a row may be removed before its server ends.
         self.scheduler.replica_lost(now, known.key);
         let running = self
             .requests
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -1,8 +1,8 @@
-//! Counts of usage on their way, kept in the table service.
+//! Usage counts of open windows, saved to the table service.
 //!
-//! Failure guarded against: all entries are killed at once, and with them every count that they had told
-//! each other. The window's report would miss most of its requests. The holder writes what it knows of the
-//! windows that are open; whoever holds the duty next adds what it didn't hear itself.
+//! Guards against a loss of all entries at once, and with them of every count that they had exchanged: the
+//! report of the window would miss most of its requests. The holder of the duties saves the counts of open
+//! windows; the next holder merges what it didn't receive itself.
 
 use std::collections::BTreeMap;
 
@@ -25,28 +25,28 @@
 use crate::store_calls::Waiter;
 use crate::usage::Counts;
 
-/// The table of counts on their way.
+/// Table of the saved counts.
 const TABLE: &str = "usage-progress";
-/// The only row: it holds the open windows, so that no old ones must be deleted.
+/// Key of the only row, which holds all open windows, so that old ones need not be deleted.
 const KEY: &str = "open";
-/// Time between two writings: what is lost with all entries together, at one call a second.
+/// Time between two writes, and thus the usage that is lost with all entries, at a cost of one call a second.
 const WRITE_INTERVAL: Span = Span::from_millis(1_000);
-/// Windows that are written: the open one, and those whose counts may not be fixed yet.
+/// Number of windows saved: the open one, and those whose counts may not be final yet.
 const WRITTEN_WINDOWS: u64 = 3;
 
 /// Counts by window and entry.
 type Progress = BTreeMap<u64, BTreeMap<SmolStr, Counts>>;
 
-/// What the holder has written.
+/// State of the holder's saves.
 #[derive(Debug, Default)]
 pub(crate) struct Writer {
     next: Time,
-    /// Whether what a former holder wrote was read.
+    /// Whether a former holder's counts were read.
     pub restored: bool,
 }
 
 impl Gateway {
-    /// Reads what a former holder wrote, then writes what is known.
+    /// Reads a former holder's counts first, then saves the current ones.
     pub(crate) fn progress_tick(&mut self, now: Time) {
         if !self.settings.report_usage || now < self.duties.progress.next {
             return;
@@ -70,7 +70,7 @@
         self.call_store(Waiter::Progress, Call::Transact(transaction));
     }
 
-    /// What is known of a window: by entry, or of all together where counts travel by hubs.
+    /// Returns the counts of a window by entry, or as one sum if counts are exchanged by hubs.
     fn known_counts(&self, window: u64) -> BTreeMap<SmolStr, Counts> {
         if self.uses_hubs() {
             let total = self.usage.total(window);
@@ -82,7 +82,7 @@
             .collect()
     }
 
-    /// The table service answered.
+    /// Handles the table service's answer to a read or write.
     pub(crate) fn progress_answered(&mut self, outcome: Outcome, effects: &mut Vec<Effect>) {
         let Outcome::Row(row) = outcome else {
             return;
--- a/crates/gateway/src/reports.rs
+++ b/crates/gateway/src/reports.rs
@@ -1,9 +1,9 @@
-//! Reports of usage, one for each window.
+//! Usage reports to the platform, one for each window.
 //!
-//! Failure guarded against: a holder sends a report, its answer is lost and it dies; its successor has
-//! heard a little more or less and sends other counts for the same window, and the account is billed by
-//! two reports that contradict each other. So the counts of a window are written to the table service
-//! first, if nobody wrote them before, and only what stands there is sent, however often.
+//! Guards against contradictory reports: a holder sends a report, its answer is lost and the holder dies; its
+//! successor has received slightly different counts and reports the same window again, so that accounts are
+//! billed by both. Therefore a window's counts are first written to the table service, unless some are stored
+//! already, and only the stored counts are sent, however often.
 
 use std::collections::BTreeMap;
 
@@ -27,52 +27,53 @@
 use crate::store_calls::Waiter;
 use crate::usage::Counts;
 
-/// The table of reports.
+/// Table of the final counts by window.
 const TABLE: &str = "usage";
-/// After a window's end until its counts are fixed: two rounds of what entries tell each other, and what
-/// entries that are cut off for a moment bring late.
+/// Time from a window's end until its counts are final: two rounds of the exchange, and late counts of
+/// entries that were cut off for a moment.
 const SETTLE_TIME: Span = Span::from_millis(1_500);
-/// The same where counts travel by hubs: while entries are replaced, some seconds go by until all agree on who
-/// the hubs are, and until then each of them knows a part. Leaves more than half of the usual time to report.
+/// The same if counts are exchanged by hubs: while entries are replaced, it takes some seconds until all
+/// agree on the hubs, and until then each hub knows part of the counts. Leaves more than half of the usual
+/// time to report.
 const HUB_SETTLE_TIME: Span = Span::from_millis(4_000);
-/// Time between two tries.
+/// Time between two attempts.
 const RETRY_INTERVAL: Span = Span::from_millis(700);
-/// Windows whose rows are kept.
+/// Number of windows whose rows are kept.
 const RETAINED_WINDOWS: u64 = 24;
 
-/// Reports under way.
+/// Reports in progress.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
     windows: BTreeMap<u64, Report>,
 }
 
-/// One window's report.
+/// The report of one window.
 #[derive(Clone, Debug)]
 struct Report {
     stage: Stage,
-    /// When it is tried again.
+    /// When the next step is attempted.
     next_attempt: Time,
 }
 
-/// How far a report is.
+/// Progress of a report.
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
-    /// Its counts must be fixed.
+    /// The counts aren't final yet.
     Open,
-    /// They are being written.
+    /// The counts are being written to the table service.
     Writing(Counts),
-    /// They are fixed and must be sent.
+    /// The counts are final and must be sent.
     Fixed(Counts),
-    /// They are being sent under this number.
+    /// The counts are being sent by the call of this id.
     Sending(u64, Counts),
-    /// The platform has them.
+    /// The platform has confirmed the report, or it is skipped.
     Done,
 }
 
 impl Gateway {
-    /// Fixes and sends what is due.
+    /// Finalizes and sends the counts of windows that are due.
     pub(crate) fn reports_tick(&mut self, now: Time, lease: Lease, effects: &mut Vec<Effect>) {
-        // A window fixed before a former holder's counts were read would miss all that only it knew.
+        // Without a former holder's counts, a window would miss requests that only that holder knew of.
         let ready = self.duties.progress.restored && self.has_collected_counts(now);
         if !self.settings.report_usage || !ready {
             return;
@@ -95,6 +96,7 @@
         }
     }
 
+    /// Takes the next step of a window's report when it is due.
     fn report_window(&mut self, now: Time, window: u64, lease: Lease, effects: &mut Vec<Effect>) {
         let report = self.duties.reports.windows.entry(window).or_insert(Report {
             stage: Stage::Open,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Whether a former holder may have fixed and sent a window's counts that the table service has lost since.
+    /// Returns whether a former holder may have sent counts that the table service lost in a restore.
     fn may_be_reported(&self, now: Time, window: u64) -> bool {
         let Some(restored) = self.servers.restored() else {
             return false;
@@ -122,7 +124,7 @@
         ended_before >= self.settle_time().as_millis() as i64
     }
 
-    /// Leaves a window unreported: a second report could contradict the first.
+    /// Skips the report of a window, since a second one could contradict the first.
     fn skip_report(&mut self, window: u64, effects: &mut Vec<Effect>) {
         let line = Line::warn("usage_not_reported").with("window", window);
         effects.push(Effect::Log(line));
@@ -131,7 +133,7 @@
         }
     }
 
-    /// After a window's end until its counts are fixed.
+    /// Returns the time from a window's end until its counts are final.
     fn settle_time(&self) -> Span {
         match self.uses_hubs() {
             true => HUB_SETTLE_TIME,
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Writes the counts of a window, unless there are some.
+    /// Writes the counts of a window unless some are stored.
     fn write_counts(&mut self, window: u64) {
         let mut counts = self.usage.total(window);
         if let Some(catalog) = &self.catalog {
@@ -169,7 +171,7 @@
         self.call_store(Waiter::Report(window), Call::Transact(transaction));
     }
 
-    /// The table service answered the writing of a window's counts.
+    /// Handles the table service's answer to writing a window's counts.
     pub(crate) fn counts_written(
         &mut self,
         now: Time,
@@ -189,7 +191,7 @@
                 Some(counts) => Stage::Fixed(counts),
                 None => Stage::Open,
             },
-            // Written or not: a second try finds out.
+            // The write may have succeeded; the next attempt finds out.
             _ => Stage::Open,
         };
         if matches!(report.stage, Stage::Fixed(_)) {
@@ -200,6 +202,7 @@
         }
     }
 
+    /// Sends the final counts of a window to the platform.
     fn send_report(
         &mut self,
         window: u64,
@@ -223,7 +226,7 @@
         }
     }
 
-    /// The platform answered a report.
+    /// Handles the platform's answer to a report.
     pub(crate) fn report_answered(&mut self, now: Time, id: u64, outcome: duty::Outcome) {
         for report in self.duties.reports.windows.values_mut() {
             let Stage::Sending(sent, counts) = &report.stage else {
@@ -242,13 +245,13 @@
     }
 }
 
-/// Where the counts of a window stand.
+/// Returns the address of a window's counts.
 fn address(window: u64) -> Address {
     let key: SmolStr = format_smolstr!("{window:012}");
     Address::new(TABLE, key)
 }
 
-/// The counts that somebody else wrote.
+/// Returns the counts stored by another holder.
 fn stored_counts(failed: Vec<(Address, Option<store::call::Row>)>) -> Option<Counts> {
     let (_, row) = failed.into_iter().next()?;
     serde_json::from_value(row?.value).ok()
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! An open request.
+//! State of an open request.
 
 use clock::Span;
 use clock::Time;
@@ -14,50 +14,50 @@
 /// A request between its arrival and its final answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// The caller's name for it.
+    /// Id that the caller gave it.
     pub id: SmolStr,
-    /// By which route it came.
+    /// Name of its route.
     pub route: SmolStr,
-    /// Whose it is; none on public routes.
+    /// Name of its account; none on public routes.
     pub account: Option<SmolStr>,
-    /// Which service runs it.
+    /// Name of the service that runs it.
     pub service: SmolStr,
-    /// Whether it tries a version that isn't in use yet.
+    /// Whether it runs on a version under trial.
     pub canary: bool,
-    /// What it was counted as once it was admitted.
+    /// Work that it was counted as at admission, in prompt tokens.
     pub work: u64,
-    /// Prompt tokens that no other request shares.
+    /// Prompt tokens not shared with other requests.
     pub unshared_tokens: u64,
-    /// Tokens in one event of its stream.
+    /// Tokens per event of its stream.
     pub tokens_per_event: u32,
-    /// What may be repeated.
+    /// Whether and how it may be repeated.
     pub repeat: Repeat,
-    /// What the scheduler knows of it.
+    /// The scheduler's view of it.
     pub job: Job,
-    /// Number of the attempt that runs or ran last.
+    /// Number of the current or last attempt.
     pub attempt: u32,
-    /// Where it runs.
+    /// The replica that runs it.
     pub replica: Option<replica::Key>,
-    /// When its head came.
+    /// When its head arrived.
     pub arrived_at: Time,
-    /// When its final answer is due. Invariant: in the timeouts.
+    /// When its final answer is due. Invariant: `Gateway::timeouts` has an entry for it.
     pub deadline: Time,
-    /// Longest silence of a replica that is worth waiting for.
+    /// How long a replica may be silent before another one is tried.
     pub silence_timeout: Option<Span>,
-    /// Where its run is being moved.
+    /// The replica that its run is being moved to.
     pub move_target: Option<replica::Key>,
-    /// What its account's quota is charged.
+    /// The charge to its account's quota.
     pub charge: Option<Charge>,
-    /// What was charged.
+    /// The charge as granted.
     pub grant: Option<Grant>,
-    /// Its prompt, until it is charged.
+    /// Its prompt, until admission.
     pub prompt: Option<Prompt>,
-    /// Status of a replica's own failure, which the caller gets if nobody does better.
+    /// Status of a replica's failed answer, passed on to the caller if no other attempt succeeds.
     pub failure_status: Option<u16>,
-    /// When it was handed to a replica last.
+    /// When it was last sent to a replica.
     pub sent_at: Option<Time>,
     /// When its answer began.
     pub first_response_at: Option<Time>,
-    /// Whether a replica has begun to work on it, as far as known.
+    /// Whether a replica is known to have started to run it.
     pub execution_started: bool,
 }
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -1,4 +1,4 @@
-//! Which entries fill roles for all, by what is known of them here.
+//! Assignment of roles among entries, from what this entry knows of the others.
 
 use clock::Time;
 use role::candidate::Candidate;
@@ -7,7 +7,7 @@
 use crate::gateway::Gateway;
 
 impl Gateway {
-    /// Assigns the roles anew. Earlier lives have none: they are sent what nobody takes in.
+    /// Reassigns the roles. Earlier incarnations get none, since nobody would receive what is sent to them.
     pub(crate) fn assign_roles(&mut self, now: Time) {
         let quiet = self.failure_timeout();
         let peers = self.membership.peers();
--- a/crates/gateway/src/rollout_lead.rs
+++ b/crates/gateway/src/rollout_lead.rs
@@ -1,7 +1,7 @@
-//! The leader's part in roll-outs, which the holder of the duties carries out.
+//! The leader's part in roll-outs, carried out by the holder of the duties.
 //!
-//! A stage is written to the table service before the status that the operator reads, and announced to all entries: a
-//! next leader goes on from what is written.
+//! A stage is saved to the table service before the operator's status is written and before it is announced
+//! to all entries, so that the next leader continues from what others have seen.
 
 use clock::Span;
 use clock::Time;
@@ -30,27 +30,27 @@
 use crate::rollouts::Generation;
 use crate::store_calls::Waiter;
 
-/// Bits of an announcement's number below the leader's fencing number.
+/// Low bits of an announcement's version, for a sequence number below the leader's fencing number.
 const SEQUENCE_BITS: u32 = 20;
-/// Time between two announcements of a roll-out that has ended, for entries that start.
+/// Time between two announcements of a finished roll-out, for entries that start later.
 const FINAL_ANNOUNCEMENT_INTERVAL: Span = Span::from_seconds(5);
-/// Time before a stage that could not be written is tried again.
+/// Time before a failed call of the table service is retried.
 const RETRY_INTERVAL: Span = Span::from_millis(500);
 
-/// A roll-out that this entry leads.
+/// State of a roll-out that this entry leads.
 #[derive(Debug)]
 pub(crate) struct Leadership {
     order: Order,
 
-    /// None until a former leader's stage was pending for.
+    /// None until the stage saved by a former leader was read.
     lead: Option<Leader>,
-    /// The call of the table service that is under way.
+    /// The pending call of the table service.
     pending: Option<Pending>,
-    /// It isn't pending or written again before.
+    /// Earliest time of the next call.
     next_call: Time,
-    /// The phase in the stage for a next leader, as far as known.
+    /// The phase last saved for the next leader.
     saved_phase: Option<Phase>,
-    /// The phase in the status for the operator, as far as known. Invariant: it was saved_phase before.
+    /// The phase last written to the operator's status. Invariant: it was saved before.
     published_phase: Option<Phase>,
     next_announcement: Time,
     announcements: u64,
@@ -59,16 +59,16 @@
 /// A call of the table service.
 #[derive(Clone, Copy, Debug)]
 enum Pending {
-    /// What a former leader saved_phase.
+    /// Reads the stage saved by a former leader.
     ReadStage,
-    /// The stage of that phase is written for a next leader.
+    /// Saves the stage for the next leader.
     SaveStage(Phase),
-    /// The status of that phase is written for the operator.
+    /// Writes the status for the operator.
     PublishStatus(Phase),
 }
 
 impl Leadership {
-    /// What is to be written next: only what can be gone on from is published_phase.
+    /// Returns the next write: a phase is published only after it was saved.
     fn next_write(&self, phase: Phase) -> Option<Pending> {
         match phase {
             _ if self.saved_phase != Some(phase) => Some(Pending::SaveStage(phase)),
@@ -79,7 +79,7 @@
 }
 
 impl Gateway {
-    /// Leads the roll-outs, as the holder of the duties.
+    /// Advances all roll-outs, as the holder of the duties.
     pub(crate) fn rollouts_tick(&mut self, now: Time, lease: Lease, effects: &mut Vec<Effect>) {
         self.sync_leads(now);
         let services: Vec<SmolStr> = self.rollouts.leads.keys().cloned().collect();
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Leads what is ordered, and gives up what isn't any more.
+    /// Starts leading new orders, and stops leading those withdrawn or replaced.
     fn sync_leads(&mut self, now: Time) {
         let active = &self.rollouts.active;
         self.rollouts.leads.retain(|service, led| {
@@ -177,7 +177,7 @@
         self.rollout_announced(now, &item, effects);
     }
 
-    /// The table service answered a question for a stage, or its writing.
+    /// Handles the table service's answer to a read or write of a stage.
     pub(crate) fn stage_answered(&mut self, now: Time, service: &SmolStr, outcome: Outcome) {
         let since = self
             .rollouts
@@ -213,7 +213,7 @@
         }
     }
 
-    /// What all entries have counted since an order.
+    /// Returns the answers that all entries have counted since an order.
     fn total_tally(&self, service: &SmolStr) -> Tally {
         let mut sum = self
             .rollouts
@@ -232,7 +232,7 @@
         sum
     }
 
-    /// What is known of both versions' replicas.
+    /// Returns the capacity and load of both versions' replicas.
     fn rollout_fleet(&self, service: &SmolStr) -> Fleet {
         let mut fleet = Fleet::default();
         for known in self
@@ -256,7 +256,7 @@
     }
 }
 
-/// The writing of a stage or status.
+/// Returns the call that writes a stage or status.
 fn write_call(service: &SmolStr, stage: &Stage, pending: Pending) -> Option<Call> {
     let table = match pending {
         Pending::ReadStage => return None,
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -1,7 +1,7 @@
-//! Roll-outs by the operator's order: which replicas take part, and which requests go to the new version.
+//! Roll-outs of new versions: assignment of replicas to pools, and of requests to versions.
 //!
-//! Canary replicas stand in a pool of their own, so that only requests drawn for it get there. Where a
-//! service has more of them than its share of requests would load, the rest stay in reserve until all requests move.
+//! Canary replicas form a pool of their own, so that only requests drawn for it get there. If a service has
+//! more of them than its share of requests would load, the rest stay in reserve until all requests move.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -29,60 +29,60 @@
 use crate::gateway::Gateway;
 use crate::rollout_lead::Leadership;
 
-/// Status from which on a plain answer counts as failed.
+/// Lowest status at which an answer counts as failed.
 const FAILED_STATUS: u16 = 500;
 
-/// What an entry knows of roll-outs.
+/// Roll-outs known to an entry, and the measurements that compare versions.
 #[derive(Debug, Default)]
 pub(crate) struct Rollouts {
-    /// By service.
+    /// Ordered roll-outs by service.
     pub active: BTreeMap<SmolStr, Rollout>,
-    /// The version that a finished roll-out has put into use, by service.
+    /// The version that the last ended roll-out put into use, by service.
     in_use: BTreeMap<SmolStr, SmolStr>,
-    /// Versions that get nothing, by service.
+    /// Versions that get no requests, by service.
     rejected: BTreeMap<SmolStr, BTreeSet<SmolStr>>,
-    /// How long answers usually take, by route.
+    /// Usual latencies by route.
     latencies: BTreeMap<SmolStr, Latencies>,
-    /// What this entry has counted since each order, by service.
+    /// Answers that this entry has counted since each order, by service.
     pub tallies: BTreeMap<SmolStr, Tally>,
-    /// The same of peers, by the sender.
+    /// Answers that peers have counted, by sender and service.
     pub peer_tallies: BTreeMap<lease::holder::Id, BTreeMap<SmolStr, Tally>>,
-    /// The roll-outs that this entry leads.
+    /// Roll-outs that this entry leads, by service.
     pub leads: BTreeMap<SmolStr, Leadership>,
 }
 
-/// One service's roll-out.
+/// The roll-out of one service.
 #[derive(Debug)]
 pub(crate) struct Rollout {
     pub split: Split,
-    /// When the order was seen here.
+    /// When this entry learned of the order.
     pub ordered_at: Time,
-    /// Whether replicas of the version in use were ever known since.
+    /// Whether any replica of the version in use has been known since the order.
     old_seen: bool,
 }
 
-/// How long answers of a route usually take.
+/// Usual latencies of a route.
 #[derive(Clone, Copy, Debug, Default)]
 struct Latencies {
-    /// The whole answer, or a stream's first event.
+    /// Time to the whole answer, or to a stream's first event.
     first_response: Baseline,
-    /// A token after the first.
+    /// Time per token after the first.
     per_token: Baseline,
 }
 
-/// What of a service a replica belongs to.
+/// Role of a replica's version in its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Generation {
     /// The version in use.
     Old,
-    /// The version that is ordered.
+    /// The version on order.
     New,
-    /// A version that gets nothing.
+    /// A version that gets no requests.
     Rejected,
 }
 
 impl Rollouts {
-    /// What of its service a replica belongs to.
+    /// Returns the role of a replica's version in its service.
     pub fn generation(&self, server: &Server) -> Generation {
         let rejected = self.rejected.get(&server.service);
         if rejected.is_some_and(|versions| versions.contains(&server.version)) {
@@ -95,12 +95,12 @@
         }
     }
 
-    /// The duties were gained: what former leaders wrote is read anew.
+    /// Drops the led roll-outs, so that a new holder of the duties reads what former leaders saved.
     pub fn reset_leads(&mut self) {
         self.leads.clear();
     }
 
-    /// Whether a replica is of those that stay.
+    /// Returns whether a replica's version is the one to keep.
     pub fn is_permanent(&self, server: &Server) -> bool {
         let new = self
             .active
@@ -115,7 +115,7 @@
 }
 
 impl Gateway {
-    /// The operator orders a roll-out. A second order for a service takes the place of the first.
+    /// Handles an operator's order, which replaces an earlier one for the service.
     pub(crate) fn rollout_ordered(&mut self, now: Time, order: Order, effects: &mut Vec<Effect>) {
         let service = order.service.clone();
         if let Some(known) = self.rollouts.active.get(&service) {
@@ -143,7 +143,7 @@
         self.reassign_pools(now, &service, effects);
     }
 
-    /// The operator takes an order back: the version gets nothing more, unless it is in use by now.
+    /// Handles a withdrawn order: its version gets no more requests unless it is in use by now.
     pub(crate) fn rollout_withdrawn(
         &mut self,
         now: Time,
@@ -159,7 +159,7 @@
         self.reassign_pools(now, service, effects);
     }
 
-    /// Orders for all other services are withdrawn.
+    /// Withdraws the orders of all services that aren't listed.
     pub(crate) fn rollouts_known(
         &mut self,
         now: Time,
@@ -172,6 +172,7 @@
         }
     }
 
+    /// Ends a roll-out, with its version in use or rejected.
     fn end_rollout(&mut self, service: &SmolStr) {
         let Some(known) = self.rollouts.active.remove(service) else {
             return;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// The pool that a replica stands in.
+    /// Returns the name of the pool that a replica belongs to.
     pub(crate) fn replica_pool(&self, server: &Server) -> SmolStr {
         let service = &server.service;
         match self.rollouts.generation(server) {
@@ -202,6 +203,7 @@
         }
     }
 
+    /// Returns the name of the pool for the version in use.
     fn pool_in_use(&self, service: &SmolStr) -> SmolStr {
         match self.rollouts.in_use.get(service) {
             Some(version) => pool_of_version(service, version),
@@ -209,8 +211,8 @@
         }
     }
 
-    /// Whether enough other replicas of the version take part: more would each get too few requests to show how they do under
-    /// load.
+    /// Returns whether enough other replicas of the version take part: with more, each would get too few
+    /// requests to show how it performs under load.
     fn is_reserve(&self, server: &Server) -> bool {
         let Some(known) = self.rollouts.active.get(&server.service) else {
             return false;
@@ -232,7 +234,7 @@
         before.count() >= enough.max(1)
     }
 
-    /// Puts each replica of a service into the pool that it belongs to by now. What runs there goes on.
+    /// Moves each replica of a service to its present pool. Running requests go on.
     fn reassign_pools(&mut self, now: Time, service: &SmolStr, effects: &mut Vec<Effect>) {
         let servers = self.servers.iter().map(|known| known.server.clone());
         let servers: Vec<Server> = servers.filter(|one| one.service == *service).collect();
@@ -248,7 +250,7 @@
         }
     }
 
-    /// The pool that a new request goes to, and whether it tries a version.
+    /// Returns the pool for a new request, and whether that is a canary.
     pub(crate) fn select_pool(
         &mut self,
         now: Time,
@@ -263,7 +265,7 @@
         let to = pool_of_version(service, &known.split.order().to);
         let has_replicas = |pool: &SmolStr| self.replica_pools.values().any(|known| known == pool);
         known.old_seen |= has_replicas(&old);
-        // An entry that starts once a roll-out is over may meet the new version alone.
+        // An entry that starts after a roll-out may know no replicas but those of the new version.
         let only = !known.old_seen && known.split.phase() != Phase::RolledBack;
         let side = known.split.side(now, route, drawn);
         match (side == Side::New || only) && has_replicas(&to) {
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Counts how an attempt ended, for the comparison of both versions.
+    /// Records an attempt's result, for the comparison of both versions.
     pub(crate) fn record_answer(&mut self, now: Time, serial: u64, end: &End) {
         let Some(request) = self.requests.get(&serial) else {
             return;
@@ -300,7 +302,7 @@
         }
     }
 
-    /// The leader announced the stage of a roll-out.
+    /// Handles the leader's announcement of a roll-out's stage.
     pub(crate) fn rollout_announced(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let stage: Stage = match serde_json::from_slice(&item.payload) {
             Ok(stage) => stage,
@@ -327,7 +329,7 @@
     }
 }
 
-/// The pool of a version's replicas.
+/// Returns the name of the pool for a version's replicas.
 fn pool_of_version(service: &SmolStr, version: &SmolStr) -> SmolStr {
     format_smolstr!("{service}@{version}")
 }
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -1,8 +1,8 @@
-//! Backend servers by incarnation: which exist, which leave, which are missing.
+//! Backend servers by incarnation, with their state: present, leaving or missing.
 //!
-//! Leaving is sticky: a row that was read before and arrives late would bring a server back that is
-//! about to end, and work sent there would be cut off. A missing row means that the server is gone,
-//! but for the time after an outage of the table service: leases lapse then although servers live.
+//! Leaving is sticky: an outdated row that arrives late would otherwise restore a server that is about to
+//! end, and requests sent there would be cut off. A missing row means that the server is gone, except for
+//! some time after an outage of the table service, in which leases of live servers lapse.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,69 +18,69 @@
 use crate::attempt::Endpoint;
 use watch::server::Server;
 
-/// Most incarnations that are remembered as leaving; the oldest go first. A day of a large deployment
-/// has some thousand.
+/// Limit on remembered leaving incarnations; the oldest are evicted. A day of a large deployment has some
+/// thousand.
 const MAX_LEAVING_INCARNATIONS: usize = 16_384;
 
-/// All servers that this entry knows.
+/// All servers known to this entry.
 #[derive(Debug, Default)]
 pub(crate) struct Servers {
     known: BTreeMap<SmolStr, Record>,
     by_key: BTreeMap<replica::Key, SmolStr>,
-    /// Record ones by the hash of their incarnation, as entries name them to each other.
+    /// Known incarnations by their hash, by which entries refer to them.
     by_identity: BTreeMap<u64, SmolStr>,
-    /// Incarnations that leave or have left.
+    /// Incarnations that are leaving or have left.
     leaving: BTreeSet<SmolStr>,
-    /// The same, the oldest first.
+    /// The same, ordered from the oldest.
     leaving_order: VecDeque<SmolStr>,
-    /// Missing rows don't count before this time, after a gap of our own.
+    /// Until when missing rows are distrusted after a gap in this entry's reads.
     distrusted_until: Time,
-    /// Nor before this one, by the last word of those that read the list for us.
+    /// Until when missing rows are distrusted according to the readers of the list.
     peer_distrusted_until: Time,
-    /// How far the list was read.
+    /// How far the list is known.
     position: Position,
-    /// When the table service was last seen to have come back from a copy.
+    /// When the table service was last found to be restored from an older copy.
     restored_at: Option<Time>,
-    /// Rows that ended by peers' word, and at which revision. Invariant: each is newer than our position, at
-    /// which the list may still name the server.
+    /// Rows that peers reported as removed, with the revision. Invariant: each revision is newer than our
+    /// position, at which the list may still contain the server.
     ended: BTreeMap<SmolStr, u64>,
 }
 
-/// How far the list was read.
+/// A position in the list of servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Position {
-    /// When its feed answered last, also without news.
+    /// When the feed last confirmed it, also without changes.
     pub confirmed_at: Time,
-    /// The newest revision told; never falls.
+    /// The newest known revision; never decreases.
     pub revision: u64,
 }
 
-/// One server.
+/// A server known to this entry.
 #[derive(Debug)]
 pub(crate) struct Record {
     pub key: replica::Key,
     pub server: Server,
-    /// Since when its row is missing, if it is.
+    /// Since when its row has been missing.
     pub missing_since: Option<Time>,
 }
 
 impl Servers {
-    /// Missing rows don't count until `at`.
+    /// Distrusts missing rows until `at`.
     pub fn distrust_until(&mut self, at: Time) {
         self.distrusted_until = self.distrusted_until.max(at);
     }
 
-    /// Missing rows don't count until `at` by another entry's word; its next word takes the place of this one.
+    /// Distrusts missing rows until `at` according to another entry; replaces its previous report.
     pub fn set_peer_distrust(&mut self, at: Time) {
         self.peer_distrusted_until = at;
     }
 
-    /// Whether a missing row means that its server is gone.
+    /// Returns whether a missing row means that its server is gone.
     pub fn is_trusted(&self, now: Time) -> bool {
         now >= self.trusted_from()
     }
 
-    /// How long missing rows don't count yet.
+    /// Returns for how long missing rows are still distrusted.
     pub fn trusted_in(&self, now: Time) -> Span {
         self.trusted_from().since(now)
     }
@@ -89,7 +89,7 @@
         self.distrusted_until.max(self.peer_distrusted_until)
     }
 
-    /// Notes that all up to a revision was known at that time; peers' word on that isn't needed any more.
+    /// Advances the known position, and drops peers' reports of removals up to it.
     pub fn advance_position(&mut self, at: Time, revision: u64) {
         let known = self.position.revision;
         if known > 0 && Revision::is_of_older_era(known, revision) {
@@ -103,28 +103,28 @@
         self.ended.retain(|_, ended| *ended > known);
     }
 
-    /// Notes that a row ends at a revision that we haven't read yet.
+    /// Records that a row was removed at a revision that this entry hasn't read yet.
     pub fn record_ended(&mut self, incarnation: &SmolStr, revision: u64) {
         let ended = self.ended.entry(incarnation.clone()).or_default();
         *ended = revision.max(*ended);
     }
 
-    /// Whether a row that we read has ended since.
+    /// Returns whether a peer reported the removal of a row that this entry may still read.
     pub fn has_ended(&self, incarnation: &str) -> bool {
         self.ended.contains_key(incarnation)
     }
 
-    /// When the table service was last seen to have come back from a copy, if it ever was.
+    /// Returns when the table service was last found to be restored from an older copy.
     pub fn restored(&self) -> Option<Time> {
         self.restored_at
     }
 
-    /// How far the list was read.
+    /// Returns how far the list is known.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// Takes a server in under the scheduler's key.
+    /// Adds a server under the scheduler's key.
     pub fn add(&mut self, key: replica::Key, server: Server) {
         let incarnation = server.incarnation.clone();
         self.by_key.insert(key, incarnation.clone());
@@ -138,28 +138,28 @@
         self.known.insert(incarnation, known);
     }
 
-    /// Forgets a server.
+    /// Removes a server; its key still resolves to its incarnation.
     pub fn remove(&mut self, incarnation: &str) -> Option<Record> {
         self.by_identity.remove(&rendezvous::identity(incarnation));
         self.known.remove(incarnation)
     }
 
-    /// Forgets the key of a server that was removed, once nothing runs there any more.
+    /// Removes the key of a removed server.
     pub fn drop_key(&mut self, key: replica::Key) {
         self.by_key.remove(&key);
     }
 
-    /// A server by its incarnation.
+    /// Returns a server by its incarnation.
     pub fn get_mut(&mut self, incarnation: &str) -> Option<&mut Record> {
         self.known.get_mut(incarnation)
     }
 
-    /// The known incarnation that entries name by this hash.
+    /// Returns the known incarnation with this hash.
     pub fn incarnation_of_hash(&self, identity: u64) -> Option<SmolStr> {
         self.by_identity.get(&identity).cloned()
     }
 
-    /// Notes that an incarnation leaves; whether that is news.
+    /// Marks an incarnation as leaving; returns whether that wasn't known.
     pub fn mark_leaving(&mut self, incarnation: &SmolStr) -> bool {
         if !self.leaving.insert(incarnation.clone()) {
             return false;
@@ -173,12 +173,12 @@
         true
     }
 
-    /// Whether an incarnation gets no new work.
+    /// Returns whether an incarnation is leaving or has left.
     pub fn is_leaving(&self, incarnation: &str) -> bool {
         self.leaving.contains(incarnation)
     }
 
-    /// Names of the incarnations that go by one of these ids.
+    /// Returns the incarnations of the servers with these ids.
     pub fn incarnations_of(&self, ids: &[SmolStr]) -> Vec<SmolStr> {
         let known = self.known.iter();
         known
@@ -187,12 +187,12 @@
             .collect()
     }
 
-    /// Names of all incarnations.
+    /// Returns all incarnations.
     pub fn incarnations(&self) -> Vec<SmolStr> {
         self.known.keys().cloned().collect()
     }
 
-    /// Names of all incarnations whose rows are missing.
+    /// Returns the incarnations whose rows are missing.
     pub fn missing(&self) -> Vec<SmolStr> {
         let known = self
             .known
@@ -201,12 +201,12 @@
         known.map(|(incarnation, _)| incarnation.clone()).collect()
     }
 
-    /// Since when a server's row is missing, if it is.
+    /// Returns since when a server's row has been missing.
     pub fn missing_since(&self, incarnation: &str) -> Option<Time> {
         self.known.get(incarnation)?.missing_since
     }
 
-    /// Where the shell finds a server.
+    /// Returns the address and names of a server.
     pub fn place(&self, key: replica::Key) -> Option<Endpoint> {
         let known = self.known.get(self.by_key.get(&key)?)?;
         Some(Endpoint {
@@ -216,22 +216,22 @@
         })
     }
 
-    /// The incarnation that a key stands for, also after the server is gone.
+    /// Returns the incarnation for a key, also after its server was removed.
     pub fn incarnation_of(&self, key: replica::Key) -> Option<SmolStr> {
         self.by_key.get(&key).cloned()
     }
 
-    /// All servers.
+    /// Returns all servers.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
         self.known.values()
     }
 
-    /// How many there are.
+    /// Returns the number of servers.
     pub fn count(&self) -> usize {
         self.known.len()
     }
 
-    /// How many leave but are still there.
+    /// Returns the number of servers that are leaving but still present.
     pub fn leaving_count(&self) -> usize {
         let known = self.known.keys();
         known
@@ -239,7 +239,7 @@
             .count()
     }
 
-    /// When missing rows begin to count, if there are any.
+    /// Returns when missing rows become trusted, if there are any.
     pub fn next_wake(&self) -> Option<Time> {
         let any = self
             .known
@@ -248,7 +248,7 @@
         any.then(|| self.trusted_from())
     }
 
-    /// Keeps the keys of gone servers bounded.
+    /// Drops keys of removed servers that are no longer in use.
     pub fn prune_keys(&mut self, in_use: impl Fn(replica::Key) -> bool) {
         let known: BTreeSet<replica::Key> = self.known.values().map(|known| known.key).collect();
         self.by_key
@@ -256,5 +256,5 @@
     }
 }
 
-/// How long a server that leaves without a word of when is taken to go on.
+/// How long a leaving server is expected to run if it gives no time.
 pub(crate) const DEFAULT_NOTICE: Span = Span::from_seconds(2);
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: callers are led away, what is open is finished, then the process ends.
+//! Graceful shutdown: redirects callers, finishes open requests, then ends the process.
 
 use clock::Span;
 use clock::Time;
@@ -9,19 +9,20 @@
 use crate::effect::Effect;
 use crate::gateway::Gateway;
 
-/// Callers hold on to an address for up to three times what it may be kept; until then requests still
-/// come here and are served.
+/// Factor on the time that an address may be kept. Callers use an address for up to that long, and the
+/// requests that still arrive are served.
 const ADDRESS_HOLD_FACTOR: u64 = 3;
-/// Baseline the end of the grace: nothing new is begun.
+/// Time before the end of the grace period from which no new request is accepted.
 const REQUEST_CUTOFF: Span = Span::from_millis(1_500);
-/// Baseline the end of the grace: no new stream is begun. Most last 2 to 3 s, the longest hundredth 4 s; one that the
-/// end overtakes is cut in the middle of its answer, while a refusal lets its caller go elsewhere at once.
+/// Time before the end of the grace period from which no new stream is accepted. Most last 2 to 3 s, the
+/// longest hundredth 4 s. A stream still running at the end is cut, while a refusal lets its caller go
+/// elsewhere at once.
 const STREAM_CUTOFF: Span = Span::from_millis(5_000);
-/// Baseline the end of the grace: answers under way are broken off and the process ends by itself.
+/// Time before the end of the grace period at which open requests are refused and the process exits.
 const EXIT_MARGIN: Span = Span::from_millis(400);
 
 impl Gateway {
-    /// Begins the stop.
+    /// Starts the shutdown.
     pub(crate) fn stop_asked(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.stop_requested_at.is_some() {
             return;
@@ -32,7 +33,7 @@
         self.step_membership(now, member::event::Event::Drain, effects);
     }
 
-    /// Whether requests that come now can't be finished any more.
+    /// Returns whether it is too late to accept a new request, or a stream.
     pub(crate) fn is_ending(&self, now: Time, stream: bool) -> bool {
         let needed = match stream {
             true => STREAM_CUTOFF,
@@ -42,7 +43,7 @@
             .is_some_and(|asked| now.since(asked) + needed >= self.settings.grace)
     }
 
-    /// When the stop goes on.
+    /// Returns when the shutdown next needs a tick.
     pub(crate) fn next_stop_wake(&self) -> Option<Time> {
         let asked = self.stop_requested_at?;
         let drain_time = self.drain_time();
@@ -53,7 +54,7 @@
         })
     }
 
-    /// Ends the process once nothing is open, or its time is up.
+    /// Exits once no request is open, or the grace period is over.
     pub(crate) fn stop_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let Some(asked) = self.stop_requested_at else {
             return;
@@ -68,13 +69,13 @@
         effects.push(Effect::Exit);
     }
 
-    /// How long callers may still come with an address that they were told before the stop.
+    /// Returns for how long callers may still use an address that they got before the shutdown.
     fn drain_time(&self) -> Span {
         let held = self.settings.address_ttl.times(ADDRESS_HOLD_FACTOR);
         held.min(self.settings.grace - EXIT_MARGIN)
     }
 
-    /// Gives every open request its last word.
+    /// Refuses all open requests.
     fn refuse_open_requests(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let serials: Vec<u64> = self.requests.keys().copied().collect();
         for serial in serials {
--- a/crates/gateway/src/store_calls.rs
+++ b/crates/gateway/src/store_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the table service: whom each is for, and its turn within this entry's share.
+//! Calls of the table service: throttling and dispatch of their outcomes.
 
 use clock::Time;
 use line::Line;
@@ -11,24 +11,23 @@
 use crate::effect::Effect;
 use crate::gateway::Gateway;
 
-/// Who waits for an answer of the table service.
+/// Who awaits the outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Waiter {
-    /// The membership machine, by its own number.
+    /// The membership, by its own id of the call.
     Membership(call::Id),
-    /// The claim on the duties' lease, by its own number.
+    /// The claim on the duties' lease, by its own id of the call.
     Claim(call::Id),
-    /// The report of this window.
+    /// The usage report of a window.
     Report(u64),
-    /// Counts of usage on their way.
+    /// The saved usage counts of open windows.
     Progress,
-    /// The stage of this service's roll-out.
+    /// The stage of a service's roll-out.
     Stage(SmolStr),
 }
 
 impl Gateway {
-    /// Asks the table service something as soon as the share allows; the answer finds its way by
-    /// `waiter`.
+    /// Queues a call of the table service; its outcome is delivered to `waiter`.
     pub(crate) fn call_store(&mut self, waiter: Waiter, call: Call) {
         let id = call::Id(self.next_store_call);
         self.next_store_call += 1;
@@ -44,7 +43,7 @@
         }
     }
 
-    /// Makes the calls whose turn has come, and tells those that found the queue full.
+    /// Makes the calls that the throttle admits, and fails those that found the queue full.
     pub(crate) fn dispatch_store_calls(&mut self, now: Time, effects: &mut Vec<Effect>) {
         while let Some(id) = self.store_rejected.pop() {
             self.deliver_outcome(now, id, Outcome::Unavailable, effects);
@@ -54,7 +53,7 @@
         }
     }
 
-    /// The table service answered a call.
+    /// Handles the outcome of a call.
     pub(crate) fn store_answered(
         &mut self,
         now: Time,
@@ -100,11 +99,11 @@
         effects.push(Effect::Log(line));
     }
 
-    /// Reads what is followed anew, once the table service answers again that has failed since then.
+    /// Reads the feeds again when the table service answers after having failed since `since`.
     ///
-    /// Guards against questions for changes that it swallowed meanwhile: they end by their own time only, 11.5 s after
-    /// they were asked, and until then the entry neither knows who left nor which configuration is in force. A list
-    /// that was told since then is followed.
+    /// Guards against long polls that it lost meanwhile: they only end after 11.5 s, and until then the entry
+    /// knows neither which servers left nor which configuration is in force. A list that was confirmed since
+    /// then needs no new read.
     fn refresh_after_outage(&mut self, since: Time, effects: &mut Vec<Effect>) {
         if self.servers.position().confirmed_at < since {
             effects.push(Effect::ReadServers);
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Passes an answer to whoever waits for it.
+    /// Delivers an outcome to whoever awaits it.
     fn deliver_outcome(
         &mut self,
         now: Time,
--- a/crates/gateway/src/timeouts.rs
+++ b/crates/gateway/src/timeouts.rs
@@ -1,4 +1,4 @@
-//! Requests whose time is up.
+//! Deadlines of open requests.
 
 use clock::Time;
 use policy::job;
@@ -9,7 +9,7 @@
 use crate::gateway::Gateway;
 
 impl Gateway {
-    /// Gives every request whose time is up its final answer.
+    /// Refuses every request whose deadline has passed.
     pub(crate) fn timeouts_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         while let Some((at, serial)) = self.timeouts.first().copied() {
             if at > now {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Ends one request.
+    /// Refuses one request whose deadline has passed.
     fn time_out(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
         let running = self
             .requests
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -1,7 +1,7 @@
-//! How many requests of each account began to run, by window of true time.
+//! Counts of started requests by account and window of wall-clock time.
 //!
-//! Each entry counts its own and tells all others, so that whoever holds the duty can add them up. What a
-//! killed entry told stays with its peers; only what it had not told yet is lost.
+//! Each entry counts its own requests and sends the counts to the others, so that any holder of the duties
+//! can add them up. Counts sent before an entry is killed remain with its peers; only later ones are lost.
 
 use std::collections::BTreeMap;
 
@@ -9,35 +9,35 @@
 use lease::holder;
 use smol_str::SmolStr;
 
-/// Requests by account.
+/// Request counts by account.
 pub type Counts = BTreeMap<SmolStr, u64>;
-/// Requests by window and account.
+/// Request counts by window and account.
 pub type Windows = BTreeMap<u64, Counts>;
 
-/// Windows that are kept and told: reports are due two windows after a window's end, and an entry that
-/// was cut off for some seconds still brings its counts in time.
+/// Number of windows kept and exchanged. Reports are due two windows after a window's end, so that an entry
+/// that was cut off for some seconds still delivers its counts in time.
 const RETAINED_WINDOWS: u64 = 8;
-/// Clocks that differ by less are left alone: messages take that long.
+/// Clock differences up to this are ignored, since messages take that long.
 const CLOCK_SLACK_MS: i64 = 250;
 
-/// Counts of all entries.
+/// Usage counts of all entries.
 #[derive(Debug, Default)]
 pub(crate) struct Usage {
     window_ms: u64,
-    /// Unix time at the start of the process, as its wall clock said then.
+    /// Unix time at the start of the process, by its wall clock.
     zero_unix_ms: u64,
-    /// By how much that clock was behind the others'.
+    /// Correction of that clock by those of other entries, in milliseconds.
     correction_ms: i64,
     own: Windows,
     peers: BTreeMap<holder::Id, Windows>,
-    /// What a former holder of the duty knew of all entries together, where counts travel by hubs.
+    /// Totals that a former holder of the duties saved, if counts are exchanged by hubs.
     restored: Windows,
-    /// By how much each peer's clock is ahead of ours.
+    /// By how much each peer's clock is ahead of ours, in milliseconds.
     clock_offsets: BTreeMap<holder::Id, i64>,
 }
 
 impl Usage {
-    /// Counts in windows of this length; the wall clock read `zero_unix_ms` at the start.
+    /// Creates counts with windows of `window_ms`, for a wall clock that read `zero_unix_ms` at the start.
     pub fn new(window_ms: u64, zero_unix_ms: u64) -> Usage {
         Usage {
             window_ms: window_ms.max(1),
@@ -46,50 +46,50 @@
         }
     }
 
-    /// Unix time in milliseconds.
+    /// Returns the Unix time in milliseconds.
     ///
-    /// The wall clock is read once, at the start, since it may jump later. Should it have been wrong just
-    /// then, the median of all entries' clocks puts it right.
+    /// The wall clock is read only at the start, since it may jump later. If it was wrong then, the median of
+    /// all entries' clocks corrects it.
     pub fn unix_ms(&self, now: Time) -> u64 {
         let unix = self.zero_unix_ms + now.as_millis();
         unix.saturating_add_signed(self.correction_ms)
     }
 
-    /// The window that a moment belongs to.
+    /// Returns the window that contains `at`.
     pub fn window(&self, at: Time) -> u64 {
         self.unix_ms(at) / self.window_ms
     }
 
-    /// Milliseconds since a window's end; negative before it.
+    /// Returns the milliseconds since a window's end; negative before it.
     pub fn since_end(&self, now: Time, window: u64) -> i64 {
         let end = (window + 1) * self.window_ms;
         self.unix_ms(now) as i64 - end as i64
     }
 
-    /// A request of this account began to run.
+    /// Counts a request that started to run.
     pub fn record_start(&mut self, at: Time, account: &SmolStr) {
         let window = self.window(at);
         let counts = self.own.entry(window).or_default();
         *counts.entry(account.clone()).or_default() += 1;
     }
 
-    /// What to tell the others.
+    /// Returns this entry's own counts.
     pub fn own_windows(&self) -> &Windows {
         &self.own
     }
 
-    /// Takes in what another entry tells.
+    /// Replaces the counts of a peer.
     pub fn absorb(&mut self, peer: holder::Id, windows: Windows) {
         self.peers.insert(peer, windows);
     }
 
-    /// Takes in what all others have counted together. Nobody's count falls: a sum that tells less comes from an
-    /// entry that hasn't heard all of them yet.
+    /// Merges the sum of all other entries' counts. No count decreases: a lower sum comes from a hub that
+    /// hasn't received all of them yet.
     pub fn absorb_sum(&mut self, peer: holder::Id, windows: &Windows) {
         merge_max(self.peers.entry(peer).or_default(), windows);
     }
 
-    /// Notes what another entry's clock read.
+    /// Records a peer's clock and updates the correction to the median of all clocks.
     pub fn record_clock(&mut self, now: Time, peer: holder::Id, unix_ms: u64) {
         self.clock_offsets
             .insert(peer, self.clock_offset(now, unix_ms));
@@ -98,12 +98,12 @@
         self.set_correction(clocks[clocks.len() / 2]);
     }
 
-    /// Follows a hub's time, which is the median of all clocks already.
+    /// Adopts a hub's time, which is already the median of all clocks.
     pub fn follow_clock(&mut self, now: Time, unix_ms: u64) {
         self.set_correction(self.clock_offset(now, unix_ms));
     }
 
-    /// Requests of all entries in a window.
+    /// Returns the counts of all entries for a window.
     pub fn total(&self, window: u64) -> Counts {
         let mut total = Counts::new();
         let all = self.peers.values().chain([&self.own]);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Requests of each entry in a window; `me` counts its own.
+    /// Returns each entry's counts for a window; `me` is this entry.
     pub fn by_entry(
         &self,
         window: u64,
@@ -129,7 +129,7 @@
             .filter_map(move |(id, windows)| Some((id, windows.get(&window)?)))
     }
 
-    /// Adds what an entry had told a former holder, unless more of it was heard.
+    /// Restores an entry's counts saved by a former holder, unless more of its requests are known.
     pub fn restore(&mut self, entry: holder::Id, window: u64, counts: Counts) {
         let known = self
             .peers
@@ -142,28 +142,28 @@
         }
     }
 
-    /// Notes what a former holder knew of all entries together.
+    /// Restores the total saved by a former holder.
     pub fn restore_total(&mut self, window: u64, counts: Counts) {
         self.restored.insert(window, counts);
     }
 
-    /// Forgets what single entries told; from here on one sum stands for all.
+    /// Drops the counts and clocks of single peers, which a sum replaces from here on.
     pub fn forget_peers(&mut self) {
         self.peers.clear();
         self.clock_offsets.clear();
     }
 
-    /// The clock as it read at the start, for peers to compare: uncorrected, or all would follow each other.
+    /// Returns the uncorrected time, for comparison by peers; corrected clocks would follow each other.
     pub fn raw_unix_ms(&self, now: Time) -> u64 {
         self.zero_unix_ms + now.as_millis()
     }
 
-    /// The oldest window that may still be reported.
+    /// Returns the oldest window that may still be reported.
     pub fn oldest(&self, now: Time) -> u64 {
         self.window(now).saturating_sub(RETAINED_WINDOWS)
     }
 
-    /// Forgets what is too old to be reported.
+    /// Drops windows that are too old to be reported.
     pub fn expire(&mut self, now: Time) {
         let oldest = self.oldest(now);
         self.own.retain(|window, _| *window >= oldest);
@@ -178,7 +178,7 @@
         unix_ms as i64 - self.raw_unix_ms(now) as i64
     }
 
-    /// Puts our clock right if it differs.
+    /// Corrects our clock if it is off by more than [`CLOCK_SLACK_MS`].
     fn set_correction(&mut self, ahead_ms: i64) {
         self.correction_ms = match ahead_ms.abs() > CLOCK_SLACK_MS {
             true => ahead_ms,
@@ -187,7 +187,7 @@
     }
 }
 
-/// Raises each count to what the other one tells, if that is more.
+/// Raises each count to the one in `other` if that is higher.
 pub(crate) fn merge_max(into: &mut Windows, told: &Windows) {
     for (window, counts) in told {
         let into = into.entry(*window).or_default();
--- a/crates/gateway/src/work.rs
+++ b/crates/gateway/src/work.rs
@@ -1,9 +1,8 @@
-//! How much work arrives for each service, and how fast its replicas are.
+//! Estimates of the work that arrives for each service, and of the speed of its replicas.
 //!
-//! Work is counted in prompt tokens that must be read: the request's own part of its prompt, and a
-//! little for each token that is generated. The part that requests share is read once and kept. The
-//! speed of a replica is learnt from the time to the first token, by the quicker answers: the slower ones
-//! waited behind others.
+//! Work is measured in prompt tokens to process: the part of the prompt that a request doesn't share, plus a
+//! small amount per generated token. Shared parts are processed once and cached. The speed of a replica is
+//! estimated from the time to the first token of the faster answers, since slower ones waited in a queue.
 
 use std::collections::BTreeMap;
 
@@ -15,46 +14,46 @@
 
 use crate::arrival::Prompt;
 
-/// Prompt tokens that a generated token counts as. In a batch it adds some hundredths of a millisecond to
-/// a step, as one to two prompt tokens do.
+/// Prompt tokens that a generated token counts as. In a batch it adds some hundredths of a millisecond to a
+/// step, as one to two prompt tokens do.
 const OUTPUT_TOKEN_WEIGHT: u64 = 2;
-/// Shorter prompts say little of the speed: their time is mostly that of a step.
+/// Fewest unshared tokens for an estimate of the speed; with less, the time is mostly that of one step.
 const MIN_UNSHARED_TOKENS: u64 = 1_000;
-/// Time to the first token that isn't reading.
+/// Time to the first token that isn't spent on the prompt.
 const FIRST_TOKEN_OVERHEAD: Span = Span::from_millis(8);
-/// The speed rises by this part of the difference towards a quicker answer, and falls by a twentieth of
-/// that towards a slower one: it settles near the quickest. Falling faster it followed the waits of an
-/// overload, and replicas were ordered for three times the work.
+/// Weights of a faster and of a slower answer in the moving average of the speed, so that it settles near the
+/// fastest. With a larger weight for slower ones it followed the queueing delays of an overload, and replicas
+/// were ordered for three times the work.
 const SPEED_RISE_WEIGHT: f64 = 0.06;
 const SPEED_FALL_WEIGHT: f64 = 0.003;
-/// Weight of a second's arrivals in the rate, for rises and falls: a rise is believed within two or three
-/// seconds, since replicas take four to start; a fall within ten, since stopping one too many costs more
-/// than running it for some seconds.
+/// Weights of a sample above and below the moving average of the arrival rate. A rise takes effect within two
+/// to three seconds, since replicas need four to start; a fall within ten, since stopping one too many costs
+/// more than running it for some seconds.
 const RATE_RISE_WEIGHT: f64 = 0.4;
 const RATE_FALL_WEIGHT: f64 = 0.1;
 
-/// What one entry has seen of one service since it started.
+/// Work of one service that an entry has seen since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Work {
-    /// Prompt tokens that had to be read, all requests together.
+    /// Prompt tokens to process, over all requests.
     pub tokens: u64,
-    /// Those of requests that were refused before they ran: their callers come back, and they count again then.
+    /// Those of requests refused before they ran, which are counted again when their callers retry.
     pub returned: u64,
-    /// Prompt tokens that a replica reads in a millisecond; 0 while unknown.
+    /// Prompt tokens per millisecond that a replica processes; 0 while unknown.
     pub speed: f64,
 }
 
 impl Work {
-    /// Work arrived with a request.
+    /// Records the work of an arriving request.
     pub fn record_arrived(&mut self, tokens: u64) {
         self.tokens += tokens;
     }
 
-    /// A request was refused before it ran.
+    /// Records the work of a request that was refused before it ran.
     ///
-    /// Guards against counting one request as often as its caller comes back: in an overload five times the work was
-    /// measured of twice the requests, and replicas were ordered for it.
+    /// Guards against counting a request again with each retry: in an overload of twice the requests, five
+    /// times the work was counted, and replicas were ordered for it.
     pub fn record_refused(&mut self, tokens: u64) {
         self.returned += tokens;
     }
@@ -65,7 +64,7 @@
         self.returned += other.returned;
     }
 
-    /// What came since an earlier count.
+    /// Returns the work counted since an earlier snapshot.
     pub fn since(&self, before: &Work) -> Work {
         Work {
             tokens: self.tokens.saturating_sub(before.tokens),
@@ -74,12 +73,12 @@
         }
     }
 
-    /// Tokens of requests that came for the first time, as far as known.
+    /// Returns the tokens without those of refused requests.
     pub fn net_tokens(&self) -> u64 {
         self.tokens.saturating_sub(self.returned)
     }
 
-    /// The first token of a request came after `took` at its replica; `own` tokens had to be read.
+    /// Updates the speed by a first token that took `took` at the replica, with `own` unshared tokens.
     pub fn observe_first_token(&mut self, own: u64, took: Span) {
         let reading = took - FIRST_TOKEN_OVERHEAD;
         if own < MIN_UNSHARED_TOKENS || reading == Span::ZERO {
@@ -93,30 +92,31 @@
             true => SPEED_RISE_WEIGHT,
             false => SPEED_FALL_WEIGHT,
         };
-        // One answer that was far too quick, from a part thought to be unread, must not count for more.
+        // Limits the effect of an answer that was far too fast because most of its prompt was cached after
+        // all.
         let speed = speed.min(self.speed * 2.0);
         self.speed += weight * (speed - self.speed);
     }
 }
 
-/// The speed as most entries see it; 0 if none knows one.
+/// Returns the median of the known speeds; 0 if there is none.
 ///
-/// Guards against an entry whose first answer came from a part of a prompt that it took for unread: with the
-/// quickest entry's speed the fleet was planned for a seventeenth of the work, and stopped under full load.
+/// Guards against an outlier: one entry took a cached part of its first prompt for unprocessed, and with the
+/// fastest entry's speed the fleet was planned for a seventeenth of the work and stopped under full load.
 pub fn median_speed(speeds: impl Iterator<Item = f64>) -> f64 {
     let mut speeds: Vec<f64> = speeds.filter(|speed| *speed > 0.0).collect();
     speeds.sort_by(f64::total_cmp);
     speeds.get(speeds.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// What a request counts as.
+/// Returns the work of a request, in prompt tokens.
 pub fn request_work(prompt: &Prompt) -> u64 {
     let output = prompt.expected_tokens.unwrap_or(prompt.max_new_tokens);
     let output = output.min(prompt.max_new_tokens);
     unshared_tokens(prompt) + u64::from(output) * OUTPUT_TOKEN_WEIGHT
 }
 
-/// Tokens of the prompt that no other request shares.
+/// Returns the prompt tokens that no other request shares.
 pub fn unshared_tokens(prompt: &Prompt) -> u64 {
     match prompt.parts.last() {
         Some(own) => u64::from(own.tokens),
@@ -124,43 +124,43 @@
     }
 }
 
-/// Replicas' worth of work that arrives, over all entries.
+/// Arrival rate of work over all entries.
 ///
-/// Guards against counts that an entry hears of for the first time: they tell of all that came since the other one
-/// started. Taken for fresh work, they made 68 busy replicas of 11, and 36 on-demand ones were kept for half a minute.
-/// So only what others tell more than they told before counts.
+/// Counts received from an entry for the first time cover everything since its start. Taken as new work, they
+/// made 11 busy replicas look like 68, and 36 on-demand replicas were kept for half a minute. Only the
+/// increase over a peer's previous counts is added.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
-    /// By service.
+    /// Arrival rates by service.
     rates: BTreeMap<SmolStr, Rate>,
 }
 
-/// One service's arrivals.
+/// Arrival rate of one service.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
-    /// What peers told since they were heard first, tokens.
+    /// Increases of peers' counts since they were first received, in tokens.
     peer_tokens: u64,
-    /// All entries' tokens when they were last looked at.
+    /// Tokens of all entries at the last sample.
     sampled_tokens: u64,
     sampled_at: Time,
-    /// Tokens a millisecond.
+    /// Moving average of the arrivals.
     tokens_per_milli: f64,
 }
 
-/// Time over which arrivals are counted for one look.
+/// Shortest time between two samples.
 const SAMPLE_INTERVAL: Span = Span::from_millis(1_000);
 
 impl Demand {
-    /// Notes what a peer tells of a service beyond what it told `silent` ago.
+    /// Adds the increase of a peer's counts since its previous report, `silent` ago.
     pub fn add_peer_tokens(&mut self, service: &SmolStr, rise: u64, silent: Span) {
         let rate = self.rates.entry(service.clone()).or_default();
-        // After a silence it came over all of that time, not since the last look.
+        // After a gap, the increase spreads over all of that time, not just the last sample.
         let share =
             SAMPLE_INTERVAL.as_millis() as f64 / silent.max(SAMPLE_INTERVAL).as_millis() as f64;
         rate.peer_tokens += (rise as f64 * share) as u64;
     }
 
-    /// Looks at what all entries have seen of a service by now, `own` of it here.
+    /// Samples the arrivals of a service, `own` tokens of which this entry has counted.
     pub fn sample(&mut self, now: Time, service: &SmolStr, own: u64) {
         let rate = self.rates.entry(service.clone()).or_default();
         let passed = now.since(rate.sampled_at);
@@ -184,7 +184,7 @@
         rate.sampled_at = now;
     }
 
-    /// How many replicas of this speed, tokens a millisecond, the arrivals keep busy.
+    /// Returns how many replicas of this speed, in tokens per millisecond, the arrivals keep busy.
     pub fn replicas(&self, service: &SmolStr, speed: f64) -> Option<f64> {
         let rate = self.rates.get(service)?;
         (speed > 0.0).then(|| rate.tokens_per_milli / speed)
