--- a/crates/gateway/src/following.rs
+++ b/crates/gateway/src/following.rs
@@ -109,7 +109,7 @@
             effects.push(Effect::Log(line));
             let (written, removed) = (learned.written, learned.removed);
             let update = Update::Changes { written, removed };
-            self.servers_reported(now, update, effects);
+            self.apply_reported_changes(now, update, effects);
         }
         if let Some(position) = learned.position {
             self.advance_position(position.as_of, position.revision);
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -57,7 +57,7 @@
     /// The hub whose sums are applied, and when the last one arrived.
     pub(crate) followed_hub: Option<(holder::Id, Time)>,
     /// The hubs as of the last round.
-    hubs: Vec<holder::Id>,
+    current_hubs: Vec<holder::Id>,
     /// When this entry last became a hub, or, while it is none, when the hubs last changed.
     since: Time,
     /// When received counts are next forwarded to the other hubs.
@@ -98,7 +98,7 @@
 impl Hub {
     /// Whether an entry was a hub as of the last round.
     pub(crate) fn is_hub(&self, entry: holder::Id) -> bool {
-        self.hubs.contains(&entry)
+        self.current_hubs.contains(&entry)
     }
 }
 
@@ -140,11 +140,11 @@
     pub(crate) fn send_via_hubs(&mut self, now: Time, own: Bulletin, effects: &mut Vec<Effect>) {
         let me = self.identity.incarnation;
         let hubs = self.roster.hubs().to_vec();
-        if hubs != self.hub.hubs {
+        if hubs != self.hub.current_hubs {
             let names: Vec<String> = hubs.iter().map(|hub| hub.to_string()).collect();
             let line = Line::info("hubs").with("ids", names.join(","));
             effects.push(Effect::Log(line));
-            let before = std::mem::replace(&mut self.hub.hubs, hubs.clone());
+            let before = std::mem::replace(&mut self.hub.current_hubs, hubs.clone());
             if before.contains(&me) {
                 self.hub.next_hand_over = now;
             } else {
@@ -192,7 +192,7 @@
     /// soon.
     fn hand_over(&mut self, hubs: &[holder::Id], effects: &mut Vec<Effect>) {
         let me = self.identity.incarnation;
-        let told: Vec<(holder::Id, Bulletin)> = self
+        let forwarded: Vec<(holder::Id, Bulletin)> = self
             .hub
             .contributions
             .iter()
@@ -200,8 +200,8 @@
             .map(|(id, contribution)| (*id, contribution.counts.past()))
             .collect();
         for hub in hubs.iter().filter(|hub| **hub != me) {
-            for some in told.chunks(ENTRIES_PER_MESSAGE) {
-                self.send_bulletins(*hub, some, None, effects);
+            for chunk in forwarded.chunks(ENTRIES_PER_MESSAGE) {
+                self.send_bulletins(*hub, chunk, None, effects);
             }
         }
     }
@@ -257,13 +257,13 @@
 
     /// Returns the sum of all contributions; running requests count only if the contribution is recent.
     fn total_counts(&self, now: Time) -> Bulletin {
-        let quiet = self.failure_timeout();
+        let timeout = self.failure_timeout();
         let mut total = Bulletin {
             unix_ms: self.usage.unix_ms(now),
             ..Bulletin::default()
         };
         for contribution in self.hub.contributions.values() {
-            let fresh = now.since(contribution.received_at) <= quiet;
+            let fresh = now.since(contribution.received_at) <= timeout;
             total.add(&contribution.counts, fresh);
         }
         for (service, work) in &mut total.work {
@@ -298,9 +298,9 @@
             return 0;
         };
         let mut items: Vec<Item> = list.cloned().into_iter().collect();
-        for (of, bulletin) in bulletins {
+        for (entry, bulletin) in bulletins {
             match serde_json::to_vec(bulletin) {
-                Ok(payload) => items.push(self.count_item(*of, payload, bulletin.past)),
+                Ok(payload) => items.push(self.count_item(*entry, payload, bulletin.past)),
                 Err(error) => {
                     let line = Line::warn("bulletin_lost").with("error", error);
                     effects.push(Effect::Log(line));
@@ -327,12 +327,12 @@
         bytes
     }
 
-    fn count_item(&mut self, of: holder::Id, payload: Vec<u8>, past: bool) -> Item {
+    fn count_item(&mut self, entry: holder::Id, payload: Vec<u8>, past: bool) -> Item {
         self.item_version += 1;
         // Forwarded counts need a key of their own: versions of one key are ordered by its entry.
         let key = match past {
-            true => format_smolstr!("{of}{PAST_SEPARATOR}{}", self.identity.incarnation),
-            false => format_smolstr!("{of}"),
+            true => format_smolstr!("{entry}{PAST_SEPARATOR}{}", self.identity.incarnation),
+            false => format_smolstr!("{entry}"),
         };
         Item {
             topic: Topic::Count,
--- a/crates/gateway/src/lagging.rs
+++ b/crates/gateway/src/lagging.rs
@@ -60,18 +60,18 @@
                 continue;
             }
             let rank = self.helper_rank(&helpers, id);
-            let first = now + LAG_GRACE + HELPER_STAGGER.times(rank * self.lag_factor());
-            let at = self.lagging.due.get(&id).copied().unwrap_or(first);
-            due.insert(id, at);
+            let first_due = now + LAG_GRACE + HELPER_STAGGER.times(rank * self.lag_factor());
+            let due_at = self.lagging.due.get(&id).copied().unwrap_or(first_due);
+            due.insert(id, due_at);
         }
         self.lagging.due = due;
     }
 
     /// Returns the live peers, which help as well.
     fn helpers(&self, now: Time) -> Vec<holder::Id> {
-        let quiet = self.failure_timeout();
+        let timeout = self.failure_timeout();
         let peers = self.membership.peers();
-        let live = peers.filter(|(_, known)| known.is_usable(now, quiet));
+        let live = peers.filter(|(_, known)| known.is_usable(now, timeout));
         live.map(|(id, _)| id).collect()
     }
 
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -64,14 +64,14 @@
 impl Limits {
     /// Returns whether a server's limit is in force.
     pub(crate) fn is_limited(&self, incarnation: &str) -> bool {
-        let named = self.by_server.get(incarnation);
-        named.is_some_and(|limit| limit.rate.is_some())
+        let known = self.by_server.get(incarnation);
+        known.is_some_and(|limit| limit.rate.is_some())
     }
 
     /// Returns the limits that this entry received itself.
     pub(crate) fn reports(&self, now: Time) -> Reports {
-        let here = self.by_server.iter().filter(|(_, limit)| limit.local);
-        let reports = here.map(|(incarnation, limit)| {
+        let own = self.by_server.iter().filter(|(_, limit)| limit.local);
+        let reports = own.map(|(incarnation, limit)| {
             let report = Report {
                 rate: limit.rate.map(|rate| rate.0),
                 age_ms: now.since(limit.received_at).as_millis(),
@@ -105,12 +105,17 @@
         rate: Option<Rate>,
         effects: &mut Vec<Effect>,
     ) {
-        let limit = Limit {
-            received_at: now,
-            rate,
-            local: true,
-        };
-        self.apply_limit(now, incarnation, limit, effects);
+        let (received_at, local) = (now, true);
+        self.apply_limit(
+            now,
+            incarnation,
+            Limit {
+                received_at,
+                rate,
+                local,
+            },
+            effects,
+        );
     }
 
     /// Handles another entry's reports on limits.
@@ -140,13 +145,13 @@
             let kept = limit.rate.is_some() || now.since(limit.received_at) < LIFTED_RETENTION;
             kept && servers.get_mut(incarnation).is_some()
         });
-        let named: Vec<(SmolStr, Option<Rate>)> = self
+        let limits: Vec<(SmolStr, Option<Rate>)> = self
             .limits
             .by_server
             .iter()
             .map(|(incarnation, limit)| (incarnation.clone(), limit.rate))
             .collect();
-        for (incarnation, rate) in named {
+        for (incarnation, rate) in limits {
             self.apply_share(now, &incarnation, rate, effects);
         }
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -91,10 +91,10 @@
     /// needs several rounds to reach everyone.
     pub(crate) fn failure_timeout(&self) -> Span {
         let members = self.membership.directory().address_count();
-        let quiet = self.settings.members.heartbeat_timeout_for(members);
+        let timeout = self.settings.members.heartbeat_timeout_for(members);
         match self.uses_hubs() {
-            true => quiet.times(HUB_INTERVAL_FACTOR),
-            false => quiet,
+            true => timeout.times(HUB_INTERVAL_FACTOR),
+            false => timeout,
         }
     }
 
@@ -105,9 +105,9 @@
         event: MemberEvent,
         effects: &mut Vec<Effect>,
     ) {
-        let mut asked = Vec::new();
-        self.membership.step(now, event, &mut asked);
-        for effect in asked {
+        let mut membership_effects = Vec::new();
+        self.membership.step(now, event, &mut membership_effects);
+        for effect in membership_effects {
             self.apply_membership_effect(now, effect, effects);
         }
     }
@@ -322,12 +322,12 @@
         // Usage is merged from both hubs: one may have received what the other has not.
         self.usage.absorb_sum(SUM_SENDER, &sum.begun);
         let first = self.roster.hubs().first() == Some(&hub);
-        let (followed_hub, heard) = self.hub.followed_hub.unwrap_or((hub, now));
-        let silent = now.since(heard) >= self.settings.quota.peer_timeout;
-        if followed_hub != hub && !first && !silent {
+        let (followed, last_sum_at) = self.hub.followed_hub.unwrap_or((hub, now));
+        let is_silent = now.since(last_sum_at) >= self.settings.quota.peer_timeout;
+        if followed != hub && !first && !is_silent {
             return;
         }
-        let changed = self.hub.followed_hub.is_none() || followed_hub != hub;
+        let changed = self.hub.followed_hub.is_none() || followed != hub;
         if changed {
             // The first sum of another hub has no known relation to the last one of the hub followed before.
             self.peer_work.remove(&SUM_SENDER);
@@ -354,12 +354,16 @@
 
     fn apply_work(&mut self, now: Time, peer: holder::Id, bulletin: Bulletin) {
         if let Some(before) = self.peer_work.get(&peer) {
-            let heard = self.peer_loads.get(&peer).map(|(heard, _)| *heard);
-            let silent = heard.map_or(self.failure_timeout(), |heard| now.since(heard));
+            let reported_at = self
+                .peer_loads
+                .get(&peer)
+                .map(|(reported_at, _)| *reported_at);
+            let elapsed =
+                reported_at.map_or(self.failure_timeout(), |reported_at| now.since(reported_at));
             for (service, work) in &bulletin.work {
                 let known = before.get(service).copied().unwrap_or_default();
                 let rise = work.since(&known).net_tokens();
-                self.demand.add_peer_tokens(service, rise, silent);
+                self.demand.add_peer_tokens(service, rise, elapsed);
             }
         }
         match bulletin.tallies.is_empty() {
@@ -389,14 +393,14 @@
     /// Returns the prompt speed of a service's replicas, as the median over all entries.
     pub(crate) fn replica_speed(&self, service: &SmolStr) -> f64 {
         let all = self.peer_work.values().chain([&self.work]);
-        let of = all.filter_map(|work| Some(work.get(service)?.speed));
+        let speeds = all.filter_map(|work| Some(work.get(service)?.speed));
         // A sum holds the median of many entries, while the speed seen here alone may be far off.
         let summed = self
             .peer_work
             .get(&SUM_SENDER)
             .and_then(|work| work.get(service));
         let speed = summed.map(|work| work.speed).filter(|speed| *speed > 0.0);
-        speed.unwrap_or_else(|| work::median_speed(of))
+        speed.unwrap_or_else(|| work::median_speed(speeds))
     }
 
     /// Returns the number of requests that all entries run at a backend server.
@@ -413,9 +417,9 @@
 
     /// Reports the total load of each replica to the scheduler.
     fn report_loads(&mut self, now: Time) {
-        let fresh = self.failure_timeout();
+        let max_age = self.failure_timeout();
         self.peer_loads
-            .retain(|_, (heard, _)| now.since(*heard) < fresh);
+            .retain(|_, (reported_at, _)| now.since(*reported_at) < max_age);
         let mut totals: BTreeMap<u64, u32> = BTreeMap::new();
         for (_, running) in self.peer_loads.values() {
             for (replica, count) in running {
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -69,7 +69,12 @@
     }
 
     /// Applies changes that another entry read and reported to everyone.
-    pub(crate) fn servers_reported(&mut self, now: Time, news: Update, effects: &mut Vec<Effect>) {
+    pub(crate) fn apply_reported_changes(
+        &mut self,
+        now: Time,
+        news: Update,
+        effects: &mut Vec<Effect>,
+    ) {
         self.distrust_after_store_failure();
         let Update::Changes { written, removed } = news else {
             return;
@@ -140,7 +145,7 @@
             self.servers.record_ended(incarnation, revision);
         }
         if behind || self.servers.missing_since(incarnation).is_some() {
-            self.server_gone(now, incarnation, Source::Peer, effects);
+            self.remove_server(now, incarnation, Source::Peer, effects);
         }
     }
 
@@ -163,7 +168,7 @@
     /// Removes all servers whose rows are missing.
     pub(crate) fn remove_missing(&mut self, now: Time, source: Source, effects: &mut Vec<Effect>) {
         for incarnation in self.servers.missing() {
-            self.server_gone(now, &incarnation, source, effects);
+            self.remove_server(now, &incarnation, source, effects);
         }
     }
 
@@ -174,7 +179,7 @@
         incarnation: &SmolStr,
         effects: &mut Vec<Effect>,
     ) {
-        self.server_leaves(
+        self.start_leaving(
             now,
             incarnation,
             now + DEFAULT_NOTICE,
@@ -194,23 +199,23 @@
     /// Applies a row; returns whether it was the first to say that its server is leaving.
     fn apply_row(&mut self, now: Time, server: Server, effects: &mut Vec<Effect>) -> bool {
         let incarnation = server.incarnation.clone();
-        let left = server.leaves_in.unwrap_or(DEFAULT_NOTICE);
-        let news = server.leaving
-            && self.server_leaves(now, &incarnation, now + left, Source::Row, effects);
+        let notice = server.leaves_in.unwrap_or(DEFAULT_NOTICE);
+        let is_new = server.leaving
+            && self.start_leaving(now, &incarnation, now + notice, Source::Row, effects);
         if let Some(known) = self.servers.get_mut(&incarnation) {
             let (key, missing) = (known.key, known.missing_since.take());
             known.server = server;
             if missing.is_some() {
                 self.set_doubted(now, key, false, effects);
             }
-            return news;
+            return is_new;
         }
         self.remove_previous_incarnations(now, &server, effects);
-        let past = self.servers.is_leaving(&incarnation) || self.servers.has_ended(&incarnation);
-        if !server.leaving && !past {
+        let is_past = self.servers.is_leaving(&incarnation) || self.servers.has_ended(&incarnation);
+        if !server.leaving && !is_past {
             self.server_joined(now, server, effects);
         }
-        news
+        is_new
     }
 
     /// Removes earlier incarnations of a server.
@@ -225,7 +230,7 @@
             .incarnations_of(std::slice::from_ref(&server.id))
         {
             if before != server.incarnation {
-                self.server_gone(now, &before, Source::Row, effects);
+                self.remove_server(now, &before, Source::Row, effects);
             }
         }
     }
@@ -240,11 +245,11 @@
             incarnation: server.incarnation.clone(),
         });
         let pool = self.replica_pool(&server);
-        self.join(now, server, pool, effects);
+        self.add_replica(now, server, pool, effects);
     }
 
     /// Adds a replica to a scheduler pool.
-    pub(crate) fn join(
+    pub(crate) fn add_replica(
         &mut self,
         now: Time,
         server: Server,
@@ -268,7 +273,7 @@
     }
 
     /// Stops new work for a server that is leaving; returns whether that wasn't known.
-    fn server_leaves(
+    fn start_leaving(
         &mut self,
         now: Time,
         incarnation: &SmolStr,
@@ -335,7 +340,7 @@
     }
 
     /// Removes a server that is gone.
-    fn server_gone(
+    fn remove_server(
         &mut self,
         now: Time,
         incarnation: &SmolStr,
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -174,12 +174,12 @@
 
     /// Ends a roll-out, with its version in use or rejected.
     fn end_rollout(&mut self, service: &SmolStr) {
-        let Some(known) = self.rollouts.active.remove(service) else {
+        let Some(rollout) = self.rollouts.active.remove(service) else {
             return;
         };
         self.rollouts.tallies.remove(service);
-        let to = known.split.order().to.clone();
-        match known.split.phase() {
+        let to = rollout.split.order().to.clone();
+        match rollout.split.phase() {
             Phase::Moving | Phase::Completed => {
                 self.rollouts.in_use.insert(service.clone(), to);
             }
@@ -214,24 +214,24 @@
     /// Returns whether enough other replicas of the version take part: with more, each would get too few
     /// requests to show how it performs under load.
     fn is_reserve(&self, server: &Server) -> bool {
-        let Some(known) = self.rollouts.active.get(&server.service) else {
+        let Some(rollout) = self.rollouts.active.get(&server.service) else {
             return false;
         };
-        if known.split.phase() != Phase::Canary {
+        if rollout.split.phase() != Phase::Canary {
             return false;
         }
         let of_service = || {
-            let servers = self.servers.iter().map(|known| &known.server);
+            let servers = self.servers.iter().map(|record| &record.server);
             servers.filter(|one| one.service == server.service)
         };
         let old = of_service().filter(|one| self.rollouts.generation(one) == Generation::Old);
-        let enough =
+        let needed =
             (old.count() as f64 * configs::leader::Config::default().canary_share).ceil() as usize;
         let rank = |one: &Server| rendezvous::identity(&one.incarnation);
-        let before = of_service().filter(|one| {
+        let preceding = of_service().filter(|one| {
             self.rollouts.generation(one) == Generation::New && rank(one) < rank(server)
         });
-        before.count() >= enough.max(1)
+        preceding.count() >= needed.max(1)
     }
 
     /// Moves each replica of a service to its present pool. Running requests go on.
@@ -245,7 +245,7 @@
             }
             if let Some(known) = self.servers.remove(&server.incarnation) {
                 self.scheduler.replica_lost(now, known.key);
-                self.join(now, server, pool, effects);
+                self.add_replica(now, server, pool, effects);
             }
         }
     }
@@ -258,18 +258,19 @@
         route: &SmolStr,
     ) -> (SmolStr, bool) {
         let old = self.pool_in_use(service);
-        let Some(known) = self.rollouts.active.get_mut(service) else {
+        let Some(rollout) = self.rollouts.active.get_mut(service) else {
             return (old, false);
         };
         let drawn = self.random.random::<f64>();
-        let to = pool_of_version(service, &known.split.order().to);
-        let has_replicas = |pool: &SmolStr| self.replica_pools.values().any(|known| known == pool);
-        known.old_seen |= has_replicas(&old);
+        let to = pool_of_version(service, &rollout.split.order().to);
+        let has_replicas =
+            |pool: &SmolStr| self.replica_pools.values().any(|assigned| assigned == pool);
+        rollout.old_seen |= has_replicas(&old);
         // An entry that starts after a roll-out may know no replicas but those of the new version.
-        let only = !known.old_seen && known.split.phase() != Phase::RolledBack;
-        let side = known.split.side(now, route, drawn);
-        match (side == Side::New || only) && has_replicas(&to) {
-            true => (to, known.split.phase() == Phase::Canary),
+        let only_new = !rollout.old_seen && rollout.split.phase() != Phase::RolledBack;
+        let side = rollout.split.side(now, route, drawn);
+        match (side == Side::New || only_new) && has_replicas(&to) {
+            true => (to, rollout.split.phase() == Phase::Canary),
             false => (old, false),
         }
     }
@@ -279,7 +280,7 @@
         let Some(request) = self.requests.get(&serial) else {
             return;
         };
-        let (Some(started), route) = (request.sent_at, &request.route) else {
+        let (Some(sent_at), route) = (request.sent_at, &request.route) else {
             return;
         };
         let (status, tokens) = match end {
@@ -287,15 +288,17 @@
             End::Finished { status, tokens, .. } => (Some(*status), *tokens),
             End::Failed { .. } | End::Broken { .. } | End::TimedOut { .. } => (None, 0),
         };
-        let first = request.first_response_at.unwrap_or(now);
-        let took = first.since(started).as_millis() as f64;
-        let token = now.since(first).as_millis() as f64 / f64::from(tokens.max(1));
+        let first_response_at = request.first_response_at.unwrap_or(now);
+        let latency_ms = first_response_at.since(sent_at).as_millis() as f64;
+        let ms_per_token =
+            now.since(first_response_at).as_millis() as f64 / f64::from(tokens.max(1));
         let latencies = self.rollouts.latencies.entry(route.clone()).or_default();
         let failed = status.is_none_or(|status| status >= FAILED_STATUS);
-        let slow = latencies.first_response.is_slow(took) || latencies.per_token.is_long_gap(token);
+        let slow = latencies.first_response.is_slow(latency_ms)
+            || latencies.per_token.is_long_gap(ms_per_token);
         if !request.canary && !failed {
-            latencies.first_response.record(took);
-            latencies.per_token.record(token);
+            latencies.first_response.record(latency_ms);
+            latencies.per_token.record(ms_per_token);
         }
         if let Some(tally) = self.rollouts.tallies.get_mut(&request.service) {
             tally.record(route, request.canary, failed || slow);
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -25,7 +25,7 @@
 /// All servers known to this entry.
 #[derive(Debug, Default)]
 pub(crate) struct Servers {
-    known: BTreeMap<SmolStr, Record>,
+    by_incarnation: BTreeMap<SmolStr, Record>,
     by_key: BTreeMap<replica::Key, SmolStr>,
     /// Known incarnations by their hash, by which entries refer to them.
     by_identity: BTreeMap<u64, SmolStr>,
@@ -65,14 +65,14 @@
 }
 
 impl Servers {
-    /// Distrusts missing rows until `at`.
-    pub fn distrust_until(&mut self, at: Time) {
-        self.distrusted_until = self.distrusted_until.max(at);
+    /// Distrusts missing rows until `until`.
+    pub fn distrust_until(&mut self, until: Time) {
+        self.distrusted_until = self.distrusted_until.max(until);
     }
 
-    /// Distrusts missing rows until `at` according to another entry; replaces its previous report.
-    pub fn set_peer_distrust(&mut self, at: Time) {
-        self.peer_distrusted_until = at;
+    /// Distrusts missing rows until `until` according to another entry; replaces its previous report.
+    pub fn set_peer_distrust(&mut self, until: Time) {
+        self.peer_distrusted_until = until;
     }
 
     /// Returns whether a missing row means that its server is gone.
@@ -130,18 +130,18 @@
         self.by_key.insert(key, incarnation.clone());
         let identity = rendezvous::identity(&incarnation);
         self.by_identity.insert(identity, incarnation.clone());
-        let known = Record {
+        let record = Record {
             key,
             server,
             missing_since: None,
         };
-        self.known.insert(incarnation, known);
+        self.by_incarnation.insert(incarnation, record);
     }
 
     /// Removes a server; its key still resolves to its incarnation.
     pub fn remove(&mut self, incarnation: &str) -> Option<Record> {
         self.by_identity.remove(&rendezvous::identity(incarnation));
-        self.known.remove(incarnation)
+        self.by_incarnation.remove(incarnation)
     }
 
     /// Removes the key of a removed server.
@@ -151,7 +151,7 @@
 
     /// Returns a server by its incarnation.
     pub fn get_mut(&mut self, incarnation: &str) -> Option<&mut Record> {
-        self.known.get_mut(incarnation)
+        self.by_incarnation.get_mut(incarnation)
     }
 
     /// Returns the known incarnation with this hash.
@@ -180,39 +180,41 @@
 
     /// Returns the incarnations of the servers with these ids.
     pub fn incarnations_of(&self, ids: &[SmolStr]) -> Vec<SmolStr> {
-        let known = self.known.iter();
-        known
-            .filter(|(_, known)| ids.contains(&known.server.id))
+        let records = self.by_incarnation.iter();
+        records
+            .filter(|(_, record)| ids.contains(&record.server.id))
             .map(|(incarnation, _)| incarnation.clone())
             .collect()
     }
 
     /// Returns all incarnations.
     pub fn incarnations(&self) -> Vec<SmolStr> {
-        self.known.keys().cloned().collect()
+        self.by_incarnation.keys().cloned().collect()
     }
 
     /// Returns the incarnations whose rows are missing.
     pub fn missing(&self) -> Vec<SmolStr> {
-        let known = self
-            .known
+        let records = self
+            .by_incarnation
             .iter()
-            .filter(|(_, known)| known.missing_since.is_some());
-        known.map(|(incarnation, _)| incarnation.clone()).collect()
+            .filter(|(_, record)| record.missing_since.is_some());
+        records
+            .map(|(incarnation, _)| incarnation.clone())
+            .collect()
     }
 
     /// Returns since when a server's row has been missing.
     pub fn missing_since(&self, incarnation: &str) -> Option<Time> {
-        self.known.get(incarnation)?.missing_since
+        self.by_incarnation.get(incarnation)?.missing_since
     }
 
     /// Returns the address and names of a server.
     pub fn place(&self, key: replica::Key) -> Option<Endpoint> {
-        let known = self.known.get(self.by_key.get(&key)?)?;
+        let record = self.by_incarnation.get(self.by_key.get(&key)?)?;
         Some(Endpoint {
-            address: known.server.address.clone(),
-            id: known.server.id.clone(),
-            incarnation: known.server.incarnation.clone(),
+            address: record.server.address.clone(),
+            id: record.server.id.clone(),
+            incarnation: record.server.incarnation.clone(),
         })
     }
 
@@ -223,18 +225,18 @@
 
     /// Returns all servers.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
-        self.known.values()
+        self.by_incarnation.values()
     }
 
     /// Returns the number of servers.
     pub fn count(&self) -> usize {
-        self.known.len()
+        self.by_incarnation.len()
     }
 
     /// Returns the number of servers that are leaving but still present.
     pub fn leaving_count(&self) -> usize {
-        let known = self.known.keys();
-        known
+        let records = self.by_incarnation.keys();
+        records
             .filter(|incarnation| self.is_leaving(incarnation))
             .count()
     }
@@ -242,15 +244,19 @@
     /// Returns when missing rows become trusted, if there are any.
     pub fn next_wake(&self) -> Option<Time> {
         let any = self
-            .known
+            .by_incarnation
             .values()
-            .any(|known| known.missing_since.is_some());
+            .any(|record| record.missing_since.is_some());
         any.then(|| self.trusted_from())
     }
 
     /// Drops keys of removed servers that are no longer in use.
     pub fn prune_keys(&mut self, in_use: impl Fn(replica::Key) -> bool) {
-        let known: BTreeSet<replica::Key> = self.known.values().map(|known| known.key).collect();
+        let known: BTreeSet<replica::Key> = self
+            .by_incarnation
+            .values()
+            .map(|known| known.key)
+            .collect();
         self.by_key
             .retain(|key, _| known.contains(key) || in_use(*key));
     }
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -40,26 +40,26 @@
             false => REQUEST_CUTOFF,
         };
         self.stop_requested_at
-            .is_some_and(|asked| now.since(asked) + needed >= self.settings.grace)
+            .is_some_and(|requested_at| now.since(requested_at) + needed >= self.settings.grace)
     }
 
     /// Returns when the shutdown next needs a tick.
     pub(crate) fn next_stop_wake(&self) -> Option<Time> {
-        let asked = self.stop_requested_at?;
+        let requested_at = self.stop_requested_at?;
         let drain_time = self.drain_time();
-        let end = asked + (self.settings.grace - EXIT_MARGIN);
+        let end = requested_at + (self.settings.grace - EXIT_MARGIN);
         Some(match self.requests.is_empty() {
-            true => end.min(asked + drain_time),
+            true => end.min(requested_at + drain_time),
             false => end,
         })
     }
 
     /// Exits once no request is open, or the grace period is over.
     pub(crate) fn stop_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let Some(asked) = self.stop_requested_at else {
+        let Some(requested_at) = self.stop_requested_at else {
             return;
         };
-        let waited = now.since(asked);
+        let waited = now.since(requested_at);
         if waited >= self.settings.grace - EXIT_MARGIN {
             self.refuse_open_requests(now, effects);
         } else if waited < self.drain_time() || !self.requests.is_empty() {
@@ -71,8 +71,8 @@
 
     /// Returns for how long callers may still use an address that they got before the shutdown.
     fn drain_time(&self) -> Span {
-        let held = self.settings.address_ttl.times(ADDRESS_HOLD_FACTOR);
-        held.min(self.settings.grace - EXIT_MARGIN)
+        let hold_time = self.settings.address_ttl.times(ADDRESS_HOLD_FACTOR);
+        hold_time.min(self.settings.grace - EXIT_MARGIN)
     }
 
     /// Refuses all open requests.
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -131,14 +131,14 @@
 
     /// Restores an entry's counts saved by a former holder, unless more of its requests are known.
     pub fn restore(&mut self, entry: holder::Id, window: u64, counts: Counts) {
-        let known = self
+        let stored = self
             .peers
             .entry(entry)
             .or_default()
             .entry(window)
             .or_default();
-        if sum(&counts) > sum(known) {
-            *known = counts;
+        if sum(&counts) > sum(stored) {
+            *stored = counts;
         }
     }
 
@@ -188,8 +188,8 @@
 }
 
 /// Raises each count to the one in `other` if that is higher.
-pub(crate) fn merge_max(into: &mut Windows, told: &Windows) {
-    for (window, counts) in told {
+pub(crate) fn merge_max(into: &mut Windows, other: &Windows) {
+    for (window, counts) in other {
         let into = into.entry(*window).or_default();
         for (account, count) in counts {
             let most = into.entry(account.clone()).or_default();
--- a/crates/gateway/src/work.rs
+++ b/crates/gateway/src/work.rs
@@ -78,13 +78,13 @@
         self.tokens.saturating_sub(self.returned)
     }
 
-    /// Updates the speed by a first token that took `took` at the replica, with `own` unshared tokens.
-    pub fn observe_first_token(&mut self, own: u64, took: Span) {
-        let reading = took - FIRST_TOKEN_OVERHEAD;
-        if own < MIN_UNSHARED_TOKENS || reading == Span::ZERO {
+    /// Updates the speed by a first token that took `took` at the replica, with `unshared_tokens` in its prompt.
+    pub fn observe_first_token(&mut self, unshared_tokens: u64, took: Span) {
+        let processing_time = took - FIRST_TOKEN_OVERHEAD;
+        if unshared_tokens < MIN_UNSHARED_TOKENS || processing_time == Span::ZERO {
             return;
         }
-        let speed = own as f64 / reading.as_millis() as f64;
+        let speed = unshared_tokens as f64 / processing_time.as_millis() as f64;
         if self.speed == 0.0 {
             self.speed = speed;
         }
@@ -151,35 +151,36 @@
 const SAMPLE_INTERVAL: Span = Span::from_millis(1_000);
 
 impl Demand {
-    /// Adds the increase of a peer's counts since its previous report, `silent` ago.
-    pub fn add_peer_tokens(&mut self, service: &SmolStr, rise: u64, silent: Span) {
+    /// Adds the increase of a peer's counts since its previous report, `elapsed` ago.
+    pub fn add_peer_tokens(&mut self, service: &SmolStr, increase: u64, elapsed: Span) {
         let rate = self.rates.entry(service.clone()).or_default();
         // After a gap, the increase spreads over all of that time, not just the last sample.
         let share =
-            SAMPLE_INTERVAL.as_millis() as f64 / silent.max(SAMPLE_INTERVAL).as_millis() as f64;
-        rate.peer_tokens += (rise as f64 * share) as u64;
+            SAMPLE_INTERVAL.as_millis() as f64 / elapsed.max(SAMPLE_INTERVAL).as_millis() as f64;
+        rate.peer_tokens += (increase as f64 * share) as u64;
     }
 
-    /// Samples the arrivals of a service, `own` tokens of which this entry has counted.
-    pub fn sample(&mut self, now: Time, service: &SmolStr, own: u64) {
+    /// Samples the arrivals of a service; this entry has counted `own_tokens` in total.
+    pub fn sample(&mut self, now: Time, service: &SmolStr, own_tokens: u64) {
         let rate = self.rates.entry(service.clone()).or_default();
-        let passed = now.since(rate.sampled_at);
-        let tokens = own + rate.peer_tokens;
+        let elapsed = now.since(rate.sampled_at);
+        let tokens = own_tokens + rate.peer_tokens;
         if rate.sampled_at == Time::ZERO {
             rate.sampled_tokens = tokens;
             rate.sampled_at = now;
             return;
         }
-        if passed < SAMPLE_INTERVAL {
+        if elapsed < SAMPLE_INTERVAL {
             return;
         }
-        let fresh = tokens.saturating_sub(rate.sampled_tokens) as f64 / passed.as_millis() as f64;
-        let weight = match fresh > rate.tokens_per_milli {
+        let arrival_rate =
+            tokens.saturating_sub(rate.sampled_tokens) as f64 / elapsed.as_millis() as f64;
+        let weight = match arrival_rate > rate.tokens_per_milli {
             true if rate.tokens_per_milli == 0.0 => 1.0,
             true => RATE_RISE_WEIGHT,
             false => RATE_FALL_WEIGHT,
         };
-        rate.tokens_per_milli += weight * (fresh - rate.tokens_per_milli);
+        rate.tokens_per_milli += weight * (arrival_rate - rate.tokens_per_milli);
         rate.sampled_tokens = tokens;
         rate.sampled_at = now;
     }
