--- a/crates/gateway/tests/counts.rs
+++ b/crates/gateway/tests/counts.rs
@@ -14,12 +14,12 @@
 
 /// Sends requests of one account through all entries in turn; how many were handed to a replica.
 fn flood(world: &mut World, entries: usize, millis: u64) -> u32 {
-    let before = world.started;
+    let before = world.attempts_started;
     for number in 0..millis / 10 {
         world.serve(number as usize % entries);
         world.run(10);
     }
-    world.started - before
+    world.attempts_started - before
 }
 
 /// What the quota lets pass in that time, with a tenth more for what entries don't know of each other yet.
@@ -95,7 +95,7 @@
     }
 
     assert_eq!(refused, 0, "{:?}", world.refused);
-    assert_eq!(world.logged("hubs_used"), 0);
+    assert_eq!(world.log_count("hubs_used"), 0);
 }
 
 #[test]
@@ -178,13 +178,13 @@
     let entries = 40;
     let mut world = World::new(entries);
     world.run(10_000);
-    let before = world.logged("configuration_sent");
+    let before = world.log_count("configuration_sent");
     for entry in 0..entries {
         world.configure(entry, 9, Source::Store);
     }
     world.run(6_000);
 
-    let sent = world.logged("configuration_sent") - before;
+    let sent = world.log_count("configuration_sent") - before;
 
     assert!(sent <= 15 * entries as u32, "{sent}");
 }
@@ -206,13 +206,13 @@
         world.kill(entry);
     }
     world.run(1_000);
-    let before = world.logged("configuration_sent");
+    let before = world.log_count("configuration_sent");
     for entry in 0..entries {
         world.start(entry);
     }
     world.run(12_000);
 
-    let sent = world.logged("configuration_sent") - before;
+    let sent = world.log_count("configuration_sent") - before;
 
     assert!(sent <= entries as u32, "{sent}");
 }
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -18,7 +18,7 @@
 /// Runs until the entries have found each other and one holds the duties, then clears the log of duty calls.
 fn settle(world: &mut World) {
     world.run(10_000);
-    world.made.clear();
+    world.duty_calls.clear();
 }
 
 /// Serves one window's requests, spread over entries and time, and returns how many were served.
@@ -60,7 +60,7 @@
     // that set the time for all others. Entry 0 holds the duties, as hubs do.
     for skewed in [0, 7, 15] {
         let mut world = World::new(24);
-        world.skew(skewed, 2_000);
+        world.restart_with_clock_ahead(skewed, 2_000);
         settle(&mut world);
         world.run(WINDOW - world.now % WINDOW);
         let served = one_window(&mut world, 24);
@@ -82,15 +82,15 @@
     // and it was killed; its successor had received more counts by then and sent its own sum.
     let mut world = World::new(4);
     settle(&mut world);
-    world.answers_lost = true;
+    world.duty_answers_lost = true;
     one_window(&mut world, 4);
     world.run(2_000);
     let holder = world.holder().expect("someone reported");
     world.kill(holder);
-    world.answers_lost = false;
+    world.duty_answers_lost = false;
     world.run(12_000);
 
-    let reporters: Vec<usize> = world.made.iter().map(|made| made.entry).collect();
+    let reporters: Vec<usize> = world.duty_calls.iter().map(|made| made.entry).collect();
 
     assert!(reporters.iter().any(|entry| *entry != holder));
     counts(&world);
@@ -131,7 +131,7 @@
         world.kill(entry);
     }
     world.run(500);
-    world.made.clear();
+    world.duty_calls.clear();
     for entry in 0..4 {
         world.start(entry);
     }
@@ -139,7 +139,7 @@
     one_window(&mut world, 4);
     world.run(2_500);
 
-    let first = world.made.first().expect("someone reports again");
+    let first = world.duty_calls.first().expect("someone reports again");
 
     assert_eq!(first.entry, holder);
     assert!(first.at < restarted_at + WINDOW + 2_500);
@@ -244,11 +244,11 @@
 fn duties_pass_on_while_any_half_is_cut_off_from_the_table_service() {
     for seed in 0..12 {
         let mut world = in_zones(ENTRIES);
-        world.store_cut = some_with_holder(&world, ENTRIES, ENTRIES / 2, seed);
-        let gap = world.longest_gap(15_000);
+        world.store_partitioned = some_with_holder(&world, ENTRIES, ENTRIES / 2, seed);
+        let gap = world.longest_gap_without_holder(15_000);
         assert!(gap <= LONGEST_GAP, "seed {seed}: no holder for {gap} ms");
-        world.store_cut.clear();
-        let gap = world.longest_gap(10_000);
+        world.store_partitioned.clear();
+        let gap = world.longest_gap_without_holder(10_000);
         assert!(
             gap <= LONGEST_GAP,
             "seed {seed}, healed: no holder for {gap} ms"
@@ -262,13 +262,13 @@
     for seed in 0..12 {
         let mut world = in_zones(ENTRIES);
         let cut = some_with_holder(&world, ENTRIES, ENTRIES / 2, seed);
-        world.store_cut = cut.clone();
-        world.cut = cut;
-        let gap = world.longest_gap(15_000);
+        world.store_partitioned = cut.clone();
+        world.partitioned = cut;
+        let gap = world.longest_gap_without_holder(15_000);
         assert!(gap <= LONGEST_GAP, "seed {seed}: no holder for {gap} ms");
-        world.store_cut.clear();
-        world.cut.clear();
-        let gap = world.longest_gap(10_000);
+        world.store_partitioned.clear();
+        world.partitioned.clear();
+        let gap = world.longest_gap_without_holder(10_000);
         assert!(
             gap <= LONGEST_GAP,
             "seed {seed}, healed: no holder for {gap} ms"
@@ -284,7 +284,7 @@
         for entry in some_with_holder(&world, ENTRIES, ENTRIES / 2, seed) {
             world.kill(entry);
         }
-        let gap = world.longest_gap(15_000);
+        let gap = world.longest_gap_without_holder(15_000);
         assert!(gap <= LONGEST_GAP, "seed {seed}: no holder for {gap} ms");
     }
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -15,7 +15,7 @@
 /// Returns the number of replicas once all orders of the run have taken effect.
 fn ordered(world: &World) -> u32 {
     let mut last = BTreeMap::new();
-    for (zone, market, count) in world.made.iter().filter_map(order) {
+    for (zone, market, count) in world.duty_calls.iter().filter_map(order) {
         last.insert((zone, format!("{market:?}")), count);
     }
     last.values().sum()
@@ -66,14 +66,19 @@
         };
         load(&mut world, 400);
         let initially = ordered(&world);
-        world.made.clear();
+        world.duty_calls.clear();
         for entry in 0..entries {
             world.kill(entry);
             world.start(entry);
             load(&mut world, 60);
         }
 
-        let largest_order = world.made.iter().filter_map(order).map(|one| one.2).max();
+        let largest_order = world
+            .duty_calls
+            .iter()
+            .filter_map(order)
+            .map(|one| one.2)
+            .max();
 
         assert!(
             largest_order.unwrap_or(0) <= initially,
--- a/crates/gateway/tests/following.rs
+++ b/crates/gateway/tests/following.rs
@@ -13,13 +13,13 @@
     for _ in 0..millis / READ_INTERVAL_MILLIS {
         world.run(READ_INTERVAL_MILLIS);
         for entry in readers(world) {
-            world.tell_all(entry);
+            world.send_servers(entry);
         }
     }
 }
 
 fn readers(world: &World) -> Vec<usize> {
-    let following = world.following.iter();
+    let following = world.reads_list.iter();
     following
         .filter(|(_, reads)| **reads)
         .map(|(entry, _)| *entry)
@@ -48,14 +48,14 @@
 #[test]
 fn all_entries_learn_what_one_has_read() {
     let mut world = settled_world();
-    let joined = world.logged("server_joined");
+    let joined = world.log_count("server_joined");
     let server = world.add_server();
     run_following(&mut world, 2_000);
-    let joined = world.logged("server_joined") - joined;
+    let joined = world.log_count("server_joined") - joined;
     assert_eq!(joined as usize, ENTRIES, "entries that know the new server");
-    assert_eq!(world.end_row().id, server.id);
+    assert_eq!(world.remove_server().id, server.id);
     run_following(&mut world, 2_000);
-    assert_eq!(world.logged("server_gone") as usize, ENTRIES);
+    assert_eq!(world.log_count("server_gone") as usize, ENTRIES);
 }
 
 /// Until another entry takes over reading, nobody would learn that a server left.
@@ -64,10 +64,10 @@
     let mut world = settled_world();
     let reader = readers(&world)[0];
     world.kill(reader);
-    world.following.remove(&reader);
-    world.end_row();
+    world.reads_list.remove(&reader);
+    world.remove_server();
     run_following(&mut world, 4_000);
-    assert_eq!(world.logged("server_gone") as usize, ENTRIES - 1);
+    assert_eq!(world.log_count("server_gone") as usize, ENTRIES - 1);
 }
 
 /// A standby's read was in flight while peers reported that a server's row had ended. The older answer
@@ -75,13 +75,13 @@
 #[test]
 fn a_stale_read_does_not_restore_a_server() {
     let mut world = settled_world();
-    let (revision, servers) = (world.list, world.servers.clone());
+    let (revision, servers) = (world.list_revision, world.servers.clone());
     let reader = readers(&world)[0];
-    world.end_row();
+    world.remove_server();
     run_following(&mut world, 2_000);
-    let joined = world.logged("server_joined");
-    world.tell_as_of((reader + 1) % ENTRIES, revision, servers);
-    assert_eq!(world.logged("server_joined"), joined);
+    let joined = world.log_count("server_joined");
+    world.send_servers_as_of((reader + 1) % ENTRIES, revision, servers);
+    assert_eq!(world.log_count("server_joined"), joined);
 }
 
 /// A server's row ended during a gap of the reader. The reader can't tell a server that left from one whose
@@ -91,10 +91,10 @@
 fn a_gap_of_one_reader_does_not_delay_removals() {
     let mut world = settled_world();
     let reader = readers(&world)[0];
-    world.lose_list(reader);
-    world.end_row();
+    world.fail_list(reader);
+    world.remove_server();
     run_following(&mut world, 2_000);
-    assert_eq!(world.logged("server_gone") as usize, ENTRIES);
+    assert_eq!(world.log_count("server_gone") as usize, ENTRIES);
 }
 
 /// Each entry reads for itself at start, with a long poll of ten seconds. One started before the entry became
@@ -106,7 +106,7 @@
     let readers = readers(&world);
     assert!(!readers.is_empty());
     for reader in readers {
-        assert!(world.looks.contains_key(&reader), "entry {reader}");
+        assert!(world.list_reads.contains_key(&reader), "entry {reader}");
     }
-    assert!(world.looks.len() <= 5, "{:?}", world.looks);
+    assert!(world.list_reads.len() <= 5, "{:?}", world.list_reads);
 }
--- a/crates/gateway/tests/hubs.rs
+++ b/crates/gateway/tests/hubs.rs
@@ -34,10 +34,10 @@
     }
     // The earlier lives are still members, but no longer hubs.
     world.run(4_000);
-    let before = world.sums.clone();
+    let before = world.sums_received.clone();
     world.run(1_000);
 
-    for (entry, sums) in &world.sums {
+    for (entry, sums) in &world.sums_received {
         let in_a_second = sums - before.get(entry).copied().unwrap_or(0);
         assert!(
             in_a_second <= SUMS_A_SECOND,
@@ -61,12 +61,12 @@
         world.start(entry);
     }
     world.run(SOON_MS);
-    let before = world.sums.clone();
+    let before = world.sums_received.clone();
     world.run(1_000);
 
     for entry in 0..ENTRIES {
         let sums = |sums: &BTreeMap<usize, u32>| sums.get(&entry).copied().unwrap_or(0);
-        assert!(sums(&world.sums) > sums(&before), "entry {entry}");
+        assert!(sums(&world.sums_received) > sums(&before), "entry {entry}");
     }
 }
 
@@ -86,10 +86,10 @@
         world.start(entry);
     }
     world.run(12_000);
-    let before = world.sent.clone();
+    let before = world.sums_sent.clone();
     world.run(2_000);
 
-    let told = |entry: usize| world.sent[&entry] - before.get(&entry).copied().unwrap_or(0);
+    let told = |entry: usize| world.sums_sent[&entry] - before.get(&entry).copied().unwrap_or(0);
     let hubs: Vec<usize> = (0..ENTRIES).filter(|entry| told(*entry) > 0).collect();
     assert_eq!(hubs.len(), 2);
     assert!(hubs.iter().all(|hub| *hub < LARGE), "{hubs:?}");
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -14,11 +14,20 @@
     let mut world = World::new(2);
     world.run(1_000);
     world.servers[0].leaving = true;
-    world.tell_servers();
+    world.publish_servers();
 
-    let notified: Vec<usize> = world.closed.iter().map(|(entry, _)| *entry).collect();
+    let notified: Vec<usize> = world
+        .closed_servers
+        .iter()
+        .map(|(entry, _)| *entry)
+        .collect();
     assert_eq!(notified, [0, 1]);
-    assert!(world.closed.iter().all(|(_, server)| server == "s0#1"));
+    assert!(
+        world
+            .closed_servers
+            .iter()
+            .all(|(_, server)| server == "s0#1")
+    );
 }
 
 #[test]
@@ -26,9 +35,9 @@
     let mut world = World::new(1);
     world.run(1_000);
     let gone = world.servers.remove(1);
-    world.tell_servers();
+    world.publish_servers();
 
-    assert_eq!(world.closed, [(0, gone.incarnation)]);
+    assert_eq!(world.closed_servers, [(0, gone.incarnation)]);
 }
 
 #[test]
@@ -38,12 +47,12 @@
     let mut world = World::new(1);
     world.run(1_000);
     let back = world.servers.remove(1);
-    world.tell_servers();
+    world.publish_servers();
     world.run(1_000);
     world.servers.push(back);
-    world.tell_servers();
+    world.publish_servers();
 
-    assert!(world.closed.is_empty());
+    assert!(world.closed_servers.is_empty());
 }
 
 #[test]
@@ -53,14 +62,14 @@
     // outage. Such attempts log missing_ms between 870 and 2,200.
     let mut world = World::new(2);
     world.run(3_000);
-    world.lose_list(0);
-    let ended = world.end_row();
-    world.tell_ended(1, &ended.id);
+    world.fail_list(0);
+    let ended = world.remove_server();
+    world.send_removal(1, &ended.id);
     world.run(100);
-    world.tell_all(0);
+    world.send_servers(0);
     world.run(300);
 
-    assert_eq!(world.handed_to(0, &ended, 2_000), 0);
+    assert_eq!(world.count_requests_to(0, &ended, 2_000), 0);
 }
 
 #[test]
@@ -69,16 +78,16 @@
     // that it reads first afterwards, it would refuse every request until the rows return.
     let mut world = World::new(1);
     world.run(3_000);
-    world.lose_list(0);
+    world.fail_list(0);
     let all = std::mem::take(&mut world.servers);
-    world.tell_servers();
+    world.publish_servers();
 
     assert!(world.serve(0));
     world.run(1_000);
     world.servers = all;
-    world.tell_servers();
+    world.publish_servers();
     assert!(world.serve(0));
-    assert!(world.closed.is_empty());
+    assert!(world.closed_servers.is_empty());
 }
 
 #[test]
@@ -87,15 +96,15 @@
     // dropped the server: it counted from its last failed call rather than from the return.
     let mut world = World::new(1);
     world.run(3_000);
-    world.lose_list(0);
+    world.fail_list(0);
     world.run(600);
-    let lapsed = world.end_row();
-    world.tell_all(0);
+    let lapsed = world.remove_server();
+    world.send_servers(0);
     world.run(2_000);
     world.servers.push(lapsed);
-    world.tell_servers();
+    world.publish_servers();
 
-    assert_eq!(world.logged("server_gone"), 0);
+    assert_eq!(world.log_count("server_gone"), 0);
 }
 
 #[test]
@@ -104,13 +113,15 @@
     // refuse requests beside five live servers.
     let mut world = World::new(1);
     world.run(3_000);
-    world.lose_list(0);
+    world.fail_list(0);
     world.servers.truncate(1);
-    world.tell_servers();
+    world.publish_servers();
 
     let kept = world.servers[0].clone();
     let serials: Vec<u64> = (0..200).map(|_| world.stream(0)).collect();
-    let places = serials.iter().filter_map(|one| world.places.get(one));
+    let places = serials
+        .iter()
+        .filter_map(|one| world.servers_by_request.get(one));
     let (to_listed, to_doubted): (Vec<_>, Vec<_>) = places.partition(|at| **at == kept.incarnation);
     assert_eq!(to_listed.len(), kept.slots as usize);
     assert!(!to_doubted.is_empty());
@@ -122,13 +133,13 @@
     // ended, although all others knew: entries reported leaving servers to each other, but not ended rows.
     let mut world = World::new(4);
     world.run(3_000);
-    let ended = world.end_row();
+    let ended = world.remove_server();
     for entry in 1..4 {
-        world.tell_ended(entry, &ended.id);
+        world.send_removal(entry, &ended.id);
     }
     world.run(500);
 
-    assert_eq!(world.handed_to(0, &ended, 2_000), 0);
+    assert_eq!(world.count_requests_to(0, &ended, 2_000), 0);
 }
 
 #[test]
@@ -138,17 +149,17 @@
     // server for good.
     let mut world = World::new(2);
     world.run(3_000);
-    let before = (world.list, world.servers.clone());
-    let ended = world.end_row();
-    world.tell_ended(1, &ended.id);
+    let before = (world.list_revision, world.servers.clone());
+    let ended = world.remove_server();
+    world.send_removal(1, &ended.id);
     world.run(300);
-    world.tell_as_of(0, before.0, before.1);
-    assert_eq!(world.handed_to(0, &ended, 500), 0);
+    world.send_servers_as_of(0, before.0, before.1);
+    assert_eq!(world.count_requests_to(0, &ended, 500), 0);
 
     world.servers.push(ended.clone());
-    world.tell_servers();
+    world.publish_servers();
     world.run(300);
-    assert!(world.handed_to(0, &ended, 500) > 0);
+    assert!(world.count_requests_to(0, &ended, 500) > 0);
 }
 
 #[test]
@@ -157,12 +168,12 @@
     // lose its servers by the report of one that read the list too soon.
     let mut world = World::new(2);
     world.run(3_000);
-    world.lose_list(1);
-    let lapsed = world.end_row();
-    world.tell_ended(1, &lapsed.id);
+    world.fail_list(1);
+    let lapsed = world.remove_server();
+    world.send_removal(1, &lapsed.id);
     world.run(500);
 
-    assert!(world.handed_to(0, &lapsed, 500) > 0);
+    assert!(world.count_requests_to(0, &lapsed, 500) > 0);
 }
 
 #[test]
@@ -172,13 +183,13 @@
     // reached them up to four seconds late: only the poll's own timeout showed that its answer was lost.
     let mut world = World::new(2);
     world.run(3_000);
-    world.store_silent = true;
+    world.store_unresponsive = true;
     world.run(4_000);
-    assert!(world.looks.is_empty());
-    world.store_silent = false;
+    assert!(world.list_reads.is_empty());
+    world.store_unresponsive = false;
     world.run(3_000);
 
-    assert_eq!(world.looks, [(0, 1), (1, 1)].into());
+    assert_eq!(world.list_reads, [(0, 1), (1, 1)].into());
 }
 
 #[test]
@@ -187,13 +198,13 @@
     // would get even more load.
     let mut world = World::new(1);
     world.run(3_000);
-    world.store_silent = true;
+    world.store_unresponsive = true;
     world.run(4_000);
-    world.tell_servers();
-    world.store_silent = false;
+    world.publish_servers();
+    world.store_unresponsive = false;
     world.run(3_000);
 
-    assert!(world.looks.is_empty());
+    assert!(world.list_reads.is_empty());
 }
 
 #[test]
@@ -204,19 +215,19 @@
     let mut world = World::new(1);
     world.run(1_000);
     let serial = world.stream(0);
-    let place = world.places[&serial].clone();
+    let place = world.servers_by_request[&serial].clone();
     let is_source = |server: &&mut watch::server::Server| server.incarnation == place;
     let leaving = world.servers.iter_mut().find(is_source).expect("a server");
     leaving.leaving = true;
-    world.tell_servers();
+    world.publish_servers();
     world.run(300);
 
-    assert_eq!(world.moved.len(), 1);
-    assert_eq!(world.moved[0].0, serial);
-    assert_ne!(world.moved[0].1, place);
+    assert_eq!(world.moved_runs.len(), 1);
+    assert_eq!(world.moved_runs[0].0, serial);
+    assert_ne!(world.moved_runs[0].1, place);
 
     world.report(0, serial, Report::Ended(End::Broken { alive: false }));
-    assert_eq!(world.logged("run_moved"), 0);
+    assert_eq!(world.log_count("run_moved"), 0);
     assert_eq!(world.refused.get("BackendFailed"), Some(&1));
     assert!(world.serve_path(0, "/talks/1"));
 }
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 use smol_str::SmolStr;
-use support::Handed;
+use support::SentRequest;
 use support::World;
 
 /// Time from a server's first report of a limit until it must be enforced.
@@ -62,7 +62,7 @@
         let mut world = World::new(self.entries);
         let limited = self.limited(&world);
         let mut arrivals = Arrivals::new();
-        let mut due: BTreeMap<u64, Vec<Handed>> = BTreeMap::new();
+        let mut due: BTreeMap<u64, Vec<SentRequest>> = BTreeMap::new();
         let mut sent = 0;
         while world.now < self.end {
             world.run(STEP_MILLIS);
@@ -73,9 +73,9 @@
             }
             while sent < self.requests_per_second * world.now / 1_000 {
                 sent += 1;
-                world.ask_openly((sent as usize * 7) % self.entries);
+                world.request_public((sent as usize * 7) % self.entries);
             }
-            for handed in std::mem::take(&mut world.handed) {
+            for handed in std::mem::take(&mut world.sent_requests) {
                 let times = arrivals.entry(handed.server.clone()).or_default();
                 times.push(handed.at);
                 due.entry(handed.at + ANSWER_MILLIS)
@@ -86,7 +86,7 @@
             for handed in std::mem::replace(&mut due, later).into_values().flatten() {
                 let reports = limited.contains(&handed.server)
                     && (LIMIT_START_MILLIS..self.recovery).contains(&world.now);
-                world.answer_naming(&handed, reports.then_some(self.limit));
+                world.answer_with_limit(&handed, reports.then_some(self.limit));
             }
         }
         (arrivals, limited)
--- a/crates/gateway/tests/quotas.rs
+++ b/crates/gateway/tests/quotas.rs
@@ -18,7 +18,7 @@
 
 /// So many requests a millisecond through all entries in turn; how many were handed to a replica.
 fn flood(world: &mut World, millis: u64, each: usize) -> u32 {
-    let before = world.started;
+    let before = world.attempts_started;
     for turn in 0..millis {
         for request in 0..each {
             world.serve((turn as usize * each + request) % ENTRIES);
@@ -27,7 +27,7 @@
             world.run(10);
         }
     }
-    world.started - before
+    world.attempts_started - before
 }
 
 /// An account sends many times its quota through all entries within a second. Each entry knew of the others' charges
@@ -39,7 +39,7 @@
     let allowed = BURST + 2 * RATE;
     assert!(served <= allowed, "{served} of {allowed}");
     assert!(served >= BURST * 9 / 10, "{served} of {allowed}");
-    let homes = world.asked.len();
+    let homes = world.charges_decided.len();
     assert!(homes <= 2, "{homes} entries decided");
 }
 
@@ -50,18 +50,21 @@
     let mut world = settled();
     world.serve(0);
     world.serve(1);
-    let home = *world.asked.keys().next().expect("a home");
+    let home = *world.charges_decided.keys().next().expect("a home");
     world.charges_hang = true;
-    world.cut.insert(home);
+    world.partitioned.insert(home);
     let entry = (home + 1) % ENTRIES;
-    let before = world.started;
-    let serial = world.ask(entry);
-    assert!(!world.places.contains_key(&serial), "it waits for the home");
+    let before = world.attempts_started;
+    let serial = world.request(entry);
+    assert!(
+        !world.servers_by_request.contains_key(&serial),
+        "it waits for the home"
+    );
     world.run(100);
-    assert!(world.places.contains_key(&serial));
+    assert!(world.servers_by_request.contains_key(&serial));
     assert!(world.serve(entry), "the next one doesn't wait");
-    assert_eq!(world.started, before + 2);
-    assert_eq!(world.logged("quota_home_silent"), 1);
+    assert_eq!(world.attempts_started, before + 2);
+    assert_eq!(world.log_count("quota_home_silent"), 1);
 }
 
 /// The hubs of 295 entries write to all of them twice a second, and requests that asked one of them for a charge waited
@@ -70,10 +73,10 @@
 fn hubs_decide_on_no_account() {
     let mut world = World::new(ENTRIES);
     world.run(15_000);
-    world.sent.clear();
+    world.sums_sent.clear();
     world.run(2_000);
     let hubs: Vec<usize> = (0..ENTRIES)
-        .filter(|entry| world.sent.get(entry).is_some_and(|sums| *sums > 0))
+        .filter(|entry| world.sums_sent.get(entry).is_some_and(|sums| *sums > 0))
         .collect();
     assert_eq!(hubs.len(), 2);
     // Each start draws other homes.
@@ -81,12 +84,12 @@
         for entry in 0..ENTRIES {
             world.serve(entry);
         }
-        let homes: Vec<usize> = world.asked.keys().copied().collect();
+        let homes: Vec<usize> = world.charges_decided.keys().copied().collect();
         assert!(!homes.is_empty(), "round {round}");
         let busy = homes.iter().any(|home| hubs.contains(home));
         assert!(!busy, "round {round}: hubs {hubs:?}, homes {homes:?}");
         let home = homes[0];
-        world.asked.clear();
+        world.charges_decided.clear();
         world.kill(home);
         world.run(5_000);
         world.start(home);
@@ -105,8 +108,8 @@
     let entries: Vec<usize> = (0..ENTRIES).collect();
     world.delay_charges = true;
     for entry in entries.iter().cycle().take(BURST as usize) {
-        let serial = world.ask(*entry);
-        world.leave(*entry, serial);
+        let serial = world.request(*entry);
+        world.disconnect_caller(*entry, serial);
     }
     world.delay_charges = false;
     world.answer_charges();
--- a/crates/gateway/tests/restored.rs
+++ b/crates/gateway/tests/restored.rs
@@ -26,9 +26,9 @@
             let copy = world.table.clone();
             let first = world.holders()[0];
             world.kill(first);
-            world.longest_gap(age.max(7_000));
+            world.longest_gap_without_holder(age.max(7_000));
             world.table.restore(&copy);
-            let gap = world.longest_gap(12_000);
+            let gap = world.longest_gap_without_holder(12_000);
             assert!(gap <= LONGEST_GAP, "{entries} entries, {age} ms: {gap} ms");
         }
     }
@@ -43,7 +43,7 @@
     let holder = world.holders()[0];
     let late = (holder + 1) % 4;
     let copy = world.table.clone();
-    world.cut.insert(late);
+    world.partitioned.insert(late);
     world.run(WINDOW - world.now % WINDOW);
     let window = world.unix_ms() / WINDOW;
     for _ in 0..20 {
@@ -57,9 +57,9 @@
         world.run(100);
     }
     world.table.restore(&copy);
-    world.list = Revision { era: 1, number: 1 }.packed();
-    world.tell_servers();
-    world.cut.clear();
+    world.list_revision = Revision { era: 1, number: 1 }.packed();
+    world.publish_servers();
+    world.partitioned.clear();
     world.kill(holder);
     world.run(12_000);
 
@@ -75,12 +75,12 @@
     let mut world = World::new(4);
     world.run(5_000);
     let before = world.servers.clone();
-    let gone = world.end_row();
-    world.tell_servers();
+    let gone = world.remove_server();
+    world.publish_servers();
     world.run(3_000);
-    world.list = Revision { era: 1, number: 1 }.packed();
+    world.list_revision = Revision { era: 1, number: 1 }.packed();
     for entry in 0..4 {
-        world.tell_as_of(entry, world.list, before.clone());
+        world.send_servers_as_of(entry, world.list_revision, before.clone());
     }
-    assert_eq!(world.handed_to(0, &gone, 2_000), 0);
+    assert_eq!(world.count_requests_to(0, &gone, 2_000), 0);
 }
--- a/crates/gateway/tests/rollouts.rs
+++ b/crates/gateway/tests/rollouts.rs
@@ -29,7 +29,7 @@
     for server in &mut world.servers {
         server.version = "v1".into();
     }
-    world.tell_servers();
+    world.publish_servers();
     world.run(8_000);
     for _ in 0..world.servers.len() {
         world.add_server();
@@ -48,13 +48,13 @@
     let mut seen = Seen::default();
     for number in 0..millis / GAP {
         let entry = number as usize % ENTRIES;
-        let placed = world.place_one(entry);
+        let placed = world.start_request(entry);
         world.run(GAP);
         let Some((serial, place)) = placed else {
             continue;
         };
         let new = is_new(world, &place);
-        world.answer_with(entry, serial, new && fails(number));
+        world.finish_request(entry, serial, new && fails(number));
         seen.all += 1;
         seen.new += u64::from(new);
         if number * GAP + 1_000 >= millis {
@@ -76,7 +76,7 @@
 fn a_bad_version_gets_few_requests_and_then_none() {
     let mut world = world();
     world.order_rollout("v2", WITHIN);
-    world.tell_servers();
+    world.publish_servers();
     let seen = serve(&mut world, 12_000, |number| number % 2 == 0);
     let most = (seen.all as f64 * EXPOSURE) as u64 + EXPOSURE_ALLOWANCE;
     assert!(seen.new > 0 && seen.new <= most, "{seen:?}");
@@ -91,7 +91,7 @@
 #[test]
 fn replicas_that_are_there_before_the_order_are_on_trial_too() {
     let mut world = world();
-    world.tell_servers();
+    world.publish_servers();
     world.run(50);
     world.order_rollout("v2", WITHIN);
     let seen = serve(&mut world, 12_000, |_| true);
@@ -105,14 +105,14 @@
 fn a_good_version_gets_all_requests_in_time() {
     let mut world = world();
     world.order_rollout("v2", WITHIN);
-    world.tell_servers();
+    world.publish_servers();
     let seen = serve(&mut world, 12_000, |_| false);
     assert_eq!(status(&world), "completed", "{seen:?}");
     assert_eq!(seen.last.0, seen.last.1, "{seen:?}");
     // The old replicas stop, and the order may be taken off the table.
     world.servers.retain(|one| one.version == "v2");
-    world.list += 1;
-    world.tell_servers();
+    world.list_revision += 1;
+    world.publish_servers();
     world.withdraw_rollout();
     let seen = serve(&mut world, 2_000, |_| false);
     assert!(seen.all > 0 && seen.new == seen.all, "{seen:?}");
@@ -124,7 +124,7 @@
     for fails in [true, false] {
         let mut world = world();
         world.order_rollout("v2", Span::from_seconds(24));
-        world.tell_servers();
+        world.publish_servers();
         let first = serve(&mut world, 1_000, |_| false);
         let holder = world.holders()[0];
         world.kill(holder);
@@ -142,7 +142,7 @@
 #[test]
 fn a_version_that_is_not_there_is_rolled_back() {
     let mut world = world();
-    world.tell_servers();
+    world.publish_servers();
     world.order_rollout("v3", WITHIN);
     serve(&mut world, 12_500, |_| false);
     assert_eq!(status(&world), "rolled-back");
@@ -153,26 +153,26 @@
 fn an_entry_that_starts_late_serves_by_the_version_that_is_there() {
     let mut world = world();
     world.order_rollout("v2", WITHIN);
-    world.tell_servers();
+    world.publish_servers();
     serve(&mut world, 12_000, |_| false);
     world.servers.retain(|one| one.version == "v2");
-    world.tell_servers();
+    world.publish_servers();
     world.kill(5);
     world.start(5);
     world.order_rollout("v2", WITHIN);
-    assert!(world.place_one(5).is_some());
+    assert!(world.start_request(5).is_some());
 }
 
 /// The stage was written and the status was not: the operator read for ever that nothing had begun.
 #[test]
 fn a_status_that_could_not_be_written_is_written_later() {
     let mut world = world();
-    world.unwritable = Some("rollout-status");
+    world.failing_table = Some("rollout-status");
     world.order_rollout("v2", WITHIN);
-    world.tell_servers();
+    world.publish_servers();
     serve(&mut world, 8_000, |_| true);
     assert_eq!(status(&world), "none");
-    world.unwritable = None;
+    world.failing_table = None;
     world.run(2_000);
     assert_eq!(status(&world), "rolled-back");
 }
--- a/crates/gateway/tests/silence.rs
+++ b/crates/gateway/tests/silence.rs
@@ -40,10 +40,10 @@
 fn hubs(entries: usize) -> BTreeSet<usize> {
     let mut world = World::new(entries);
     world.run(SETTLED);
-    world.sent.clear();
+    world.sums_sent.clear();
     world.run(1_000);
     let mut sent: Vec<(u32, usize)> = world
-        .sent
+        .sums_sent
         .iter()
         .map(|(entry, sums)| (*sums, *entry))
         .collect();
@@ -104,10 +104,10 @@
 fn an_entry_that_was_cut_off_is_soon_named_again() {
     let mut world = World::new(24);
     world.run(SETTLED);
-    world.cut.insert(5);
+    world.partitioned.insert(5);
     world.run(4_000);
     assert!(!world.ask_addresses(7).contains(&caller_address(5)));
-    world.cut.clear();
+    world.partitioned.clear();
     world.run(3_000);
     let named: BTreeSet<_> = (0..5).flat_map(|_| world.ask_addresses(7)).collect();
     assert!(named.contains(&caller_address(5)));
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -52,9 +52,9 @@
 pub const ACCOUNT: &str = "amber";
 pub const SERVICE: &str = "drafts";
 pub const KEY: &str = "amber-key";
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 /// Time between two looks at who holds the duties, milliseconds.
-const LOOK: u64 = 50;
+const HOLDER_CHECK_MS: u64 = 50;
 const ZONES: [&str; 3] = ["north", "south", "west"];
 /// True time at the start; a window begins then.
 const ZERO_UNIX_MS: u64 = 1_000_000_000;
@@ -63,7 +63,7 @@
 
 /// A call that only the holder of the duties makes, and who made it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Made {
+pub struct DutyCall {
     pub at: u64,
     pub entry: usize,
     pub call: duty::Call,
@@ -71,7 +71,7 @@
 
 /// A request that was handed to a server.
 #[derive(Clone, Debug)]
-pub struct Handed {
+pub struct SentRequest {
     pub at: u64,
     pub entry: usize,
     pub serial: u64,
@@ -92,7 +92,7 @@
 struct Process {
     gateway: Gateway,
     /// Its clock's zero.
-    started: u64,
+    started_at: u64,
 }
 
 /// Entries, their table service and what they did.
@@ -100,61 +100,61 @@
     pub now: u64,
     pub table: Table,
     /// Calls of the duties, in order.
-    pub made: Vec<Made>,
+    pub duty_calls: Vec<DutyCall>,
     /// Calls of the duties whose answer is lost, from here on.
-    pub answers_lost: bool,
+    pub duty_answers_lost: bool,
     /// Refusals seen by callers, by reason.
     pub refused: BTreeMap<SmolStr, u32>,
     /// Requests handed to a replica.
-    pub started: u32,
+    pub attempts_started: u32,
     /// Where each request was handed to last, by serial.
-    pub places: BTreeMap<u64, SmolStr>,
+    pub servers_by_request: BTreeMap<u64, SmolStr>,
     /// Requests as they were handed to servers.
-    pub handed: Vec<Handed>,
+    pub sent_requests: Vec<SentRequest>,
     /// Entries that the last answer to a caller named.
-    named: Vec<SmolStr>,
+    named_entries: Vec<SmolStr>,
     /// Runs that were ordered to move: serial, and the server that they go to.
-    pub moved: Vec<(u64, SmolStr)>,
+    pub moved_runs: Vec<(u64, SmolStr)>,
     /// Lines of all logs, by event.
-    lines: BTreeMap<&'static str, u32>,
+    log_counts: BTreeMap<&'static str, u32>,
     /// Whether the table service answers nobody.
-    pub store_silent: bool,
+    pub store_unresponsive: bool,
     /// The table whose writes fail.
-    pub unwritable: Option<&'static str>,
+    pub failing_table: Option<&'static str>,
     /// Entries that the table service doesn't answer.
-    pub store_cut: BTreeSet<usize>,
+    pub store_partitioned: BTreeSet<usize>,
     /// How many availability zones the entries are spread over from their next start on.
     pub zones: usize,
     /// How often each entry read the list of servers anew by itself.
-    pub looks: BTreeMap<usize, u32>,
+    pub list_reads: BTreeMap<usize, u32>,
     /// Whether each entry reads the list of servers, by its last effect.
-    pub following: BTreeMap<usize, bool>,
+    pub reads_list: BTreeMap<usize, bool>,
     /// Sums of hubs that came to each entry.
-    pub sums: BTreeMap<usize, u32>,
+    pub sums_received: BTreeMap<usize, u32>,
     /// Sums that each entry sent as a hub.
-    pub sent: BTreeMap<usize, u32>,
+    pub sums_sent: BTreeMap<usize, u32>,
     /// Entries that no message reaches or leaves.
-    pub cut: BTreeSet<usize>,
+    pub partitioned: BTreeSet<usize>,
     /// Whether a charge that reaches nobody has no answer at all, and not one at once that it failed.
     pub charges_hang: bool,
     /// Whether charges stay under way until they are answered by the test.
     pub delay_charges: bool,
     /// Charges under way, and to which entry.
-    delayed: Vec<(usize, Event)>,
+    delayed_charges: Vec<(usize, Event)>,
     /// Charges that each entry decided for others.
-    pub asked: BTreeMap<usize, u32>,
+    pub charges_decided: BTreeMap<usize, u32>,
     /// Who asked for charges, by number.
     askers: Vec<Asker>,
     pub version: u64,
     /// Servers that an entry was told to hand nothing more, by entry.
-    pub closed: Vec<(usize, SmolStr)>,
+    pub closed_servers: Vec<(usize, SmolStr)>,
     pub servers: Vec<Server>,
     /// Revision of the list of servers.
-    pub list: u64,
+    pub list_revision: u64,
     /// How much some entries can take.
     capacities: BTreeMap<usize, u8>,
     /// By how much the wall clocks of some entries are ahead, milliseconds.
-    ahead: BTreeMap<usize, u64>,
+    clock_leads: BTreeMap<usize, u64>,
     settings: Settings,
     processes: Vec<Option<Process>>,
     next_life: u64,
@@ -178,35 +178,35 @@
         let mut world = World {
             now: 0,
             table: Table::new(),
-            made: Vec::new(),
-            answers_lost: false,
+            duty_calls: Vec::new(),
+            duty_answers_lost: false,
             refused: BTreeMap::new(),
-            started: 0,
-            places: BTreeMap::new(),
-            handed: Vec::new(),
-            named: Vec::new(),
-            moved: Vec::new(),
-            lines: BTreeMap::new(),
-            store_silent: false,
-            unwritable: None,
-            store_cut: BTreeSet::new(),
+            attempts_started: 0,
+            servers_by_request: BTreeMap::new(),
+            sent_requests: Vec::new(),
+            named_entries: Vec::new(),
+            moved_runs: Vec::new(),
+            log_counts: BTreeMap::new(),
+            store_unresponsive: false,
+            failing_table: None,
+            store_partitioned: BTreeSet::new(),
             zones: 1,
-            looks: BTreeMap::new(),
-            following: BTreeMap::new(),
-            sums: BTreeMap::new(),
-            sent: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            list_reads: BTreeMap::new(),
+            reads_list: BTreeMap::new(),
+            sums_received: BTreeMap::new(),
+            sums_sent: BTreeMap::new(),
+            partitioned: BTreeSet::new(),
             charges_hang: false,
             delay_charges: false,
-            delayed: Vec::new(),
-            asked: BTreeMap::new(),
+            delayed_charges: Vec::new(),
+            charges_decided: BTreeMap::new(),
             askers: Vec::new(),
             version: 3,
-            closed: Vec::new(),
+            closed_servers: Vec::new(),
             servers: some_servers(),
-            list: 1,
+            list_revision: 1,
             capacities: BTreeMap::new(),
-            ahead: BTreeMap::new(),
+            clock_leads: BTreeMap::new(),
             settings,
             processes: (0..entries).map(|_| None).collect(),
             next_life: 100,
@@ -233,18 +233,18 @@
         if let Some(capacity) = self.capacities.get(&entry) {
             settings.capacity = *capacity;
         }
-        settings.zero_unix_ms = self.unix_ms() + self.ahead.get(&entry).copied().unwrap_or(0);
+        settings.zero_unix_ms = self.unix_ms() + self.clock_leads.get(&entry).copied().unwrap_or(0);
         self.processes[entry] = Some(Process {
             gateway: Gateway::new(identity, settings, self.next_life),
-            started: self.now,
+            started_at: self.now,
         });
         self.configure(entry, self.version, Source::Store);
-        self.tell_all(entry);
+        self.send_servers(entry);
     }
 
     /// Starts an entry anew with a wall clock that is ahead.
-    pub fn skew(&mut self, entry: usize, millis: u64) {
-        self.ahead.insert(entry, millis);
+    pub fn restart_with_clock_ahead(&mut self, entry: usize, millis: u64) {
+        self.clock_leads.insert(entry, millis);
         self.start(entry);
     }
 
@@ -278,21 +278,21 @@
     }
 
     /// Tells all entries the servers anew.
-    pub fn tell_servers(&mut self) {
-        self.list += 1;
+    pub fn publish_servers(&mut self) {
+        self.list_revision += 1;
         for entry in 0..self.processes.len() {
-            self.tell_all(entry);
+            self.send_servers(entry);
         }
     }
 
     /// Tells an entry that a server's row ended, as its feed does.
-    pub fn tell_ended(&mut self, entry: usize, id: &SmolStr) {
+    pub fn send_removal(&mut self, entry: usize, id: &SmolStr) {
         let removed = vec![Removal {
             id: id.clone(),
-            revision: self.list,
+            revision: self.list_revision,
         }];
         let reading = Reading {
-            revision: self.list,
+            revision: self.list_revision,
             update: Update::Changes {
                 written: Vec::new(),
                 removed,
@@ -302,14 +302,14 @@
     }
 
     /// Ends the row of a server, the last one; nobody is told yet.
-    pub fn end_row(&mut self) -> Server {
-        self.list += 1;
+    pub fn remove_server(&mut self) -> Server {
+        self.list_revision += 1;
         self.servers.pop().expect("a server")
     }
 
     /// A server starts; nobody is told yet.
     pub fn add_server(&mut self) -> Server {
-        self.list += 1;
+        self.list_revision += 1;
         let number = self.servers.len();
         let server = Server {
             incarnation: format_smolstr!("s{number}#1"),
@@ -323,12 +323,12 @@
 
     /// The operator orders a roll-out, which all entries read.
     pub fn order_rollout(&mut self, to: &str, within: Span) {
-        self.list += 1;
+        self.list_revision += 1;
         let order = Order {
             service: SmolStr::new_static(SERVICE),
             to: SmolStr::new(to),
             within,
-            revision: self.list,
+            revision: self.list_revision,
         };
         for entry in 0..self.processes.len() {
             self.step(entry, Event::RolloutOrdered(order.clone()));
@@ -343,14 +343,14 @@
     }
 
     /// A request, and the life of the server that it was handed to.
-    pub fn place_one(&mut self, entry: usize) -> Option<(u64, SmolStr)> {
-        let serial = self.ask(entry);
-        let place = self.places.get(&serial)?;
+    pub fn start_request(&mut self, entry: usize) -> Option<(u64, SmolStr)> {
+        let serial = self.request(entry);
+        let place = self.servers_by_request.get(&serial)?;
         Some((serial, place.clone()))
     }
 
     /// The server of a request answers it, whole or with a failure.
-    pub fn answer_with(&mut self, entry: usize, serial: u64, fails: bool) {
+    pub fn finish_request(&mut self, entry: usize, serial: u64, fails: bool) {
         match fails {
             true => self.report(entry, serial, Report::Ended(End::Failed { status: 500 })),
             false => self.answer(entry, serial),
@@ -358,17 +358,17 @@
     }
 
     /// An entry can't follow the list any more.
-    pub fn lose_list(&mut self, entry: usize) {
+    pub fn fail_list(&mut self, entry: usize) {
         self.step(entry, Event::ServersLost);
     }
 
     /// How many requests of one every 20 ms, for that long, an entry hands to a server.
-    pub fn handed_to(&mut self, entry: usize, server: &Server, millis: u64) -> usize {
+    pub fn count_requests_to(&mut self, entry: usize, server: &Server, millis: u64) -> usize {
         let end = self.now + millis;
         let mut handed = 0;
         while self.now < end {
             self.serve(entry);
-            let place = self.places.get(&self.next_serial);
+            let place = self.servers_by_request.get(&self.next_serial);
             handed += usize::from(place == Some(&server.incarnation));
             self.run(20);
         }
@@ -376,12 +376,12 @@
     }
 
     /// Tells an entry the servers as they are, as after a gap.
-    pub fn tell_all(&mut self, entry: usize) {
-        self.tell_as_of(entry, self.list, self.servers.clone());
+    pub fn send_servers(&mut self, entry: usize) {
+        self.send_servers_as_of(entry, self.list_revision, self.servers.clone());
     }
 
     /// Tells an entry these servers as of a revision of the list, at which all wrote their rows.
-    pub fn tell_as_of(&mut self, entry: usize, revision: u64, mut servers: Vec<Server>) {
+    pub fn send_servers_as_of(&mut self, entry: usize, revision: u64, mut servers: Vec<Server>) {
         for server in &mut servers {
             server.revision = revision;
         }
@@ -401,7 +401,7 @@
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
-            self.now += STEP;
+            self.now += STEP_MS;
             for entry in 0..self.processes.len() {
                 self.step(entry, Event::Tick);
             }
@@ -417,16 +417,16 @@
     pub fn ask_addresses(&mut self, entry: usize) -> Vec<SmolStr> {
         let (requester, zone) = (1, None);
         self.step(entry, Event::AddressesRequested { requester, zone });
-        std::mem::take(&mut self.named)
+        std::mem::take(&mut self.named_entries)
     }
 
     /// A request of nobody's account that isn't answered yet.
-    pub fn ask_openly(&mut self, entry: usize) {
+    pub fn request_public(&mut self, entry: usize) {
         self.arrive(entry, "/open/1", None);
     }
 
     /// A request that was handed over is answered; with its server's limit in requests a second, if that names one.
-    pub fn answer_naming(&mut self, handed: &Handed, limit: Option<f64>) {
+    pub fn answer_with_limit(&mut self, handed: &SentRequest, limit: Option<f64>) {
         let event = Event::LimitReported {
             incarnation: handed.server.clone(),
             rate: limit.and_then(Rate::per_second),
@@ -448,28 +448,28 @@
     }
 
     /// A request that isn't answered yet; its serial.
-    pub fn ask(&mut self, entry: usize) -> u64 {
+    pub fn request(&mut self, entry: usize) -> u64 {
         self.arrive(entry, "/drafts/1", None)
     }
 
     /// The caller of a request leaves.
-    pub fn leave(&mut self, entry: usize, serial: u64) {
+    pub fn disconnect_caller(&mut self, entry: usize, serial: u64) {
         self.step(entry, Event::CallerDisconnected { serial });
     }
 
     /// Lets charges that are under way arrive.
     pub fn answer_charges(&mut self) {
-        for (to, event) in std::mem::take(&mut self.delayed) {
+        for (to, event) in std::mem::take(&mut self.delayed_charges) {
             self.step(to, event);
         }
     }
 
     /// The same at a path.
     pub fn serve_path(&mut self, entry: usize, path: &str) -> bool {
-        let before = self.started;
+        let before = self.attempts_started;
         let serial = self.arrive(entry, path, None);
         self.answer(entry, serial);
-        self.started > before
+        self.attempts_started > before
     }
 
     /// A request with a prompt of so many tokens, all its own, whose answer begins after `took` milliseconds.
@@ -534,15 +534,15 @@
     }
 
     /// How many lines of an event all logs have.
-    pub fn logged(&self, event: &str) -> u32 {
-        self.lines.get(event).copied().unwrap_or(0)
+    pub fn log_count(&self, event: &str) -> u32 {
+        self.log_counts.get(event).copied().unwrap_or(0)
     }
 
     /// The configuration in force at each live entry.
     pub fn versions(&self) -> Vec<u64> {
         let live = self.processes.iter().flatten();
         live.map(|process| {
-            let now = Time::from_millis(self.now - process.started);
+            let now = Time::from_millis(self.now - process.started_at);
             process.gateway.status(now).version
         })
         .collect()
@@ -552,7 +552,7 @@
     pub fn holders(&self) -> Vec<usize> {
         let holds = |entry: &usize| {
             self.processes[*entry].as_ref().is_some_and(|process| {
-                let now = Time::from_millis(self.now - process.started);
+                let now = Time::from_millis(self.now - process.started_at);
                 process.gateway.status(now).fence > 0
             })
         };
@@ -560,14 +560,14 @@
     }
 
     /// Lets time pass; the longest time without a holder of the duties, milliseconds. Never are there two at once.
-    pub fn longest_gap(&mut self, millis: u64) -> u64 {
+    pub fn longest_gap_without_holder(&mut self, millis: u64) -> u64 {
         let (mut gap, mut longest) = (0, 0);
-        for _ in 0..millis / LOOK {
-            self.run(LOOK);
+        for _ in 0..millis / HOLDER_CHECK_MS {
+            self.run(HOLDER_CHECK_MS);
             let holders = self.holders();
             assert!(holders.len() <= 1, "holders: {holders:?}");
             gap = match holders.is_empty() {
-                true => gap + LOOK,
+                true => gap + HOLDER_CHECK_MS,
                 false => 0,
             };
             longest = longest.max(gap);
@@ -577,17 +577,20 @@
 
     /// Which entry holds the duties, by the calls made last.
     pub fn holder(&self) -> Option<usize> {
-        self.made.last().map(|made| made.entry)
+        self.duty_calls.last().map(|duty_call| duty_call.entry)
     }
 
     /// Usage reports: window and requests of the account.
     pub fn reports(&self) -> Vec<(u64, u64)> {
-        let reports = self.made.iter().filter_map(|made| match &made.call {
-            duty::Call::Usage { window, counts } => {
-                Some((*window, counts.get(ACCOUNT).copied().unwrap_or(0)))
-            }
-            duty::Call::Replicas { .. } => None,
-        });
+        let reports = self
+            .duty_calls
+            .iter()
+            .filter_map(|duty_call| match &duty_call.call {
+                duty::Call::Usage { window, counts } => {
+                    Some((*window, counts.get(ACCOUNT).copied().unwrap_or(0)))
+                }
+                duty::Call::Replicas { .. } => None,
+            });
         reports.collect()
     }
 
@@ -598,7 +601,7 @@
             let Some(process) = &mut self.processes[entry] else {
                 continue;
             };
-            let now = Time::from_millis(self.now - process.started);
+            let now = Time::from_millis(self.now - process.started_at);
             let mut effects = Vec::new();
             process.gateway.step(now, event, &mut effects);
             for effect in effects {
@@ -610,17 +613,18 @@
     fn carry_out(&mut self, entry: usize, effect: Effect) -> Option<(usize, Event)> {
         match effect {
             Effect::Store { id, call } => {
-                let outcome = match self.store_silent || self.store_cut.contains(&entry) {
-                    true => Outcome::Unknown,
-                    false if self.is_unwritable(&call) => Outcome::Unavailable,
-                    false => self.table.apply(&call),
-                };
+                let outcome =
+                    match self.store_unresponsive || self.store_partitioned.contains(&entry) {
+                        true => Outcome::Unknown,
+                        false if self.is_unwritable(&call) => Outcome::Unavailable,
+                        false => self.table.apply(&call),
+                    };
                 Some((entry, Event::Store { id, outcome }))
             }
             Effect::Duty { id, call, .. } => {
                 let at = self.now;
-                self.made.push(Made { at, entry, call });
-                let outcome = match self.answers_lost {
+                self.duty_calls.push(DutyCall { at, entry, call });
+                let outcome = match self.duty_answers_lost {
                     true => duty::Outcome::Unknown,
                     false => duty::Outcome::Done,
                 };
@@ -631,8 +635,8 @@
             } => {
                 let to = self.reach(entry, &address)?;
                 let sums = sums_in(&digest);
-                *self.sums.entry(to).or_default() += sums;
-                *self.sent.entry(entry).or_default() += sums;
+                *self.sums_received.entry(to).or_default() += sums;
+                *self.sums_sent.entry(entry).or_default() += sums;
                 Some((to, Event::DigestReceived(digest)))
             }
             Effect::RequestCharge {
@@ -661,13 +665,13 @@
                 let requester = self.askers.len() as u64 - 1;
                 let event = Event::ChargeRequested { requester, charge };
                 if self.delay_charges {
-                    self.delayed.push((to, event));
+                    self.delayed_charges.push((to, event));
                     return None;
                 }
                 Some((to, event))
             }
             Effect::ChargeAnswer { requester, answer } => {
-                *self.asked.entry(entry).or_default() += 1;
+                *self.charges_decided.entry(entry).or_default() += 1;
                 let requester = self.askers[requester as usize];
                 let event = Event::ChargeAnswered {
                     serial: requester.serial,
@@ -695,49 +699,50 @@
             Effect::Flight { serial, command } => {
                 match command {
                     Command::Start(start) => {
-                        self.started += 1;
-                        self.handed.push(Handed {
+                        self.attempts_started += 1;
+                        self.sent_requests.push(SentRequest {
                             at: self.now,
                             entry,
                             serial,
                             attempt: start.attempt,
                             server: start.endpoint.incarnation.clone(),
                         });
-                        self.places.insert(serial, start.endpoint.incarnation);
+                        self.servers_by_request
+                            .insert(serial, start.endpoint.incarnation);
                     }
                     Command::Refuse(refusal) => {
                         let reason = format_smolstr!("{:?}", refusal.reason);
                         *self.refused.entry(reason).or_default() += 1;
                     }
-                    Command::Move(place) => self.moved.push((serial, place.incarnation)),
+                    Command::Move(place) => self.moved_runs.push((serial, place.incarnation)),
                     Command::Stop => {}
                 }
                 None
             }
             Effect::Addresses { answer, .. } => {
-                self.named = answer.map(|answer| answer.entries).unwrap_or_default();
+                self.named_entries = answer.map(|answer| answer.entries).unwrap_or_default();
                 None
             }
             Effect::ReadConfiguration => None,
             Effect::FollowServers { pause } => {
-                self.following.insert(entry, pause.is_some());
+                self.reads_list.insert(entry, pause.is_some());
                 None
             }
             Effect::ReadServers => {
-                *self.looks.entry(entry).or_default() += 1;
+                *self.list_reads.entry(entry).or_default() += 1;
                 None
             }
             Effect::OpenServer { incarnation } => {
-                self.closed
+                self.closed_servers
                     .retain(|one| *one != (entry, incarnation.clone()));
                 None
             }
             Effect::CloseServer { incarnation } => {
-                self.closed.push((entry, incarnation));
+                self.closed_servers.push((entry, incarnation));
                 None
             }
             Effect::Log(line) => {
-                *self.lines.entry(line.event).or_default() += 1;
+                *self.log_counts.entry(line.event).or_default() += 1;
                 None
             }
             Effect::Exit => None,
@@ -749,13 +754,16 @@
             return false;
         };
         let mut writes = transaction.writes.iter();
-        writes.any(|write| self.unwritable.is_some_and(|table| write.at.table == table))
+        writes.any(|write| {
+            self.failing_table
+                .is_some_and(|table| write.at.table == table)
+        })
     }
 
     /// Which entry a message comes to, unless one of both is cut off.
     fn reach(&self, from: usize, address: &SmolStr) -> Option<usize> {
         let to = (0..self.processes.len()).find(|entry| peer_address(*entry) == *address)?;
-        let whole = !self.cut.contains(&from) && !self.cut.contains(&to);
+        let whole = !self.partitioned.contains(&from) && !self.partitioned.contains(&to);
         whole.then_some(to)
     }
 }
@@ -861,8 +869,8 @@
 }
 
 /// An order for replicas.
-pub fn order(made: &Made) -> Option<(SmolStr, Market, u32)> {
-    match &made.call {
+pub fn order(duty_call: &DutyCall) -> Option<(SmolStr, Market, u32)> {
+    match &duty_call.call {
         duty::Call::Replicas {
             zone,
             market,
