--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -50,10 +50,9 @@
     pub(crate) identity: Identity,
     pub(crate) settings: Settings,
     pub(crate) random: Pcg64Mcg,
-
-/// The newest configuration known to this process; its version never decreases.
-pub ( crate ) catalog : Option < Rc < Catalog > > , 
-/// When the list of servers was first read.
+    /// The newest configuration known to this process; its version never decreases.
+    pub(crate) catalog: Option<Rc<Catalog>>,
+    /// When the list of servers was first read.
     pub(crate) servers_known_since: Time,
     /// When `catalog` took effect.
     pub(crate) configured_since: Time,
@@ -272,11 +271,10 @@
         self.catalog.is_some() && self.stop_requested_at.is_none()
     }
 
-
-/// Returns the limits on the size and number of callers' requests.
-pub fn limits ( & self ) -> crate :: catalog :: Limits {
-let catalog = self . catalog . as_ref ( ) ;
-catalog . map_or_else ( Default :: default , | catalog | catalog . limits . clone ( ) ) 
+    /// Returns the limits on the size and number of callers' requests.
+    pub fn limits(&self) -> crate::catalog::Limits {
+        let catalog = self.catalog.as_ref();
+        catalog.map_or_else(Default::default, |catalog| catalog.limits.clone())
     }
 
     /// Returns a snapshot for metrics and readiness checks.
