--- a/crates/gateway/tests/counts.rs
+++ b/crates/gateway/tests/counts.rs
@@ -1,4 +1,4 @@
-//! Counts that entries tell each other: quotas and configuration over all of them.
+//! Counts exchanged among entries: quotas, configuration versions and work.
 
 mod support;
 
@@ -8,11 +8,11 @@
 use support::SERVICE;
 use support::World;
 
-/// What an account may use at once and in a second, requests.
+/// The account's burst in requests, and its rate in requests per second.
 const BURST: u32 = 400;
 const RATE: u32 = 40;
 
-/// Sends requests of one account through all entries in turn; how many were handed to a replica.
+/// Sends a request every 10 ms through the entries in turn; returns how many reached a replica.
 fn flood(world: &mut World, entries: usize, millis: u64) -> u32 {
     let before = world.attempts_started;
     for number in 0..millis / 10 {
@@ -22,7 +22,7 @@
     world.attempts_started - before
 }
 
-/// What the quota lets pass in that time, with a tenth more for what entries don't know of each other yet.
+/// Returns the requests that the quota allows, plus a tenth for charges not yet known to other entries.
 fn allowed(millis: u64) -> u32 {
     let seconds = u32::try_from(millis / 1_000).expect("a short test");
     (BURST + RATE * seconds) * 11 / 10
@@ -41,8 +41,8 @@
 
 #[test]
 fn a_flood_through_many_entries_stays_within_the_quota() {
-    // With many entries their counts come as sums by way of two of them; both sums were charged, and accounts got
-    // half of what they had paid for.
+    // Among many entries counts arrive as sums from two hubs. When both were charged, accounts got half of
+    // their quota.
     let mut world = World::new(24);
     world.run(10_000);
 
@@ -54,9 +54,9 @@
 
 #[test]
 fn a_flood_while_hubs_are_lost_stays_within_the_quota() {
-    // An account sent several times its quota while entries were replaced, and got two percent more than was allowed
-    // over all. When the hub that an entry listened to was lost, the next one's sum was taken as known: what had been
-    // charged in between, two seconds' worth, was never taken off.
+    // An account that exceeded its quota while entries were replaced got two percent too much. After the
+    // followed hub was lost, the next one's first sum became the baseline, so that two seconds of charges
+    // were dropped.
     let entries = 24;
     let mut world = World::new(entries);
     world.run(10_000);
@@ -74,9 +74,9 @@
 
 #[test]
 fn entries_killed_together_refuse_nobody_for_the_past() {
-    // Accounts far below their quotas were refused for half a minute after all entries had been killed and started
-    // again. The dead stood among the members for some seconds, so that eight entries counted as seventeen; counts
-    // came as sums from then on, and what a new entry's sum rose by was taken for new use.
+    // After all entries were killed and restarted, accounts far below their quotas were refused for half a
+    // minute. The dead members raised the number of entries above the limit for direct exchange, and the rise
+    // of each new entry's sum was charged as new use.
     let mut world = World::new(9);
     world.run(5_000);
     flood(&mut world, 9, 3_000);
@@ -100,8 +100,8 @@
 
 #[test]
 fn an_entry_started_anew_charges_nothing_twice() {
-    // An account well within its quota was refused after all entries had been started anew. Each of them heard its own
-    // counts by the address of its earlier life, and charged its requests twice.
+    // After all entries were restarted, an account within its quota was refused: each entry received its own
+    // counts at the address of its earlier incarnation, and charged its requests twice.
     let entries = 4;
     let mut world = World::new(entries);
     world.run(5_000);
@@ -121,8 +121,8 @@
 
 #[test]
 fn the_loss_of_a_hub_charges_nothing_twice() {
-    // As above among many entries: the entry whose sums all listened to is killed, and another one's take their
-    // place. Its sum began elsewhere, and the difference was charged.
+    // The same among many entries: when the followed hub was killed, the sum of its replacement had another
+    // baseline, and the difference was charged.
     let mut world = World::new(24);
     world.run(10_000);
     flood(&mut world, 24, 20_000);
@@ -143,8 +143,8 @@
 
 #[test]
 fn a_configuration_never_goes_back() {
-    // A request was served by a route that an operator had removed: an entry had read the new version, and a
-    // neighbour that was behind sent it the old one.
+    // An entry that had read a new configuration accepted the old one from a peer, and served a removed
+    // route.
     let mut world = World::new(2);
     world.run(2_000);
     for entry in 0..2 {
@@ -159,7 +159,7 @@
 
 #[test]
 fn an_entry_that_cannot_read_gets_the_configuration_from_others() {
-    // One entry served an old version for as long as the table service turned its reads away.
+    // An entry served an old version for as long as the table service refused its reads.
     let mut world = World::new(4);
     world.run(2_000);
     for entry in 0..3 {
@@ -172,9 +172,9 @@
 
 #[test]
 fn a_new_configuration_is_not_sent_by_all_to_all() {
-    // After each change of the configuration, and after each start, a large system answered late for ten seconds.
-    // Every entry read the change at once, but heard of the others' reading seconds later, and meanwhile sent it to
-    // all of them every half second: ten thousand documents a second over links of 10 Mbit/s.
+    // After each change of the configuration, a large system answered late for ten seconds: applied versions
+    // were reported seconds later, and meanwhile each entry sent the document to all others every half
+    // second.
     let entries = 40;
     let mut world = World::new(entries);
     world.run(10_000);
@@ -191,10 +191,9 @@
 
 #[test]
 fn a_new_configuration_is_not_sent_to_earlier_lives() {
-    // A change came in force and all entries of a large system were killed. Those that took their place had it at
-    // once, yet sent it to each other thousands of times: the earlier lives stood among the members with the old version
-    // and the same addresses. One entry's link of 10 Mbit/s was full for 13 seconds, in which it heard of no server
-    // that left.
+    // All entries of a large system were killed after a change. Their replacements had the new version, yet
+    // sent it to each other thousands of times, since the earlier incarnations remained members with the old
+    // version and the same addresses. A link of 10 Mbit/s was saturated for 13 seconds.
     let entries = 40;
     let mut world = World::new(entries);
     world.run(10_000);
@@ -217,8 +216,8 @@
     assert!(sent <= entries as u32, "{sent}");
 }
 
-/// In an overload callers came back after each refusal and were counted as new work each time: five times the work was
-/// measured of twice the requests, and 157 on-demand replicas were ordered where 70 were enough.
+/// In an overload, callers retried after each refusal and were counted as new work each time: twice the
+/// requests counted as five times the work, and 157 on-demand replicas were ordered instead of 70.
 #[test]
 fn a_request_that_comes_back_counts_once_in_every_sum() {
     let mut entries = [Bulletin::default(), Bulletin::default()];
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -142,7 +142,7 @@
     let first = world.duty_calls.first().expect("someone reports again");
 
     assert_eq!(first.entry, holder);
-    assert!(first.at < restarted_at + WINDOW + 2_500);
+    assert!(first.made_at < restarted_at + WINDOW + 2_500);
 }
 
 #[test]
--- a/crates/gateway/tests/hubs.rs
+++ b/crates/gateway/tests/hubs.rs
@@ -1,4 +1,4 @@
-//! What entries that tell counts by hubs send each other.
+//! Messages among entries that exchange counts by hubs.
 
 mod support;
 
@@ -7,19 +7,18 @@
 use gateway::configs::gateway::Settings;
 use support::World;
 
-/// Enough that counts travel by hubs.
+/// Enough entries for an exchange by hubs.
 const ENTRIES: usize = 24;
-/// Two rounds of heartbeats, by which all know who lives, and a telling.
-const SOON_MS: u64 = 2_500;
-/// Hubs, and how often each tells its sum in a second.
-const SUMS_A_SECOND: u32 = 2 * 2;
+/// Two rounds of heartbeats, after which all entries know who is alive, and one round of counts.
+const RECOVERY_MS: u64 = 2_500;
+/// Two hubs, each of which sends two sums a second.
+const SUMS_PER_SECOND: u32 = 2 * 2;
 
 #[test]
 fn a_hub_tells_each_entry_once_also_after_all_were_started_anew() {
-    // After all entries had ended and started again, three of 75 lost the table service, their peers and the replicas
-    // for eight seconds and sent requests to servers that had left. They were the hubs.
-    // Cause: each sum went to earlier lives too, which have the addresses of the present ones. Evidence: sums_sent
-    // told of 242 members, of whom 75 lived, and 1.9 MB a second over links of 1.25; 974 of 974 digests were lost.
+    // After all entries were restarted, three of 75 lost the table service, their peers and the replicas for
+    // eight seconds. They were the hubs: each sent its sums to earlier incarnations too, which have the
+    // addresses of the present ones, and wrote 1.9 MB a second to 242 members over links of 1.25 MB a second.
     let mut world = World::new(ENTRIES);
     world.run(6_000);
     for _ in 0..3 {
@@ -32,25 +31,24 @@
         }
         world.run(2_000);
     }
-    // The earlier lives are still members, but no longer hubs.
+    // The earlier incarnations are still members, but no longer hubs.
     world.run(4_000);
     let before = world.sums_received.clone();
     world.run(1_000);
 
     for (entry, sums) in &world.sums_received {
-        let in_a_second = sums - before.get(entry).copied().unwrap_or(0);
+        let per_second = sums - before.get(entry).copied().unwrap_or(0);
         assert!(
-            in_a_second <= SUMS_A_SECOND,
-            "entry {entry}: {in_a_second} sums"
+            per_second <= SUMS_PER_SECOND,
+            "entry {entry}: {per_second} sums"
         );
     }
 }
 
 #[test]
 fn sums_come_again_soon_after_all_were_started_anew() {
-    // For five seconds after all entries had ended together and started again, nobody heard what the others count:
-    // quotas went by parts, replicas by a part of the work. All told hubs that were earlier lives, and those that
-    // have their addresses now took themselves for none.
+    // For five seconds after all entries were restarted, nobody received the others' counts: all sent theirs
+    // to hubs that were earlier incarnations, and those at these addresses didn't take themselves for hubs.
     let mut world = World::new(ENTRIES);
     world.run(6_000);
     for entry in 0..ENTRIES {
@@ -60,7 +58,7 @@
     for entry in 0..ENTRIES {
         world.start(entry);
     }
-    world.run(SOON_MS);
+    world.run(RECOVERY_MS);
     let before = world.sums_received.clone();
     world.run(1_000);
 
@@ -72,8 +70,9 @@
 
 #[test]
 fn hubs_are_the_entries_that_can_take_the_most() {
-    // Beside six large entries two small ones were the hubs of 75. What a hub sends filled half of a small one's link;
-    // with its callers' streams it lost the table service and gave up 45 connections to replicas in twenty seconds.
+    // Two small entries of 75 became hubs although six were large. Their sums filled half of a small entry's
+    // link; together with callers' streams they cost it the table service and 45 connections to replicas in
+    // twenty seconds.
     const LARGE: usize = 3;
     let settings = Settings {
         entries: ENTRIES as u32,
@@ -89,8 +88,9 @@
     let before = world.sums_sent.clone();
     world.run(2_000);
 
-    let told = |entry: usize| world.sums_sent[&entry] - before.get(&entry).copied().unwrap_or(0);
-    let hubs: Vec<usize> = (0..ENTRIES).filter(|entry| told(*entry) > 0).collect();
+    let sums_sent =
+        |entry: usize| world.sums_sent[&entry] - before.get(&entry).copied().unwrap_or(0);
+    let hubs: Vec<usize> = (0..ENTRIES).filter(|entry| sums_sent(*entry) > 0).collect();
     assert_eq!(hubs.len(), 2);
     assert!(hubs.iter().all(|hub| *hub < LARGE), "{hubs:?}");
 }
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -77,8 +77,8 @@
             }
             for handed in std::mem::take(&mut world.sent_requests) {
                 let times = arrivals.entry(handed.server.clone()).or_default();
-                times.push(handed.at);
-                due.entry(handed.at + ANSWER_MILLIS)
+                times.push(handed.sent_at);
+                due.entry(handed.sent_at + ANSWER_MILLIS)
                     .or_default()
                     .push(handed);
             }
--- a/crates/gateway/tests/quotas.rs
+++ b/crates/gateway/tests/quotas.rs
@@ -1,22 +1,22 @@
-//! Quotas among many entries, which one of them decides on for all.
+//! Quotas among many entries, for each of which one entry decides.
 
 mod support;
 
 use support::World;
 
 const ENTRIES: usize = 20;
-/// Burst of the account in the configuration of these tests; its rate is a tenth of that.
+/// Burst of the test account in requests, and its rate in requests per second.
 const BURST: u32 = 400;
 const RATE: u32 = 40;
 
-/// Entries that have found each other and have the whole burst saved up.
+/// Starts entries that know each other, with a full burst saved up.
 fn settled() -> World {
     let mut world = World::new(ENTRIES);
     world.run(15_000);
     world
 }
 
-/// So many requests a millisecond through all entries in turn; how many were handed to a replica.
+/// Sends `each` requests per millisecond through the entries in turn; returns how many reached a replica.
 fn flood(world: &mut World, millis: u64, each: usize) -> u32 {
     let before = world.attempts_started;
     for turn in 0..millis {
@@ -30,8 +30,8 @@
     world.attempts_started - before
 }
 
-/// An account sends many times its quota through all entries within a second. Each entry knew of the others' charges
-/// half a second later only, and all together gave the burst away more than once.
+/// An account sends many times its quota through all entries within a second. Each entry learned of the
+/// others' charges half a second later, and together they granted the burst more than once.
 #[test]
 fn a_flood_through_many_entries_gets_one_burst() {
     let mut world = settled();
@@ -43,8 +43,8 @@
     assert!(homes <= 2, "{homes} entries decided");
 }
 
-/// The entry that decides on an account falls silent. Its requests go on after the time that an answer may take, and
-/// once it is known to be silent nobody waits for it.
+/// The entry that decides on an account stops answering. A pending request is admitted after a timeout, and
+/// later ones skip that entry.
 #[test]
 fn a_home_that_falls_silent_is_passed_over() {
     let mut world = settled();
@@ -67,8 +67,8 @@
     assert_eq!(world.log_count("quota_home_silent"), 1);
 }
 
-/// The hubs of 295 entries write to all of them twice a second, and requests that asked one of them for a charge waited
-/// over 80 ms: 2 in 100, nearly all at these two.
+/// The hubs of 295 entries write to all others twice a second. Of 100 requests, 2 waited over 80 ms for a
+/// charge, nearly all of them for one at a hub.
 #[test]
 fn hubs_decide_on_no_account() {
     let mut world = World::new(ENTRIES);
@@ -97,8 +97,8 @@
     }
 }
 
-/// A caller leaves while its charge is under way to a home that answers late: what was granted meanwhile must go back,
-/// or the account pays for a request that never ran.
+/// A caller disconnects while its charge is pending at an entry that answers late. The late grant must be
+/// refunded, or the account pays for a request that never ran.
 #[test]
 fn a_grant_that_comes_late_goes_back() {
     let mut world = settled();
--- a/crates/gateway/tests/restored.rs
+++ b/crates/gateway/tests/restored.rs
@@ -1,5 +1,5 @@
-//! The table service comes back from a copy some seconds old: what was written since is gone, and revisions are given out
-//! again.
+//! Restores of the table service from a copy some seconds old: later writes are lost, and their revisions
+//! reused.
 
 mod support;
 
@@ -9,33 +9,36 @@
 use support::World;
 
 const ENTRIES: [usize; 3] = [4, 24, 62];
-/// Length of a window of usage, milliseconds.
-const WINDOW: u64 = 5_000;
-/// A lease with its margin, and some tenths of a second.
-const LONGEST_GAP: u64 = 4_500 + 500;
+/// Length of a usage window, milliseconds.
+const WINDOW_MS: u64 = 5_000;
+/// Term of the lease with its margin, plus half a second.
+const LONGEST_GAP_MS: u64 = 4_500 + 500;
 
-/// Rows of the lease had lower revisions than those known before, and nobody could hold it until numbers had grown past
-/// them; a former holder's row was back, and it acted beside the present one.
+/// Rows of the lease had lower revisions than before, so that nobody could hold it until revisions had caught
+/// up. A former holder's row was back, and that entry acted beside the present holder.
 #[test]
 fn duties_have_one_holder_through_a_restored_copy() {
     for entries in ENTRIES {
         for age in [500, 3_000, 9_000] {
             let mut world = World::new(entries);
             world.run(6_000);
-            // The copy names a holder that has ended since.
+            // The copy names a holder that is killed before the restore.
             let copy = world.table.clone();
             let first = world.holders()[0];
             world.kill(first);
             world.longest_gap_without_holder(age.max(7_000));
             world.table.restore(&copy);
             let gap = world.longest_gap_without_holder(12_000);
-            assert!(gap <= LONGEST_GAP, "{entries} entries, {age} ms: {gap} ms");
+            assert!(
+                gap <= LONGEST_GAP_MS,
+                "{entries} entries, {age} ms: {gap} ms"
+            );
         }
     }
 }
 
-/// A window's counts were fixed and reported, then the table service lost them. The next holder had heard of more requests
-/// by then, and reported the window again with other counts.
+/// A window's counts were stored and reported, then lost by the table service. The next holder knew of more
+/// requests by then, and reported the window again with other counts.
 #[test]
 fn no_window_is_reported_twice_with_other_counts() {
     let mut world = World::new(4);
@@ -44,8 +47,8 @@
     let late = (holder + 1) % 4;
     let copy = world.table.clone();
     world.partitioned.insert(late);
-    world.run(WINDOW - world.now % WINDOW);
-    let window = world.unix_ms() / WINDOW;
+    world.run(WINDOW_MS - world.now % WINDOW_MS);
+    let window = world.unix_ms() / WINDOW_MS;
     for _ in 0..20 {
         world.serve(late);
         world.serve(late);
@@ -69,7 +72,7 @@
     assert_eq!(counts.len(), 1, "{reports:?}");
 }
 
-/// A server had left in the seconds that were lost. Its row was back as ready, and requests went to it again.
+/// A server's removal was lost in the restore. Its row was back as ready, and it got requests again.
 #[test]
 fn a_server_that_left_gets_no_requests_again() {
     let mut world = World::new(4);
--- a/crates/gateway/tests/silence.rs
+++ b/crates/gateway/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Entries that end without a word, and how long callers are sent to them.
+//! Failure detection: how long callers are sent to entries that were killed.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,37 +9,37 @@
 use support::World;
 use support::caller_address;
 
-/// From an entry's loss until nobody names it any more, milliseconds: the aim at every size.
-const UNNAMED: u64 = 2_500;
-const SETTLED: u64 = 9_000;
-const LOOK: u64 = 100;
+/// Longest time for which a killed entry is still named to callers, milliseconds.
+const MAX_NAMED_MS: u64 = 2_500;
+const SETTLE_MS: u64 = 9_000;
+const CHECK_INTERVAL_MS: u64 = 100;
 
-/// Kills entries; the longest time for which another one names one of them.
-fn named_for(entries: usize, lost: &BTreeSet<usize>) -> u64 {
+/// Kills entries; returns for how long any other one still names one of them, milliseconds.
+fn longest_named_ms(entries: usize, lost: &BTreeSet<usize>) -> u64 {
     let mut world = World::new(entries);
-    world.run(SETTLED);
+    world.run(SETTLE_MS);
     for entry in lost {
         world.kill(*entry);
     }
-    let lost_at = world.now;
+    let killed_at = world.now;
     let mut last = 0;
-    while world.now < lost_at + 9_000 {
-        world.run(LOOK);
+    while world.now < killed_at + 9_000 {
+        world.run(CHECK_INTERVAL_MS);
         for entry in (0..entries).filter(|entry| !lost.contains(entry)) {
             let named = world.ask_addresses(entry);
             let gone = |one: &usize| named.contains(&caller_address(*one));
             if lost.iter().any(gone) {
-                last = world.now - lost_at;
+                last = world.now - killed_at;
             }
         }
     }
     last
 }
 
-/// The entries that send the most sums.
+/// Returns the two entries that send the most sums.
 fn hubs(entries: usize) -> BTreeSet<usize> {
     let mut world = World::new(entries);
-    world.run(SETTLED);
+    world.run(SETTLE_MS);
     world.sums_sent.clear();
     world.run(1_000);
     let mut sent: Vec<(u32, usize)> = world
@@ -57,12 +57,15 @@
 
 #[test]
 fn a_lost_entry_is_soon_named_no_more() {
-    // With the number of entries grew how long heartbeats took to come round, and with that how long nobody doubted one
-    // that was off: seven seconds among 62.
+    // The time to detect a failure grew with the number of entries, as did the time for heartbeats to reach
+    // all: seven seconds among 62.
     for entries in [8, 24, 62] {
         let lost = BTreeSet::from([3]);
-        let named = named_for(entries, &lost);
-        assert!(named <= UNNAMED, "named for {named} ms, {entries} entries");
+        let named = longest_named_ms(entries, &lost);
+        assert!(
+            named <= MAX_NAMED_MS,
+            "named for {named} ms, {entries} entries"
+        );
     }
 }
 
@@ -70,8 +73,11 @@
 fn many_entries_lost_at_once_are_soon_named_no_more() {
     for entries in [8, 24] {
         let lost: BTreeSet<usize> = (0..entries).filter(|entry| entry % 3 == 0).collect();
-        let named = named_for(entries, &lost);
-        assert!(named <= UNNAMED, "named for {named} ms, {entries} entries");
+        let named = longest_named_ms(entries, &lost);
+        assert!(
+            named <= MAX_NAMED_MS,
+            "named for {named} ms, {entries} entries"
+        );
     }
 }
 
@@ -80,18 +86,18 @@
     let entries = 24;
     let mut lost = hubs(entries);
     lost.insert((0..entries).find(|entry| !lost.contains(entry)).unwrap());
-    let named = named_for(entries, &lost);
-    assert!(named <= 2 * UNNAMED, "named for {named} ms");
+    let named = longest_named_ms(entries, &lost);
+    assert!(named <= 2 * MAX_NAMED_MS, "named for {named} ms");
 }
 
 #[test]
 fn live_entries_stay_named() {
-    // Who is taken for lost by mistake gets no callers while the others get too many.
+    // An entry suspected by mistake would get no callers, while the others get too many.
     let mut world = World::new(24);
-    world.run(SETTLED);
+    world.run(SETTLE_MS);
     let mut missing = 0;
     for _ in 0..100 {
-        world.run(LOOK);
+        world.run(CHECK_INTERVAL_MS);
         let named: BTreeSet<_> = (0..24)
             .flat_map(|entry| world.ask_addresses(entry))
             .collect();
@@ -103,7 +109,7 @@
 #[test]
 fn an_entry_that_was_cut_off_is_soon_named_again() {
     let mut world = World::new(24);
-    world.run(SETTLED);
+    world.run(SETTLE_MS);
     world.partitioned.insert(5);
     world.run(4_000);
     assert!(!world.ask_addresses(7).contains(&caller_address(5)));
--- a/crates/gateway/tests/stop.rs
+++ b/crates/gateway/tests/stop.rs
@@ -1,4 +1,4 @@
-//! What an entry that was asked to stop takes on still.
+//! Requests accepted by an entry that was asked to stop.
 
 mod support;
 
@@ -6,8 +6,8 @@
 
 #[test]
 fn a_stopping_entry_begins_no_stream_that_its_end_would_cut() {
-    // A stream broke off in the middle of its answer. Its caller had held on to an address and came four and a half
-    // seconds after the entry was asked to stop; three seconds later the entry's time was up.
+    // A stream was cut in the middle of its answer: its caller used a cached address and arrived four and a
+    // half seconds after the entry was asked to stop, and three seconds before its grace period was over.
     let mut world = World::new(2);
     world.run(5_000);
     world.stop(0);
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Some gateways over one table service, without sockets: each test plays a history step by step.
+//! A simulated cluster of gateways over one table service, without sockets, that tests drive step by step.
 
 #![allow(dead_code)]
 
@@ -53,33 +53,33 @@
 pub const SERVICE: &str = "drafts";
 pub const KEY: &str = "amber-key";
 const STEP_MS: u64 = 10;
-/// Time between two looks at who holds the duties, milliseconds.
+/// Time between two checks of who holds the duties, milliseconds.
 const HOLDER_CHECK_MS: u64 = 50;
 const ZONES: [&str; 3] = ["north", "south", "west"];
-/// True time at the start; a window begins then.
+/// Unix time at the start, at which a usage window begins.
 const ZERO_UNIX_MS: u64 = 1_000_000_000;
-/// Servers of the start, in each of two zones.
+/// Servers per zone at the start.
 const SERVERS: usize = 3;
 
-/// A call that only the holder of the duties makes, and who made it.
+/// A call that an entry made as the holder of the duties.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DutyCall {
-    pub at: u64,
+    pub made_at: u64,
     pub entry: usize,
     pub call: duty::Call,
 }
 
-/// A request that was handed to a server.
+/// A request that an entry sent to a server.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
-    pub at: u64,
+    pub sent_at: u64,
     pub entry: usize,
     pub serial: u64,
     pub attempt: u32,
     pub server: SmolStr,
 }
 
-/// An entry that asked another one for a charge.
+/// A pending charge that one entry asked another for.
 #[derive(Clone, Copy)]
 struct Asker {
     entry: usize,
@@ -88,72 +88,72 @@
     home: holder::Id,
 }
 
-/// One entry's process.
+/// The process of an entry.
 struct Process {
     gateway: Gateway,
-    /// Its clock's zero.
+    /// Simulated time at its start, the zero of its clock.
     started_at: u64,
 }
 
-/// Entries, their table service and what they did.
+/// Entries, their table service, and a record of their effects.
 pub struct World {
     pub now: u64,
     pub table: Table,
-    /// Calls of the duties, in order.
+    /// Calls made by holders of the duties, in order.
     pub duty_calls: Vec<DutyCall>,
-    /// Calls of the duties whose answer is lost, from here on.
+    /// Whether answers to calls of the duties get lost.
     pub duty_answers_lost: bool,
-    /// Refusals seen by callers, by reason.
+    /// Refusals received by callers, by reason.
     pub refused: BTreeMap<SmolStr, u32>,
-    /// Requests handed to a replica.
+    /// Number of attempts sent to a replica.
     pub attempts_started: u32,
-    /// Where each request was handed to last, by serial.
+    /// Server that each request was last sent to, by serial number.
     pub servers_by_request: BTreeMap<u64, SmolStr>,
-    /// Requests as they were handed to servers.
+    /// Requests sent to servers, in order.
     pub sent_requests: Vec<SentRequest>,
-    /// Entries that the last answer to a caller named.
+    /// Entries named in the last answer to a caller.
     named_entries: Vec<SmolStr>,
-    /// Runs that were ordered to move: serial, and the server that they go to.
+    /// Runs ordered to move: serial number and target server.
     pub moved_runs: Vec<(u64, SmolStr)>,
-    /// Lines of all logs, by event.
+    /// Log lines of all entries by event.
     log_counts: BTreeMap<&'static str, u32>,
-    /// Whether the table service answers nobody.
+    /// Whether no call of the table service is answered.
     pub store_unresponsive: bool,
     /// The table whose writes fail.
     pub failing_table: Option<&'static str>,
-    /// Entries that the table service doesn't answer.
+    /// Entries whose calls of the table service aren't answered.
     pub store_partitioned: BTreeSet<usize>,
-    /// How many availability zones the entries are spread over from their next start on.
+    /// Number of availability zones for entries that start from now on.
     pub zones: usize,
-    /// How often each entry read the list of servers anew by itself.
+    /// Additional reads of the list of servers that each entry requested.
     pub list_reads: BTreeMap<usize, u32>,
-    /// Whether each entry reads the list of servers, by its last effect.
+    /// Whether each entry reads the list of servers, by its latest effect.
     pub reads_list: BTreeMap<usize, bool>,
-    /// Sums of hubs that came to each entry.
+    /// Hub sums received by each entry.
     pub sums_received: BTreeMap<usize, u32>,
-    /// Sums that each entry sent as a hub.
+    /// Hub sums sent by each entry.
     pub sums_sent: BTreeMap<usize, u32>,
-    /// Entries that no message reaches or leaves.
+    /// Entries cut off from all messages.
     pub partitioned: BTreeSet<usize>,
-    /// Whether a charge that reaches nobody has no answer at all, and not one at once that it failed.
+    /// Whether a charge sent to an unreachable entry gets no answer instead of an immediate failure.
     pub charges_hang: bool,
-    /// Whether charges stay under way until they are answered by the test.
+    /// Whether charges are held back until [`World::answer_charges`].
     pub delay_charges: bool,
-    /// Charges under way, and to which entry.
+    /// Held charges with the entries that they are for.
     delayed_charges: Vec<(usize, Event)>,
-    /// Charges that each entry decided for others.
+    /// Number of charges that each entry decided for others.
     pub charges_decided: BTreeMap<usize, u32>,
-    /// Who asked for charges, by number.
+    /// Pending charges by asker number.
     askers: Vec<Asker>,
     pub version: u64,
-    /// Servers that an entry was told to hand nothing more, by entry.
+    /// Closed servers with the entry that closed each.
     pub closed_servers: Vec<(usize, SmolStr)>,
     pub servers: Vec<Server>,
     /// Revision of the list of servers.
     pub list_revision: u64,
-    /// How much some entries can take.
+    /// Configured capacities of entries, if not the default.
     capacities: BTreeMap<usize, u8>,
-    /// By how much the wall clocks of some entries are ahead, milliseconds.
+    /// Milliseconds by which entries' wall clocks are ahead.
     clock_leads: BTreeMap<usize, u64>,
     settings: Settings,
     processes: Vec<Option<Process>>,
@@ -162,7 +162,7 @@
 }
 
 impl World {
-    /// So many entries that start together and have the configuration and the servers.
+    /// Starts entries with default settings, each with the configuration and the list of servers.
     pub fn new(entries: usize) -> World {
         let settings = Settings {
             entries: entries as u32,
@@ -173,7 +173,7 @@
         World::with_settings(entries, settings)
     }
 
-    /// The same with given settings.
+    /// Starts entries with the given settings.
     pub fn with_settings(entries: usize, settings: Settings) -> World {
         let mut world = World {
             now: 0,
@@ -203,7 +203,7 @@
             askers: Vec::new(),
             version: 3,
             closed_servers: Vec::new(),
-            servers: some_servers(),
+            servers: initial_servers(),
             list_revision: 1,
             capacities: BTreeMap::new(),
             clock_leads: BTreeMap::new(),
@@ -218,12 +218,12 @@
         world
     }
 
-    /// Starts an entry's process at its old addresses.
+    /// Starts an entry's process at its usual addresses, replacing a running one.
     pub fn start(&mut self, entry: usize) {
         self.next_life += 1;
         let identity = Identity {
             name: format_smolstr!("entry-{entry}"),
-            // Scattered, as drawn ones are.
+            // Spread over all values, like random ones.
             incarnation: holder::Id(self.next_life.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             zone: SmolStr::new_static(ZONES[entry % self.zones]),
             caller_address: caller_address(entry),
@@ -242,18 +242,18 @@
         self.send_servers(entry);
     }
 
-    /// Starts an entry anew with a wall clock that is ahead.
+    /// Restarts an entry with a wall clock that is ahead.
     pub fn restart_with_clock_ahead(&mut self, entry: usize, millis: u64) {
         self.clock_leads.insert(entry, millis);
         self.start(entry);
     }
 
-    /// From its next start on, how much an entry can take against others.
+    /// Sets an entry's capacity as of its next start.
     pub fn set_capacity(&mut self, entry: usize, capacity: u8) {
         self.capacities.insert(entry, capacity);
     }
 
-    /// True time.
+    /// Returns the true Unix time.
     pub fn unix_ms(&self) -> u64 {
         ZERO_UNIX_MS + self.now
     }
@@ -263,7 +263,7 @@
         self.processes[entry] = None;
     }
 
-    /// Gives an entry a version of the configuration.
+    /// Delivers a version of the configuration to an entry.
     pub fn configure(&mut self, entry: usize, version: u64, source: Source) {
         let catalog = Rc::new(catalog(version));
         let document = Bytes::from(version.to_string());
@@ -277,7 +277,7 @@
         );
     }
 
-    /// Tells all entries the servers anew.
+    /// Delivers the whole list of servers to all entries.
     pub fn publish_servers(&mut self) {
         self.list_revision += 1;
         for entry in 0..self.processes.len() {
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Tells an entry that a server's row ended, as its feed does.
+    /// Delivers to an entry the removal of a server's row, as its feed does.
     pub fn send_removal(&mut self, entry: usize, id: &SmolStr) {
         let removed = vec![Removal {
             id: id.clone(),
@@ -301,13 +301,13 @@
         self.step(entry, Event::Servers(reading));
     }
 
-    /// Ends the row of a server, the last one; nobody is told yet.
+    /// Removes the last server's row without delivering the change.
     pub fn remove_server(&mut self) -> Server {
         self.list_revision += 1;
         self.servers.pop().expect("a server")
     }
 
-    /// A server starts; nobody is told yet.
+    /// Adds a server without delivering the change.
     pub fn add_server(&mut self) -> Server {
         self.list_revision += 1;
         let number = self.servers.len();
@@ -321,7 +321,7 @@
         server
     }
 
-    /// The operator orders a roll-out, which all entries read.
+    /// Orders a roll-out, which all entries read.
     pub fn order_rollout(&mut self, to: &str, within: Span) {
         self.list_revision += 1;
         let order = Order {
@@ -335,21 +335,21 @@
         }
     }
 
-    /// The operator takes the order back.
+    /// Withdraws all orders for roll-outs.
     pub fn withdraw_rollout(&mut self) {
         for entry in 0..self.processes.len() {
             self.step(entry, Event::RolloutsKnown(Vec::new()));
         }
     }
 
-    /// A request, and the life of the server that it was handed to.
+    /// Sends a request; returns its serial number and the server that got it, if any.
     pub fn start_request(&mut self, entry: usize) -> Option<(u64, SmolStr)> {
         let serial = self.request(entry);
         let place = self.servers_by_request.get(&serial)?;
         Some((serial, place.clone()))
     }
 
-    /// The server of a request answers it, whole or with a failure.
+    /// Answers a request, successfully or with a failure.
     pub fn finish_request(&mut self, entry: usize, serial: u64, fails: bool) {
         match fails {
             true => self.report(entry, serial, Report::Ended(End::Failed { status: 500 })),
@@ -357,12 +357,12 @@
         }
     }
 
-    /// An entry can't follow the list any more.
+    /// Reports to an entry that it can't follow the list of servers.
     pub fn fail_list(&mut self, entry: usize) {
         self.step(entry, Event::ServersLost);
     }
 
-    /// How many requests of one every 20 ms, for that long, an entry hands to a server.
+    /// Sends a request every 20 ms for `millis`; returns how many reach `server`.
     pub fn count_requests_to(&mut self, entry: usize, server: &Server, millis: u64) -> usize {
         let end = self.now + millis;
         let mut handed = 0;
@@ -375,12 +375,12 @@
         handed
     }
 
-    /// Tells an entry the servers as they are, as after a gap.
+    /// Delivers the whole list of servers to an entry, as after a gap.
     pub fn send_servers(&mut self, entry: usize) {
         self.send_servers_as_of(entry, self.list_revision, self.servers.clone());
     }
 
-    /// Tells an entry these servers as of a revision of the list, at which all wrote their rows.
+    /// Delivers a list with rows written at `revision` to an entry.
     pub fn send_servers_as_of(&mut self, entry: usize, revision: u64, mut servers: Vec<Server>) {
         for server in &mut servers {
             server.revision = revision;
@@ -397,7 +397,7 @@
         self.step(entry, Event::StopRequested);
     }
 
-    /// Lets time pass.
+    /// Advances the time in steps, with a tick of every entry in each.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
@@ -408,30 +408,30 @@
         }
     }
 
-    /// A request that is answered at once, if it is handed to a replica; whether it was.
+    /// Sends a request and answers it at once; returns whether it reached a replica.
     pub fn serve(&mut self, entry: usize) -> bool {
         self.serve_path(entry, "/drafts/1")
     }
 
-    /// Asks an entry which ones to use.
+    /// Asks an entry for addresses and returns the entries it names.
     pub fn ask_addresses(&mut self, entry: usize) -> Vec<SmolStr> {
         let (requester, zone) = (1, None);
         self.step(entry, Event::AddressesRequested { requester, zone });
         std::mem::take(&mut self.named_entries)
     }
 
-    /// A request of nobody's account that isn't answered yet.
+    /// Sends a request on a public route, which stays unanswered.
     pub fn request_public(&mut self, entry: usize) {
         self.arrive(entry, "/open/1", None);
     }
 
-    /// A request that was handed over is answered; with its server's limit in requests a second, if that names one.
-    pub fn answer_with_limit(&mut self, handed: &SentRequest, limit: Option<f64>) {
+    /// Answers a request, with a limit in requests per second if there is one.
+    pub fn answer_with_limit(&mut self, sent: &SentRequest, limit: Option<f64>) {
         let event = Event::LimitReported {
-            incarnation: handed.server.clone(),
+            incarnation: sent.server.clone(),
             rate: limit.and_then(Rate::per_second),
         };
-        self.step(handed.entry, event);
+        self.step(sent.entry, event);
         let ended = Report::Ended(End::Finished {
             status: 200,
             tokens: 1,
@@ -439,32 +439,32 @@
         });
         for report in [Report::ResponseStarted, ended] {
             let event = Event::Attempt {
-                serial: handed.serial,
-                attempt: handed.attempt,
+                serial: sent.serial,
+                attempt: sent.attempt,
                 report,
             };
-            self.step(handed.entry, event);
+            self.step(sent.entry, event);
         }
     }
 
-    /// A request that isn't answered yet; its serial.
+    /// Sends a request that stays unanswered; returns its serial number.
     pub fn request(&mut self, entry: usize) -> u64 {
         self.arrive(entry, "/drafts/1", None)
     }
 
-    /// The caller of a request leaves.
+    /// Disconnects the caller of a request.
     pub fn disconnect_caller(&mut self, entry: usize, serial: u64) {
         self.step(entry, Event::CallerDisconnected { serial });
     }
 
-    /// Lets charges that are under way arrive.
+    /// Delivers the charges that were held back.
     pub fn answer_charges(&mut self) {
         for (to, event) in std::mem::take(&mut self.delayed_charges) {
             self.step(to, event);
         }
     }
 
-    /// The same at a path.
+    /// Like [`World::serve`], for a path.
     pub fn serve_path(&mut self, entry: usize, path: &str) -> bool {
         let before = self.attempts_started;
         let serial = self.arrive(entry, path, None);
@@ -472,7 +472,7 @@
         self.attempts_started > before
     }
 
-    /// A request with a prompt of so many tokens, all its own, whose answer begins after `took` milliseconds.
+    /// Serves a request with `tokens` unshared prompt tokens, whose answer begins after `took` milliseconds.
     pub fn serve_prompt(&mut self, entry: usize, tokens: u32, took: u64) {
         let prompt = Prompt {
             tokens,
@@ -484,7 +484,7 @@
         self.answer(entry, serial);
     }
 
-    /// A long stream that may not be begun anew, and whose first event has come.
+    /// Starts a long stream that can't be resumed, and delivers its first event.
     pub fn stream(&mut self, entry: usize) -> u64 {
         let prompt = Prompt {
             tokens: 5_000,
@@ -496,7 +496,7 @@
         serial
     }
 
-    /// What the task of a request reports of its first attempt.
+    /// Delivers a report on a request's first attempt.
     pub fn report(&mut self, entry: usize, serial: u64, report: Report) {
         let event = Event::Attempt {
             serial,
@@ -533,12 +533,12 @@
         }
     }
 
-    /// How many lines of an event all logs have.
+    /// Returns the number of log lines of an event.
     pub fn log_count(&self, event: &str) -> u32 {
         self.log_counts.get(event).copied().unwrap_or(0)
     }
 
-    /// The configuration in force at each live entry.
+    /// Returns the configuration version of each live entry.
     pub fn versions(&self) -> Vec<u64> {
         let live = self.processes.iter().flatten();
         live.map(|process| {
@@ -548,7 +548,7 @@
         .collect()
     }
 
-    /// Entries that hold the duties' lease at this moment.
+    /// Returns the entries that currently hold the duties' lease.
     pub fn holders(&self) -> Vec<usize> {
         let holds = |entry: &usize| {
             self.processes[*entry].as_ref().is_some_and(|process| {
@@ -559,7 +559,8 @@
         (0..self.processes.len()).filter(holds).collect()
     }
 
-    /// Lets time pass; the longest time without a holder of the duties, milliseconds. Never are there two at once.
+    /// Advances the time and returns the longest time without a holder, milliseconds; checks that there are
+    /// never two.
     pub fn longest_gap_without_holder(&mut self, millis: u64) -> u64 {
         let (mut gap, mut longest) = (0, 0);
         for _ in 0..millis / HOLDER_CHECK_MS {
@@ -575,12 +576,12 @@
         longest
     }
 
-    /// Which entry holds the duties, by the calls made last.
+    /// Returns the entry that made the latest call of the duties.
     pub fn holder(&self) -> Option<usize> {
         self.duty_calls.last().map(|duty_call| duty_call.entry)
     }
 
-    /// Usage reports: window and requests of the account.
+    /// Returns the usage reports: window and number of requests.
     pub fn reports(&self) -> Vec<(u64, u64)> {
         let reports = self
             .duty_calls
@@ -595,7 +596,7 @@
     }
 
     fn step(&mut self, entry: usize, event: Event) {
-        // In order, as connections keep it.
+        // Events keep their order, as on connections.
         let mut events = VecDeque::from([(entry, event)]);
         while let Some((entry, event)) = events.pop_front() {
             let Some(process) = &mut self.processes[entry] else {
@@ -622,8 +623,12 @@
                 Some((entry, Event::Store { id, outcome }))
             }
             Effect::Duty { id, call, .. } => {
-                let at = self.now;
-                self.duty_calls.push(DutyCall { at, entry, call });
+                let made_at = self.now;
+                self.duty_calls.push(DutyCall {
+                    made_at,
+                    entry,
+                    call,
+                });
                 let outcome = match self.duty_answers_lost {
                     true => duty::Outcome::Unknown,
                     false => duty::Outcome::Done,
@@ -701,7 +706,7 @@
                     Command::Start(start) => {
                         self.attempts_started += 1;
                         self.sent_requests.push(SentRequest {
-                            at: self.now,
+                            sent_at: self.now,
                             entry,
                             serial,
                             attempt: start.attempt,
@@ -760,15 +765,15 @@
         })
     }
 
-    /// Which entry a message comes to, unless one of both is cut off.
+    /// Returns the entry at `address`, unless it or the sender is cut off.
     fn reach(&self, from: usize, address: &SmolStr) -> Option<usize> {
         let to = (0..self.processes.len()).find(|entry| peer_address(*entry) == *address)?;
-        let whole = !self.partitioned.contains(&from) && !self.partitioned.contains(&to);
-        whole.then_some(to)
+        let connected = !self.partitioned.contains(&from) && !self.partitioned.contains(&to);
+        connected.then_some(to)
     }
 }
 
-/// How many sums a digest holds.
+/// Returns the number of hub sums in a digest.
 fn sums_in(digest: &Digest) -> u32 {
     let counts = digest
         .items
@@ -787,7 +792,7 @@
     format_smolstr!("10.0.0.{entry}:90")
 }
 
-fn some_servers() -> Vec<Server> {
+fn initial_servers() -> Vec<Server> {
     let zones = ["north", "south"];
     let all = (0..SERVERS * zones.len()).map(|number| Server {
         incarnation: format_smolstr!("s{number}#1"),
@@ -868,7 +873,7 @@
     Catalog::new(version, routes, services, accounts, Limits::default())
 }
 
-/// An order for replicas.
+/// Returns zone, market and count of an order for replicas.
 pub fn order(duty_call: &DutyCall) -> Option<(SmolStr, Market, u32)> {
     match &duty_call.call {
         duty::Call::Replicas {
