--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -147,7 +147,7 @@
             .with("call", id)
             .with("outcome", format!("{outcome:?}"));
         effects.push(Effect::Log(line));
-        self.report_answered(now, id, outcome);
+        self.handle_report_answer(now, id, outcome);
         self.handle_order_answer(now, id, outcome);
     }
 
--- a/crates/gateway/src/failure_detector.rs
+++ b/crates/gateway/src/failure_detector.rs
@@ -104,7 +104,7 @@
     }
 
     /// Handles a hub's suspicion of an entry.
-    pub(crate) fn suspicion_reported(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_suspicion(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let Some(id) = holder::Id::parse(&item.key) else {
             return;
         };
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -220,15 +220,17 @@
     /// Passes an event to its handler.
     fn dispatch(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
-            Event::Arrived { serial, arrival } => self.arrived(now, serial, &arrival, effects),
-            Event::CallerDisconnected { serial } => self.caller_gone(now, serial, effects),
+            Event::Arrived { serial, arrival } => {
+                self.handle_arrival(now, serial, &arrival, effects)
+            }
+            Event::CallerDisconnected { serial } => self.handle_disconnect(now, serial, effects),
             Event::Attempt {
                 serial,
                 attempt,
                 report,
             } => self.handle_attempt_report(now, serial, attempt, report, effects),
             Event::LimitReported { incarnation, rate } => {
-                self.limit_named(now, &incarnation, rate, effects);
+                self.handle_limit(now, &incarnation, rate, effects);
             }
             Event::AddressesRequested { requester, zone } => {
                 self.answer_addresses(now, requester, zone.as_deref(), effects);
@@ -238,12 +240,12 @@
                 document,
                 source,
             } => self.apply_configuration(now, catalog, document, source, effects),
-            Event::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
-            Event::RolloutWithdrawn(service) => self.rollout_withdrawn(now, &service, effects),
-            Event::RolloutsKnown(services) => self.rollouts_known(now, &services, effects),
+            Event::RolloutOrdered(order) => self.handle_rollout_order(now, order, effects),
+            Event::RolloutWithdrawn(service) => self.withdraw_rollout(now, &service, effects),
+            Event::RolloutsKnown(services) => self.retain_rollouts(now, &services, effects),
             Event::Servers(reading) => self.handle_list_read(now, reading, effects),
-            Event::ServersLost => self.servers_lost(now, effects),
-            Event::Store { id, outcome } => self.store_answered(now, id, outcome, effects),
+            Event::ServersLost => self.handle_list_failure(now, effects),
+            Event::Store { id, outcome } => self.handle_store_outcome(now, id, outcome, effects),
             Event::DutyAnswered { id, outcome } => {
                 self.handle_duty_answer(now, id, outcome, effects)
             }
@@ -261,8 +263,8 @@
                 self.step_membership(now, member::event::Event::Digest(digest), effects);
             }
             Event::Tick => self.tick(now, effects),
-            Event::SettingsRead(settings) => self.settings_read(now, *settings, effects),
-            Event::StopRequested => self.stop_asked(now, effects),
+            Event::SettingsRead(settings) => self.apply_settings(now, *settings, effects),
+            Event::StopRequested => self.begin_stop(now, effects),
         }
     }
 
@@ -322,7 +324,7 @@
 
     /// Applies those settings that may change at run time. Leases and membership keep their terms, which
     /// other entries rely on.
-    fn settings_read(&mut self, now: Time, settings: Settings, effects: &mut Vec<Effect>) {
+    fn apply_settings(&mut self, now: Time, settings: Settings, effects: &mut Vec<Effect>) {
         let line = Line::info("reloaded")
             .with("seeds", settings.seeds.len())
             .with("entries", settings.entries)
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -169,9 +169,9 @@
         if !hubs.contains(&me) {
             return;
         }
-        self.counts_received(now, me, own);
+        self.handle_counts(now, me, own);
         let total = self.total_counts(now);
-        self.sum_received(now, me, self.sum_without(&total, me));
+        self.handle_sum(now, me, self.sum_without(&total, me));
         let others: Vec<holder::Id> = self.membership.peers().map(|(id, _)| id).collect();
         let mut bytes = 0;
         for to in &others {
@@ -207,7 +207,7 @@
     }
 
     /// Merges the usage counts of an entry that a former hub forwards.
-    fn past_counts_received(&mut self, entry: holder::Id, bulletin: Bulletin) {
+    fn handle_past_counts(&mut self, entry: holder::Id, bulletin: Bulletin) {
         let contribution = self
             .hub
             .contributions
@@ -233,9 +233,9 @@
     }
 
     /// Records the counts that an entry sends to this one as a hub.
-    pub(crate) fn counts_received(&mut self, now: Time, from: holder::Id, mut bulletin: Bulletin) {
+    pub(crate) fn handle_counts(&mut self, now: Time, from: holder::Id, mut bulletin: Bulletin) {
         if bulletin.past {
-            return self.past_counts_received(from, bulletin);
+            return self.handle_past_counts(from, bulletin);
         }
         if from != self.identity.incarnation {
             self.usage.record_clock(now, from, bulletin.unix_ms);
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -40,7 +40,7 @@
 
 impl Gateway {
     /// Opens and charges a request, or refuses it.
-    pub(crate) fn arrived(
+    pub(crate) fn handle_arrival(
         &mut self,
         now: Time,
         serial: u64,
@@ -97,7 +97,7 @@
     }
 
     /// Cancels a request whose caller disconnected.
-    pub(crate) fn caller_gone(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_disconnect(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
         let Some(request) = self.close_request(serial, effects) else {
             return;
         };
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -98,7 +98,7 @@
 
 impl Gateway {
     /// Handles a server's answer with a limit on requests from all entries together, or without any.
-    pub(crate) fn limit_named(
+    pub(crate) fn handle_limit(
         &mut self,
         now: Time,
         incarnation: &SmolStr,
@@ -119,7 +119,7 @@
     }
 
     /// Handles another entry's reports on limits.
-    pub(crate) fn limits_reported(
+    pub(crate) fn handle_limit_reports(
         &mut self,
         now: Time,
         reports: &Reports,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -178,8 +178,8 @@
                     lane: Lane::Immediate,
                 });
             }
-            MemberEffect::Item(item) => self.item_received(now, &item, effects),
-            MemberEffect::Peers(peers) => self.peers_changed(now, &peers, effects),
+            MemberEffect::Item(item) => self.handle_item(now, &item, effects),
+            MemberEffect::Peers(peers) => self.handle_peers_change(now, &peers, effects),
             MemberEffect::Applied { version, .. } => {
                 let ours = self.catalog.as_ref().map_or(0, |catalog| catalog.version);
                 if version > ours {
@@ -190,7 +190,7 @@
         }
     }
 
-    fn peers_changed(&mut self, now: Time, peers: &[holder::Id], effects: &mut Vec<Effect>) {
+    fn handle_peers_change(&mut self, now: Time, peers: &[holder::Id], effects: &mut Vec<Effect>) {
         let members = peers.len() + 1;
         let entries = self.entry_count();
         self.scheduler.set_entries(entries);
@@ -206,17 +206,17 @@
     }
 
     /// Handles an item from a peer.
-    fn item_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    fn handle_item(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         match item.topic {
-            Topic::Leaving => self.leaving_reported(now, &item.key, effects),
-            Topic::Ended => self.ended_reported(now, &item.key, item.version, effects),
-            Topic::Count => self.bulletin_received(now, item, effects),
-            Topic::Quarantine => self.quarantine_received(now, item, effects),
+            Topic::Leaving => self.handle_leaving(now, &item.key, effects),
+            Topic::Ended => self.handle_removal_report(now, &item.key, item.version, effects),
+            Topic::Count => self.handle_bulletin(now, item, effects),
+            Topic::Quarantine => self.handle_quarantine(now, item, effects),
             Topic::List => self.handle_list_report(now, item, effects),
-            Topic::Rollout => self.rollout_announced(now, item, effects),
+            Topic::Rollout => self.handle_rollout_announcement(now, item, effects),
             Topic::Renewed => self.handle_renewal(now, item, effects),
             Topic::Resigned => self.handle_resignation(now, item, effects),
-            Topic::Silent => self.suspicion_reported(now, item, effects),
+            Topic::Silent => self.handle_suspicion(now, item, effects),
             Topic::Heir | Topic::Demand => {}
         }
     }
@@ -280,7 +280,7 @@
         self.step_membership(now, MemberEvent::Publish(item), effects);
     }
 
-    fn bulletin_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    fn handle_bulletin(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let bulletin: Bulletin = match serde_json::from_slice(&item.payload) {
             Ok(bulletin) => bulletin,
             Err(error) => {
@@ -302,15 +302,15 @@
                 return;
             }
         }
-        self.limits_reported(now, &bulletin.limits, effects);
+        self.handle_limit_reports(now, &bulletin.limits, effects);
         match bulletin.sums {
-            0 if self.uses_hubs() => self.counts_received(now, peer, bulletin),
+            0 if self.uses_hubs() => self.handle_counts(now, peer, bulletin),
             0 => {
                 self.quotas.absorb(now, peer.0, &bulletin.charged);
                 self.usage.record_clock(now, peer, bulletin.unix_ms);
                 self.apply_counts(now, peer, bulletin);
             }
-            _ => self.sum_received(now, peer, bulletin),
+            _ => self.handle_sum(now, peer, bulletin),
         }
     }
 
@@ -318,7 +318,7 @@
     ///
     /// Only one hub is followed, the first on the roster while it sends. The sums of two hubs differ by what
     /// each hasn't received yet; applied alternately, they would charge that difference repeatedly.
-    pub(crate) fn sum_received(&mut self, now: Time, hub: holder::Id, sum: Bulletin) {
+    pub(crate) fn handle_sum(&mut self, now: Time, hub: holder::Id, sum: Bulletin) {
         // Usage is merged from both hubs: one may have received what the other has not.
         self.usage.absorb_sum(SUM_SENDER, &sum.begun);
         let first = self.roster.hubs().first() == Some(&hub);
@@ -375,7 +375,7 @@
         self.report_loads(now);
     }
 
-    fn quarantine_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    fn handle_quarantine(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         match wire::news::decode(&item.payload) {
             Ok(digest) => {
                 let peer = rendezvous::identity(&item.key);
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -133,7 +133,7 @@
     /// Handles a peer's report that a server's row was removed at `revision`, from a list without a gap.
     ///
     /// A report only ever removes a server; one whose row is back joins by our own read.
-    pub(crate) fn ended_reported(
+    pub(crate) fn handle_removal_report(
         &mut self,
         now: Time,
         incarnation: &SmolStr,
@@ -150,7 +150,7 @@
     }
 
     /// Handles a failure to follow the list.
-    pub(crate) fn servers_lost(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_list_failure(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.store_failed_at = Some(now);
         self.list_unavailable = true;
         let line = Line::warn("servers_lost").with("known", self.servers.count());
@@ -173,7 +173,7 @@
     }
 
     /// Handles a peer's report that a server is leaving.
-    pub(crate) fn leaving_reported(
+    pub(crate) fn handle_leaving(
         &mut self,
         now: Time,
         incarnation: &SmolStr,
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -83,7 +83,7 @@
     }
 
     /// Handles the table service's answer to a read or write.
-    pub(crate) fn progress_answered(&mut self, outcome: Outcome, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_progress_answer(&mut self, outcome: Outcome, effects: &mut Vec<Effect>) {
         let Outcome::Row(row) = outcome else {
             return;
         };
--- a/crates/gateway/src/reports.rs
+++ b/crates/gateway/src/reports.rs
@@ -172,7 +172,7 @@
     }
 
     /// Handles the table service's answer to writing a window's counts.
-    pub(crate) fn counts_written(
+    pub(crate) fn handle_counts_written(
         &mut self,
         now: Time,
         window: u64,
@@ -227,7 +227,7 @@
     }
 
     /// Handles the platform's answer to a report.
-    pub(crate) fn report_answered(&mut self, now: Time, id: u64, outcome: duty::Outcome) {
+    pub(crate) fn handle_report_answer(&mut self, now: Time, id: u64, outcome: duty::Outcome) {
         for report in self.duties.reports.windows.values_mut() {
             let Stage::Sending(sent, counts) = &report.stage else {
                 continue;
--- a/crates/gateway/src/rollout_lead.rs
+++ b/crates/gateway/src/rollout_lead.rs
@@ -41,9 +41,8 @@
 #[derive(Debug)]
 pub(crate) struct Leadership {
     order: Order,
-
     /// None until the stage saved by a former leader was read.
-    lead: Option<Leader>,
+    leader: Option<Leader>,
     /// The pending call of the table service.
     pending: Option<Pending>,
     /// Earliest time of the next call.
@@ -101,7 +100,7 @@
                 .entry(service.clone())
                 .or_insert(Leadership {
                     order: known.split.order().clone(),
-                    lead: None,
+                    leader: None,
                     pending: None,
                     next_call: now,
                     saved_phase: None,
@@ -125,7 +124,7 @@
             return;
         };
         let may_call = led.pending.is_none() && now >= led.next_call;
-        let Some(lead) = &mut led.lead else {
+        let Some(leader) = &mut led.leader else {
             if may_call {
                 led.pending = Some(Pending::ReadStage);
                 let at = Address::new(status::STAGES, service.clone());
@@ -133,14 +132,14 @@
             }
             return;
         };
-        let changed = lead.step(now, &tally, fleet);
+        let changed = leader.step(now, &tally, fleet);
         if changed {
-            effects.push(Effect::Log(phase_line(service, lead, &tally)));
+            effects.push(Effect::Log(phase_line(service, leader, &tally)));
         }
-        let stage = lead.stage(now, &tally);
+        let stage = leader.stage(now, &tally);
         let pause = match stage.phase.is_final() {
             true => FINAL_ANNOUNCEMENT_INTERVAL,
-            false => lead.announcement_interval(),
+            false => leader.announcement_interval(),
         };
         if may_call {
             led.pending = led.next_write(stage.phase);
@@ -174,11 +173,11 @@
             payload: serde_json::to_vec(stage).unwrap_or_default(),
         };
         self.step_membership(now, member::event::Event::Publish(item.clone()), effects);
-        self.rollout_announced(now, &item, effects);
+        self.handle_rollout_announcement(now, &item, effects);
     }
 
     /// Handles the table service's answer to a read or write of a stage.
-    pub(crate) fn stage_answered(&mut self, now: Time, service: &SmolStr, outcome: Outcome) {
+    pub(crate) fn handle_stage_answer(&mut self, now: Time, service: &SmolStr, outcome: Outcome) {
         let since = self
             .rollouts
             .active
@@ -195,7 +194,7 @@
                 let elapsed = Span::from_millis(elapsed).max(now.since(since));
                 let begun = Time::from_millis(now.as_millis().saturating_sub(elapsed.as_millis()));
                 led.saved_phase = stage.as_ref().map(|stage| stage.phase);
-                led.lead = Some(Leader::new(
+                led.leader = Some(Leader::new(
                     configs::leader::Config::default(),
                     configs::judge::Config::default(),
                     led.order.clone(),
@@ -273,13 +272,13 @@
     }))
 }
 
-fn phase_line(service: &SmolStr, lead: &Leader, tally: &Tally) -> Line {
+fn phase_line(service: &SmolStr, leader: &Leader, tally: &Tally) -> Line {
     let total = tally.total();
     Line::info("rollout_decided")
         .with("service", service)
-        .with("to", &lead.order().to)
-        .with("phase", format!("{:?}", lead.phase()))
-        .with("finding", format!("{:?}", lead.finding()))
+        .with("to", &leader.order().to)
+        .with("phase", format!("{:?}", leader.phase()))
+        .with("finding", format!("{:?}", leader.finding()))
         .with("old", format!("{}/{}", total.old.bad, total.old.answers))
         .with("new", format!("{}/{}", total.new.bad, total.new.answers))
 }
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -116,7 +116,12 @@
 
 impl Gateway {
     /// Handles an operator's order, which replaces an earlier one for the service.
-    pub(crate) fn rollout_ordered(&mut self, now: Time, order: Order, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_rollout_order(
+        &mut self,
+        now: Time,
+        order: Order,
+        effects: &mut Vec<Effect>,
+    ) {
         let service = order.service.clone();
         if let Some(known) = self.rollouts.active.get(&service) {
             if known.split.order() == &order {
@@ -144,7 +149,7 @@
     }
 
     /// Handles a withdrawn order: its version gets no more requests unless it is in use by now.
-    pub(crate) fn rollout_withdrawn(
+    pub(crate) fn withdraw_rollout(
         &mut self,
         now: Time,
         service: &SmolStr,
@@ -160,7 +165,7 @@
     }
 
     /// Withdraws the orders of all services that aren't listed.
-    pub(crate) fn rollouts_known(
+    pub(crate) fn retain_rollouts(
         &mut self,
         now: Time,
         services: &[SmolStr],
@@ -168,7 +173,7 @@
     ) {
         let known: Vec<SmolStr> = self.rollouts.active.keys().cloned().collect();
         for service in known.iter().filter(|service| !services.contains(service)) {
-            self.rollout_withdrawn(now, service, effects);
+            self.withdraw_rollout(now, service, effects);
         }
     }
 
@@ -306,7 +311,12 @@
     }
 
     /// Handles the leader's announcement of a roll-out's stage.
-    pub(crate) fn rollout_announced(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    pub(crate) fn handle_rollout_announcement(
+        &mut self,
+        now: Time,
+        item: &Item,
+        effects: &mut Vec<Effect>,
+    ) {
         let stage: Stage = match serde_json::from_slice(&item.payload) {
             Ok(stage) => stage,
             Err(error) => {
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -23,7 +23,7 @@
 
 impl Gateway {
     /// Starts the shutdown.
-    pub(crate) fn stop_asked(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub(crate) fn begin_stop(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.stop_requested_at.is_some() {
             return;
         }
--- a/crates/gateway/src/store_calls.rs
+++ b/crates/gateway/src/store_calls.rs
@@ -54,7 +54,7 @@
     }
 
     /// Handles the outcome of a call.
-    pub(crate) fn store_answered(
+    pub(crate) fn handle_store_outcome(
         &mut self,
         now: Time,
         id: call::Id,
@@ -124,9 +124,11 @@
                 self.step_membership(now, member::event::Event::Store { id, outcome }, effects);
             }
             Some(Waiter::Claim(id)) => self.handle_claim_answer(now, id, outcome, effects),
-            Some(Waiter::Report(window)) => self.counts_written(now, window, outcome, effects),
-            Some(Waiter::Stage(service)) => self.stage_answered(now, &service, outcome),
-            Some(Waiter::Progress) => self.progress_answered(outcome, effects),
+            Some(Waiter::Report(window)) => {
+                self.handle_counts_written(now, window, outcome, effects)
+            }
+            Some(Waiter::Stage(service)) => self.handle_stage_answer(now, &service, outcome),
+            Some(Waiter::Progress) => self.handle_progress_answer(outcome, effects),
             None => {}
         }
     }
