--- a/crates/gateway/src/work.rs
+++ b/crates/gateway/src/work.rs
@@ -78,7 +78,7 @@
         self.tokens.saturating_sub(self.returned)
     }
 
-    /// Updates the speed by a first token that took `took` at the replica, with `unshared_tokens` in its prompt.
+    /// Updates the speed by the time to the first token of a request with `unshared_tokens`.
     pub fn observe_first_token(&mut self, unshared_tokens: u64, took: Span) {
         let processing_time = took - FIRST_TOKEN_OVERHEAD;
         if unshared_tokens < MIN_UNSHARED_TOKENS || processing_time == Span::ZERO {
