--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,7 +1,7 @@
-//! Limits that backend servers in need name in their answers.
+//! Rate limits that overloaded backend servers set in their answers.
 //!
-//! Each entry reports the limits in its answers with its counts; of several reports on a server the newest counts. Each
-//! limit is dealt to some of the entries by [`policy::pace`].
+//! Each entry reports the limits it received along with its counts; of several reports on a server the newest
+//! counts. [`policy::pace`] divides each limit among some of the entries.
 
 use std::collections::BTreeMap;
 
@@ -19,39 +19,39 @@
 use crate::effect::Effect;
 use crate::gateway::Gateway;
 
-/// How long it is reported that a limit is lifted: an older report may still be under way.
+/// How long a lifted limit is still reported, so that it overrides older reports in transit.
 const LIFTED_RETENTION: Span = Span::from_seconds(60);
 
-/// What servers said last, by incarnation.
+/// The latest limits by the server's incarnation.
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
     by_server: BTreeMap<SmolStr, Limit>,
 }
 
-/// What a server said.
+/// The latest answer of a server with regard to its limit.
 #[derive(Clone, Copy, Debug)]
 struct Limit {
     received_at: Time,
-    /// None if it named no limit.
+    /// The limit; none if the answer set none.
     rate: Option<Rate>,
-    /// Whether it stood in an answer to this entry, which reports it.
+    /// Whether this entry received the answer itself, so that it reports the limit.
     local: bool,
 }
 
-/// One entry's report on a server's limit.
+/// An entry's report on a server's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests in a thousand seconds, from all entries together; none once the limit is lifted.
+    /// Requests per thousand seconds from all entries together; none once the limit is lifted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<u32>,
-    /// Since the server said so, milliseconds.
+    /// Milliseconds since the server's answer.
     pub age_ms: u64,
 }
 
-/// Reports on limits, by the hash of the server's incarnation.
+/// Reports on limits by hash of the server's incarnation.
 pub type Reports = BTreeMap<u64, Report>;
 
-/// Takes the newer report on each server.
+/// Merges reports, keeping the newer one on each server.
 pub(crate) fn merge_newest(into: &mut Reports, reports: &Reports) {
     for (server, report) in reports {
         let known = into.entry(*server).or_insert(*report);
@@ -62,16 +62,16 @@
 }
 
 impl Limits {
-    /// Whether a server's limit is in force.
+    /// Returns whether a server's limit is in force.
     pub(crate) fn is_limited(&self, incarnation: &str) -> bool {
-        let named = self.by_server.get(incarnation);
-        named.is_some_and(|limit| limit.rate.is_some())
+        let known = self.by_server.get(incarnation);
+        known.is_some_and(|limit| limit.rate.is_some())
     }
 
-    /// Limits in answers to this entry.
+    /// Returns the limits that this entry received itself.
     pub(crate) fn reports(&self, now: Time) -> Reports {
-        let here = self.by_server.iter().filter(|(_, limit)| limit.local);
-        let reports = here.map(|(incarnation, limit)| {
+        let own = self.by_server.iter().filter(|(_, limit)| limit.local);
+        let reports = own.map(|(incarnation, limit)| {
             let report = Report {
                 rate: limit.rate.map(|rate| rate.0),
                 age_ms: now.since(limit.received_at).as_millis(),
@@ -81,7 +81,7 @@
         reports.collect()
     }
 
-    /// Notes what a server said, unless something newer is known; whether its limit is another one now.
+    /// Records a limit unless a newer one is known; returns whether the rate changed.
     fn record(&mut self, incarnation: &SmolStr, limit: Limit) -> bool {
         let known = self.by_server.get(incarnation).copied();
         if known.is_some_and(|known| known.received_at >= limit.received_at && !limit.local) {
@@ -97,24 +97,29 @@
 }
 
 impl Gateway {
-    /// A server said in an answer how many requests it takes from all entries together, or that it takes any.
-    pub(crate) fn limit_named(
+    /// Handles a server's answer with a limit on requests from all entries together, or without any.
+    pub(crate) fn handle_limit(
         &mut self,
         now: Time,
         incarnation: &SmolStr,
         rate: Option<Rate>,
         effects: &mut Vec<Effect>,
     ) {
-        let limit = Limit {
-            received_at: now,
-            rate,
-            local: true,
-        };
-        self.apply_limit(now, incarnation, limit, effects);
+        let (received_at, local) = (now, true);
+        self.apply_limit(
+            now,
+            incarnation,
+            Limit {
+                received_at,
+                rate,
+                local,
+            },
+            effects,
+        );
     }
 
-    /// Another entry reported limits.
-    pub(crate) fn limits_reported(
+    /// Handles another entry's reports on limits.
+    pub(crate) fn handle_limit_reports(
         &mut self,
         now: Time,
         reports: &Reports,
@@ -133,24 +138,25 @@
         }
     }
 
-    /// Deals all limits anew, since the entries may be others.
+    /// Applies all limits again, since this entry's shares depend on the other entries.
     pub(crate) fn limits_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let servers = &mut self.servers;
         self.limits.by_server.retain(|incarnation, limit| {
             let kept = limit.rate.is_some() || now.since(limit.received_at) < LIFTED_RETENTION;
             kept && servers.get_mut(incarnation).is_some()
         });
-        let named: Vec<(SmolStr, Option<Rate>)> = self
+        let limits: Vec<(SmolStr, Option<Rate>)> = self
             .limits
             .by_server
             .iter()
             .map(|(incarnation, limit)| (incarnation.clone(), limit.rate))
             .collect();
-        for (incarnation, rate) in named {
+        for (incarnation, rate) in limits {
             self.apply_share(now, &incarnation, rate, effects);
         }
     }
 
+    /// Records a limit and, if the rate changed, applies it.
     fn apply_limit(
         &mut self,
         now: Time,
@@ -171,7 +177,7 @@
         self.apply_share(now, incarnation, rate, effects);
     }
 
-    /// Sets what this entry may send to a server.
+    /// Passes this entry's share of a limit to the scheduler.
     fn apply_share(
         &mut self,
         now: Time,
--- a/crates/gateway/tests/quotas.rs
+++ b/crates/gateway/tests/quotas.rs
@@ -1,24 +1,24 @@
-//! Quotas among many entries, which one of them decides on for all.
+//! Quotas among many entries, for each of which one entry decides.
 
 mod support;
 
 use support::World;
 
 const ENTRIES: usize = 20;
-/// Burst of the account in the configuration of these tests; its rate is a tenth of that.
+/// Burst of the test account in requests, and its rate in requests per second.
 const BURST: u32 = 400;
 const RATE: u32 = 40;
 
-/// Entries that have found each other and have the whole burst saved up.
+/// Starts entries that know each other, with a full burst saved up.
 fn settled() -> World {
     let mut world = World::new(ENTRIES);
     world.run(15_000);
     world
 }
 
-/// So many requests a millisecond through all entries in turn; how many were handed to a replica.
+/// Sends `each` requests per millisecond through the entries in turn; returns how many reached a replica.
 fn flood(world: &mut World, millis: u64, each: usize) -> u32 {
-    let before = world.started;
+    let before = world.attempts_started;
     for turn in 0..millis {
         for request in 0..each {
             world.serve((turn as usize * each + request) % ENTRIES);
@@ -27,11 +27,11 @@
             world.run(10);
         }
     }
-    world.started - before
+    world.attempts_started - before
 }
 
-/// An account sends many times its quota through all entries within a second. Each entry knew of the others' charges
-/// half a second later only, and all together gave the burst away more than once.
+/// An account sends many times its quota through all entries within a second. Each entry learned of the
+/// others' charges half a second later, and together they granted the burst more than once.
 #[test]
 fn a_flood_through_many_entries_gets_one_burst() {
     let mut world = settled();
@@ -39,41 +39,44 @@
     let allowed = BURST + 2 * RATE;
     assert!(served <= allowed, "{served} of {allowed}");
     assert!(served >= BURST * 9 / 10, "{served} of {allowed}");
-    let homes = world.asked.len();
+    let homes = world.charges_decided.len();
     assert!(homes <= 2, "{homes} entries decided");
 }
 
-/// The entry that decides on an account falls silent. Its requests go on after the time that an answer may take, and
-/// once it is known to be silent nobody waits for it.
+/// The entry that decides on an account stops answering. A pending request is admitted after a timeout, and
+/// later ones skip that entry.
 #[test]
 fn a_home_that_falls_silent_is_passed_over() {
     let mut world = settled();
     world.serve(0);
     world.serve(1);
-    let home = *world.asked.keys().next().expect("a home");
+    let home = *world.charges_decided.keys().next().expect("a home");
     world.charges_hang = true;
-    world.cut.insert(home);
+    world.partitioned.insert(home);
     let entry = (home + 1) % ENTRIES;
-    let before = world.started;
-    let serial = world.ask(entry);
-    assert!(!world.places.contains_key(&serial), "it waits for the home");
+    let before = world.attempts_started;
+    let serial = world.request(entry);
+    assert!(
+        !world.servers_by_request.contains_key(&serial),
+        "it waits for the home"
+    );
     world.run(100);
-    assert!(world.places.contains_key(&serial));
+    assert!(world.servers_by_request.contains_key(&serial));
     assert!(world.serve(entry), "the next one doesn't wait");
-    assert_eq!(world.started, before + 2);
-    assert_eq!(world.logged("quota_home_silent"), 1);
+    assert_eq!(world.attempts_started, before + 2);
+    assert_eq!(world.log_count("quota_home_silent"), 1);
 }
 
-/// The hubs of 295 entries write to all of them twice a second, and requests that asked one of them for a charge waited
-/// over 80 ms: 2 in 100, nearly all at these two.
+/// The hubs of 295 entries write to all others twice a second. Of 100 requests, 2 waited over 80 ms for a
+/// charge, nearly all of them for one at a hub.
 #[test]
 fn hubs_decide_on_no_account() {
     let mut world = World::new(ENTRIES);
     world.run(15_000);
-    world.sent.clear();
+    world.sums_sent.clear();
     world.run(2_000);
     let hubs: Vec<usize> = (0..ENTRIES)
-        .filter(|entry| world.sent.get(entry).is_some_and(|sums| *sums > 0))
+        .filter(|entry| world.sums_sent.get(entry).is_some_and(|sums| *sums > 0))
         .collect();
     assert_eq!(hubs.len(), 2);
     // Each start draws other homes.
@@ -81,12 +84,12 @@
         for entry in 0..ENTRIES {
             world.serve(entry);
         }
-        let homes: Vec<usize> = world.asked.keys().copied().collect();
+        let homes: Vec<usize> = world.charges_decided.keys().copied().collect();
         assert!(!homes.is_empty(), "round {round}");
         let busy = homes.iter().any(|home| hubs.contains(home));
         assert!(!busy, "round {round}: hubs {hubs:?}, homes {homes:?}");
         let home = homes[0];
-        world.asked.clear();
+        world.charges_decided.clear();
         world.kill(home);
         world.run(5_000);
         world.start(home);
@@ -94,8 +97,8 @@
     }
 }
 
-/// A caller leaves while its charge is under way to a home that answers late: what was granted meanwhile must go back,
-/// or the account pays for a request that never ran.
+/// A caller disconnects while its charge is pending at an entry that answers late. The late grant must be
+/// refunded, or the account pays for a request that never ran.
 #[test]
 fn a_grant_that_comes_late_goes_back() {
     let mut world = settled();
@@ -105,8 +108,8 @@
     let entries: Vec<usize> = (0..ENTRIES).collect();
     world.delay_charges = true;
     for entry in entries.iter().cycle().take(BURST as usize) {
-        let serial = world.ask(*entry);
-        world.leave(*entry, serial);
+        let serial = world.request(*entry);
+        world.disconnect_caller(*entry, serial);
     }
     world.delay_charges = false;
     world.answer_charges();
