--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -176,7 +176,7 @@
                 path,
                 key: KEY.into(),
                 deadline: class.timeout().as_duration(),
-                after: (after > 0).then_some(after),
+                last_event: (after > 0).then_some(after),
             };
             let Some(outcome) = self.attempt(class, &attempt, stream.as_ref(), leaves).await else {
                 return;
@@ -224,7 +224,7 @@
             true => LEAVES_AFTER,
             false => attempt.deadline + OVERTIME,
         };
-        let mut after = attempt.after.unwrap_or(0);
+        let mut after = attempt.last_event.unwrap_or(0);
         let asking = ask(&mut connection, request, attempt, stream, &mut after);
         let (end, again, keeps) = match tokio::time::timeout(patience, asking).await {
             Ok(answered) => answered,
@@ -253,7 +253,7 @@
     async fn entry(&mut self) -> Option<SocketAddr> {
         let now = self.shared.clock.now();
         let holds =
-            |(at, addresses): &(Time, Addresses)| now.since(*at).as_duration() < addresses.keep;
+            |(at, addresses): &(Time, Addresses)| now.since(*at).as_duration() < addresses.ttl;
         if !self.known.as_ref().is_some_and(holds) {
             let directory = self.directories[self.draw(0..self.directories.len() as u64) as usize];
             let asked = tokio::time::timeout(CONNECT_TIME, ask_directory(directory, self.zone));
@@ -318,7 +318,7 @@
 /// Asks an entry for addresses.
 pub async fn ask_directory(directory: SocketAddr, zone: &str) -> Option<Addresses> {
     let mut connection = connect(directory).await?;
-    let request = caller::question(HOST, zone);
+    let request = caller::address_query(HOST, zone);
     let response = connection.sender.send_request(request).await.ok()?;
     let (head, body) = response.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -73,7 +73,7 @@
         return;
     };
     let status = *status;
-    let promised = StatusCode::from_u16(status).is_ok_and(caller::is_promise);
+    let promised = StatusCode::from_u16(status).is_ok_and(caller::guarantees_not_run);
     let ran = ledger.runs_of(&attempt.id).next().is_some();
     if promised && ran {
         let detail = format!("{} was answered {status} and has run", attempt.id);
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -16,7 +16,7 @@
 use hyper::body::Frame;
 use hyper::body::Incoming;
 use mirror::replica;
-use mirror::replica::Asked;
+use mirror::replica::Received;
 use mirror::replica::Row;
 use rand::RngExt;
 use smol_str::SmolStr;
@@ -169,7 +169,7 @@
             zone: ZONES[self.index % ZONES.len()].into(),
             slots: 32,
             leaving,
-            born: self.born.get(),
+            started_ms: self.born.get(),
         };
         let id = self.id.borrow();
         self.shared
@@ -181,9 +181,9 @@
         self.shared.random.borrow_mut().random::<f64>() < share
     }
 
-    fn begin(&self, asked: &Asked) -> Work {
+    fn begin(&self, received: &Received) -> Work {
         let run = self.shared.ledger.borrow_mut().began(Run {
-            attempt: asked.attempt.clone(),
+            attempt: received.attempt.clone(),
             replica: self.index,
             service: self.service.clone(),
             began: self.shared.clock.now(),
@@ -208,37 +208,37 @@
 async fn answer(replica: Rc<Replica>, request: Request<Incoming>) -> Result<Response<Body>, Lost> {
     let (head, body) = request.into_parts();
     body.collect().await.map_err(|_| Lost)?;
-    let Some(asked) = replica::asked(&head) else {
+    let Some(received) = replica::received(&head) else {
         return Ok(server::whole(replica::not_run(true)));
     };
-    if asked.expected.as_deref() != Some(replica.id.borrow().as_str()) {
+    if received.expected.as_deref() != Some(replica.id.borrow().as_str()) {
         return Ok(server::whole(replica::not_run(false)));
     }
-    let work = replica.begin(&asked);
+    let work = replica.begin(&received);
     tokio::time::sleep(replica.pace(WORK)).await;
     let loses = match replica.manner.get() {
         Manner::Fails(share) if replica.chance(share) => {
-            return Ok(failure(&asked));
+            return Ok(failure(&received));
         }
         Manner::LosesAnswers(share) => replica.chance(share),
         _ => false,
     };
     if let Some(stream) = Stream::of(head.uri.path()) {
-        return Ok(streamed(replica, work, &asked, stream, loses));
+        return Ok(streamed(replica, work, &received, stream, loses));
     }
     if loses {
         return Err(Lost);
     }
-    let body = content::body_of(&asked.attempt);
+    let body = content::body_of(&received.attempt);
     let mut response = Response::new(Bytes::from(body));
-    *response.headers_mut() = replica::answer_headers(&asked.attempt);
+    *response.headers_mut() = replica::answer_headers(&received.attempt);
     Ok(server::whole(response))
 }
 
-fn failure(asked: &Asked) -> Response<Body> {
+fn failure(received: &Received) -> Response<Body> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
-    *response.headers_mut() = replica::answer_headers(&asked.attempt);
+    *response.headers_mut() = replica::answer_headers(&received.attempt);
     server::whole(response)
 }
 
@@ -246,12 +246,12 @@
 fn streamed(
     replica: Rc<Replica>,
     work: Work,
-    asked: &Asked,
+    received: &Received,
     stream: Stream,
     loses: bool,
 ) -> Response<Body> {
-    let half = asked.after + stream.events.saturating_sub(asked.after) / 2;
-    let state = (asked.after, replica, work);
+    let half = received.last_event + stream.events.saturating_sub(received.last_event) / 2;
+    let state = (received.last_event, replica, work);
     let made = stream::unfold(state, move |(last, replica, work)| {
         let stream = stream.clone();
         async move {
@@ -268,6 +268,6 @@
     });
     let body: Body = Box::pin(StreamBody::new(made));
     let mut response = Response::new(body);
-    *response.headers_mut() = replica::answer_headers(&asked.attempt);
+    *response.headers_mut() = replica::answer_headers(&received.attempt);
     response
 }
--- a/crates/soak/src/tables.rs
+++ b/crates/soak/src/tables.rs
@@ -16,11 +16,11 @@
 use hyper::body::Incoming;
 use mirror::tables::Address;
 use mirror::tables::Answer;
-use mirror::tables::Question;
+use mirror::tables::Operation;
 use mirror::tables::Range;
 use mirror::tables::Row;
 use mirror::tables::Transaction;
-use mirror::tables::question;
+use mirror::tables::operation;
 use mirror::tables::response;
 use tokio::sync::Notify;
 
@@ -132,7 +132,7 @@
         if since < state.forgotten {
             return Answer::HistoryLost;
         }
-        let newer = |row: &&Row| row.version > since && row.at.table == table;
+        let newer = |row: &&Row| row.version > since && row.address.table == table;
         Answer::Rows {
             rows: state.history.iter().filter(newer).cloned().collect(),
             more: false,
@@ -156,7 +156,7 @@
         for (at, data) in &transaction.writes {
             state.rows.insert(at.clone(), (data.clone(), version));
             state.history.push(Row {
-                at: at.clone(),
+                address: at.clone(),
                 data: Some(data.clone()),
                 version,
             });
@@ -164,7 +164,7 @@
         for at in &transaction.removals {
             state.rows.remove(at);
             state.history.push(Row {
-                at: at.clone(),
+                address: at.clone(),
                 data: None,
                 version,
             });
@@ -188,14 +188,14 @@
         let _ = tokio::time::timeout(wait, waiting).await;
     }
 
-    async fn answer_to(self: &Rc<Self>, question: &Question) -> Answer {
-        match question {
-            Question::Read(range) => self.read(range),
-            Question::Changes { table, since, wait } => {
+    async fn answer_to(self: &Rc<Self>, operation: &Operation) -> Answer {
+        match operation {
+            Operation::Read(range) => self.read(range),
+            Operation::Changes { table, since, wait } => {
                 self.wait(table, *since, *wait).await;
                 self.changes(table, *since)
             }
-            Question::Transact(transaction) => self.transact(transaction),
+            Operation::Transact(transaction) => self.transact(transaction),
         }
     }
 }
@@ -204,10 +204,10 @@
 async fn answer(tables: Rc<Tables>, request: Request<Incoming>) -> Result<Response<Body>, Lost> {
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(|_| Lost)?.to_bytes();
-    let Some(question) = question(&head, &body) else {
+    let Some(operation) = operation(&head, &body) else {
         return Ok(server::whole(response(&Answer::Unreadable)));
     };
-    let is_change = matches!(question, Question::Transact(_));
+    let is_change = matches!(operation, Operation::Transact(_));
     match tables.trouble() {
         Trouble::Refuses => return Ok(server::whole(response(&Answer::Refused))),
         Trouble::Silent => std::future::pending::<()>().await,
@@ -215,13 +215,13 @@
         Trouble::Late if is_change => {
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(LATE).await;
-                tables.answer_to(&question).await;
+                tables.answer_to(&operation).await;
             });
             return Err(Lost);
         }
         _ => {}
     }
-    let answer = tables.answer_to(&question).await;
+    let answer = tables.answer_to(&operation).await;
     match tables.trouble() {
         // Also for a question that waited when the trouble began.
         Trouble::Refuses => Ok(server::whole(response(&Answer::Refused))),
@@ -233,7 +233,7 @@
 
 fn row_of((at, (data, version)): (&Address, &(Bytes, u64))) -> Row {
     Row {
-        at: at.clone(),
+        address: at.clone(),
         data: Some(data.clone()),
         version: *version,
     }
