--- a/crates/relay/src/adapter.rs
+++ b/crates/relay/src/adapter.rs
@@ -31,7 +31,7 @@
 /// Translates callers' and backend servers' messages.
 pub trait Codec {
     /// What a caller sent. `body` is whole; `reading` is how long it took to come.
-    fn arrival(
+    fn decode_request(
         &self,
         head: &request::Parts,
         body: &Bytes,
@@ -39,52 +39,57 @@
     ) -> Result<Arrival, Refusal>;
 
     /// The headers with which a request goes to a backend server.
-    fn forward(&self, head: &request::Parts, start: &Start, resume: Option<&Resume>) -> HeaderMap;
+    fn request_headers(
+        &self,
+        head: &request::Parts,
+        start: &Start,
+        resume: Option<&Resume>,
+    ) -> HeaderMap;
 
     /// The request that stops the run of `id` and moves its memory to another server, from its own server.
     fn move_request(&self, id: &str, to: &Endpoint) -> Request<Bytes>;
 
     /// The memory that the other server has now, by the answer to [`Codec::move_request`]; none if it was not moved.
-    fn moved(&self, source: &Endpoint, status: StatusCode, body: &[u8]) -> Option<Memory>;
+    fn decode_moved(&self, source: &Endpoint, status: StatusCode, body: &[u8]) -> Option<Transfer>;
 
     /// What the head of a backend server's answer means to the request `id`.
-    fn judge(&self, head: &response::Parts, id: &str) -> Judgement;
+    fn classify(&self, head: &response::Parts, id: &str) -> Classification;
 
     /// The headers with which a backend server's answer goes to the caller.
-    fn backward(&self, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// The final answer to a request that no backend server answered.
-    fn refusal(&self, refusal: &Refusal) -> Response<Bytes>;
+    fn encode_refusal(&self, refusal: &Refusal) -> Response<Bytes>;
 
     /// Reads a question for addresses: the caller's availability zone, if it names one.
-    fn question(&self, head: &request::Parts) -> Option<Option<SmolStr>>;
+    fn address_query(&self, head: &request::Parts) -> Option<Option<SmolStr>>;
 
     /// How many requests the server takes from all entries together, if its answer says so.
-    fn limit(&self, headers: &HeaderMap) -> Option<Rate>;
+    fn rate_limit(&self, headers: &HeaderMap) -> Option<Rate>;
 
     /// The answer to a question for addresses.
-    fn addresses(&self, addresses: Option<&Addresses>) -> Response<Bytes>;
+    fn encode_addresses(&self, addresses: Option<&Addresses>) -> Response<Bytes>;
 
     /// Whether this asks if the entry is ready.
-    fn is_readiness(&self, head: &request::Parts) -> bool;
+    fn is_readiness_probe(&self, head: &request::Parts) -> bool;
 
     /// Whether this asks for metrics.
-    fn is_metrics(&self, head: &request::Parts) -> bool;
+    fn is_metrics_request(&self, head: &request::Parts) -> bool;
 
     /// Whether a row of the configuration's table holds the configuration.
-    fn is_configuration(&self, row: &Row) -> bool;
+    fn is_configuration_row(&self, row: &Row) -> bool;
 
     /// The order for a roll-out that a row of the configuration's table holds; none if it holds something else.
-    fn rollout(&self, row: &Row) -> Option<anyhow::Result<Order>>;
+    fn decode_rollout(&self, row: &Row) -> Option<anyhow::Result<Order>>;
 
     /// The service whose roll-out a row's key orders, if it does.
     fn rollout_service(&self, key: &str) -> Option<SmolStr>;
 
     /// The backend server that a row names. Rows may be foreign, partial or broken.
-    fn server(&self, row: &Row) -> anyhow::Result<Server>;
+    fn decode_server(&self, row: &Row) -> anyhow::Result<Server>;
 
     /// A version of the configuration, from the document that an operator wrote.
-    fn catalog(&self, document: &[u8]) -> anyhow::Result<Catalog>;
+    fn decode_catalog(&self, document: &[u8]) -> anyhow::Result<Catalog>;
 }
 
 /// Where a stream goes on.
@@ -93,12 +98,12 @@
     /// Name of the last event that the caller got.
     pub last_event: SmolStr,
     /// The memory that it goes on from; none to read the prompt again.
-    pub memory: Option<Memory>,
+    pub transfer: Option<Transfer>,
 }
 
 /// The memory of a run that was stopped to be moved.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Memory {
+pub struct Transfer {
     /// `host:port` of the server that ran it.
     pub source: SmolStr,
     /// Names it there.
@@ -107,13 +112,13 @@
 
 /// What the head of an answer means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum Classification {
     /// The server's answer to this request.
     Answer,
     /// The server says that it did not run the request.
     NotStarted,
     /// An answer to another request, or to none.
-    Foreign,
+    Mismatched,
 }
 
 /// The platform's table service.
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -20,26 +20,26 @@
 use http_body_util::Limited;
 use hyper::body::Incoming;
 
-use crate::adapter::Judgement;
-use crate::adapter::Memory;
+use crate::adapter::Classification;
 use crate::adapter::Resume;
+use crate::adapter::Transfer;
 use crate::events::Event;
 use crate::events::Splitter;
 use crate::flight::Flight;
-use crate::flight::Question;
+use crate::flight::Inbound;
 use crate::pool::Connection;
 use crate::shared::Shared;
 
 /// Time between two reports of a stream's tokens.
-const REPORT_TIME: Span = Span::from_millis(250);
+const REPORT_INTERVAL: Span = Span::from_millis(250);
 /// Largest answer that is kept whole before its caller gets it.
-const WHOLE_BYTES: usize = 4 << 20;
+const MAX_BUFFERED_BYTES: usize = 4 << 20;
 /// Longest wait for the rest of an answer that nobody needs, to use its connection again.
-const REST_TIME: Duration = Duration::from_millis(50);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// How an exchange went as far as the head of its answer.
 enum Head {
-    Came(Answer),
+    Received(Answer),
     Ended(End),
 }
 
@@ -51,145 +51,145 @@
 }
 
 /// A stream's attempt as it goes on.
-struct Reading {
+struct StreamState {
     splitter: Splitter,
     /// Whether an event of this attempt was passed on.
-    begun: bool,
-    reported: Time,
+    started: bool,
+    last_report: Time,
     /// Tokens since the last report.
-    unreported: u32,
+    unreported_tokens: u32,
     /// When the last event of this attempt came.
-    last: Time,
+    last_event_at: Time,
 }
 
 impl Flight {
     /// Hands the request to a replica and passes its answer on. None if the caller is gone.
-    pub async fn exchange(&mut self, start: &Start, memory: Option<Memory>) -> Option<End> {
-        let resume = self
-            .last_event
-            .clone()
-            .map(|last_event| Resume { last_event, memory });
+    pub async fn exchange(&mut self, start: &Start, transfer: Option<Transfer>) -> Option<End> {
+        let resume = self.last_event.clone().map(|last_event| Resume {
+            last_event,
+            transfer,
+        });
         let head = tokio::select! {
-            head = ask(&self.shared, &self.question, start, resume.as_ref()) => head,
-            () = self.caller.gone() => return None,
+            head = send_request(&self.shared, &self.inbound, start, resume.as_ref()) => head,
+            () = self.caller.disconnected() => return None,
         };
         let answer = match head {
-            Head::Came(answer) => answer,
+            Head::Received(answer) => answer,
             Head::Ended(end) => return Some(end),
         };
         if start.stream && answer.head.status == StatusCode::OK {
-            return self.pass_stream(start, answer).await;
+            return self.relay_stream(start, answer).await;
         }
-        self.pass_whole(start, answer).await
+        self.relay_whole(start, answer).await
     }
 
     /// Passes an answer on once it is whole, so that one that is cut short can be asked for again.
-    async fn pass_whole(&mut self, start: &Start, answer: Answer) -> Option<End> {
+    async fn relay_whole(&mut self, start: &Start, answer: Answer) -> Option<End> {
         let Answer {
             connection,
             head,
             body,
         } = answer;
-        let collecting = Limited::new(body, WHOLE_BYTES).collect();
+        let collecting = Limited::new(body, MAX_BUFFERED_BYTES).collect();
         let collected = tokio::select! {
             collected = collecting => collected,
-            () = self.caller.gone() => return None,
+            () = self.caller.disconnected() => return None,
         };
         let Ok(collected) = collected else {
-            return Some(broken(&self.shared, start).await);
+            return Some(probe_after_break(&self.shared, start).await);
         };
         let mut response = Response::new(collected.to_bytes());
         *response.status_mut() = head.status;
-        *response.headers_mut() = self.shared.codec.backward(&head.headers);
+        *response.headers_mut() = self.shared.codec.response_headers(&head.headers);
         let status = head.status.as_u16();
         self.shared
             .pool
-            .keep(&start.endpoint, connection, &head.headers)
+            .release(&start.endpoint, connection, &head.headers)
             .await;
-        if self.caller.is_reading() {
+        if self.caller.is_streaming() {
             // The stream began at another replica; this one can't go on.
             return Some(End::Failed { status });
         }
         if head.status.is_server_error() && start.repeatable {
-            self.kept = Some(response);
+            self.fallback = Some(response);
             return Some(End::Failed { status });
         }
-        self.caller.answer(response);
+        self.caller.respond(response);
         Some(End::Finished {
             status,
             tokens: self.tokens,
-            pause: self.pause,
+            pause: self.longest_pause,
         })
     }
 
     /// Passes a stream on, event by event.
-    async fn pass_stream(&mut self, start: &Start, mut answer: Answer) -> Option<End> {
-        let mut reading = Reading {
+    async fn relay_stream(&mut self, start: &Start, mut answer: Answer) -> Option<End> {
+        let mut state = StreamState {
             splitter: Splitter::default(),
-            begun: false,
-            reported: self.shared.clock.now(),
-            unreported: 0,
-            last: self.shared.clock.now(),
+            started: false,
+            last_report: self.shared.clock.now(),
+            unreported_tokens: 0,
+            last_event_at: self.shared.clock.now(),
         };
         loop {
-            let reading_on = unless_silent(&self.shared, start, answer.body.frame());
+            let next_frame = with_silence_timeout(&self.shared, start, answer.body.frame());
             let frame = tokio::select! {
-                frame = reading_on => frame,
-                () = self.caller.gone() => return None,
+                frame = next_frame => frame,
+                () = self.caller.disconnected() => return None,
             };
-            self.shared.pool.hear(&start.endpoint);
+            self.shared.pool.record_activity(&start.endpoint);
             let frame = match frame {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(Some(Err(_))) => return Some(broken(&self.shared, start).await),
+                Ok(Some(Err(_))) => return Some(probe_after_break(&self.shared, start).await),
                 Ok(None) => break,
                 Err(end) => return Some(end),
             };
             let Ok(bytes) = frame.into_data() else {
                 continue;
             };
-            if reading.splitter.push(&bytes).is_err() {
+            if state.splitter.push(&bytes).is_err() {
                 return Some(End::Broken { alive: true });
             }
-            while let Some(event) = reading.splitter.next() {
-                self.pass_event(start, &answer.head, &mut reading, event)
+            while let Some(event) = state.splitter.next() {
+                self.relay_event(start, &answer.head, &mut state, event)
                     .await;
             }
         }
         // A run that was stopped to be moved ends without its last event; where only the connection's end tells
         // that a stream is whole, it would look complete.
-        let cut = self.moving.get() && !is_framed(&answer.head.headers);
-        if reading.splitter.has_rest() || !reading.begun || cut {
+        let cut = self.migrating.get() && !is_framed(&answer.head.headers);
+        if state.splitter.has_partial_event() || !state.started || cut {
             return Some(End::Broken { alive: true });
         }
-        self.caller.end();
+        self.caller.finish();
         let headers = answer.head.headers;
         self.shared
             .pool
-            .keep(&start.endpoint, answer.connection, &headers)
+            .release(&start.endpoint, answer.connection, &headers)
             .await;
         Some(End::Finished {
             status: answer.head.status.as_u16(),
             tokens: self.tokens,
-            pause: self.pause,
+            pause: self.longest_pause,
         })
     }
 
     /// Passes one event on, unless the caller has had it.
-    async fn pass_event(
+    async fn relay_event(
         &mut self,
         start: &Start,
         head: &response::Parts,
-        reading: &mut Reading,
+        state: &mut StreamState,
         event: Event,
     ) {
-        if is_repeat(self.last_event.as_deref(), event.id.as_deref()) {
+        if is_duplicate(self.last_event.as_deref(), event.id.as_deref()) {
             return;
         }
-        if !self.caller.is_reading() {
-            let headers = stream_headers(self.shared.codec.backward(&head.headers));
-            self.caller.begin(head.status, headers);
+        if !self.caller.is_streaming() {
+            let headers = stream_headers(self.shared.codec.response_headers(&head.headers));
+            self.caller.start_stream(head.status, headers);
         }
-        let first = !std::mem::replace(&mut reading.begun, true);
+        let first = !std::mem::replace(&mut state.started, true);
         if first {
             self.report(start, Report::ResponseStarted);
         }
@@ -197,27 +197,32 @@
             self.last_event = event.id;
         }
         self.tokens += start.tokens_per_event;
-        reading.unreported += start.tokens_per_event;
-        self.caller.piece(event.bytes).await;
+        state.unreported_tokens += start.tokens_per_event;
+        self.caller.send_chunk(event.bytes).await;
         let now = self.shared.clock.now();
         if !first {
-            self.pause = self.pause.max(now.since(reading.last));
+            self.longest_pause = self.longest_pause.max(now.since(state.last_event_at));
         }
-        reading.last = now;
-        if now.since(reading.reported) >= REPORT_TIME {
-            reading.reported = now;
-            let tokens = std::mem::take(&mut reading.unreported);
+        state.last_event_at = now;
+        if now.since(state.last_report) >= REPORT_INTERVAL {
+            state.last_report = now;
+            let tokens = std::mem::take(&mut state.unreported_tokens);
             self.report(start, Report::Progress { tokens });
         }
     }
 }
 
 /// Sends the request and waits for the head of its answer.
-async fn ask(shared: &Shared, question: &Question, start: &Start, resume: Option<&Resume>) -> Head {
-    let asked = shared.clock.now();
-    let mut kept = shared.pool.take(&start.endpoint);
+async fn send_request(
+    shared: &Shared,
+    inbound: &Inbound,
+    start: &Start,
+    resume: Option<&Resume>,
+) -> Head {
+    let started = shared.clock.now();
+    let mut idle = shared.pool.take(&start.endpoint);
     loop {
-        let connection = match kept.take() {
+        let connection = match idle.take() {
             Some(connection) => Ok(connection),
             None => shared.pool.connect(&start.endpoint).await,
         };
@@ -229,26 +234,26 @@
                 return Head::Ended(End::NotSent);
             }
         };
-        let left = start.time_left - shared.clock.now().since(asked);
-        if left == Span::ZERO || !shared.pool.takes_requests(&start.endpoint) {
+        let left = start.time_left - shared.clock.now().since(started);
+        if left == Span::ZERO || !shared.pool.accepts_requests(&start.endpoint) {
             return Head::Ended(End::NotSent);
         }
         let start = Start {
             time_left: left,
             ..start.clone()
         };
-        let request = request_of(shared, question, &start, resume);
+        let request = build_request(shared, inbound, &start, resume);
         let sending = connection.sender.try_send_request(request);
-        let mut error = match unless_silent(shared, &start, sending).await {
+        let mut error = match with_silence_timeout(shared, &start, sending).await {
             Ok(Ok(response)) => {
-                shared.pool.hear(&start.endpoint);
-                return judged(shared, question, &start, connection, response).await;
+                shared.pool.record_activity(&start.endpoint);
+                return handle_head(shared, inbound, &start, connection, response).await;
             }
             Ok(Err(error)) => error,
             Err(end) => return Head::Ended(end),
         };
         if error.take_message().is_none() {
-            return Head::Ended(broken(shared, &start).await);
+            return Head::Ended(probe_after_break(shared, &start).await);
         }
         // Nothing of it left this process. A kept connection may have been closed by the replica: a
         // new one tells whether it is there.
@@ -259,52 +264,54 @@
 }
 
 /// The request as it goes to the replica.
-fn request_of(
+fn build_request(
     shared: &Shared,
-    question: &Question,
+    inbound: &Inbound,
     start: &Start,
     resume: Option<&Resume>,
 ) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(question.body.clone()));
-    *request.method_mut() = question.head.method.clone();
-    *request.uri_mut() = question.head.uri.clone();
-    *request.headers_mut() = shared.codec.forward(&question.head, start, resume);
+    let mut request = Request::new(Full::new(inbound.body.clone()));
+    *request.method_mut() = inbound.head.method.clone();
+    *request.uri_mut() = inbound.head.uri.clone();
+    *request.headers_mut() = shared.codec.request_headers(&inbound.head, start, resume);
     request
 }
 
 /// Takes the head of an answer in.
-async fn judged(
+async fn handle_head(
     shared: &Shared,
-    question: &Question,
+    inbound: &Inbound,
     start: &Start,
     connection: Connection,
     response: Response<Incoming>,
 ) -> Head {
     let (head, body) = response.into_parts();
-    note_limit(shared, start, &head.headers);
-    match shared.codec.judge(&head, &question.id) {
-        Judgement::Answer => Head::Came(Answer {
+    report_limit(shared, start, &head.headers);
+    match shared.codec.classify(&head, &inbound.id) {
+        Classification::Answer => Head::Received(Answer {
             connection,
             head,
             body,
         }),
-        Judgement::NotStarted => {
-            let rest = Limited::new(body, WHOLE_BYTES).collect();
-            if let Ok(Ok(_)) = tokio::time::timeout(REST_TIME, rest).await {
-                let keeping = shared.pool.keep(&start.endpoint, connection, &head.headers);
+        Classification::NotStarted => {
+            let rest = Limited::new(body, MAX_BUFFERED_BYTES).collect();
+            if let Ok(Ok(_)) = tokio::time::timeout(DRAIN_TIMEOUT, rest).await {
+                let keeping = shared
+                    .pool
+                    .release(&start.endpoint, connection, &head.headers);
                 keeping.await;
             }
             Head::Ended(End::NotStarted)
         }
-        Judgement::Foreign => Head::Ended(End::Broken { alive: true }),
+        Classification::Mismatched => Head::Ended(End::Broken { alive: true }),
     }
 }
 
 /// Reports a limit that the answer names, or that it names none any more.
-fn note_limit(shared: &Shared, start: &Start, headers: &HeaderMap) {
-    let rate = shared.codec.limit(headers);
+fn report_limit(shared: &Shared, start: &Start, headers: &HeaderMap) {
+    let rate = shared.codec.rate_limit(headers);
     if rate.is_some() || start.limited {
-        shared.link.event(event::Event::LimitReported {
+        shared.handle.send_event(event::Event::LimitReported {
             incarnation: start.endpoint.incarnation.clone(),
             rate,
         });
@@ -313,13 +320,13 @@
 
 /// A connection broke while the request was at the replica. Whether the replica still takes connections
 /// tells a lost answer from a crash: requests that run where servers crash are suspected.
-async fn broken(shared: &Shared, start: &Start) -> End {
+async fn probe_after_break(shared: &Shared, start: &Start) -> End {
     match shared.pool.connect(&start.endpoint).await {
         Ok(connection) => {
             let headers = HeaderMap::new();
             shared
                 .pool
-                .keep(&start.endpoint, connection, &headers)
+                .release(&start.endpoint, connection, &headers)
                 .await;
             End::Broken { alive: true }
         }
@@ -332,26 +339,26 @@
 ///
 /// One that answers others is busy: given up there, the request would be read again elsewhere, and an
 /// overload would feed itself. A plain call says nothing of others and is given up by its own time.
-async fn unless_silent<T>(
+async fn with_silence_timeout<T>(
     shared: &Shared,
     start: &Start,
-    awaited: impl Future<Output = T>,
+    pending: impl Future<Output = T>,
 ) -> Result<T, End> {
     let Some(patience) = start.silence_timeout else {
-        return Ok(awaited.await);
+        return Ok(pending.await);
     };
-    let mut awaited = std::pin::pin!(awaited);
+    let mut pending = std::pin::pin!(pending);
     loop {
-        match tokio::time::timeout(patience.as_duration(), awaited.as_mut()).await {
+        match tokio::time::timeout(patience.as_duration(), pending.as_mut()).await {
             Ok(value) => return Ok(value),
-            Err(_) if start.stream && shared.pool.was_heard(&start.endpoint, patience) => {}
+            Err(_) if start.stream && shared.pool.was_active(&start.endpoint, patience) => {}
             Err(_) => return Err(End::TimedOut { waited: patience }),
         }
     }
 }
 
 /// Whether the caller has had the event that `id` names.
-fn is_repeat(last: Option<&str>, id: Option<&str>) -> bool {
+fn is_duplicate(last: Option<&str>, id: Option<&str>) -> bool {
     let (Some(last), Some(id)) = (last, id) else {
         return false;
     };
--- a/crates/relay/src/caller.rs
+++ b/crates/relay/src/caller.rs
@@ -7,11 +7,11 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::payload::BrokenOff;
+use crate::payload::Aborted;
 use crate::payload::Payload;
 
 /// Pieces of an answer that may wait for a caller that reads slowly.
-const PIECES_WAITING: usize = 32;
+const CHUNK_QUEUE: usize = 32;
 
 /// Takes the answer.
 pub struct Caller {
@@ -21,69 +21,71 @@
 /// How far the answer is.
 enum Stage {
     /// Nothing was said.
-    Waiting(oneshot::Sender<Response<Payload>>),
+    AwaitingHead(oneshot::Sender<Response<Payload>>),
     /// The head is out, pieces follow.
-    Reading(mpsc::Sender<Result<Bytes, BrokenOff>>),
+    Streaming(mpsc::Sender<Result<Bytes, Aborted>>),
     /// Everything is said.
-    Over,
+    Done,
 }
 
 impl Caller {
     /// A caller that waits for the head of its answer.
     pub fn new(head: oneshot::Sender<Response<Payload>>) -> Caller {
         Caller {
-            stage: Stage::Waiting(head),
+            stage: Stage::AwaitingHead(head),
         }
     }
 
     /// Whether it has had the head of its answer.
-    pub fn is_reading(&self) -> bool {
-        matches!(self.stage, Stage::Reading(_))
+    pub fn is_streaming(&self) -> bool {
+        matches!(self.stage, Stage::Streaming(_))
     }
 
     /// Waits until the caller is gone; for ever once everything is said.
-    pub async fn gone(&mut self) {
+    pub async fn disconnected(&mut self) {
         match &mut self.stage {
-            Stage::Waiting(head) => head.closed().await,
-            Stage::Reading(pieces) => pieces.closed().await,
-            Stage::Over => std::future::pending().await,
+            Stage::AwaitingHead(head) => head.closed().await,
+            Stage::Streaming(chunks) => chunks.closed().await,
+            Stage::Done => std::future::pending().await,
         }
     }
 
     /// Gives a whole answer.
-    pub fn answer(&mut self, response: Response<Bytes>) {
-        if let Stage::Waiting(head) = std::mem::replace(&mut self.stage, Stage::Over) {
+    pub fn respond(&mut self, response: Response<Bytes>) {
+        if let Stage::AwaitingHead(head) = std::mem::replace(&mut self.stage, Stage::Done) {
             let _ = head.send(response.map(Payload::from));
         }
     }
 
     /// Gives the head of a stream.
-    pub fn begin(&mut self, status: StatusCode, headers: HeaderMap) {
-        let (sender, pieces) = mpsc::channel(PIECES_WAITING);
-        let mut response = Response::new(Payload::Pieces(pieces));
+    pub fn start_stream(&mut self, status: StatusCode, headers: HeaderMap) {
+        let (sender, chunks) = mpsc::channel(CHUNK_QUEUE);
+        let mut response = Response::new(Payload::Chunks(chunks));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
-        if let Stage::Waiting(head) = std::mem::replace(&mut self.stage, Stage::Reading(sender)) {
+        if let Stage::AwaitingHead(head) =
+            std::mem::replace(&mut self.stage, Stage::Streaming(sender))
+        {
             let _ = head.send(response);
         }
     }
 
     /// Gives a piece of a stream; waits while the caller reads slowly.
-    pub async fn piece(&mut self, bytes: Bytes) {
-        if let Stage::Reading(pieces) = &self.stage {
-            let _ = pieces.send(Ok(bytes)).await;
+    pub async fn send_chunk(&mut self, bytes: Bytes) {
+        if let Stage::Streaming(chunks) = &self.stage {
+            let _ = chunks.send(Ok(bytes)).await;
         }
     }
 
     /// Ends a stream that is complete.
-    pub fn end(&mut self) {
-        self.stage = Stage::Over;
+    pub fn finish(&mut self) {
+        self.stage = Stage::Done;
     }
 
     /// Ends a stream so that the caller sees that something is missing.
-    pub async fn break_off(&mut self) {
-        if let Stage::Reading(pieces) = std::mem::replace(&mut self.stage, Stage::Over) {
-            let _ = pieces.send(Err(BrokenOff)).await;
+    pub async fn abort(&mut self) {
+        if let Stage::Streaming(chunks) = std::mem::replace(&mut self.stage, Stage::Done) {
+            let _ = chunks.send(Err(Aborted)).await;
         }
     }
 }
--- a/crates/relay/src/configs/outbox.rs
+++ b/crates/relay/src/configs/outbox.rs
@@ -8,31 +8,31 @@
     /// Bytes that the link carries in a millisecond.
     pub bytes_per_ms: f64,
     /// As much may be under way as the link carries in this time: what else leaves the entry waits for it.
-    pub room: Span,
+    pub drain_time: Span,
     /// Part of that room for peers that didn't answer in time.
     pub slow_share: f64,
     /// An answer that takes longer is overdue; its counts don't hold room any more.
-    pub overdue: Span,
+    pub ack_timeout: Span,
     /// How long it is remembered that a peer was slow.
-    pub slow_kept: Span,
+    pub slow_ttl: Span,
 }
 
 impl Config {
     /// For a link of so many megabits a second.
-    pub fn of_link(megabits: f64) -> Config {
+    pub fn for_link(megabits: f64) -> Config {
         const BYTES_PER_MS: f64 = 125.0;
         Config {
             bytes_per_ms: megabits * BYTES_PER_MS,
-            room: Span::from_millis(40),
+            drain_time: Span::from_millis(40),
             slow_share: 0.25,
-            overdue: Span::from_millis(250),
-            slow_kept: Span::from_seconds(10),
+            ack_timeout: Span::from_millis(250),
+            slow_ttl: Span::from_seconds(10),
         }
     }
 
     /// Bytes that may be under way; the last digest may go beyond.
     pub fn window(&self) -> usize {
-        (self.bytes_per_ms * self.room.as_millis() as f64) as usize
+        (self.bytes_per_ms * self.drain_time.as_millis() as f64) as usize
     }
 
     /// Bytes of it to slow peers.
@@ -43,6 +43,6 @@
 
 impl Default for Config {
     fn default() -> Config {
-        Config::of_link(1_000.0)
+        Config::for_link(1_000.0)
     }
 }
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 
 /// Largest event that is kept until it is whole.
-const MOST_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Bytes of a stream, of which whole events are taken.
 #[derive(Debug, Default)]
@@ -31,7 +31,7 @@
 impl Splitter {
     /// Adds bytes.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLarge> {
-        if self.buffer.len() + bytes.len() > MOST_BYTES {
+        if self.buffer.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(TooLarge);
         }
         self.buffer.extend_from_slice(bytes);
@@ -40,31 +40,31 @@
 
     /// Takes the next whole event.
     pub fn next(&mut self) -> Option<Event> {
-        let end = self.border()?;
+        let end = self.boundary()?;
         self.searched = 0;
         let bytes = self.buffer.split_to(end).freeze();
         Some(Event {
-            id: id_of(&bytes),
+            id: event_id(&bytes),
             bytes,
         })
     }
 
     /// Whether bytes of an event are left that has not ended.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Where the first event ends: behind an empty line.
-    fn border(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
-        let bytes = &self.buffer[from..];
-        for at in 0..bytes.len() {
-            let rest = &bytes[at..];
+    fn boundary(&mut self) -> Option<usize> {
+        let start = self.searched.saturating_sub(3);
+        let bytes = &self.buffer[start..];
+        for offset in 0..bytes.len() {
+            let rest = &bytes[offset..];
             if rest.starts_with(b"\n\n") {
-                return Some(from + at + 2);
+                return Some(start + offset + 2);
             }
             if rest.starts_with(b"\n\r\n") {
-                return Some(from + at + 3);
+                return Some(start + offset + 3);
             }
         }
         self.searched = self.buffer.len();
@@ -73,7 +73,7 @@
 }
 
 /// The name in an event's bytes.
-fn id_of(bytes: &[u8]) -> Option<SmolStr> {
+fn event_id(bytes: &[u8]) -> Option<SmolStr> {
     let mut lines = bytes.split(|byte| *byte == b'\n');
     let line = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     let text = std::str::from_utf8(line).ok()?;
--- a/crates/relay/src/flight.rs
+++ b/crates/relay/src/flight.rs
@@ -18,8 +18,8 @@
 use verdict::Refusal;
 
 use crate::caller::Caller;
-use crate::link::Message;
-use crate::moving::Moving;
+use crate::inbox::Message;
+use crate::migration::Migration;
 use crate::shared::Shared;
 
 /// One open request.
@@ -27,23 +27,23 @@
     /// What tasks have in common.
     pub shared: Rc<Shared>,
     /// What is asked.
-    pub question: Question,
+    pub inbound: Inbound,
     /// Who waits for the answer.
     pub caller: Caller,
     /// A replica's own answer that it failed, given if no other replica does better.
-    pub kept: Option<Response<Bytes>>,
+    pub fallback: Option<Response<Bytes>>,
     /// Name of the last event that the caller got.
     pub last_event: Option<SmolStr>,
     /// Tokens passed on.
     pub tokens: u32,
     /// Longest pause between two events.
-    pub pause: Span,
+    pub longest_pause: Span,
     /// Whether the attempt's server was told to stop it and hand it over.
-    pub moving: Rc<Cell<bool>>,
+    pub migrating: Rc<Cell<bool>>,
 }
 
 /// A request as it was read.
-pub struct Question {
+pub struct Inbound {
     /// Names it here.
     pub serial: u64,
     /// The caller's name for it.
@@ -57,21 +57,21 @@
 /// What comes next for a flight.
 enum Next {
     Ended(End),
-    Ordered(Command),
-    CallerGone,
+    Commanded(Command),
+    Disconnected,
 }
 
 impl Flight {
     /// Runs until the request has its final answer or its caller is gone.
     pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
-        let mut ordered = None;
+        let mut next_command = None;
         loop {
-            let next = match ordered.take() {
-                Some(command) => Next::Ordered(command),
+            let next = match next_command.take() {
+                Some(command) => Next::Commanded(command),
                 None => self.wait(&mut commands).await,
             };
             match next {
-                Next::Ordered(Command::Start(start)) => {
+                Next::Commanded(Command::Start(start)) => {
                     match self.attempt(&start, &mut commands).await {
                         Next::Ended(end) => {
                             let over = matches!(end, End::Finished { .. });
@@ -80,32 +80,32 @@
                                 break;
                             }
                         }
-                        Next::Ordered(command) => ordered = Some(command),
-                        Next::CallerGone => {
-                            self.caller_gone();
+                        Next::Commanded(command) => next_command = Some(command),
+                        Next::Disconnected => {
+                            self.report_disconnect();
                             break;
                         }
                     }
                 }
-                Next::Ordered(Command::Refuse(refusal)) => {
+                Next::Commanded(Command::Refuse(refusal)) => {
                     self.refuse(&refusal).await;
                     break;
                 }
-                Next::Ordered(Command::Stop | Command::Move(_)) | Next::Ended(_) => {}
-                Next::CallerGone => {
-                    self.caller_gone();
+                Next::Commanded(Command::Stop | Command::Move(_)) | Next::Ended(_) => {}
+                Next::Disconnected => {
+                    self.report_disconnect();
                     break;
                 }
             }
         }
-        let serial = self.question.serial;
-        self.shared.link.send(Message::Closed { serial });
+        let serial = self.inbound.serial;
+        self.shared.handle.send(Message::Closed { serial });
     }
 
     /// Tells the reducer of an attempt.
     pub fn report(&self, start: &Start, report: Report) {
-        self.shared.link.event(Event::Attempt {
-            serial: self.question.serial,
+        self.shared.handle.send_event(Event::Attempt {
+            serial: self.inbound.serial,
             attempt: start.attempt,
             report,
         });
@@ -115,8 +115,8 @@
     async fn wait(&mut self, commands: &mut mpsc::UnboundedReceiver<Command>) -> Next {
         tokio::select! {
             biased;
-            command = commands.recv() => command.map_or(Next::CallerGone, Next::Ordered),
-            () = self.caller.gone() => Next::CallerGone,
+            command = commands.recv() => command.map_or(Next::Disconnected, Next::Commanded),
+            () = self.caller.disconnected() => Next::Disconnected,
         }
     }
 
@@ -127,11 +127,11 @@
         start: &Start,
         commands: &mut mpsc::UnboundedReceiver<Command>,
     ) -> Next {
-        let (shared, id) = (Rc::clone(&self.shared), self.question.id.clone());
-        let begun = shared.clock.now();
-        let ordered = Rc::clone(&self.moving);
-        ordered.set(false);
-        let mut moving: Option<Moving> = None;
+        let (shared, id) = (Rc::clone(&self.shared), self.inbound.id.clone());
+        let started = shared.clock.now();
+        let migrating = Rc::clone(&self.migrating);
+        migrating.set(false);
+        let mut migration: Option<Migration> = None;
         let end = {
             let mut exchange = pin!(self.exchange(start, None));
             loop {
@@ -139,56 +139,58 @@
                     biased;
                     command = commands.recv() => match command {
                         Some(Command::Move(to)) => {
-                            ordered.set(true);
-                            moving.get_or_insert_with(|| Moving::new(&shared, &id, &start.endpoint, to));
+                            migrating.set(true);
+                            migration.get_or_insert_with(|| Migration::new(&shared, &id, &start.endpoint, to));
                         }
-                        command => return command.map_or(Next::CallerGone, Next::Ordered),
+                        command => return command.map_or(Next::Disconnected, Next::Commanded),
                     },
                     end = &mut exchange => break end,
-                    () = progress(&mut moving) => {}
+                    () = wait_for_answer(&mut migration) => {}
                 }
             }
         };
-        let Some(moving) = moving else {
-            return end.map_or(Next::CallerGone, Next::Ended);
+        let Some(migration) = migration else {
+            return end.map_or(Next::Disconnected, Next::Ended);
         };
         tokio::select! {
             biased;
-            command = other_order(commands) => command.map_or(Next::CallerGone, Next::Ordered),
-            end = self.go_on(start, begun, end, moving) => end.map_or(Next::CallerGone, Next::Ended),
+            command = next_command_except_move(commands) => command.map_or(Next::Disconnected, Next::Commanded),
+            end = self.continue_elsewhere(start, started, end, migration) => end.map_or(Next::Disconnected, Next::Ended),
         }
     }
 
     /// Gives the caller its final answer.
     async fn refuse(&mut self, refusal: &Refusal) {
-        if self.caller.is_reading() {
-            self.caller.break_off().await;
+        if self.caller.is_streaming() {
+            self.caller.abort().await;
             return;
         }
-        let answer = match self.kept.take() {
-            Some(kept) => kept,
-            None => self.shared.codec.refusal(refusal),
+        let answer = match self.fallback.take() {
+            Some(fallback) => fallback,
+            None => self.shared.codec.encode_refusal(refusal),
         };
-        self.caller.answer(answer);
+        self.caller.respond(answer);
     }
 
-    fn caller_gone(&self) {
-        self.shared.link.event(Event::CallerDisconnected {
-            serial: self.question.serial,
+    fn report_disconnect(&self) {
+        self.shared.handle.send_event(Event::CallerDisconnected {
+            serial: self.inbound.serial,
         });
     }
 }
 
 /// Waits for the answer to an order to move, if one was given.
-async fn progress(moving: &mut Option<Moving>) {
-    match moving {
-        Some(moving) => moving.progress().await,
+async fn wait_for_answer(migration: &mut Option<Migration>) {
+    match migration {
+        Some(migration) => migration.wait_for_answer().await,
         None => std::future::pending().await,
     }
 }
 
 /// The next order that isn't another one to move.
-async fn other_order(commands: &mut mpsc::UnboundedReceiver<Command>) -> Option<Command> {
+async fn next_command_except_move(
+    commands: &mut mpsc::UnboundedReceiver<Command>,
+) -> Option<Command> {
     loop {
         match commands.recv().await {
             Some(Command::Move(_)) => {}
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -18,87 +18,87 @@
 use crate::adapter::Rows;
 
 /// First pause after a failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest pause after failures: within the time in which a new configuration must be in force.
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
+const MAX_BACKOFF: Duration = Duration::from_millis(600);
 
 /// Takes what is read.
-pub trait Reader {
+pub trait Consumer {
     /// All rows.
-    fn all(&self, rows: Rows);
+    fn replace(&self, rows: Rows);
 
     /// What changed; nothing, if a question waited for its whole time.
-    fn changed(&self, changes: Changes);
+    fn apply(&self, changes: Changes);
 
     /// Waits until this entry is to read; others may do so for it.
-    fn turn(&self) -> Pending<'_, ()>;
+    fn wait_for_turn(&self) -> Pending<'_, ()>;
 
     /// Everything up to this revision is known here, also by others' word.
-    fn known(&self) -> u64;
+    fn known_revision(&self) -> u64;
 
     /// How long one question for changes may wait.
-    fn wait(&self) -> Span;
+    fn poll_timeout(&self) -> Span;
 
     /// Pause after changes, so that those that follow at once come in one answer.
-    fn pace(&self) -> Duration;
+    fn pause(&self) -> Duration;
 
     /// What was read so far is current.
-    fn fresh(&self);
+    fn mark_current(&self);
 
     /// The table can't be read for now.
-    fn lost(&self, fault: Fault);
+    fn mark_lost(&self, fault: Fault);
 }
 
 /// Follows a table until the future is dropped; `hurry` asks for a whole read at once.
-pub async fn follow(feed: Rc<dyn Feed>, reader: Rc<dyn Reader>, hurry: Rc<Notify>) {
-    let mut pause = FIRST_PAUSE;
-    let mut asked = true;
+pub async fn follow(feed: Rc<dyn Feed>, consumer: Rc<dyn Consumer>, refresh: Rc<Notify>) {
+    let mut backoff = INITIAL_BACKOFF;
+    let mut read_now = true;
     loop {
-        if !asked {
+        if !read_now {
             tokio::select! {
-                () = reader.turn() => {}
-                () = hurry.notified() => {}
+                () = consumer.wait_for_turn() => {}
+                () = refresh.notified() => {}
             }
         }
-        asked = false;
+        read_now = false;
         match feed.read().await {
             Ok(rows) => {
-                pause = FIRST_PAUSE;
+                backoff = INITIAL_BACKOFF;
                 let revision = rows.revision;
-                reader.fresh();
-                reader.all(rows);
+                consumer.mark_current();
+                consumer.replace(rows);
                 let fault = tokio::select! {
-                    fault = changes(&feed, &reader, revision) => Some(fault),
-                    () = hurry.notified() => None,
+                    fault = changes(&feed, &consumer, revision) => Some(fault),
+                    () = refresh.notified() => None,
                 };
                 match fault {
                     Some(Fault::HistoryLost) | None => {
-                        asked = true;
+                        read_now = true;
                         continue;
                     }
-                    Some(fault) => reader.lost(fault),
+                    Some(fault) => consumer.mark_lost(fault),
                 }
             }
-            Err(fault) => reader.lost(fault),
+            Err(fault) => consumer.mark_lost(fault),
         }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 /// Reads changes until that fails.
-async fn changes(feed: &Rc<dyn Feed>, reader: &Rc<dyn Reader>, mut revision: u64) -> Fault {
+async fn changes(feed: &Rc<dyn Feed>, consumer: &Rc<dyn Consumer>, mut revision: u64) -> Fault {
     loop {
-        reader.turn().await;
-        revision = revision.max(reader.known());
-        match feed.changes(revision, reader.wait()).await {
+        consumer.wait_for_turn().await;
+        revision = revision.max(consumer.known_revision());
+        match feed.changes(revision, consumer.poll_timeout()).await {
             Ok(changes) => {
                 revision = changes.revision.max(revision);
-                reader.fresh();
-                let any = !changes.written.is_empty() || !changes.deleted.is_empty();
-                reader.changed(changes);
-                if any {
-                    tokio::time::sleep(reader.pace()).await;
+                consumer.mark_current();
+                let nonempty = !changes.written.is_empty() || !changes.deleted.is_empty();
+                consumer.apply(changes);
+                if nonempty {
+                    tokio::time::sleep(consumer.pause()).await;
                 }
             }
             Err(fault) => return fault,
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -31,38 +31,38 @@
 
 use crate::caller::Caller;
 use crate::flight::Flight;
-use crate::flight::Question;
-use crate::link::Message;
+use crate::flight::Inbound;
+use crate::inbox::Message;
 use crate::payload::Payload;
 use crate::shared::Shared;
 
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 /// Smallest read buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8_192;
+const MIN_BUFFER_BYTES: usize = 8_192;
 /// Connections stay open for so much longer than callers may leave them idle: closed just as a request
 /// comes, they would lose it.
 const IDLE_MARGIN: Span = Span::from_seconds(2);
 /// A caller that acknowledges nothing for so long is gone.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(5);
+const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Serves callers until `ended` turns true, then lets every connection finish the answer that it is in.
-pub async fn serve(listener: TcpListener, shared: Rc<Shared>, mut ended: watch::Receiver<bool>) {
+pub async fn serve(listener: TcpListener, shared: Rc<Shared>, mut shutdown: watch::Receiver<bool>) {
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             Some(_) = connections.join_next() => continue,
-            _ = ended.changed() => break,
+            _ = shutdown.changed() => break,
         };
         match accepted {
             Ok((socket, _)) => {
-                connections.spawn_local(connection(socket, Rc::clone(&shared), ended.clone()));
+                connections.spawn_local(connection(socket, Rc::clone(&shared), shutdown.clone()));
             }
             Err(error) => {
                 // Out of file descriptors: let some connections end before the next try.
                 log::warn!(event = "accept_failed", error = error.to_string().as_str(); "");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
@@ -71,20 +71,20 @@
 }
 
 /// Serves one connection to its end.
-async fn connection(socket: TcpStream, shared: Rc<Shared>, mut ended: watch::Receiver<bool>) {
+async fn connection(socket: TcpStream, shared: Rc<Shared>, mut shutdown: watch::Receiver<bool>) {
     let _ = socket.set_nodelay(true);
-    let _ = SockRef::from(&socket).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = SockRef::from(&socket).set_tcp_user_timeout(Some(USER_TIMEOUT));
     let limits = shared.limits.borrow().clone();
     let service = service_fn(move |request| answer(Rc::clone(&shared), request));
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .header_read_timeout((limits.idle_timeout + IDLE_MARGIN).as_duration())
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER));
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES));
     let mut connection = pin!(builder.serve_connection(TokioIo::new(socket), service));
     let served = tokio::select! {
         served = connection.as_mut() => served,
-        _ = ended.changed() => {
+        _ = shutdown.changed() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -101,7 +101,7 @@
 ) -> Result<Response<Payload>, Infallible> {
     let mut response = match read(&shared, request).await {
         Ok(answer) => answer,
-        Err(refusal) => shared.codec.refusal(&refusal).map(Payload::from),
+        Err(refusal) => shared.codec.encode_refusal(&refusal).map(Payload::from),
     };
     if shared.stopping.get() {
         let close = HeaderValue::from_static("close");
@@ -115,47 +115,47 @@
     shared: &Rc<Shared>,
     request: Request<Incoming>,
 ) -> Result<Response<Payload>, Refusal> {
-    let begun = shared.clock.now();
+    let started = shared.clock.now();
     let (head, body) = request.into_parts();
     let body = read_body(shared, body).await?;
-    let reading = shared.clock.now().since(begun);
-    let arrival = shared.codec.arrival(&head, &body, reading)?;
+    let read_time = shared.clock.now().since(started);
+    let arrival = shared.codec.decode_request(&head, &body, read_time)?;
     let (answer, answered) = oneshot::channel();
-    let (commands, orders) = mpsc::unbounded_channel();
-    let serial = shared.serial();
+    let (commands, command_receiver) = mpsc::unbounded_channel();
+    let serial = shared.allocate_serial();
     let flight = Flight {
         shared: Rc::clone(shared),
-        question: Question {
+        inbound: Inbound {
             serial,
             id: arrival.id.clone(),
             head,
             body,
         },
         caller: Caller::new(answer),
-        kept: None,
+        fallback: None,
         last_event: None,
         tokens: 0,
-        pause: Span::ZERO,
-        moving: Rc::default(),
+        longest_pause: Span::ZERO,
+        migrating: Rc::default(),
     };
-    shared.link.send(Message::Open {
+    shared.handle.send(Message::Open {
         serial,
         arrival: Box::new(arrival),
         commands,
     });
-    tokio::task::spawn_local(flight.run(orders));
+    tokio::task::spawn_local(flight.run(command_receiver));
     let lost = || Refusal::may_have_run(Reason::BackendFailed, "the answer was lost here");
     answered.await.map_err(|_| lost())
 }
 
 /// Reads a body within its limit.
 async fn read_body(shared: &Rc<Shared>, body: Incoming) -> Result<Bytes, Refusal> {
-    let most = shared.limits.borrow().body_bytes;
+    let limit = shared.limits.borrow().body_bytes;
     let too_large = || Refusal::not_run(Reason::TooLarge, "the body is too large");
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > limit as u64 {
         return Err(too_large());
     }
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(too_large()),
         Err(_) => Err(Refusal::not_run(
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/inbox.rs
@@ -49,54 +49,54 @@
 /// A message, and when it was sent.
 pub struct Sent {
     /// When.
-    pub at: Time,
+    pub sent_at: Time,
     /// What.
     pub message: Message,
 }
 
 /// Sends messages to the loop; bounded by the connections that tasks serve.
 #[derive(Clone)]
-pub struct Link {
+pub struct Handle {
     clock: Clock,
-    news: mpsc::UnboundedSender<Sent>,
+    control: mpsc::UnboundedSender<Sent>,
     requests: mpsc::UnboundedSender<Sent>,
 }
 
 /// The loop's end of a link.
 pub struct Inbox {
-    news: mpsc::UnboundedReceiver<Sent>,
+    control: mpsc::UnboundedReceiver<Sent>,
     requests: mpsc::UnboundedReceiver<Sent>,
 }
 
-impl Link {
+impl Handle {
     /// A link and the loop's end of it.
-    pub fn new(clock: Clock) -> (Link, Inbox) {
-        let (news, new) = mpsc::unbounded_channel();
-        let (requests, asked) = mpsc::unbounded_channel();
-        let link = Link {
+    pub fn new(clock: Clock) -> (Handle, Inbox) {
+        let (control, control_receiver) = mpsc::unbounded_channel();
+        let (requests, requests_receiver) = mpsc::unbounded_channel();
+        let handle = Handle {
             clock,
-            news,
+            control,
             requests,
         };
         let inbox = Inbox {
-            news: new,
-            requests: asked,
+            control: control_receiver,
+            requests: requests_receiver,
         };
-        (link, inbox)
+        (handle, inbox)
     }
 
     /// Sends a message; after the loop has ended nobody waits for it.
     pub fn send(&self, message: Message) {
-        let at = self.clock.now();
-        let way = match message.is_news() {
-            true => &self.news,
+        let sent_at = self.clock.now();
+        let channel = match message.is_control() {
+            true => &self.control,
             false => &self.requests,
         };
-        let _ = way.send(Sent { at, message });
+        let _ = channel.send(Sent { sent_at, message });
     }
 
     /// Sends an event.
-    pub fn event(&self, event: Event) {
+    pub fn send_event(&self, event: Event) {
         self.send(Message::Event(event));
     }
 }
@@ -108,7 +108,7 @@
     pub async fn next(&mut self) -> Option<Sent> {
         tokio::select! {
             biased;
-            Some(sent) = self.news.recv() => Some(sent),
+            Some(sent) = self.control.recv() => Some(sent),
             sent = self.requests.recv() => sent,
         }
     }
@@ -116,7 +116,7 @@
 
 impl Message {
     /// Whether it says something of servers, configuration, peers or duties, rather than of a single request.
-    fn is_news(&self) -> bool {
+    fn is_control(&self) -> bool {
         let Message::Event(event) = self else {
             return false;
         };
--- a/crates/relay/src/lag.rs
+++ b/crates/relay/src/lag.rs
@@ -6,37 +6,37 @@
 /// Time over which the greatest lag is kept.
 const WINDOW: Span = Span::from_seconds(1);
 /// A lag that is logged.
-const LATE: Span = Span::from_millis(250);
+const LOG_THRESHOLD: Span = Span::from_millis(250);
 
 /// The loop's lag.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lag {
     /// The greatest of the window that has ended, and of the one that runs.
-    ended: Span,
-    running: Span,
+    previous: Span,
+    current: Span,
     /// When the running window began.
-    since: Time,
+    window_start: Time,
 }
 
 impl Lag {
     /// Notes that something was due at `due` and is taken in now; gives a lag to be logged, once a window.
-    pub fn note(&mut self, now: Time, due: Time) -> Option<Span> {
+    pub fn record(&mut self, now: Time, due: Time) -> Option<Span> {
         let late = now.since(due);
         let mut logged = None;
-        if now.since(self.since) >= WINDOW {
-            self.ended = self.running;
-            self.running = Span::ZERO;
-            self.since = now;
+        if now.since(self.window_start) >= WINDOW {
+            self.previous = self.current;
+            self.current = Span::ZERO;
+            self.window_start = now;
         }
-        if late >= LATE && self.running < LATE {
+        if late >= LOG_THRESHOLD && self.current < LOG_THRESHOLD {
             logged = Some(late);
         }
-        self.running = self.running.max(late);
+        self.current = self.current.max(late);
         logged
     }
 
     /// The greatest lag of the last seconds.
-    pub fn most(&self) -> Span {
-        self.ended.max(self.running)
+    pub fn max(&self) -> Span {
+        self.previous.max(self.current)
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -7,8 +7,8 @@
 pub mod adapter;
 pub mod configs;
 pub mod follow;
+pub mod inbox;
 pub mod lag;
-pub mod link;
 pub mod logs;
 pub mod outbox;
 pub mod pool;
@@ -17,15 +17,15 @@
 
 mod attempt;
 mod caller;
+mod consumers;
 mod events;
 mod flight;
 mod front;
 mod metrics;
-mod moving;
+mod migration;
 mod options;
 mod payload;
 mod peers;
 mod ports;
-mod readers;
 mod shared;
 mod shell;
--- a/crates/relay/src/logs.rs
+++ b/crates/relay/src/logs.rs
@@ -16,18 +16,18 @@
 use log::LevelFilter;
 
 /// Lines that may wait for the reader: a second's worth of a busy entry, 200 KB at most.
-const LINES_WAITING: usize = 1_024;
+const QUEUE_LINES: usize = 1_024;
 
 /// From so many waiting lines on, those of the ordinary course are left out, so that refusals, uncertain
 /// ends, resumed streams and duties still find room.
-const ROUTINE_WAITING: u64 = LINES_WAITING as u64 / 4;
+const ROUTINE_LIMIT: u64 = QUEUE_LINES as u64 / 4;
 
 /// Lines that found the queue full.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 /// Lines of the ordinary course that were left out.
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static SHED: AtomicU64 = AtomicU64::new(0);
 /// Lines in the queue.
-static WAITING: AtomicU64 = AtomicU64::new(0);
+static QUEUED: AtomicU64 = AtomicU64::new(0);
 
 /// Sets the log up: one line of key=value pairs an event, on standard output.
 pub fn init(level: LevelFilter) {
@@ -36,11 +36,11 @@
 
 /// The same on any output.
 pub fn init_to(level: LevelFilter, output: Box<dyn Write + Send>) {
-    let (sender, lines) = sync_channel::<Vec<u8>>(LINES_WAITING);
+    let (sender, lines) = sync_channel::<Vec<u8>>(QUEUE_LINES);
     let writing = std::thread::Builder::new()
         .name(String::from("log"))
         .stack_size(64 << 10)
-        .spawn(move || write_out(output, lines));
+        .spawn(move || run_writer(output, lines));
     if writing.is_err() {
         eprintln!("level=error event=log_thread_failed");
         return;
@@ -59,14 +59,17 @@
 }
 
 /// Writes lines out as they come, and what was dropped before each.
-fn write_out(mut output: Box<dyn Write + Send>, lines: Receiver<Vec<u8>>) {
-    let mut told = 0;
+fn run_writer(mut output: Box<dyn Write + Send>, lines: Receiver<Vec<u8>>) {
+    let mut reported = 0;
     for line in lines {
-        WAITING.fetch_sub(1, Ordering::Relaxed);
-        let lost = dropped() + left_out();
-        if lost > told {
-            let text = format!("level=warn event=log_lines_dropped count={}\n", lost - told);
-            told = lost;
+        QUEUED.fetch_sub(1, Ordering::Relaxed);
+        let lost = dropped() + shed();
+        if lost > reported {
+            let text = format!(
+                "level=warn event=log_lines_dropped count={}\n",
+                lost - reported
+            );
+            reported = lost;
             count_failure(output.write_all(text.as_bytes()));
         }
         count_failure(output.write_all(&line).and_then(|()| output.flush()));
@@ -86,8 +89,8 @@
 }
 
 /// Lines of the ordinary course left out so far.
-pub fn left_out() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+pub fn shed() -> u64 {
+    SHED.load(Ordering::Relaxed)
 }
 
 /// Writes one line.
@@ -95,8 +98,8 @@
     if line.level > log::max_level() {
         return;
     }
-    if line.routine && WAITING.load(Ordering::Relaxed) >= ROUTINE_WAITING {
-        LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+    if line.routine && QUEUED.load(Ordering::Relaxed) >= ROUTINE_LIMIT {
+        SHED.fetch_add(1, Ordering::Relaxed);
         return;
     }
     line::text::send(line, None);
@@ -113,9 +116,9 @@
         self.buffer.extend_from_slice(bytes);
         if self.buffer.last() == Some(&b'\n') {
             let line = std::mem::take(&mut self.buffer);
-            WAITING.fetch_add(1, Ordering::Relaxed);
+            QUEUED.fetch_add(1, Ordering::Relaxed);
             if self.sender.try_send(line).is_err() {
-                WAITING.fetch_sub(1, Ordering::Relaxed);
+                QUEUED.fetch_sub(1, Ordering::Relaxed);
                 DROPPED.fetch_add(1, Ordering::Relaxed);
             }
         }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -36,16 +36,16 @@
     done: Counter<u64>,
     refused: Counter<u64>,
     attempts: Counter<u64>,
-    ends: Counter<u64>,
+    failed_attempts: Counter<u64>,
     store_calls: Counter<u64>,
     cloud_calls: Counter<u64>,
     digests: Counter<u64>,
     digest_bytes: Counter<u64>,
-    busy: Counter<f64>,
+    reducer_busy: Counter<f64>,
     first: Histogram<f64>,
-    total: Histogram<f64>,
-    pause: Histogram<f64>,
-    waited: Histogram<f64>,
+    total_latency: Histogram<f64>,
+    longest_pause: Histogram<f64>,
+    queue_wait: Histogram<f64>,
     gauges: Gauges,
 }
 
@@ -86,16 +86,19 @@
             .build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("dogwoodspur");
-        let count = |name: &'static str, what: &'static str| {
-            meter.u64_counter(name).with_description(what).build()
+        let count = |name: &'static str, description: &'static str| {
+            meter
+                .u64_counter(name)
+                .with_description(description)
+                .build()
         };
-        let gauge = |name: &'static str, what: &'static str| {
-            meter.u64_gauge(name).with_description(what).build()
+        let gauge = |name: &'static str, description: &'static str| {
+            meter.u64_gauge(name).with_description(description).build()
         };
-        let latency = |name: &'static str, what: &'static str| {
+        let latency = |name: &'static str, description: &'static str| {
             meter
                 .f64_histogram(name)
-                .with_description(what)
+                .with_description(description)
                 .with_unit("ms")
                 .with_boundaries(LATENCY_BOUNDS.to_vec())
                 .build()
@@ -110,7 +113,7 @@
                 "dogwoodspur_attempts",
                 "Requests handed to replicas, by service and whether it was the first time",
             ),
-            ends: count(
+            failed_attempts: count(
                 "dogwoodspur_attempts_failed",
                 "Attempts that failed, by end",
             ),
@@ -121,15 +124,15 @@
                 "Digests to other entries, by outcome",
             ),
             digest_bytes: count("dogwoodspur_digest_bytes", "Their size, lost ones included"),
-            busy: meter
+            reducer_busy: meter
                 .f64_counter("dogwoodspur_reducer_busy")
                 .with_description("Time spent in decisions")
                 .with_unit("s")
                 .build(),
             first: latency("dogwoodspur_first_token", "Arrival to first event"),
-            total: latency("dogwoodspur_answer", "Arrival to the end of the answer"),
-            pause: latency("dogwoodspur_pause", "Longest pause of each stream"),
-            waited: latency("dogwoodspur_wait", "Arrival to the first attempt"),
+            total_latency: latency("dogwoodspur_answer", "Arrival to the end of the answer"),
+            longest_pause: latency("dogwoodspur_pause", "Longest pause of each stream"),
+            queue_wait: latency("dogwoodspur_wait", "Arrival to the first attempt"),
             gauges: Gauges {
                 open: gauge("dogwoodspur_open_requests", "Requests open here"),
                 waiting: gauge("dogwoodspur_waiting_requests", "Requests in the queues"),
@@ -171,19 +174,21 @@
     }
 
     /// Counts one step of the reducer.
-    pub fn stepped(&self, took: Duration) {
-        self.busy.add(took.as_secs_f64(), &[]);
+    pub fn record_step(&self, took: Duration) {
+        self.reducer_busy.add(took.as_secs_f64(), &[]);
     }
 
     /// Counts one line of the log.
-    pub fn line(&self, line: &Line) {
+    pub fn count_line(&self, line: &Line) {
         match line.event {
             "request_done" => {
                 let service = [label(line, "service")];
                 self.done.add(1, &service);
                 self.first.record(number(line, "first_ms"), &service);
-                self.total.record(number(line, "total_ms"), &service);
-                self.pause.record(number(line, "pause_ms"), &service);
+                self.total_latency
+                    .record(number(line, "total_ms"), &service);
+                self.longest_pause
+                    .record(number(line, "pause_ms"), &service);
             }
             "request_refused" => {
                 let labels = [label(line, "reason"), label(line, "verdict")];
@@ -194,11 +199,12 @@
                 let labels = [label(line, "service"), KeyValue::new("first", first)];
                 self.attempts.add(1, &labels);
                 if first {
-                    self.waited.record(number(line, "waited_ms"), &labels[..1]);
+                    self.queue_wait
+                        .record(number(line, "waited_ms"), &labels[..1]);
                 }
             }
             "attempt_ended" if line.field("end") != "finished" => {
-                self.ends.add(1, &[label(line, "end")]);
+                self.failed_attempts.add(1, &[label(line, "end")]);
             }
             "duty_answered" => self.cloud_calls.add(1, &[label(line, "outcome")]),
             _ => {}
@@ -206,7 +212,7 @@
     }
 
     /// Counts a call of the table service.
-    pub fn store_call(&self, outcome: &Outcome) {
+    pub fn count_store_call(&self, outcome: &Outcome) {
         let name = match outcome {
             Outcome::Row(_) | Outcome::Rows { .. } => "read",
             Outcome::Committed(_) => "committed",
@@ -218,7 +224,7 @@
     }
 
     /// Counts a digest to another entry.
-    pub fn digest(&self, bytes: usize, arrived: bool) {
+    pub fn count_digest(&self, bytes: usize, arrived: bool) {
         let outcome = match arrived {
             true => "arrived",
             false => "lost",
@@ -228,13 +234,21 @@
     }
 
     /// All metrics in the customary text form, as of now.
-    pub fn text(&self, vitals: &Status, ages: Ages, lag: Span, counts: outbox::Sight) -> Vec<u8> {
-        self.show(vitals, ages);
+    pub fn render(
+        &self,
+        status: &Status,
+        ages: Ages,
+        lag: Span,
+        outbox_stats: outbox::Stats,
+    ) -> Vec<u8> {
+        self.record_gauges(status, ages);
         self.gauges.lag.record(lag.as_millis(), &[]);
-        self.gauges.counts_bytes.record(counts.bytes as u64, &[]);
+        self.gauges
+            .counts_bytes
+            .record(outbox_stats.bytes as u64, &[]);
         self.gauges
             .counts_age
-            .record(counts.longest.as_millis(), &[]);
+            .record(outbox_stats.max_wait.as_millis(), &[]);
         let mut buffer = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut buffer) {
             log::warn!(event = "metrics_unreadable", error = error.to_string().as_str(); "");
@@ -242,20 +256,20 @@
         buffer
     }
 
-    fn show(&self, vitals: &Status, ages: Ages) {
+    fn record_gauges(&self, status: &Status, ages: Ages) {
         let gauges = &self.gauges;
-        gauges.open.record(vitals.open_requests, &[]);
-        gauges.waiting.record(vitals.waiting, &[]);
-        gauges.version.record(vitals.version, &[]);
-        gauges.version_age.record(vitals.version_age_ms, &[]);
-        gauges.members.record(vitals.members, &[]);
-        gauges.ready.record(u64::from(vitals.ready), &[]);
-        gauges.repeats.record(vitals.repeats_left, &[]);
-        gauges.fence.record(vitals.fence, &[]);
+        gauges.open.record(status.open_requests, &[]);
+        gauges.waiting.record(status.waiting, &[]);
+        gauges.version.record(status.version, &[]);
+        gauges.version_age.record(status.version_age_ms, &[]);
+        gauges.members.record(status.members, &[]);
+        gauges.ready.record(u64::from(status.ready), &[]);
+        gauges.repeats.record(status.repeats_left, &[]);
+        gauges.fence.record(status.fence, &[]);
         let states = [
-            ("known", vitals.servers),
-            ("leaving", vitals.leaving),
-            ("missing", vitals.missing),
+            ("known", status.servers),
+            ("leaving", status.leaving),
+            ("missing", status.missing),
         ];
         for (state, count) in states {
             gauges
@@ -269,7 +283,7 @@
         for (feed, age) in feeds {
             gauges.feed_age.record(age, &[KeyValue::new("feed", feed)]);
         }
-        for (kind, count) in [("any", logs::dropped()), ("routine", logs::left_out())] {
+        for (kind, count) in [("any", logs::dropped()), ("routine", logs::shed())] {
             gauges.lines.record(count, &[KeyValue::new("kind", kind)]);
         }
         gauges.memory.record(resident_bytes(), &[]);
--- a/crates/relay/src/moving.rs
+++ b/crates/relay/src/migration.rs
@@ -19,76 +19,76 @@
 use http_body_util::Limited;
 use smol_str::SmolStr;
 
-use crate::adapter::Memory;
+use crate::adapter::Transfer;
 use crate::flight::Flight;
 use crate::shared::Shared;
 
 /// Longest wait for the answer to an order to move: memory of 50,000 tokens takes 30 ms between zones and queues
 /// behind that of others.
-const MOVE_TIME: Span = Span::from_millis(1_000);
+const MOVE_TIMEOUT: Span = Span::from_millis(1_000);
 /// Largest answer to it.
-const ANSWER_BYTES: usize = 16 << 10;
+const MAX_ANSWER_BYTES: usize = 16 << 10;
 
 /// A run on its way to another server.
-pub struct Moving {
+pub struct Migration {
     to: Endpoint,
-    memory: Pin<Box<dyn Future<Output = Option<Memory>>>>,
+    transfer: Pin<Box<dyn Future<Output = Option<Transfer>>>>,
     /// What came of the order, once it was answered.
-    answered: Option<Option<Memory>>,
+    outcome: Option<Option<Transfer>>,
 }
 
-impl Moving {
+impl Migration {
     /// Orders the run's server to stop it and hand it over.
-    pub fn new(shared: &Rc<Shared>, id: &SmolStr, from: &Endpoint, to: Endpoint) -> Moving {
-        let ordering = order(Rc::clone(shared), id.clone(), from.clone(), to.clone());
-        Moving {
+    pub fn new(shared: &Rc<Shared>, id: &SmolStr, from: &Endpoint, to: Endpoint) -> Migration {
+        let requesting = request_move(Rc::clone(shared), id.clone(), from.clone(), to.clone());
+        Migration {
             to,
-            memory: Box::pin(ordering),
-            answered: None,
+            transfer: Box::pin(requesting),
+            outcome: None,
         }
     }
 
     /// Waits for the answer; forever once it came.
-    pub async fn progress(&mut self) {
-        if self.answered.is_some() {
+    pub async fn wait_for_answer(&mut self) {
+        if self.outcome.is_some() {
             return std::future::pending().await;
         }
-        self.answered = Some(self.memory.as_mut().await);
+        self.outcome = Some(self.transfer.as_mut().await);
     }
 
     /// What the run goes on from, if its server has stopped it.
-    async fn memory(mut self) -> Option<(Endpoint, Memory)> {
-        if self.answered.is_none() {
-            self.progress().await;
+    async fn transfer(mut self) -> Option<(Endpoint, Transfer)> {
+        if self.outcome.is_none() {
+            self.wait_for_answer().await;
         }
-        let memory = self.answered.flatten()?;
-        Some((self.to, memory))
+        let transfer = self.outcome.flatten()?;
+        Some((self.to, transfer))
     }
 }
 
 impl Flight {
     /// Goes on with a run whose stream has ended since it was moved; otherwise its end stands.
-    pub async fn go_on(
+    pub async fn continue_elsewhere(
         &mut self,
         start: &Start,
-        begun: Time,
+        started: Time,
         end: Option<End>,
-        moving: Moving,
+        migration: Migration,
     ) -> Option<End> {
         let Some(End::Broken { .. }) = end else {
             return end;
         };
-        let Some((to, memory)) = moving.memory().await else {
+        let Some((to, transfer)) = migration.transfer().await else {
             return end;
         };
         let next = Start {
             endpoint: to,
             fetch_from: None,
-            time_left: start.time_left - self.shared.clock.now().since(begun),
+            time_left: start.time_left - self.shared.clock.now().since(started),
             ..start.clone()
         };
         self.report(start, Report::Moved);
-        match self.exchange(&next, Some(memory)).await {
+        match self.exchange(&next, Some(transfer)).await {
             // It has run where it was: whatever the other server says, it isn't to be begun anew.
             Some(End::NotSent | End::NotStarted) => Some(End::Broken { alive: true }),
             end => end,
@@ -122,10 +122,15 @@
 }
 
 /// Gives the order and logs why nothing came of it.
-async fn order(shared: Rc<Shared>, id: SmolStr, from: Endpoint, to: Endpoint) -> Option<Memory> {
-    let ordering = hand_over(&shared, &id, &from, &to);
-    let cause = match tokio::time::timeout(MOVE_TIME.as_duration(), ordering).await {
-        Ok(Ok(memory)) => return Some(memory),
+async fn request_move(
+    shared: Rc<Shared>,
+    id: SmolStr,
+    from: Endpoint,
+    to: Endpoint,
+) -> Option<Transfer> {
+    let requesting = hand_over(&shared, &id, &from, &to);
+    let cause = match tokio::time::timeout(MOVE_TIMEOUT.as_duration(), requesting).await {
+        Ok(Ok(transfer)) => return Some(transfer),
         Ok(Err(cause)) => cause,
         Err(_) => Cause::TimedOut,
     };
@@ -146,14 +151,14 @@
     id: &str,
     from: &Endpoint,
     to: &Endpoint,
-) -> Result<Memory, Cause> {
+) -> Result<Transfer, Cause> {
     let connecting = shared.pool.connect(from).await;
     let mut connection = connecting.map_err(|_| Cause::Unreached)?;
     let request = shared.codec.move_request(id, to).map(Full::new);
     let response = connection.sender.send_request(request).await;
     let (head, body) = response.map_err(|_| Cause::Unanswered)?.into_parts();
-    let body = Limited::new(body, ANSWER_BYTES).collect().await;
+    let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     let body = body.map_err(|_| Cause::Unanswered)?.to_bytes();
-    let memory = shared.codec.moved(from, head.status, &body);
-    memory.ok_or(Cause::NotMoved)
+    let transfer = shared.codec.decode_moved(from, head.status, &body);
+    transfer.ok_or(Cause::NotMoved)
 }
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -54,10 +54,10 @@
 }
 
 /// What counts may fill of this entry's link.
-pub fn link_of(settings: &Settings) -> outbox::Config {
+pub fn outbox_config(settings: &Settings) -> outbox::Config {
     let link = decimal("gateway.link_mbps", &settings.gateway.link_mbps);
     let link = link.filter(|link| *link > 0.0);
-    link.map_or_else(outbox::Config::default, outbox::Config::of_link)
+    link.map_or_else(outbox::Config::default, outbox::Config::for_link)
 }
 
 /// How much an entry can take, 1 to 255, 255 being a whole processor core or more.
--- a/crates/relay/src/outbox.rs
+++ b/crates/relay/src/outbox.rs
@@ -26,10 +26,10 @@
     /// The newest counts for each peer that waits, and since when it does.
     waiting: BTreeMap<SmolStr, (Time, Digest)>,
     /// Peers in the order of their turns. Invariant: each waits, and nothing is under way to it.
-    turns: VecDeque<SmolStr>,
+    ready: VecDeque<SmolStr>,
     /// The same for those that are slow.
-    slow_turns: VecDeque<SmolStr>,
-    under_way: BTreeMap<SmolStr, UnderWay>,
+    slow_ready: VecDeque<SmolStr>,
+    in_flight: BTreeMap<SmolStr, InFlight>,
     /// What was sent and isn't overdue, the oldest first.
     sent: BTreeSet<(Time, SmolStr)>,
     /// Bytes of these, and those of slow peers among them.
@@ -41,7 +41,7 @@
 
 /// A digest without an answer.
 #[derive(Debug)]
-struct UnderWay {
+struct InFlight {
     since: Time,
     bytes: usize,
     /// Whether it takes the room of slow peers.
@@ -51,13 +51,13 @@
 
 /// How an outbox stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sight {
+pub struct Stats {
     /// Peers whose counts wait.
     pub waiting: usize,
     /// Bytes under way.
     pub bytes: usize,
     /// How long a peer's counts have waited at most.
-    pub longest: Span,
+    pub max_wait: Span,
 }
 
 impl Outbox {
@@ -66,9 +66,9 @@
         Outbox {
             config,
             waiting: BTreeMap::new(),
-            turns: VecDeque::new(),
-            slow_turns: VecDeque::new(),
-            under_way: BTreeMap::new(),
+            ready: VecDeque::new(),
+            slow_ready: VecDeque::new(),
+            in_flight: BTreeMap::new(),
             sent: BTreeSet::new(),
             bytes: 0,
             slow_bytes: 0,
@@ -78,14 +78,14 @@
 
     /// Takes counts in. Where they take the place of older ones that still wait, gives what else is in the digest, to be
     /// sent at once: without heartbeats the peer would suspect this entry.
-    pub fn offer(&mut self, now: Time, address: SmolStr, digest: Digest) -> Option<Digest> {
-        if let Some((_, outdated)) = self.waiting.get_mut(&address) {
-            let head = head_of(&digest);
-            *outdated = digest;
+    pub fn enqueue(&mut self, now: Time, address: SmolStr, digest: Digest) -> Option<Digest> {
+        if let Some((_, superseded)) = self.waiting.get_mut(&address) {
+            let head = without_counts(&digest);
+            *superseded = digest;
             return Some(head);
         }
         self.waiting.insert(address.clone(), (now, digest));
-        if !self.under_way.contains_key(&address) {
+        if !self.in_flight.contains_key(&address) {
             self.queue(address);
         }
         None
@@ -97,10 +97,10 @@
         if self.bytes >= self.config.window() {
             return None;
         }
-        let slow = self.turns.is_empty();
+        let slow = self.ready.is_empty();
         let address = match slow {
-            false => self.turns.pop_front()?,
-            true if self.slow_bytes < self.config.slow_window() => self.slow_turns.pop_front()?,
+            false => self.ready.pop_front()?,
+            true if self.slow_bytes < self.config.slow_window() => self.slow_ready.pop_front()?,
             true => return None,
         };
         let (_, digest) = self.waiting.remove(&address)?;
@@ -108,20 +108,20 @@
         self.bytes += bytes;
         self.slow_bytes += if slow { bytes } else { 0 };
         self.sent.insert((now, address.clone()));
-        let sent = UnderWay {
+        let sent = InFlight {
             since: now,
             bytes,
             slow,
             overdue: false,
         };
-        self.under_way.insert(address.clone(), sent);
+        self.in_flight.insert(address.clone(), sent);
         Some((address, digest))
     }
 
     /// A peer answered, or its call failed.
     pub fn answered(&mut self, now: Time, address: &SmolStr) {
         self.mark_overdue(now);
-        let Some(sent) = self.under_way.remove(address) else {
+        let Some(sent) = self.in_flight.remove(address) else {
             return;
         };
         if !sent.overdue {
@@ -136,27 +136,27 @@
 
     /// When [`Outbox::next`] may find room without an answer, if something waits.
     pub fn next_wake(&self) -> Option<Time> {
-        if self.turns.is_empty() && self.slow_turns.is_empty() {
+        if self.ready.is_empty() && self.slow_ready.is_empty() {
             return None;
         }
         let (since, _) = self.sent.first()?;
-        Some(*since + self.config.overdue)
+        Some(*since + self.config.ack_timeout)
     }
 
     /// How the outbox stands.
-    pub fn sight(&self, now: Time) -> Sight {
+    pub fn stats(&self, now: Time) -> Stats {
         let since = self.waiting.values().map(|(since, _)| *since).min();
-        Sight {
+        Stats {
             waiting: self.waiting.len(),
             bytes: self.bytes,
-            longest: since.map_or(Span::ZERO, |since| now.since(since)),
+            max_wait: since.map_or(Span::ZERO, |since| now.since(since)),
         }
     }
 
     fn queue(&mut self, address: SmolStr) {
         match self.slow.contains_key(&address) {
-            true => self.slow_turns.push_back(address),
-            false => self.turns.push_back(address),
+            true => self.slow_ready.push_back(address),
+            false => self.ready.push_back(address),
         }
     }
 
@@ -164,28 +164,28 @@
     fn mark_overdue(&mut self, now: Time) {
         self.slow.retain(|_, until| *until > now);
         while let Some((since, address)) = self.sent.first().cloned() {
-            if now.since(since) < self.config.overdue {
+            if now.since(since) < self.config.ack_timeout {
                 return;
             }
             self.sent.pop_first();
-            let Some(mut sent) = self.under_way.remove(&address) else {
+            let Some(mut sent) = self.in_flight.remove(&address) else {
                 continue;
             };
             self.release(&sent);
             sent.overdue = true;
-            self.under_way.insert(address.clone(), sent);
-            self.slow.insert(address, now + self.config.slow_kept);
+            self.in_flight.insert(address.clone(), sent);
+            self.slow.insert(address, now + self.config.slow_ttl);
         }
     }
 
-    fn release(&mut self, sent: &UnderWay) {
+    fn release(&mut self, sent: &InFlight) {
         self.bytes -= sent.bytes;
         self.slow_bytes -= if sent.slow { sent.bytes } else { 0 };
     }
 }
 
 /// A digest without its counts.
-fn head_of(digest: &Digest) -> Digest {
+fn without_counts(digest: &Digest) -> Digest {
     let items = digest.items.iter();
     Digest {
         own: digest.own,
--- a/crates/relay/src/payload.rs
+++ b/crates/relay/src/payload.rs
@@ -18,20 +18,20 @@
     /// Whole.
     Whole(Full<Bytes>),
     /// Piece by piece; an error closes the connection, so that what is missing shows.
-    Pieces(mpsc::Receiver<Result<Bytes, BrokenOff>>),
+    Chunks(mpsc::Receiver<Result<Bytes, Aborted>>),
 }
 
 /// The answer can't be finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BrokenOff;
+pub struct Aborted;
 
-impl fmt::Display for BrokenOff {
+impl fmt::Display for Aborted {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("the answer was broken off")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for Aborted {}
 
 impl From<Bytes> for Payload {
     fn from(bytes: Bytes) -> Payload {
@@ -41,20 +41,20 @@
 
 impl Body for Payload {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = Aborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match self.get_mut() {
             Payload::Whole(whole) => {
                 let frame = Pin::new(whole).poll_frame(context);
                 frame.map(|frame| frame.map(|frame| frame.map_err(|never| match never {})))
             }
-            Payload::Pieces(pieces) => {
-                let piece = pieces.poll_recv(context);
-                piece.map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Payload::Chunks(chunks) => {
+                let chunk = chunks.poll_recv(context);
+                chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -62,7 +62,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Payload::Whole(whole) => whole.size_hint(),
-            Payload::Pieces(_) => SizeHint::default(),
+            Payload::Chunks(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -26,19 +26,19 @@
 use tokio::sync::oneshot;
 
 use crate::configs::outbox;
-use crate::link::Message;
+use crate::inbox::Message;
 use crate::outbox::Outbox;
 use crate::shared::Shared;
 
 /// Time between two lines on digests that were lost or are late.
-const LINES_TIME: Span = Span::from_seconds(1);
+const LOG_INTERVAL: Span = Span::from_seconds(1);
 /// Counts that wait for so long are logged.
-const LATE: Span = Span::from_seconds(1);
+const LATE_THRESHOLD: Span = Span::from_seconds(1);
 
 /// The way to other entries. Nothing waits for it: words come back as events.
 pub struct Peers {
     client: client::Peers,
-    me: Incarnation,
+    local_id: Incarnation,
     shared: Rc<Shared>,
     digests: Rc<Digests>,
 }
@@ -50,16 +50,16 @@
     outbox: RefCell<Outbox>,
     losses: Losses,
     /// Whether a task waits to look for overdue answers.
-    wakes: Cell<bool>,
+    wake_scheduled: Cell<bool>,
     /// When late counts were logged last.
-    late_logged: Cell<Time>,
+    late_last_logged: Cell<Time>,
 }
 
 /// Digests since the last line on those that were lost. One line each would be hundreds a second where a link
 /// is full.
 #[derive(Default)]
 struct Losses {
-    told: Cell<Time>,
+    last_logged: Cell<Time>,
     sent: Cell<u32>,
     lost: Cell<u32>,
 }
@@ -69,10 +69,10 @@
     fn count(&self, now: Time, lost: bool) {
         self.sent.set(self.sent.get() + 1);
         self.lost.set(self.lost.get() + u32::from(lost));
-        if self.lost.get() == 0 || now.since(self.told.get()) < LINES_TIME {
+        if self.lost.get() == 0 || now.since(self.last_logged.get()) < LOG_INTERVAL {
             return;
         }
-        self.told.set(now);
+        self.last_logged.set(now);
         let (sent, lost) = (self.sent.take(), self.lost.take());
         log::info!(event = "digests_lost", count = lost, of = sent; "");
     }
@@ -82,7 +82,9 @@
     /// Sends a digest and waits for its answer.
     async fn send(&self, address: &SmolStr, digest: &Digest) {
         let sent = self.client.digest(address, digest).await;
-        self.shared.metrics.digest(digest.size(), sent.is_ok());
+        self.shared
+            .metrics
+            .count_digest(digest.size(), sent.is_ok());
         self.losses.count(self.shared.clock.now(), sent.is_err());
         if let Err(lost) = sent {
             log::debug!(event = "digest_lost", peer = address.as_str(), error = lost.0.as_str(); "");
@@ -101,8 +103,8 @@
                 digests.pump();
             });
         }
-        self.show(now);
-        self.wake_later(now);
+        self.publish_stats(now);
+        self.schedule_wake(now);
     }
 
     fn next(&self, now: Time) -> Option<(SmolStr, Digest)> {
@@ -110,29 +112,30 @@
     }
 
     /// Looks again once answers are overdue, unless something is to do so already.
-    fn wake_later(self: &Rc<Digests>, now: Time) {
+    fn schedule_wake(self: &Rc<Digests>, now: Time) {
         let wake = self.outbox.borrow().next_wake();
-        let Some(wake) = wake.filter(|_| !self.wakes.replace(true)) else {
+        let Some(wake) = wake.filter(|_| !self.wake_scheduled.replace(true)) else {
             return;
         };
         let digests = Rc::clone(self);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(wake.since(now).as_duration()).await;
-            digests.wakes.set(false);
+            digests.wake_scheduled.set(false);
             digests.pump();
         });
     }
 
     /// Shows how the counts get on; logs that they are late, but not too often.
-    fn show(&self, now: Time) {
-        let sight = self.outbox.borrow().sight(now);
-        self.shared.counts.set(sight);
-        if sight.longest < LATE || now.since(self.late_logged.get()) < LINES_TIME {
+    fn publish_stats(&self, now: Time) {
+        let stats = self.outbox.borrow().stats(now);
+        self.shared.outbox_stats.set(stats);
+        if stats.max_wait < LATE_THRESHOLD || now.since(self.late_last_logged.get()) < LOG_INTERVAL
+        {
             return;
         }
-        self.late_logged.set(now);
-        let longest = sight.longest.as_millis();
-        log::info!(event = "counts_late", waiting = sight.waiting, bytes = sight.bytes, longest_ms = longest; "");
+        self.late_last_logged.set(now);
+        let longest = stats.max_wait.as_millis();
+        log::info!(event = "counts_late", waiting = stats.waiting, bytes = stats.bytes, longest_ms = longest; "");
     }
 }
 
@@ -140,21 +143,21 @@
     /// Calls peers in the name of `me`.
     pub fn new(
         client: client::Peers,
-        me: holder::Id,
+        local_id: holder::Id,
         shared: Rc<Shared>,
-        counts: outbox::Config,
+        config: outbox::Config,
     ) -> Peers {
         let digests = Digests {
             client: client.clone(),
             shared: Rc::clone(&shared),
-            outbox: RefCell::new(Outbox::new(counts)),
+            outbox: RefCell::new(Outbox::new(config)),
             losses: Losses::default(),
-            wakes: Cell::default(),
-            late_logged: Cell::default(),
+            wake_scheduled: Cell::default(),
+            late_last_logged: Cell::default(),
         };
         Peers {
             client,
-            me: Incarnation(me.0),
+            local_id: Incarnation(local_id.0),
             shared,
             digests: Rc::new(digests),
         }
@@ -162,15 +165,15 @@
 
     /// Sends a digest; its loss does no harm.
     pub fn send_digest(&self, address: SmolStr, digest: Digest, lane: Lane) {
-        let news = match lane {
+        let immediate = match lane {
             Lane::Immediate => Some(digest),
             Lane::Coalesced => {
                 let now = self.shared.clock.now();
                 let mut outbox = self.digests.outbox.borrow_mut();
-                outbox.offer(now, address.clone(), digest)
+                outbox.enqueue(now, address.clone(), digest)
             }
         };
-        if let Some(digest) = news {
+        if let Some(digest) = immediate {
             let digests = Rc::clone(&self.digests);
             tokio::task::spawn_local(async move { digests.send(&address, &digest).await });
         }
@@ -182,9 +185,9 @@
     /// Sends a version of the configuration; a loss is made good by the next sending.
     pub fn send_configuration(&self, address: SmolStr, document: Bytes) {
         let client = self.client.clone();
-        let me = self.me;
+        let local_id = self.local_id;
         tokio::task::spawn_local(async move {
-            if let Err(lost) = client.configure(&address, me, &document).await {
+            if let Err(lost) = client.configure(&address, local_id, &document).await {
                 log::debug!(event = "configuration_lost", peer = address.as_str(), error = lost.0.as_str(); "");
             }
         });
@@ -193,19 +196,19 @@
 
 impl Peers {
     /// Asks another entry for a charge; its answer comes back as an event, also that none came.
-    pub fn ask_charge(&self, serial: u64, charge: Charge, home: holder::Id, address: SmolStr) {
+    pub fn request_charge(&self, serial: u64, charge: Charge, home: holder::Id, address: SmolStr) {
         let client = self.client.clone();
-        let link = self.shared.link.clone();
+        let handle = self.shared.handle.clone();
         tokio::task::spawn_local(async move {
             let answered = client.charge(&address, charge.name, charge.cost).await;
             if let Err(lost) = &answered {
                 log::debug!(event = "charge_unanswered", peer = address.as_str(), error = lost.0.as_str(); "");
             }
-            link.event(Event::ChargeAnswered {
+            handle.send_event(Event::ChargeAnswered {
                 serial,
                 charge,
                 home,
-                answer: answered.ok().map(answer_of),
+                answer: answered.ok().map(answer_from),
             });
         });
     }
@@ -222,7 +225,7 @@
 }
 
 /// A home's answer as the reducer takes it.
-fn answer_of(charge: receiver::Charge) -> Answer {
+fn answer_from(charge: receiver::Charge) -> Answer {
     match charge {
         receiver::Charge::Granted { bucket } => Answer::Granted { bucket },
         receiver::Charge::Short { after } => Answer::Exceeded { retry_after: after },
@@ -230,7 +233,7 @@
 }
 
 /// The reducer's answer as peers get it.
-fn charge_of(answer: Answer) -> receiver::Charge {
+fn charge_from(answer: Answer) -> receiver::Charge {
     match answer {
         Answer::Granted { bucket } => receiver::Charge::Granted { bucket },
         Answer::Exceeded { retry_after: after } => receiver::Charge::Short { after },
@@ -238,12 +241,12 @@
 }
 
 /// Answers peers.
-pub struct Answering {
+pub struct Responder {
     /// What tasks have in common.
     pub shared: Rc<Shared>,
 }
 
-impl Receiver for Answering {
+impl Receiver for Responder {
     fn spend(&self, _ticket: SmolStr) -> Pending<ledger::Answer> {
         Box::pin(async { None })
     }
@@ -258,22 +261,24 @@
             name: account,
             cost: tokens,
         };
-        self.shared.link.send(Message::Charge { charge, reply });
-        Box::pin(async move { answered.await.ok().flatten().map(charge_of) })
+        self.shared.handle.send(Message::Charge { charge, reply });
+        Box::pin(async move { answered.await.ok().flatten().map(charge_from) })
     }
 
     fn refund(&self, bucket: u64, tokens: u64) {
         let cost = tokens;
-        self.shared.link.event(Event::Refunded { bucket, cost });
+        self.shared
+            .handle
+            .send_event(Event::Refunded { bucket, cost });
     }
 
     fn digest(&self, digest: Digest) {
-        self.shared.link.event(Event::DigestReceived(digest));
+        self.shared.handle.send_event(Event::DigestReceived(digest));
     }
 
     fn configure(&self, from: u64, message: Vec<u8>) {
-        match self.shared.codec.catalog(&message) {
-            Ok(catalog) => self.shared.link.event(Event::Configured {
+        match self.shared.codec.decode_catalog(&message) {
+            Ok(catalog) => self.shared.handle.send_event(Event::Configured {
                 catalog: Rc::new(catalog),
                 document: Bytes::from(message),
                 source: Source::Peer(holder::Id(from)),
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -29,30 +29,30 @@
 
 /// Longest time for a connection to come about: a round trip takes a few milliseconds, and a first
 /// packet that was dropped is sent again after a second.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// A replica that acknowledges nothing for so long is gone: four retransmissions on this network, so that a
 /// link that loses one packet in thirty breaks hardly any. A busy one acknowledges within milliseconds.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(800);
+const USER_TIMEOUT: Duration = Duration::from_millis(800);
 /// A connection on which only answers come shows by probes that the other side is gone: the first after so
 /// long without a byte, and as long between them.
-const PROBE_TIME: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// How long an unused connection is kept if its server doesn't say.
-const IDLE_TIME: Span = Span::from_millis(1_500);
+const DEFAULT_IDLE_TIMEOUT: Span = Span::from_millis(1_500);
 /// Part of a server's own idle time after which a connection isn't used any more.
-const IDLE_SHARE: f64 = 0.6;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 /// How long it is remembered when a server spoke last; longer than any silence that is asked for.
-const HEARD_KEPT: Span = Span::from_seconds(20);
+const ACTIVITY_RETENTION: Span = Span::from_seconds(20);
 /// How long a server that left is remembered; longer than a request may wait to be handed over.
-const CLOSED_KEPT: Span = Span::from_seconds(60);
+const CLOSED_RETENTION: Span = Span::from_seconds(60);
 /// Unused connections kept for each server.
-const MOST_IDLE: usize = 8;
+const MAX_IDLE: usize = 8;
 
 /// Connections that wait for their next request.
 pub struct Pool {
     clock: Clock,
     idle: RefCell<BTreeMap<SmolStr, Vec<Connection>>>,
     /// When each server said something last, by incarnation.
-    heard: RefCell<BTreeMap<SmolStr, Time>>,
+    last_activity: RefCell<BTreeMap<SmolStr, Time>>,
     /// Servers that get nothing more, by incarnation, and since when.
     closed: RefCell<BTreeMap<SmolStr, Time>>,
 }
@@ -63,7 +63,7 @@
     pub sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     /// It isn't used again from then on.
-    until: Time,
+    reusable_until: Time,
     /// Whether it served a request before.
     pub used: bool,
 }
@@ -80,28 +80,28 @@
         Pool {
             clock,
             idle: RefCell::default(),
-            heard: RefCell::default(),
+            last_activity: RefCell::default(),
             closed: RefCell::default(),
         }
     }
 
     /// Notes that a server said something.
-    pub fn hear(&self, place: &Endpoint) {
+    pub fn record_activity(&self, endpoint: &Endpoint) {
         let now = self.clock.now();
-        let mut heard = self.heard.borrow_mut();
-        match heard.get_mut(&place.incarnation) {
-            Some(at) => *at = now,
+        let mut last_activity = self.last_activity.borrow_mut();
+        match last_activity.get_mut(&endpoint.incarnation) {
+            Some(time) => *time = now,
             None => {
-                heard.insert(place.incarnation.clone(), now);
+                last_activity.insert(endpoint.incarnation.clone(), now);
             }
         }
     }
 
     /// Whether a server said something, on any connection, within this time.
-    pub fn was_heard(&self, place: &Endpoint, within: Span) -> bool {
-        let heard = self.heard.borrow();
-        let at = heard.get(&place.incarnation);
-        at.is_some_and(|at| self.clock.now().since(*at) <= within)
+    pub fn was_active(&self, endpoint: &Endpoint, within: Span) -> bool {
+        let last_activity = self.last_activity.borrow();
+        let time = last_activity.get(&endpoint.incarnation);
+        time.is_some_and(|time| self.clock.now().since(*time) <= within)
     }
 
     /// Takes a server up; its row may have been missing for a while though it lives.
@@ -120,17 +120,17 @@
     }
 
     /// Whether a server may be handed a request now.
-    pub fn takes_requests(&self, place: &Endpoint) -> bool {
-        !self.closed.borrow().contains_key(&place.incarnation)
+    pub fn accepts_requests(&self, endpoint: &Endpoint) -> bool {
+        !self.closed.borrow().contains_key(&endpoint.incarnation)
     }
 
     /// An unused connection to a server, if there is one.
-    pub fn take(&self, place: &Endpoint) -> Option<Connection> {
+    pub fn take(&self, endpoint: &Endpoint) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let waiting = idle.get_mut(&place.incarnation)?;
-        while let Some(connection) = waiting.pop() {
-            if connection.until > now && connection.sender.is_ready() {
+        let connections = idle.get_mut(&endpoint.incarnation)?;
+        while let Some(connection) = connections.pop() {
+            if connection.reusable_until > now && connection.sender.is_ready() {
                 return Some(connection);
             }
         }
@@ -138,20 +138,20 @@
     }
 
     /// A new connection to a server.
-    pub async fn connect(&self, place: &Endpoint) -> std::io::Result<Connection> {
-        let connecting = TcpStream::connect(place.address.as_str());
-        let socket = match tokio::time::timeout(CONNECT_TIME, connecting).await {
+    pub async fn connect(&self, endpoint: &Endpoint) -> std::io::Result<Connection> {
+        let connecting = TcpStream::connect(endpoint.address.as_str());
+        let socket = match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
             Ok(socket) => socket?,
             Err(_) => return Err(std::io::ErrorKind::TimedOut.into()),
         };
         socket.set_nodelay(true)?;
         let options = SockRef::from(&socket);
-        options.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+        options.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
         // Closed, it is reset: what an abandoned attempt has left on its way must not reach the server later.
         options.set_linger(Some(Duration::ZERO))?;
         let probes = TcpKeepalive::new()
-            .with_time(PROBE_TIME)
-            .with_interval(PROBE_TIME);
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL);
         options.set_tcp_keepalive(&probes)?;
         let (sender, connection) = http1::handshake(TokioIo::new(socket))
             .await
@@ -164,48 +164,55 @@
         Ok(Connection {
             sender,
             task: task.abort_handle(),
-            until: Time::ZERO,
+            reusable_until: Time::ZERO,
             used: false,
         })
     }
 
     /// Keeps a connection whose answer was read whole, if it may be used again.
-    pub async fn keep(&self, place: &Endpoint, mut connection: Connection, headers: &HeaderMap) {
+    pub async fn release(
+        &self,
+        endpoint: &Endpoint,
+        mut connection: Connection,
+        headers: &HeaderMap,
+    ) {
         let Some(idle_time) = idle_time(headers) else {
             return;
         };
-        if connection.sender.ready().await.is_err() || !self.takes_requests(place) {
+        if connection.sender.ready().await.is_err() || !self.accepts_requests(endpoint) {
             return;
         }
         let now = self.clock.now();
-        connection.until = now + idle_time;
+        connection.reusable_until = now + idle_time;
         connection.used = true;
         let mut idle = self.idle.borrow_mut();
-        let waiting = idle.entry(place.incarnation.clone()).or_default();
-        waiting.retain(|other| other.until > now && !other.sender.is_closed());
-        if waiting.len() < MOST_IDLE {
-            waiting.push(connection);
+        let connections = idle.entry(endpoint.incarnation.clone()).or_default();
+        connections.retain(|other| other.reusable_until > now && !other.sender.is_closed());
+        if connections.len() < MAX_IDLE {
+            connections.push(connection);
         }
     }
 
     /// Closes and forgets what is too old.
     pub fn sweep(&self) {
         let now = self.clock.now();
-        let mut heard = self.heard.borrow_mut();
-        heard.retain(|_, at| now.since(*at) <= HEARD_KEPT);
+        let mut last_activity = self.last_activity.borrow_mut();
+        last_activity.retain(|_, time| now.since(*time) <= ACTIVITY_RETENTION);
         let mut closed = self.closed.borrow_mut();
-        closed.retain(|_, at| now.since(*at) <= CLOSED_KEPT);
+        closed.retain(|_, time| now.since(*time) <= CLOSED_RETENTION);
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|_, waiting| {
-            waiting.retain(|one| one.until > now && !one.sender.is_closed());
-            !waiting.is_empty()
+        idle.retain(|_, connections| {
+            connections.retain(|connection| {
+                connection.reusable_until > now && !connection.sender.is_closed()
+            });
+            !connections.is_empty()
         });
     }
 }
 
 /// How long a connection may be used again after this answer; none if it may not.
 fn idle_time(headers: &HeaderMap) -> Option<Span> {
-    let says = |name: &str, word: &str| {
+    let has_token = |name: &str, word: &str| {
         let mut values = headers.get_all(name).iter();
         values.any(|value| {
             let text = value.to_str().unwrap_or_default();
@@ -213,17 +220,17 @@
                 .any(|part| part.trim().eq_ignore_ascii_case(word))
         })
     };
-    if says(CONNECTION.as_str(), "close") {
+    if has_token(CONNECTION.as_str(), "close") {
         return None;
     }
-    let stated = headers.get("keep-alive").and_then(|value| {
+    let timeout = headers.get("keep-alive").and_then(|value| {
         let mut parts = value.to_str().ok()?.split(',');
         let seconds = parts.find_map(|part| part.trim().strip_prefix("timeout="))?;
         seconds.trim().parse::<u64>().ok()
     });
-    match stated {
+    match timeout {
         Some(0) => None,
-        Some(seconds) => Some(Span::from_seconds(seconds).scaled(IDLE_SHARE)),
-        None => Some(IDLE_TIME),
+        Some(seconds) => Some(Span::from_seconds(seconds).scaled(IDLE_TIMEOUT_FRACTION)),
+        None => Some(DEFAULT_IDLE_TIMEOUT),
     }
 }
--- a/crates/relay/src/ports.rs
+++ b/crates/relay/src/ports.rs
@@ -17,19 +17,19 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-use crate::link::Message;
+use crate::inbox::Message;
 use crate::shared::Shared;
 
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 /// How long a connection may be idle: probes and callers come at least this often or anew.
-const IDLE_TIME: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Serves one port until the future is dropped.
 pub async fn serve(listener: TcpListener, shared: Rc<Shared>) {
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
         let shared = Rc::clone(&shared);
@@ -37,7 +37,7 @@
             let service = service_fn(move |request| answer(Rc::clone(&shared), request));
             let served = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE_TIME)
+                .header_read_timeout(IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(socket), service)
                 .await;
             if let Err(error) = served {
@@ -54,12 +54,12 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (head, _) = request.into_parts();
     let codec = Rc::clone(&shared.codec);
-    let response = if let Some(zone) = codec.question(&head) {
+    let response = if let Some(zone) = codec.address_query(&head) {
         let (reply, answered) = oneshot::channel();
-        shared.link.send(Message::Addresses { zone, reply });
+        shared.handle.send(Message::Addresses { zone, reply });
         let addresses = answered.await.unwrap_or(None);
-        codec.addresses(addresses.as_ref())
-    } else if codec.is_readiness(&head) {
+        codec.encode_addresses(addresses.as_ref())
+    } else if codec.is_readiness_probe(&head) {
         let status = match shared.ready.get() {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
@@ -68,7 +68,7 @@
         let lag = shared.lag.get().as_millis();
         *response.body_mut() = Bytes::from(format!("loop_lag_ms={lag}\n"));
         response
-    } else if codec.is_metrics(&head) {
+    } else if codec.is_metrics_request(&head) {
         Response::new(Bytes::from(shared.metrics_text()))
     } else {
         empty(StatusCode::NOT_FOUND)
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -33,29 +33,29 @@
 use crate::adapter::Codec;
 use crate::adapter::Feed;
 use crate::adapter::Tables;
+use crate::consumers::ConfigurationConsumer;
+use crate::consumers::ServersConsumer;
 use crate::follow;
 use crate::front;
+use crate::inbox::Handle;
 use crate::lag::Lag;
-use crate::link::Link;
 use crate::logs;
 use crate::metrics::Metrics;
 use crate::options::gateway_settings;
-use crate::options::link_of;
-use crate::peers::Answering;
+use crate::options::outbox_config;
 use crate::peers::Peers;
+use crate::peers::Responder;
 use crate::pool::Pool;
 use crate::ports;
-use crate::readers::ConfigurationReader;
-use crate::readers::ServersReader;
 use crate::shared::Shared;
 use crate::shell;
 use crate::shell::Shell;
 
 /// Longest time for the last words of answers to reach their callers.
-const LAST_WORDS_TIME: Duration = Duration::from_millis(250);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time between two looks whether the settings file has changed.
-const SETTINGS_TIME: Duration = Duration::from_secs(3);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// What an adapter brings.
 pub struct Adapter {
@@ -120,21 +120,21 @@
     stops: mpsc::UnboundedReceiver<()>,
     reload: Rc<Notify>,
 ) -> Result<()> {
-    let identity = identity_of(&settings, &sockets)?;
+    let identity = resolve_identity(&settings, &sockets)?;
     log_start(&settings, &identity);
     let clock = Clock::start();
-    let (link, inbox) = Link::new(clock);
+    let (handle, inbox) = Handle::new(clock);
     let shared = Rc::new(Shared {
-        link,
+        handle,
         codec: Rc::clone(&adapter.codec),
         pool: Pool::new(clock),
         clock,
         metrics: Metrics::new()?,
-        vitals: Cell::new(Status::default()),
+        status: Cell::new(Status::default()),
         lag: Cell::default(),
-        counts: Cell::default(),
-        configuration_at: Cell::new(Time::ZERO),
-        servers_pause: watch::Sender::new(Some(Span::ZERO)),
+        outbox_stats: Cell::default(),
+        configuration_confirmed_at: Cell::new(Time::ZERO),
+        servers_poll_interval: watch::Sender::new(Some(Span::ZERO)),
         limits: RefCell::new(Limits::default()),
         ready: Cell::new(false),
         stopping: Cell::new(false),
@@ -142,21 +142,22 @@
     });
     let key = Key::new(settings.peers.key.reveal());
     let limit = peer::configs::limit::Limit::default();
-    let answering = Rc::new(Answering {
+    let responder = Rc::new(Responder {
         shared: Rc::clone(&shared),
     });
-    let (end, ended) = watch::channel(false);
-    let front = tokio::task::spawn_local(front::serve(sockets.callers, Rc::clone(&shared), ended));
+    let (shutdown_sender, shutdown) = watch::channel(false);
+    let front =
+        tokio::task::spawn_local(front::serve(sockets.callers, Rc::clone(&shared), shutdown));
     let read_configuration = Rc::new(Notify::new());
     let read_servers = Rc::new(Notify::new());
-    let configuration = Rc::new(ConfigurationReader::new(Rc::clone(&shared)));
-    let servers = Rc::new(ServersReader::new(Rc::clone(&shared)));
+    let configuration = Rc::new(ConfigurationConsumer::new(Rc::clone(&shared)));
+    let servers = Rc::new(ServersConsumer::new(Rc::clone(&shared)));
     let tasks = [
         tokio::task::spawn_local(peer::server::serve(
             sockets.peers,
             key.clone(),
             limit,
-            answering,
+            responder,
         )),
         tokio::task::spawn_local(ports::serve(sockets.directory, Rc::clone(&shared))),
         tokio::task::spawn_local(ports::serve(sockets.readiness, Rc::clone(&shared))),
@@ -186,7 +187,7 @@
             peer::client::Peers::new(key, limit),
             identity.incarnation,
             Rc::clone(&shared),
-            link_of(&settings),
+            outbox_config(&settings),
         ),
         shared,
         tables: adapter.tables,
@@ -194,14 +195,14 @@
         read_configuration,
         read_servers,
         flights: HashMap::new(),
-        askers: HashMap::new(),
-        chargers: HashMap::new(),
-        next_asker: 0,
+        address_replies: HashMap::new(),
+        charge_replies: HashMap::new(),
+        next_requester: 0,
         lag: Lag::default(),
     };
     shell.run(inbox, stops).await;
-    let _ = end.send(true);
-    let _ = tokio::time::timeout(LAST_WORDS_TIME, front).await;
+    let _ = shutdown_sender.send(true);
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, front).await;
     for task in tasks {
         task.abort();
     }
@@ -267,25 +268,25 @@
     let Some(path) = path else {
         return;
     };
-    let changed = || {
+    let modified_at = || {
         std::fs::metadata(&path)
             .and_then(|file| file.modified())
             .ok()
     };
-    let mut seen = changed();
+    let mut last_modified = modified_at();
     loop {
-        let asked = tokio::time::timeout(SETTINGS_TIME, reload.notified())
+        let requested = tokio::time::timeout(SETTINGS_POLL_INTERVAL, reload.notified())
             .await
             .is_ok();
-        let now = changed();
-        if !asked && now == seen {
+        let now = modified_at();
+        if !requested && now == last_modified {
             continue;
         }
-        seen = now;
+        last_modified = now;
         match settings::load(&path) {
             Ok(settings) => {
                 let settings = Box::new(gateway_settings(&settings));
-                shared.link.event(Event::SettingsRead(settings));
+                shared.handle.send_event(Event::SettingsRead(settings));
             }
             Err(faults) => {
                 log::warn!(event = "reload_failed", faults = faults.to_string().as_str(); "");
@@ -295,7 +296,7 @@
 }
 
 /// Who this entry is.
-fn identity_of(settings: &Settings, sockets: &Sockets) -> Result<Identity> {
+fn resolve_identity(settings: &Settings, sockets: &Sockets) -> Result<Identity> {
     let callers = sockets.callers.local_addr()?;
     let peers = sockets.peers.local_addr()?;
     Ok(Identity {
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 use crate::adapter::Codec;
-use crate::link::Link;
+use crate::inbox::Handle;
 use crate::metrics::Ages;
 use crate::metrics::Metrics;
 use crate::outbox;
@@ -21,7 +21,7 @@
 /// Handed to every task.
 pub struct Shared {
     /// The way to the loop.
-    pub link: Link,
+    pub handle: Handle,
     /// The wires' names.
     pub codec: Rc<dyn Codec>,
     /// Connections to backend servers.
@@ -31,15 +31,15 @@
     /// What is counted.
     pub metrics: Metrics,
     /// How the entry stands, as of the last step.
-    pub vitals: Cell<Status>,
+    pub status: Cell<Status>,
     /// How late the loop runs.
     pub lag: Cell<Span>,
     /// Counts on their way to other entries.
-    pub counts: Cell<outbox::Sight>,
+    pub outbox_stats: Cell<outbox::Stats>,
     /// When the configuration was known to be current.
-    pub configuration_at: Cell<Time>,
+    pub configuration_confirmed_at: Cell<Time>,
     /// Least pause between two reads of the list of backend servers; none while others read it.
-    pub servers_pause: watch::Sender<Option<Span>>,
+    pub servers_poll_interval: watch::Sender<Option<Span>>,
     /// What callers may send now.
     pub limits: RefCell<Limits>,
     /// Whether callers may be sent here.
@@ -55,15 +55,19 @@
     pub fn metrics_text(&self) -> Vec<u8> {
         let now = self.clock.now();
         let ages = Ages {
-            configuration_ms: now.since(self.configuration_at.get()).as_millis(),
-            servers_ms: self.vitals.get().list_age_ms,
+            configuration_ms: now.since(self.configuration_confirmed_at.get()).as_millis(),
+            servers_ms: self.status.get().list_age_ms,
         };
-        self.metrics
-            .text(&self.vitals.get(), ages, self.lag.get(), self.counts.get())
+        self.metrics.render(
+            &self.status.get(),
+            ages,
+            self.lag.get(),
+            self.outbox_stats.get(),
+        )
     }
 
     /// A number not used before.
-    pub fn serial(&self) -> u64 {
+    pub fn allocate_serial(&self) -> u64 {
         let serial = self.next_serial.get();
         self.next_serial.set(serial + 1);
         serial
--- a/crates/relay/src/shell.rs
+++ b/crates/relay/src/shell.rs
@@ -19,9 +19,9 @@
 
 use crate::adapter::Cloud;
 use crate::adapter::Tables;
+use crate::inbox::Inbox;
+use crate::inbox::Message;
 use crate::lag::Lag;
-use crate::link::Inbox;
-use crate::link::Message;
 use crate::logs;
 use crate::peers::Peers;
 use crate::shared::Shared;
@@ -46,11 +46,11 @@
     /// Tasks of open requests.
     pub flights: HashMap<u64, mpsc::UnboundedSender<Command>>,
     /// Who waits for addresses, by number.
-    pub askers: HashMap<u64, oneshot::Sender<Option<Addresses>>>,
+    pub address_replies: HashMap<u64, oneshot::Sender<Option<Addresses>>>,
     /// Entries that wait for a charge, by number.
-    pub chargers: HashMap<u64, oneshot::Sender<Option<Answer>>>,
+    pub charge_replies: HashMap<u64, oneshot::Sender<Option<Answer>>>,
     /// Names the next asker.
-    pub next_asker: u64,
+    pub next_requester: u64,
     /// How late the loop runs.
     pub lag: Lag,
 }
@@ -66,28 +66,28 @@
                 biased;
                 Some(()) = stops.recv() => (wake.due(), Some(Event::StopRequested)),
                 () = std::future::ready(()), if now >= wake.due() => (wake.due(), Some(Event::Tick)),
-                Some(sent) = inbox.next() => (sent.at, self.event_of(sent.message)),
+                Some(sent) = inbox.next() => (sent.sent_at, self.event_from(sent.message)),
                 () = tokio::time::sleep(sleep) => (wake.due(), Some(Event::Tick)),
             };
-            self.note_lag(due.min(wake.due()));
+            self.record_lag(due.min(wake.due()));
             let Some(event) = event else {
                 continue;
             };
             if matches!(event, Event::Tick) {
-                wake.acted(now);
+                wake.record_tick(now);
             }
             if self.step(event) {
                 return;
             }
             let now = self.shared.clock.now();
-            wake.set(now, self.gateway.next_wake(now));
+            wake.schedule(now, self.gateway.next_wake(now));
         }
     }
 
     /// Notes how late the loop is with something that was due.
-    fn note_lag(&mut self, due: Time) {
-        let late = self.lag.note(self.shared.clock.now(), due);
-        self.shared.lag.set(self.lag.most());
+    fn record_lag(&mut self, due: Time) {
+        let late = self.lag.record(self.shared.clock.now(), due);
+        self.shared.lag.set(self.lag.max());
         if let Some(late) = late {
             log::warn!(event = "loop_late", lag_ms = late.as_millis(); "");
         }
@@ -103,9 +103,9 @@
         );
         let begun = Instant::now();
         self.gateway.step(now, event, &mut effects);
-        self.shared.metrics.stepped(begun.elapsed());
+        self.shared.metrics.record_step(begun.elapsed());
         if changed {
-            self.show(now);
+            self.publish_status(now);
         }
         let mut exit = false;
         for effect in effects {
@@ -116,11 +116,11 @@
     }
 
     /// Shows tasks how the entry stands.
-    fn show(&mut self, now: Time) {
-        let vitals = self.gateway.status(now);
-        self.shared.vitals.set(vitals);
-        self.shared.ready.set(vitals.ready);
-        self.shared.stopping.set(vitals.stopping);
+    fn publish_status(&mut self, now: Time) {
+        let status = self.gateway.status(now);
+        self.shared.status.set(status);
+        self.shared.ready.set(status.ready);
+        self.shared.stopping.set(status.stopping);
         let limits = self.gateway.limits();
         if *self.shared.limits.borrow() != limits {
             *self.shared.limits.borrow_mut() = limits;
@@ -128,7 +128,7 @@
     }
 
     /// The event of a message; notes who waits for what follows.
-    fn event_of(&mut self, message: Message) -> Option<Event> {
+    fn event_from(&mut self, message: Message) -> Option<Event> {
         match message {
             Message::Event(event) => Some(event),
             Message::Open {
@@ -144,15 +144,15 @@
                 None
             }
             Message::Charge { charge, reply } => {
-                self.next_asker += 1;
-                let requester = self.next_asker;
-                self.chargers.insert(requester, reply);
+                self.next_requester += 1;
+                let requester = self.next_requester;
+                self.charge_replies.insert(requester, reply);
                 Some(Event::ChargeRequested { requester, charge })
             }
             Message::Addresses { zone, reply } => {
-                self.next_asker += 1;
-                let requester = self.next_asker;
-                self.askers.insert(requester, reply);
+                self.next_requester += 1;
+                let requester = self.next_requester;
+                self.address_replies.insert(requester, reply);
                 Some(Event::AddressesRequested { requester, zone })
             }
         }
@@ -167,7 +167,7 @@
                 }
             }
             Effect::Addresses { requester, answer } => {
-                if let Some(reply) = self.askers.remove(&requester) {
+                if let Some(reply) = self.address_replies.remove(&requester) {
                     let _ = reply.send(answer);
                 }
             }
@@ -178,9 +178,9 @@
                 home,
                 address,
                 charge,
-            } => self.peers.ask_charge(serial, charge, home, address),
+            } => self.peers.request_charge(serial, charge, home, address),
             Effect::ChargeAnswer { requester, answer } => {
-                if let Some(reply) = self.chargers.remove(&requester) {
+                if let Some(reply) = self.charge_replies.remove(&requester) {
                     let _ = reply.send(answer);
                 }
             }
@@ -195,13 +195,13 @@
             }
             Effect::ReadConfiguration => self.read_configuration.notify_one(),
             Effect::FollowServers { pause } => {
-                self.shared.servers_pause.send_replace(pause);
+                self.shared.servers_poll_interval.send_replace(pause);
             }
             Effect::ReadServers => self.read_servers.notify_one(),
             Effect::OpenServer { incarnation } => self.shared.pool.open(&incarnation),
             Effect::CloseServer { incarnation } => self.shared.pool.close(incarnation),
             Effect::Log(line) => {
-                self.shared.metrics.line(&line);
+                self.shared.metrics.count_line(&line);
                 logs::write(&line);
             }
             Effect::Exit => {}
@@ -214,8 +214,8 @@
         let tables = Rc::clone(&self.tables);
         tokio::task::spawn_local(async move {
             let outcome = tables.call(call).await;
-            shared.metrics.store_call(&outcome);
-            shared.link.event(Event::Store { id, outcome });
+            shared.metrics.count_store_call(&outcome);
+            shared.handle.send_event(Event::Store { id, outcome });
         });
     }
 
@@ -233,18 +233,20 @@
                 }
                 _ => duty::Outcome::Refused,
             };
-            shared.link.event(Event::DutyAnswered { id, outcome });
+            shared
+                .handle
+                .send_event(Event::DutyAnswered { id, outcome });
         });
     }
 }
 
 /// Time between two sweeps of unused connections.
-const SWEEP_TIME: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Closes unused connections in time.
 pub async fn sweep(shared: Rc<Shared>) {
     loop {
-        tokio::time::sleep(SWEEP_TIME).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         shared.pool.sweep();
     }
 }
--- a/crates/relay/src/wake.rs
+++ b/crates/relay/src/wake.rs
@@ -4,16 +4,16 @@
 use clock::Time;
 
 /// Time passes in the reducer at least this often.
-const LONGEST: Span = Span::from_millis(250);
+const MAX_INTERVAL: Span = Span::from_millis(250);
 /// And at most this often: each time costs some tens of microseconds.
-const SHORTEST: Span = Span::from_millis(5);
+const MIN_INTERVAL: Span = Span::from_millis(5);
 
 /// The next time at which the reducer is to act on the time alone.
 #[derive(Clone, Copy, Debug)]
 pub struct Wake {
     due: Time,
     /// When it last did.
-    last: Time,
+    last_tick: Time,
 }
 
 impl Wake {
@@ -21,7 +21,7 @@
     pub fn new(now: Time) -> Wake {
         Wake {
             due: now,
-            last: now,
+            last_tick: now,
         }
     }
 
@@ -31,13 +31,15 @@
     }
 
     /// The reducer took an event and wants to be woken at `wanted`.
-    pub fn set(&mut self, now: Time, wanted: Time) {
+    pub fn schedule(&mut self, now: Time, wanted: Time) {
         // Counted from the last time: from each message, timers would never be due beside a steady stream of them.
-        self.due = wanted.min(now + LONGEST).max(self.last + SHORTEST);
+        self.due = wanted
+            .min(now + MAX_INTERVAL)
+            .max(self.last_tick + MIN_INTERVAL);
     }
 
     /// The reducer acted on the time.
-    pub fn acted(&mut self, now: Time) {
-        self.last = now;
+    pub fn record_tick(&mut self, now: Time) {
+        self.last_tick = now;
     }
 }
--- a/crates/relay/tests/link.rs
+++ b/crates/relay/tests/inbox.rs
@@ -4,17 +4,17 @@
 
 use clock::Clock;
 use gateway::event::Event;
-use relay::link::Link;
-use relay::link::Message;
+use relay::inbox::Handle;
+use relay::inbox::Message;
 
 /// After a freeze requests were handed to a server before the news that it had left was taken in, which came later.
 #[tokio::test]
 async fn news_is_taken_in_before_requests() {
-    let (link, mut inbox) = Link::new(Clock::start());
+    let (handle, mut inbox) = Handle::new(Clock::start());
     for serial in 0..3 {
-        link.event(Event::CallerDisconnected { serial });
+        handle.send_event(Event::CallerDisconnected { serial });
     }
-    link.event(Event::ServersLost);
+    handle.send_event(Event::ServersLost);
     let first = inbox.next().await.unwrap().message;
     assert!(matches!(first, Message::Event(Event::ServersLost)));
     for expected in 0..3 {
--- a/crates/relay/tests/logs.rs
+++ b/crates/relay/tests/logs.rs
@@ -61,7 +61,7 @@
         "{:?}",
         begun.elapsed()
     );
-    assert!(logs::left_out() > 10_000, "{}", logs::left_out());
+    assert!(logs::shed() > 10_000, "{}", logs::shed());
     assert_eq!(logs::dropped(), 0, "there was room for what matters");
     for number in 0..5_000 {
         logs::write(&Line::info("request_refused").with("request", number));
--- a/crates/relay/tests/outbox.rs
+++ b/crates/relay/tests/outbox.rs
@@ -80,7 +80,7 @@
 impl Run {
     fn play(&self) -> Outcome {
         let bytes_per_ms = self.megabits as f64 * 125.0;
-        let mut outbox = Outbox::new(Config::of_link(self.megabits as f64));
+        let mut outbox = Outbox::new(Config::for_link(self.megabits as f64));
         let mut link = Link {
             bytes_per_ms,
             free_at: 0.0,
@@ -109,7 +109,7 @@
             if now % ROUND == 0 {
                 for peer in 0..self.peers {
                     let digest = counts(now / ROUND, self.bytes);
-                    let head = outbox.offer(time, format_smolstr!("{peer}"), digest);
+                    let head = outbox.enqueue(time, format_smolstr!("{peer}"), digest);
                     if let Some(head) = head {
                         let through = link.send(now, head.size());
                         heads.entry(through).or_default().push(peer);
@@ -228,16 +228,16 @@
 
 #[test]
 fn counts_leave_at_once_where_the_link_has_room() {
-    let mut outbox = Outbox::new(Config::of_link(1_000.0));
+    let mut outbox = Outbox::new(Config::for_link(1_000.0));
     let now = Time::ZERO;
     for peer in 0..75 {
-        outbox.offer(now, format_smolstr!("{peer}"), counts(1, 14_000));
+        outbox.enqueue(now, format_smolstr!("{peer}"), counts(1, 14_000));
     }
     let mut sent = 0;
     while outbox.next(now).is_some() {
         sent += 1;
     }
     assert_eq!(sent, 75);
-    let sight = outbox.sight(now + Span::from_millis(40));
-    assert_eq!((sight.waiting, sight.longest), (0, Span::ZERO));
+    let stats = outbox.stats(now + Span::from_millis(40));
+    assert_eq!((stats.waiting, stats.max_wait), (0, Span::ZERO));
 }
--- a/crates/relay/tests/pool.rs
+++ b/crates/relay/tests/pool.rs
@@ -18,58 +18,58 @@
 
 async fn listener() -> (TcpListener, Endpoint) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let place = Endpoint {
+    let endpoint = Endpoint {
         address: listener.local_addr().unwrap().to_string().into(),
         id: "s1".into(),
         incarnation: "s1#1".into(),
     };
-    (listener, place)
+    (listener, endpoint)
 }
 
 #[tokio::test]
 async fn a_server_that_leaves_is_handed_nothing_more() {
     // A connection to the server is being made, and another lies unused, when the server begins to leave. Either
     // would have carried a request to it that its end cuts off.
-    let (_listener, place) = listener().await;
+    let (_listener, endpoint) = listener().await;
     let check = async {
         let pool = Pool::new(Clock::start());
         for _ in 0..2 {
-            let connection = pool.connect(&place).await.unwrap();
-            pool.keep(&place, connection, &HeaderMap::new()).await;
+            let connection = pool.connect(&endpoint).await.unwrap();
+            pool.release(&endpoint, connection, &HeaderMap::new()).await;
         }
-        let busy = pool.take(&place).unwrap();
-        assert!(pool.takes_requests(&place));
+        let busy = pool.take(&endpoint).unwrap();
+        assert!(pool.accepts_requests(&endpoint));
 
-        pool.close(place.incarnation.clone());
-        assert!(!pool.takes_requests(&place));
-        assert!(pool.take(&place).is_none());
+        pool.close(endpoint.incarnation.clone());
+        assert!(!pool.accepts_requests(&endpoint));
+        assert!(pool.take(&endpoint).is_none());
         // The answer that was awaited on the other connection came whole.
-        pool.keep(&place, busy, &HeaderMap::new()).await;
-        assert!(pool.take(&place).is_none());
+        pool.release(&endpoint, busy, &HeaderMap::new()).await;
+        assert!(pool.take(&endpoint).is_none());
     };
     LocalSet::new().run_until(check).await;
 }
 
 #[tokio::test]
 async fn the_next_life_of_a_server_is_not_the_one_that_left() {
-    let (_listener, place) = listener().await;
+    let (_listener, endpoint) = listener().await;
     let pool = Pool::new(Clock::start());
-    pool.close(place.incarnation.clone());
+    pool.close(endpoint.incarnation.clone());
     let next = Endpoint {
         incarnation: "s1#2".into(),
-        ..place
+        ..endpoint
     };
-    assert!(pool.takes_requests(&next));
+    assert!(pool.accepts_requests(&next));
 }
 
 #[tokio::test]
 async fn an_abandoned_request_does_not_go_on_by_itself() {
     // A closed socket delivers what it holds: behind a full link or a cut, a request that had long been given up reached
     // its server seconds later.
-    let (listener, place) = listener().await;
+    let (listener, endpoint) = listener().await;
     let check = async {
         let pool = Pool::new(Clock::start());
-        let mut connection = pool.connect(&place).await.unwrap();
+        let mut connection = pool.connect(&endpoint).await.unwrap();
         let (mut server, _) = listener.accept().await.unwrap();
         let body = Bytes::from(vec![b'x'; 32 << 20]);
         let sending = connection.sender.send_request(request(body));
--- a/crates/relay/tests/wake.rs
+++ b/crates/relay/tests/wake.rs
@@ -7,16 +7,16 @@
 #[test]
 fn timers_run_beside_a_steady_stream_of_messages() {
     let mut wake = Wake::new(Time::ZERO);
-    let mut acted = 0;
+    let mut ticks = 0;
     for now in (0..1_000).map(Time::from_millis) {
         if now >= wake.due() {
-            wake.acted(now);
-            acted += 1;
+            wake.record_tick(now);
+            ticks += 1;
         }
         // A message each millisecond, and a timer that has long been due.
-        wake.set(now, Time::ZERO);
+        wake.schedule(now, Time::ZERO);
     }
-    assert!(acted >= 190, "acted {acted} times in a second");
+    assert!(ticks >= 190, "acted {ticks} times in a second");
 }
 
 #[test]
@@ -29,8 +29,8 @@
                 assert!(now.since(last).as_millis() >= 5);
             }
             last = Some(now);
-            wake.acted(now);
+            wake.record_tick(now);
         }
-        wake.set(now, now);
+        wake.schedule(now, now);
     }
 }
