--- a/crates/relay/tests/logs.rs
+++ b/crates/relay/tests/logs.rs
@@ -17,12 +17,12 @@
 #[derive(Clone, Default)]
 struct Pipe {
     read: Arc<Mutex<Vec<u8>>>,
-    stopped: Arc<Mutex<()>>,
+    stalled: Arc<Mutex<()>>,
 }
 
 impl Pipe {
-    fn stop(&self) -> MutexGuard<'_, ()> {
-        self.stopped.lock().unwrap()
+    fn stall(&self) -> MutexGuard<'_, ()> {
+        self.stalled.lock().unwrap()
     }
 
     fn text(&self) -> String {
@@ -32,7 +32,7 @@
 
 impl Write for Pipe {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        drop(self.stopped.lock().unwrap());
+        drop(self.stalled.lock().unwrap());
         self.read.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
@@ -45,33 +45,33 @@
 /// The reader of the log stops. Requests go on: no line waits for it, those of the ordinary course are left
 /// out first, what doesn't fit is dropped, and both are counted and told once the reader is back.
 #[test]
-fn a_reader_that_stops_holds_nobody_up() {
+fn a_stalled_reader_blocks_no_writer() {
     let pipe = Pipe::default();
     logs::init_to(LevelFilter::Info, Box::new(pipe.clone()));
-    let stopped = pipe.stop();
-    let begun = Instant::now();
-    for number in 0..20_000 {
-        logs::write(&Line::info("request_done").routine().with("request", number));
+    let stalled = pipe.stall();
+    let started = Instant::now();
+    for index in 0..20_000 {
+        logs::write(&Line::info("request_done").routine().with("request", index));
     }
-    for number in 0..200 {
-        logs::write(&Line::info("request_refused").with("request", number));
+    for index in 0..200 {
+        logs::write(&Line::info("request_refused").with("request", index));
     }
     assert!(
-        begun.elapsed() < Duration::from_secs(5),
+        started.elapsed() < Duration::from_secs(5),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
     assert!(logs::shed() > 10_000, "{}", logs::shed());
     assert_eq!(logs::dropped(), 0, "there was room for what matters");
-    for number in 0..5_000 {
-        logs::write(&Line::info("request_refused").with("request", number));
+    for index in 0..5_000 {
+        logs::write(&Line::info("request_refused").with("request", index));
     }
     assert!(logs::dropped() > 3_000, "{}", logs::dropped());
-    drop(stopped);
-    let begun = Instant::now();
+    drop(stalled);
+    let started = Instant::now();
     while !pipe.text().contains("request=199\n") || !pipe.text().contains("log_lines_dropped") {
         assert!(
-            begun.elapsed() < Duration::from_secs(20),
+            started.elapsed() < Duration::from_secs(20),
             "the log never came"
         );
         std::thread::sleep(Duration::from_millis(5));
--- a/crates/relay/tests/outbox.rs
+++ b/crates/relay/tests/outbox.rs
@@ -16,35 +16,35 @@
 use smol_str::format_smolstr;
 
 /// Time between two rounds of counts, milliseconds.
-const ROUND: u64 = 500;
+const ROUND_MS: u64 = 500;
 /// Time between two requests, and their size.
-const REQUEST_EVERY: u64 = 40;
+const REQUEST_INTERVAL_MS: u64 = 40;
 const REQUEST_BYTES: usize = 12_000;
 /// From the last byte on the link until the peer's answer is here, milliseconds.
-const ANSWER: u64 = 3;
+const ACK_DELAY_MS: u64 = 3;
 /// A call without an answer has failed by then, milliseconds.
-const CALL: u64 = 2_000;
+const CALL_TIMEOUT_MS: u64 = 2_000;
 /// An entry without heartbeats for 1,250 ms is suspected; the way of one takes up to 150.
-const LONGEST_SILENCE: u64 = 1_100;
+const MAX_SILENCE_MS: u64 = 1_100;
 /// What a server that leaves leaves to news of it and requests under way: a request may wait for the link so long.
-const LONGEST_WAIT: u64 = 100;
+const MAX_WAIT_MS: u64 = 100;
 
 /// An entry's own link: first in, first out.
 struct Link {
     bytes_per_ms: f64,
-    free_at: f64,
+    free_at_ms: f64,
 }
 
 impl Link {
     /// When the last byte is through.
     fn send(&mut self, now: u64, bytes: usize) -> u64 {
-        self.free_at = self.free_at.max(now as f64) + bytes as f64 / self.bytes_per_ms;
-        self.free_at.ceil() as u64
+        self.free_at_ms = self.free_at_ms.max(now as f64) + bytes as f64 / self.bytes_per_ms;
+        self.free_at_ms.ceil() as u64
     }
 
     /// How long a byte waits that is sent now.
     fn wait(&self, now: u64) -> u64 {
-        (self.free_at - now as f64).max(0.0) as u64
+        (self.free_at_ms - now as f64).max(0.0) as u64
     }
 }
 
@@ -55,20 +55,20 @@
     /// The newest round that each peer has.
     rounds: BTreeMap<usize, u64>,
     /// When each peer got the last heartbeat.
-    heard: BTreeMap<usize, u64>,
+    last_heartbeat: BTreeMap<usize, u64>,
     /// The longest time for which one that answers didn't.
     longest_silence: u64,
 }
 
 impl Outcome {
-    fn hear(&mut self, peer: usize, now: u64) {
-        let before = self.heard.insert(peer, now).unwrap_or(0);
-        self.longest_silence = self.longest_silence.max(now - before);
+    fn record_heartbeat(&mut self, peer: usize, now: u64) {
+        let previous = self.last_heartbeat.insert(peer, now).unwrap_or(0);
+        self.longest_silence = self.longest_silence.max(now - previous);
     }
 }
 
 /// An entry that sends counts of `bytes` to each peer in each round, and requests besides.
-struct Run {
+struct Scenario {
     peers: usize,
     bytes: usize,
     megabits: u64,
@@ -77,13 +77,13 @@
     until: u64,
 }
 
-impl Run {
-    fn play(&self) -> Outcome {
+impl Scenario {
+    fn simulate(&self) -> Outcome {
         let bytes_per_ms = self.megabits as f64 * 125.0;
         let mut outbox = Outbox::new(Config::for_link(self.megabits as f64));
         let mut link = Link {
             bytes_per_ms,
-            free_at: 0.0,
+            free_at_ms: 0.0,
         };
         let mut answers: BTreeMap<u64, Vec<(SmolStr, Option<u64>)>> = BTreeMap::new();
         let mut heads: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
@@ -92,7 +92,7 @@
             let later = heads.split_off(&(now + 1));
             for peer in std::mem::replace(&mut heads, later).into_values().flatten() {
                 if !self.silent.contains(&peer) {
-                    outcome.hear(peer, now);
+                    outcome.record_heartbeat(peer, now);
                 }
             }
             let time = Time::from_millis(now);
@@ -100,15 +100,15 @@
                 outbox.answered(time, &address);
                 if let Some(round) = round {
                     let peer: usize = address.parse().unwrap();
-                    outcome.hear(peer, now);
+                    outcome.record_heartbeat(peer, now);
                     let newest = outcome.rounds.entry(peer).or_default();
                     assert!(round >= *newest, "counts overtook newer ones");
                     *newest = round;
                 }
             }
-            if now % ROUND == 0 {
+            if now % ROUND_MS == 0 {
                 for peer in 0..self.peers {
-                    let digest = counts(now / ROUND, self.bytes);
+                    let digest = counts(now / ROUND_MS, self.bytes);
                     let head = outbox.enqueue(time, format_smolstr!("{peer}"), digest);
                     if let Some(head) = head {
                         let through = link.send(now, head.size());
@@ -120,13 +120,13 @@
                 let through = link.send(now, digest.size());
                 let peer: usize = address.parse().unwrap();
                 let answer = match self.silent.contains(&peer) {
-                    true => (now + CALL, None),
-                    false => (through + ANSWER, Some(digest.items[0].version)),
+                    true => (now + CALL_TIMEOUT_MS, None),
+                    false => (through + ACK_DELAY_MS, Some(digest.items[0].version)),
                 };
-                let at = answer.0.max(now + 1);
-                answers.entry(at).or_default().push((address, answer.1));
+                let due = answer.0.max(now + 1);
+                answers.entry(due).or_default().push((address, answer.1));
             }
-            if now % REQUEST_EVERY == 0 {
+            if now % REQUEST_INTERVAL_MS == 0 {
                 outcome.longest_wait = outcome.longest_wait.max(link.wait(now));
                 link.send(now, REQUEST_BYTES);
             }
@@ -154,17 +154,17 @@
     // A request that waited for seconds reached its server long after that had begun to leave.
     for megabits in [10, 20] {
         for (peers, bytes) in [(62, 14_000), (75, 14_000), (300, 6_000), (840, 3_000)] {
-            let run = Run {
+            let scenario = Scenario {
                 peers,
                 bytes,
                 megabits,
                 silent: BTreeSet::new(),
                 until: 20_000,
             };
-            let waited = run.play().longest_wait;
+            let waited_ms = scenario.simulate().longest_wait;
             assert!(
-                waited <= LONGEST_WAIT,
-                "{waited} ms behind counts for {peers} at {megabits} Mbit/s"
+                waited_ms <= MAX_WAIT_MS,
+                "{waited_ms} ms behind counts for {peers} at {megabits} Mbit/s"
             );
         }
     }
@@ -174,35 +174,35 @@
 fn heartbeats_do_not_wait_behind_counts() {
     // Entries that add up counts would be suspected on narrow links, and others would take their place by turns.
     for (peers, bytes) in [(75, 14_000), (300, 6_000)] {
-        let run = Run {
+        let scenario = Scenario {
             peers,
             bytes,
             megabits: 10,
             silent: BTreeSet::new(),
             until: 20_000,
         };
-        let outcome = run.play();
-        assert_eq!(outcome.heard.len(), peers);
-        let silence = outcome.longest_silence;
+        let outcome = scenario.simulate();
+        assert_eq!(outcome.last_heartbeat.len(), peers);
+        let silence_ms = outcome.longest_silence;
         assert!(
-            silence <= LONGEST_SILENCE,
-            "unheard for {silence} ms by one of {peers}"
+            silence_ms <= MAX_SILENCE_MS,
+            "unheard for {silence_ms} ms by one of {peers}"
         );
-        assert!(outcome.longest_wait <= LONGEST_WAIT);
+        assert!(outcome.longest_wait <= MAX_WAIT_MS);
     }
 }
 
 #[test]
 fn counts_reach_every_peer_as_fast_as_the_link_allows() {
     // Counts that are always overtaken by newer ones before their turn would never come.
-    let run = Run {
+    let scenario = Scenario {
         peers: 300,
         bytes: 6_000,
         megabits: 10,
         silent: BTreeSet::new(),
         until: 20_000,
     };
-    let outcome = run.play();
+    let outcome = scenario.simulate();
     // Requests leave 7,600 of 10,000 bits: a round takes 1.9 s.
     let oldest = outcome.rounds.values().min().copied().unwrap_or(0);
     assert_eq!(outcome.rounds.len(), 300);
@@ -212,22 +212,22 @@
 #[test]
 fn peers_that_do_not_answer_keep_counts_from_nobody() {
     // A third of the peers is cut off: calls to them take two seconds to fail.
-    let run = Run {
+    let scenario = Scenario {
         peers: 75,
         bytes: 6_000,
         megabits: 10,
         silent: (0..75).filter(|peer| peer % 3 == 0).collect(),
         until: 20_000,
     };
-    let outcome = run.play();
-    assert!(outcome.longest_wait <= LONGEST_WAIT);
+    let outcome = scenario.simulate();
+    assert!(outcome.longest_wait <= MAX_WAIT_MS);
     let oldest = outcome.rounds.values().min().copied().unwrap_or(0);
     assert_eq!(outcome.rounds.len(), 50);
     assert!(oldest >= 36, "a peer's newest counts are of round {oldest}");
 }
 
 #[test]
-fn counts_leave_at_once_where_the_link_has_room() {
+fn counts_leave_immediately_on_an_idle_link() {
     let mut outbox = Outbox::new(Config::for_link(1_000.0));
     let now = Time::ZERO;
     for peer in 0..75 {
--- a/crates/relay/tests/pool.rs
+++ b/crates/relay/tests/pool.rs
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_leaves_is_handed_nothing_more() {
+async fn a_closed_server_gets_no_more_requests() {
     // A connection to the server is being made, and another lies unused, when the server begins to leave. Either
     // would have carried a request to it that its end cuts off.
     let (_listener, endpoint) = listener().await;
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn the_next_life_of_a_server_is_not_the_one_that_left() {
+async fn a_new_incarnation_of_a_closed_server_accepts_requests() {
     let (_listener, endpoint) = listener().await;
     let pool = Pool::new(Clock::start());
     pool.close(endpoint.incarnation.clone());
