--- a/crates/relay/src/adapter.rs
+++ b/crates/relay/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The border to an adapter, which knows the names on the wires.
+//! Traits that a platform adapter implements; only the adapter knows the names on the wire.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -25,12 +25,12 @@
 use verdict::Refusal;
 use watch::server::Server;
 
-/// An answer to come.
+/// A boxed future that need not be `Send`.
 pub type Pending<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// Translates callers' and backend servers' messages.
+/// Encodes and decodes messages of callers and backend servers.
 pub trait Codec {
-    /// What a caller sent. `body` is whole; `reading` is how long it took to come.
+    /// Decodes a caller's request; `body` is complete and took `reading` to arrive.
     fn decode_request(
         &self,
         head: &request::Parts,
@@ -38,7 +38,7 @@
         reading: Span,
     ) -> Result<Arrival, Refusal>;
 
-    /// The headers with which a request goes to a backend server.
+    /// Returns the headers of a request as it is forwarded to a backend server.
     fn request_headers(
         &self,
         head: &request::Parts,
@@ -46,76 +46,77 @@
         resume: Option<&Resume>,
     ) -> HeaderMap;
 
-    /// The request that stops the run of `id` and moves its memory to another server, from its own server.
+    /// Builds the request that tells a run's server to stop it and move its KV cache to the server `to`.
     fn move_request(&self, id: &str, to: &Endpoint) -> Request<Bytes>;
 
-    /// The memory that the other server has now, by the answer to [`Codec::move_request`]; none if it was not moved.
+    /// Decodes the answer to [`Codec::move_request`]; `None` if the KV cache was not moved.
     fn decode_moved(&self, source: &Endpoint, status: StatusCode, body: &[u8]) -> Option<Transfer>;
 
-    /// What the head of a backend server's answer means to the request `id`.
+    /// Classifies a backend server's answer to the request `id` by its head.
     fn classify(&self, head: &response::Parts, id: &str) -> Classification;
 
-    /// The headers with which a backend server's answer goes to the caller.
+    /// Returns the headers of a backend server's answer as it is passed on to the caller.
     fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// The final answer to a request that no backend server answered.
+    /// Encodes the final answer to a request that no backend server answered.
     fn encode_refusal(&self, refusal: &Refusal) -> Response<Bytes>;
 
-    /// Reads a question for addresses: the caller's availability zone, if it names one.
+    /// Decodes a query for addresses: the caller's availability zone, if it names one.
     fn address_query(&self, head: &request::Parts) -> Option<Option<SmolStr>>;
 
-    /// How many requests the server takes from all entries together, if its answer says so.
+    /// Returns the rate that the server accepts from all entries together, if its answer states one.
     fn rate_limit(&self, headers: &HeaderMap) -> Option<Rate>;
 
-    /// The answer to a question for addresses.
+    /// Encodes the answer to a query for addresses.
     fn encode_addresses(&self, addresses: Option<&Addresses>) -> Response<Bytes>;
 
-    /// Whether this asks if the entry is ready.
+    /// Returns whether the request is a readiness probe.
     fn is_readiness_probe(&self, head: &request::Parts) -> bool;
 
-    /// Whether this asks for metrics.
+    /// Returns whether the request asks for metrics.
     fn is_metrics_request(&self, head: &request::Parts) -> bool;
 
-    /// Whether a row of the configuration's table holds the configuration.
+    /// Returns whether a row of the configuration's table holds the configuration.
     fn is_configuration_row(&self, row: &Row) -> bool;
 
-    /// The order for a roll-out that a row of the configuration's table holds; none if it holds something else.
+    /// Decodes a roll-out order from a row of the configuration's table; `None` if the row holds something
+    /// else.
     fn decode_rollout(&self, row: &Row) -> Option<anyhow::Result<Order>>;
 
-    /// The service whose roll-out a row's key orders, if it does.
+    /// Returns the service whose roll-out a row with this key orders, if it orders one.
     fn rollout_service(&self, key: &str) -> Option<SmolStr>;
 
-    /// The backend server that a row names. Rows may be foreign, partial or broken.
+    /// Decodes the backend server that a row announces; rows may be foreign, partial or malformed.
     fn decode_server(&self, row: &Row) -> anyhow::Result<Server>;
 
-    /// A version of the configuration, from the document that an operator wrote.
+    /// Decodes a version of the configuration from the operator's document.
     fn decode_catalog(&self, document: &[u8]) -> anyhow::Result<Catalog>;
 }
 
-/// Where a stream goes on.
+/// The point from which a stream is resumed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resume {
-    /// Name of the last event that the caller got.
+    /// Id of the last event that the caller received.
     pub last_event: SmolStr,
-    /// The memory that it goes on from; none to read the prompt again.
+    /// The KV cache to resume from; `None` to prefill the prompt again.
     pub transfer: Option<Transfer>,
 }
 
-/// The memory of a run that was stopped to be moved.
+/// The KV cache of a run that was stopped to be moved.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transfer {
     /// `host:port` of the server that ran it.
     pub source: SmolStr,
-    /// Names it there.
+    /// Identifies the KV cache on that server.
     pub handle: SmolStr,
 }
 
-/// What the head of an answer means.
+/// How the head of an answer relates to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Classification {
     /// The server's answer to this request.
     Answer,
-    /// The server says that it did not run the request.
+    /// The server states that it did not run the request.
     NotStarted,
     /// An answer to another request, or to none.
     Mismatched,
@@ -123,69 +124,69 @@
 
 /// The platform's table service.
 pub trait Tables {
-    /// Makes a call. Its own time limit counts as an unknown outcome.
+    /// Makes a call; a call that exceeds its own time limit has an unknown outcome.
     fn call(&self, call: Call) -> Pending<'_, Outcome>;
 }
 
-/// The platform's calls for holders of duties.
+/// The platform's calls that are reserved for holders of duties.
 pub trait Cloud {
-    /// Makes a call in the name of the entry.
+    /// Makes a call on behalf of the entry, with its fencing token.
     fn call(&self, call: duty::Call, fence: u64) -> Pending<'_, duty::Outcome>;
 }
 
-/// A table that is followed.
+/// A table whose rows and changes can be read.
 pub trait Feed {
-    /// All its rows.
+    /// Reads all rows.
     fn read(&self) -> Pending<'_, Result<Rows, Fault>>;
 
-    /// What has changed since a revision; waits for so long if nothing has.
+    /// Reads the changes since a revision; waits up to `wait` for the first one.
     fn changes(&self, since: u64, wait: Span) -> Pending<'_, Result<Changes, Fault>>;
 }
 
-/// All rows of a table as of one moment.
+/// A snapshot of all rows of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rows {
     /// In key order.
     pub rows: Vec<Row>,
-    /// The newest revision then.
+    /// The newest revision of the snapshot.
     pub revision: u64,
 }
 
-/// Changes of a table.
+/// Changes of a table since a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Rows that were written.
     pub written: Vec<Row>,
     /// Rows that were deleted, without data.
     pub deleted: Vec<Row>,
-    /// Where to go on.
+    /// The revision from which to read on.
     pub revision: u64,
 }
 
-/// One row.
+/// One row of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Row {
-    /// Its key.
+    /// The row's key.
     pub key: SmolStr,
-    /// Its bytes, as their writer left them.
+    /// The row's bytes as written.
     pub data: Bytes,
-    /// The table's revision that changed it last.
+    /// The revision of the table that last changed the row.
     pub revision: u64,
 }
 
-/// Why a table could not be read.
+/// The reason why a table could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The changes asked for are no longer kept.
+    /// The requested changes are no longer retained.
     HistoryLost,
-    /// The service said that it can't answer now.
+    /// The service refused the call for now.
     Refused,
-    /// No answer came, or none that can be read.
+    /// No answer arrived, or an unreadable one.
     Lost,
 }
 
 impl Fault {
-    /// The form used in logs.
+    /// Returns the form used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Fault::HistoryLost => "history_lost",
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request handed to a replica, and its answer on the way back.
+//! One attempt: forwards a request to a replica and relays its answer to the caller.
 
 use std::future::Future;
 use std::time::Duration;
@@ -30,40 +30,40 @@
 use crate::pool::Connection;
 use crate::shared::Shared;
 
-/// Time between two reports of a stream's tokens.
+/// Interval between two progress reports of a stream.
 const REPORT_INTERVAL: Span = Span::from_millis(250);
-/// Largest answer that is kept whole before its caller gets it.
+/// Largest answer that is buffered until it is complete.
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
-/// Longest wait for the rest of an answer that nobody needs, to use its connection again.
+/// Longest wait for the rest of an unneeded answer, after which its connection is closed instead of reused.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How an exchange went as far as the head of its answer.
+/// The outcome of an exchange up to the head of its answer.
 enum Head {
     Received(Answer),
     Ended(End),
 }
 
-/// An answer whose body is still to come.
+/// An answer whose body has not been read yet.
 struct Answer {
     connection: Connection,
     head: response::Parts,
     body: Incoming,
 }
 
-/// A stream's attempt as it goes on.
+/// Progress of a stream that is being relayed.
 struct StreamState {
     splitter: Splitter,
-    /// Whether an event of this attempt was passed on.
+    /// Whether an event of this attempt was relayed.
     started: bool,
     last_report: Time,
     /// Tokens since the last report.
     unreported_tokens: u32,
-    /// When the last event of this attempt came.
+    /// Time of this attempt's last event.
     last_event_at: Time,
 }
 
 impl Flight {
-    /// Hands the request to a replica and passes its answer on. None if the caller is gone.
+    /// Forwards the request to a replica and relays its answer; `None` if the caller disconnected.
     pub async fn exchange(&mut self, start: &Start, transfer: Option<Transfer>) -> Option<End> {
         let resume = self.last_event.clone().map(|last_event| Resume {
             last_event,
@@ -83,7 +83,7 @@
         self.relay_whole(start, answer).await
     }
 
-    /// Passes an answer on once it is whole, so that one that is cut short can be asked for again.
+    /// Relays an answer once it is complete, so that a truncated one can be retried.
     async fn relay_whole(&mut self, start: &Start, answer: Answer) -> Option<End> {
         let Answer {
             connection,
@@ -107,7 +107,7 @@
             .release(&start.endpoint, connection, &head.headers)
             .await;
         if self.caller.is_streaming() {
-            // The stream began at another replica; this one can't go on.
+            // The stream started on another replica, and this one can't resume it.
             return Some(End::Failed { status });
         }
         if head.status.is_server_error() && start.repeatable {
@@ -122,7 +122,7 @@
         })
     }
 
-    /// Passes a stream on, event by event.
+    /// Relays a stream event by event.
     async fn relay_stream(&mut self, start: &Start, mut answer: Answer) -> Option<End> {
         let mut state = StreamState {
             splitter: Splitter::default(),
@@ -155,8 +155,8 @@
                     .await;
             }
         }
-        // A run that was stopped to be moved ends without its last event; where only the connection's end tells
-        // that a stream is whole, it would look complete.
+        // A run that is stopped to be moved ends without its last event. If only the end of the connection
+        // delimits the stream, it would look complete.
         let cut = self.migrating.get() && !is_framed(&answer.head.headers);
         if state.splitter.has_partial_event() || !state.started || cut {
             return Some(End::Broken { alive: true });
@@ -174,7 +174,7 @@
         })
     }
 
-    /// Passes one event on, unless the caller has had it.
+    /// Relays one event, unless the caller already received it.
     async fn relay_event(
         &mut self,
         start: &Start,
@@ -255,15 +255,15 @@
         if error.take_message().is_none() {
             return Head::Ended(probe_after_break(shared, &start).await);
         }
-        // Nothing of it left this process. A kept connection may have been closed by the replica: a
-        // new one tells whether it is there.
+        // Nothing was sent. The replica may have closed a pooled connection while it was idle; a new
+        // connection shows whether the replica is reachable.
         if !connection.used {
             return Head::Ended(End::NotSent);
         }
     }
 }
 
-/// The request as it goes to the replica.
+/// Builds the request that is sent to the replica.
 fn build_request(
     shared: &Shared,
     inbound: &Inbound,
@@ -277,7 +277,7 @@
     request
 }
 
-/// Takes the head of an answer in.
+/// Handles the head of an answer.
 async fn handle_head(
     shared: &Shared,
     inbound: &Inbound,
@@ -307,7 +307,7 @@
     }
 }
 
-/// Reports a limit that the answer names, or that it names none any more.
+/// Reports the rate limit that the answer states, or that a previous limit is gone.
 fn report_limit(shared: &Shared, start: &Start, headers: &HeaderMap) {
     let rate = shared.codec.rate_limit(headers);
     if rate.is_some() || start.limited {
@@ -318,8 +318,10 @@
     }
 }
 
-/// A connection broke while the request was at the replica. Whether the replica still takes connections
-/// tells a lost answer from a crash: requests that run where servers crash are suspected.
+/// Returns the end of an attempt whose connection broke while the replica had the request.
+///
+/// A new connection distinguishes a lost answer from a crash; requests during which servers crash are
+/// quarantined.
 async fn probe_after_break(shared: &Shared, start: &Start) -> End {
     match shared.pool.connect(&start.endpoint).await {
         Ok(connection) => {
@@ -334,11 +336,12 @@
     }
 }
 
-/// Waits for something of a replica, but gives it up when the replica has said nothing, on any connection,
-/// for the attempt's patience.
+/// Awaits something from a replica, but times out if the replica was silent on all its connections for the
+/// attempt's silence timeout.
 ///
-/// One that answers others is busy: given up there, the request would be read again elsewhere, and an
-/// overload would feed itself. A plain call says nothing of others and is given up by its own time.
+/// A replica that answers others is merely busy. Retrying elsewhere would prefill the prompt again and
+/// amplify an overload. Traffic on other connections says nothing about a plain call, which has a timeout of
+/// its own.
 async fn with_silence_timeout<T>(
     shared: &Shared,
     start: &Start,
@@ -357,7 +360,7 @@
     }
 }
 
-/// Whether the caller has had the event that `id` names.
+/// Returns whether the caller already received the event `id`.
 fn is_duplicate(last: Option<&str>, id: Option<&str>) -> bool {
     let (Some(last), Some(id)) = (last, id) else {
         return false;
@@ -368,13 +371,13 @@
     }
 }
 
-/// Whether an answer says itself where it ends.
+/// Returns whether the answer's framing marks its end.
 fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(http::header::CONTENT_LENGTH)
         || headers.contains_key(http::header::TRANSFER_ENCODING)
 }
 
-/// Headers of a stream: its length isn't known, since another replica may go on with it.
+/// Returns the headers of a stream without its length, since another replica may resume it.
 fn stream_headers(mut headers: HeaderMap) -> HeaderMap {
     headers.remove(http::header::CONTENT_LENGTH);
     headers
--- a/crates/relay/src/caller.rs
+++ b/crates/relay/src/caller.rs
@@ -1,4 +1,4 @@
-//! The caller of one request, as its task sees it.
+//! The channel from a request's task to its caller.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -10,38 +10,38 @@
 use crate::payload::Aborted;
 use crate::payload::Payload;
 
-/// Pieces of an answer that may wait for a caller that reads slowly.
+/// Chunks of an answer that may be queued for a slow caller.
 const CHUNK_QUEUE: usize = 32;
 
-/// Takes the answer.
+/// The caller's end of the answer.
 pub struct Caller {
     stage: Stage,
 }
 
-/// How far the answer is.
+/// Progress of the answer.
 enum Stage {
-    /// Nothing was said.
+    /// Nothing was sent.
     AwaitingHead(oneshot::Sender<Response<Payload>>),
-    /// The head is out, pieces follow.
+    /// The head was sent; chunks follow.
     Streaming(mpsc::Sender<Result<Bytes, Aborted>>),
-    /// Everything is said.
+    /// The answer is complete.
     Done,
 }
 
 impl Caller {
-    /// A caller that waits for the head of its answer.
+    /// Creates a caller that awaits the head of its answer.
     pub fn new(head: oneshot::Sender<Response<Payload>>) -> Caller {
         Caller {
             stage: Stage::AwaitingHead(head),
         }
     }
 
-    /// Whether it has had the head of its answer.
+    /// Returns whether the head of a stream was sent.
     pub fn is_streaming(&self) -> bool {
         matches!(self.stage, Stage::Streaming(_))
     }
 
-    /// Waits until the caller is gone; for ever once everything is said.
+    /// Waits until the caller disconnects; never returns once the answer is complete.
     pub async fn disconnected(&mut self) {
         match &mut self.stage {
             Stage::AwaitingHead(head) => head.closed().await,
@@ -50,14 +50,14 @@
         }
     }
 
-    /// Gives a whole answer.
+    /// Sends a complete answer.
     pub fn respond(&mut self, response: Response<Bytes>) {
         if let Stage::AwaitingHead(head) = std::mem::replace(&mut self.stage, Stage::Done) {
             let _ = head.send(response.map(Payload::from));
         }
     }
 
-    /// Gives the head of a stream.
+    /// Sends the head of a stream.
     pub fn start_stream(&mut self, status: StatusCode, headers: HeaderMap) {
         let (sender, chunks) = mpsc::channel(CHUNK_QUEUE);
         let mut response = Response::new(Payload::Chunks(chunks));
@@ -70,19 +70,19 @@
         }
     }
 
-    /// Gives a piece of a stream; waits while the caller reads slowly.
+    /// Sends a chunk of a stream; waits while the caller's queue is full.
     pub async fn send_chunk(&mut self, bytes: Bytes) {
         if let Stage::Streaming(chunks) = &self.stage {
             let _ = chunks.send(Ok(bytes)).await;
         }
     }
 
-    /// Ends a stream that is complete.
+    /// Ends a complete stream.
     pub fn finish(&mut self) {
         self.stage = Stage::Done;
     }
 
-    /// Ends a stream so that the caller sees that something is missing.
+    /// Ends a stream so that the caller can tell that it is truncated.
     pub async fn abort(&mut self) {
         if let Stage::Streaming(chunks) = std::mem::replace(&mut self.stage, Stage::Done) {
             let _ = chunks.send(Err(Aborted)).await;
--- a/crates/relay/src/configs/mod.rs
+++ b/crates/relay/src/configs/mod.rs
@@ -1,3 +1,3 @@
-//! Settings, one file for each module that has some.
+//! Configuration types, one file for each module that has one.
 
 pub mod outbox;
--- a/crates/relay/src/configs/outbox.rs
+++ b/crates/relay/src/configs/outbox.rs
@@ -1,24 +1,24 @@
-//! Settings of [`crate::outbox`].
+//! Configuration of [`crate::outbox`].
 
 use clock::Span;
 
-/// How much of the entry's own link counts may fill.
+/// Limits on the share of the entry's own link that counts may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
     /// Bytes that the link carries in a millisecond.
     pub bytes_per_ms: f64,
-    /// As much may be under way as the link carries in this time: what else leaves the entry waits for it.
+    /// Time in which the link drains a full window; other traffic waits behind it for as long.
     pub drain_time: Span,
-    /// Part of that room for peers that didn't answer in time.
+    /// Fraction of the window for peers that didn't answer in time.
     pub slow_share: f64,
-    /// An answer that takes longer is overdue; its counts don't hold room any more.
+    /// Time after which an answer is overdue and its digest no longer counts against the window.
     pub ack_timeout: Span,
-    /// How long it is remembered that a peer was slow.
+    /// Time for which a peer counts as slow.
     pub slow_ttl: Span,
 }
 
 impl Config {
-    /// For a link of so many megabits a second.
+    /// Returns the limits for a link of this many megabits a second.
     pub fn for_link(megabits: f64) -> Config {
         const BYTES_PER_MS: f64 = 125.0;
         Config {
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Bytes that may be under way; the last digest may go beyond.
+    /// Returns the window, bytes in flight; the last digest may exceed it.
     pub fn window(&self) -> usize {
         (self.bytes_per_ms * self.drain_time.as_millis() as f64) as usize
     }
 
-    /// Bytes of it to slow peers.
+    /// Returns the part of the window for slow peers, bytes.
     pub fn slow_window(&self) -> usize {
         (self.window() as f64 * self.slow_share) as usize
     }
--- a/crates/relay/src/consumers.rs
+++ b/crates/relay/src/consumers.rs
@@ -1,4 +1,4 @@
-//! What is done with each answer of the feeds: configuration and backend servers.
+//! Consumers of the followed tables: the configuration and the backend servers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 use crate::follow::Consumer;
 use crate::shared::Shared;
 
-/// Something that an entry depends on; its loss and return are logged once each.
+/// An external dependency of the entry; logs once when it is lost and once when it is regained.
 struct Dependency {
     name: &'static str,
     lost_at: Cell<Option<Time>>,
@@ -51,32 +51,33 @@
     }
 }
 
-/// How long a question for changes of the configuration waits. Each is a call of all entries' share; a newer version is
-/// also announced by other entries.
+/// Long-poll timeout for changes of the configuration. Each poll is a call from the share of all entries, and
+/// newer versions are also announced by other entries.
 const CONFIGURATION_POLL_TIMEOUT: Span = Span::from_seconds(25);
-/// The same for the list of backend servers, where each entry reads for itself.
+/// Long-poll timeout for changes of the list of backend servers while each entry reads it itself.
 const SERVERS_POLL_TIMEOUT: Span = Span::from_seconds(10);
-/// The same where this entry reads for others: they need its word that nothing has changed.
+/// Long-poll timeout while this entry reads the list for others, which need confirmation that nothing
+/// changed.
 const DELEGATE_POLL_TIMEOUT: Span = Span::from_millis(500);
-/// Pause between two answers of a feed, and what each entry adds to it: all entries together read as often as
-/// a few would, within a part of the time in which changes must be in force.
+/// Base pause after changes of a feed, and the addition per entry: all entries together read as often as
+/// a few would, and changes still take effect in time.
 const FEED_PAUSE: Duration = Duration::from_millis(40);
 const FEED_PAUSE_PER_ENTRY: Duration = Duration::from_millis(5);
 
-/// Pause after changes of a feed.
+/// Returns the pause after changes of a feed.
 fn feed_pause(shared: &Shared) -> Duration {
     let members = u32::try_from(shared.status.get().members).unwrap_or(u32::MAX);
     FEED_PAUSE + FEED_PAUSE_PER_ENTRY * members.min(100)
 }
 
-/// Takes what is read of the configuration.
+/// Applies changes of the configuration's table.
 pub struct ConfigurationConsumer {
     shared: Rc<Shared>,
     dependency: Dependency,
 }
 
 impl ConfigurationConsumer {
-    /// A reader that tells the reducer.
+    /// Creates a consumer that sends events to the reducer.
     pub fn new(shared: Rc<Shared>) -> ConfigurationConsumer {
         ConfigurationConsumer {
             shared,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The table holds other rows besides; only one is the configuration.
+    /// Applies configurations and roll-out orders; the table also holds other rows.
     fn take(&self, rows: &[Row]) {
         for row in rows {
             self.apply_order(row);
@@ -106,7 +107,7 @@
 }
 
 impl ConfigurationConsumer {
-    /// Takes an order for a roll-out, if the row holds one.
+    /// Applies a roll-out order, if the row holds one.
     fn apply_order(&self, row: &Row) {
         match self.shared.codec.decode_rollout(row) {
             Some(Ok(order)) => self.shared.handle.send_event(Event::RolloutOrdered(order)),
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The services whose roll-outs these rows order.
+    /// Returns the services whose roll-outs these rows order.
     fn rollout_services(&self, rows: &[Row]) -> Vec<SmolStr> {
         let codec = &self.shared.codec;
         let services = rows
@@ -171,14 +172,14 @@
     }
 }
 
-/// Takes what is read of backend servers.
+/// Applies changes of the backend servers' table.
 pub struct ServersConsumer {
     shared: Rc<Shared>,
     dependency: Dependency,
 }
 
 impl ServersConsumer {
-    /// A reader that tells the reducer.
+    /// Creates a consumer that sends events to the reducer.
     pub fn new(shared: Rc<Shared>) -> ServersConsumer {
         ServersConsumer {
             shared,
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Servers of these rows, and the rows that name none.
+    /// Returns the servers that these rows announce, and the rows that announce none.
     fn decode_rows(&self, rows: &[Row]) -> (Vec<Server>, Vec<Row>) {
         let mut servers = Vec::new();
         let mut unusable = Vec::new();
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -1,35 +1,35 @@
-//! Splits a stream of server-sent events at their borders.
+//! Splits a stream of server-sent events at their boundaries.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 use smol_str::SmolStr;
 
-/// Largest event that is kept until it is whole.
+/// Largest event that is buffered until it is complete.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Bytes of a stream, of which whole events are taken.
+/// Buffers the bytes of a stream and yields complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Up to here no border was found.
+    /// Length of the prefix that is known to hold no boundary.
     searched: usize,
 }
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its name, if it has one.
+    /// The event's id, if it has one.
     pub id: Option<SmolStr>,
-    /// Its bytes, the border included.
+    /// The event's bytes, including the empty line at its end.
     pub bytes: Bytes,
 }
 
-/// An event is larger than may be.
+/// The error for an event that exceeds the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLarge;
 
 impl Splitter {
-    /// Adds bytes.
+    /// Appends bytes.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLarge> {
         if self.buffer.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(TooLarge);
@@ -38,7 +38,7 @@
         Ok(())
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next(&mut self) -> Option<Event> {
         let end = self.boundary()?;
         self.searched = 0;
@@ -49,12 +49,12 @@
         })
     }
 
-    /// Whether bytes of an event are left that has not ended.
+    /// Returns whether an incomplete event is buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Where the first event ends: behind an empty line.
+    /// Returns the end of the first event, which is after an empty line.
     fn boundary(&mut self) -> Option<usize> {
         let start = self.searched.saturating_sub(3);
         let bytes = &self.buffer[start..];
@@ -72,7 +72,7 @@
     }
 }
 
-/// The name in an event's bytes.
+/// Returns the id of an event.
 fn event_id(bytes: &[u8]) -> Option<SmolStr> {
     let mut lines = bytes.split(|byte| *byte == b'\n');
     let line = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/relay/src/flight.rs
+++ b/crates/relay/src/flight.rs
@@ -1,4 +1,4 @@
-//! The task of one open request: carries out what the reducer decides and reports what comes of it.
+//! The task of one open request: carries out the reducer's commands and reports their results.
 
 use std::cell::Cell;
 use std::pin::pin;
@@ -24,37 +24,37 @@
 
 /// One open request.
 pub struct Flight {
-    /// What tasks have in common.
+    /// State shared by all tasks.
     pub shared: Rc<Shared>,
-    /// What is asked.
+    /// The caller's request.
     pub inbound: Inbound,
-    /// Who waits for the answer.
+    /// The caller that awaits the answer.
     pub caller: Caller,
-    /// A replica's own answer that it failed, given if no other replica does better.
+    /// A replica's own error answer, sent if no other replica does better.
     pub fallback: Option<Response<Bytes>>,
-    /// Name of the last event that the caller got.
+    /// Id of the last event that the caller received.
     pub last_event: Option<SmolStr>,
-    /// Tokens passed on.
+    /// Tokens relayed so far.
     pub tokens: u32,
     /// Longest pause between two events.
     pub longest_pause: Span,
-    /// Whether the attempt's server was told to stop it and hand it over.
+    /// Whether the attempt's server was told to stop the run and move it.
     pub migrating: Rc<Cell<bool>>,
 }
 
-/// A request as it was read.
+/// A request as received.
 pub struct Inbound {
-    /// Names it here.
+    /// The entry's number of the request.
     pub serial: u64,
-    /// The caller's name for it.
+    /// The caller's id of the request.
     pub id: SmolStr,
-    /// Its head.
+    /// The request's head.
     pub head: request::Parts,
-    /// Its body.
+    /// The request's body.
     pub body: Bytes,
 }
 
-/// What comes next for a flight.
+/// The next step of a flight.
 enum Next {
     Ended(End),
     Commanded(Command),
@@ -62,7 +62,7 @@
 }
 
 impl Flight {
-    /// Runs until the request has its final answer or its caller is gone.
+    /// Runs until the request has its final answer or its caller disconnects.
     pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
         let mut next_command = None;
         loop {
@@ -102,7 +102,7 @@
         self.shared.handle.send(Message::Closed { serial });
     }
 
-    /// Tells the reducer of an attempt.
+    /// Reports the progress or end of an attempt to the reducer.
     pub fn report(&self, start: &Start, report: Report) {
         self.shared.handle.send_event(Event::Attempt {
             serial: self.inbound.serial,
@@ -111,7 +111,7 @@
         });
     }
 
-    /// Waits for an order while no attempt is made.
+    /// Waits for a command while no attempt is running.
     async fn wait(&mut self, commands: &mut mpsc::UnboundedReceiver<Command>) -> Next {
         tokio::select! {
             biased;
@@ -120,8 +120,9 @@
         }
     }
 
-    /// Makes one attempt, unless an order or the caller's end comes between. Either drops the attempt
-    /// with its connection, which stops the replica's work. Only a move lets the attempt go on.
+    /// Makes one attempt until it ends, another command arrives or the caller disconnects. The latter two
+    /// drop the attempt with its connection, which cancels the replica's work; a move command lets the
+    /// attempt continue.
     async fn attempt(
         &mut self,
         start: &Start,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Gives the caller its final answer.
+    /// Sends the caller its final answer.
     async fn refuse(&mut self, refusal: &Refusal) {
         if self.caller.is_streaming() {
             self.caller.abort().await;
@@ -179,7 +180,7 @@
     }
 }
 
-/// Waits for the answer to an order to move, if one was given.
+/// Waits for the answer to a move request, if one was sent.
 async fn wait_for_answer(migration: &mut Option<Migration>) {
     match migration {
         Some(migration) => migration.wait_for_answer().await,
@@ -187,7 +188,7 @@
     }
 }
 
-/// The next order that isn't another one to move.
+/// Receives the next command, skipping further moves.
 async fn next_command_except_move(
     commands: &mut mpsc::UnboundedReceiver<Command>,
 ) -> Option<Command> {
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -1,9 +1,8 @@
-//! Follows a table: all rows once, then their changes, and all rows again after any gap.
+//! Follows a table: reads all rows, then their changes, and all rows again after a gap.
 //!
-//! Failures guarded against: a feed whose history was dropped, an answer that never comes, a connection
-//! that falls silent. Each would show as an entry that goes on with an old configuration, or sends work
-//! to servers that are gone, while it believes to be up to date. Every wait has a limit of its own, and
-//! what follows a failure is a whole read.
+//! A feed can lose its history, leave a request unanswered or fall silent. The entry would then work with an
+//! outdated configuration or send requests to servers that are gone, and consider itself current. So every
+//! wait has a timeout, and a full read follows every failure.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,39 +16,39 @@
 use crate::adapter::Pending;
 use crate::adapter::Rows;
 
-/// First pause after a failure.
+/// Backoff after the first failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest pause after failures: within the time in which a new configuration must be in force.
+/// Longest backoff, within the time in which a new configuration must take effect.
 const MAX_BACKOFF: Duration = Duration::from_millis(600);
 
-/// Takes what is read.
+/// Applies what is read from a table.
 pub trait Consumer {
-    /// All rows.
+    /// Replaces everything that is known by these rows.
     fn replace(&self, rows: Rows);
 
-    /// What changed; nothing, if a question waited for its whole time.
+    /// Applies changes, which are empty if a long poll timed out.
     fn apply(&self, changes: Changes);
 
-    /// Waits until this entry is to read; others may do so for it.
+    /// Waits until this entry has to read; others may read for it.
     fn wait_for_turn(&self) -> Pending<'_, ()>;
 
-    /// Everything up to this revision is known here, also by others' word.
+    /// Returns the revision up to which this entry is current, including what other entries reported.
     fn known_revision(&self) -> u64;
 
-    /// How long one question for changes may wait.
+    /// Returns the timeout of a long poll for changes.
     fn poll_timeout(&self) -> Span;
 
-    /// Pause after changes, so that those that follow at once come in one answer.
+    /// Returns the pause after changes, which coalesces changes in quick succession into one answer.
     fn pause(&self) -> Duration;
 
-    /// What was read so far is current.
+    /// Records that what was read so far is current.
     fn mark_current(&self);
 
-    /// The table can't be read for now.
+    /// Records that the table can't be read.
     fn mark_lost(&self, fault: Fault);
 }
 
-/// Follows a table until the future is dropped; `hurry` asks for a whole read at once.
+/// Follows a table until the future is dropped; `refresh` requests an immediate full read.
 pub async fn follow(feed: Rc<dyn Feed>, consumer: Rc<dyn Consumer>, refresh: Rc<Notify>) {
     let mut backoff = INITIAL_BACKOFF;
     let mut read_now = true;
@@ -86,7 +85,7 @@
     }
 }
 
-/// Reads changes until that fails.
+/// Polls for changes until a poll fails.
 async fn changes(feed: &Rc<dyn Feed>, consumer: &Rc<dyn Consumer>, mut revision: u64) -> Fault {
     loop {
         consumer.wait_for_turn().await;
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -38,15 +38,15 @@
 
 /// Pause after a connection could not be accepted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// Smallest read buffer that the HTTP library takes.
+/// Smallest read buffer that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8_192;
-/// Connections stay open for so much longer than callers may leave them idle: closed just as a request
-/// comes, they would lose it.
+/// Time by which connections outlive the callers' idle timeout. A connection that closes just as a request
+/// arrives loses that request.
 const IDLE_MARGIN: Span = Span::from_seconds(2);
-/// A caller that acknowledges nothing for so long is gone.
+/// A caller that acknowledges nothing for this time is considered gone.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves callers until `ended` turns true, then lets every connection finish the answer that it is in.
+/// Serves callers until `shutdown` turns true, then lets every connection finish its current answer.
 pub async fn serve(listener: TcpListener, shared: Rc<Shared>, mut shutdown: watch::Receiver<bool>) {
     let mut connections = JoinSet::new();
     loop {
@@ -60,7 +60,7 @@
                 connections.spawn_local(connection(socket, Rc::clone(&shared), shutdown.clone()));
             }
             Err(error) => {
-                // Out of file descriptors: let some connections end before the next try.
+                // Out of file descriptors: let some connections end before retrying.
                 log::warn!(event = "accept_failed", error = error.to_string().as_str(); "");
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
@@ -70,7 +70,7 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 async fn connection(socket: TcpStream, shared: Rc<Shared>, mut shutdown: watch::Receiver<bool>) {
     let _ = socket.set_nodelay(true);
     let _ = SockRef::from(&socket).set_tcp_user_timeout(Some(USER_TIMEOUT));
@@ -110,7 +110,7 @@
     Ok(response)
 }
 
-/// Reads a request whole, starts its task and waits for the head of its answer.
+/// Reads a complete request, starts its task and waits for the head of its answer.
 async fn read(
     shared: &Rc<Shared>,
     request: Request<Incoming>,
@@ -148,7 +148,7 @@
     answered.await.map_err(|_| lost())
 }
 
-/// Reads a body within its limit.
+/// Reads a body up to the size limit.
 async fn read_body(shared: &Rc<Shared>, body: Incoming) -> Result<Bytes, Refusal> {
     let limit = shared.limits.borrow().body_bytes;
     let too_large = || Refusal::not_run(Reason::TooLarge, "the body is too large");
--- a/crates/relay/src/inbox.rs
+++ b/crates/relay/src/inbox.rs
@@ -1,4 +1,4 @@
-//! The way of tasks to the loop.
+//! The inbox through which tasks send messages to the loop.
 
 use clock::Clock;
 use clock::Time;
@@ -12,49 +12,49 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// What a task tells the loop.
+/// A message from a task to the loop.
 pub enum Message {
-    /// An event as it is.
+    /// An event for the reducer.
     Event(Event),
-    /// A request was read; its task takes commands.
+    /// A request was read; its task accepts commands.
     Open {
-        /// Names it.
+        /// The entry's number of the request.
         serial: u64,
-        /// What was read.
+        /// The decoded request.
         arrival: Box<Arrival>,
-        /// Where its commands go.
+        /// The channel to the request's task.
         commands: mpsc::UnboundedSender<Command>,
     },
     /// The task of a request has ended.
     Closed {
-        /// Of which.
+        /// The request's number.
         serial: u64,
     },
-    /// Another entry asks for a charge.
+    /// Another entry requests a charge.
     Charge {
-        /// What is to be charged.
+        /// The charge to make.
         charge: Charge,
-        /// Where the answer goes.
+        /// The channel for the answer.
         reply: oneshot::Sender<Option<Answer>>,
     },
-    /// Someone asks for addresses.
+    /// A client queries for addresses.
     Addresses {
         /// The caller's availability zone.
         zone: Option<SmolStr>,
-        /// Where the answer goes.
+        /// The channel for the answer.
         reply: oneshot::Sender<Option<Addresses>>,
     },
 }
 
-/// A message, and when it was sent.
+/// A message with the time at which it was sent.
 pub struct Sent {
-    /// When.
+    /// Time of sending.
     pub sent_at: Time,
-    /// What.
+    /// The message.
     pub message: Message,
 }
 
-/// Sends messages to the loop; bounded by the connections that tasks serve.
+/// Sends messages to the loop; unbounded, but limited by the number of open connections.
 #[derive(Clone)]
 pub struct Handle {
     clock: Clock,
@@ -62,14 +62,14 @@
     requests: mpsc::UnboundedSender<Sent>,
 }
 
-/// The loop's end of a link.
+/// The receiving end, which the loop owns.
 pub struct Inbox {
     control: mpsc::UnboundedReceiver<Sent>,
     requests: mpsc::UnboundedReceiver<Sent>,
 }
 
 impl Handle {
-    /// A link and the loop's end of it.
+    /// Creates an inbox and a handle to it.
     pub fn new(clock: Clock) -> (Handle, Inbox) {
         let (control, control_receiver) = mpsc::unbounded_channel();
         let (requests, requests_receiver) = mpsc::unbounded_channel();
@@ -85,7 +85,7 @@
         (handle, inbox)
     }
 
-    /// Sends a message; after the loop has ended nobody waits for it.
+    /// Sends a message; it is dropped once the loop has ended.
     pub fn send(&self, message: Message) {
         let sent_at = self.clock.now();
         let channel = match message.is_control() {
@@ -102,9 +102,10 @@
 }
 
 impl Inbox {
-    /// The next message: news first, each kind in the order in which it was sent.
+    /// Receives the next message: control messages first, each kind in the order of sending.
     ///
-    /// After a freeze, or in an overload, requests would go out before the news that their server leaves.
+    /// After a freeze or under overload, requests would otherwise be forwarded to a server before the message
+    /// that it is leaving is handled.
     pub async fn next(&mut self) -> Option<Sent> {
         tokio::select! {
             biased;
@@ -115,7 +116,7 @@
 }
 
 impl Message {
-    /// Whether it says something of servers, configuration, peers or duties, rather than of a single request.
+    /// Returns whether this concerns servers, configuration, peers or duties rather than a single request.
     fn is_control(&self) -> bool {
         let Message::Event(event) = self else {
             return false;
--- a/crates/relay/src/lag.rs
+++ b/crates/relay/src/lag.rs
@@ -1,25 +1,25 @@
-//! How late the loop runs: a frozen process, or more work than its processor share bears.
+//! Measures how late the loop runs, because the process was frozen or has too little processor time.
 
 use clock::Span;
 use clock::Time;
 
-/// Time over which the greatest lag is kept.
+/// Window over which the maximum is kept.
 const WINDOW: Span = Span::from_seconds(1);
-/// A lag that is logged.
+/// Lag from which on it is logged.
 const LOG_THRESHOLD: Span = Span::from_millis(250);
 
 /// The loop's lag.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lag {
-    /// The greatest of the window that has ended, and of the one that runs.
+    /// The maximum of the previous window.
     previous: Span,
     current: Span,
-    /// When the running window began.
+    /// Start of the current window.
     window_start: Time,
 }
 
 impl Lag {
-    /// Notes that something was due at `due` and is taken in now; gives a lag to be logged, once a window.
+    /// Records that something due at `due` is handled now; returns a lag to log at most once a window.
     pub fn record(&mut self, now: Time, due: Time) -> Option<Span> {
         let late = now.since(due);
         let mut logged = None;
@@ -35,7 +35,7 @@
         logged
     }
 
-    /// The greatest lag of the last seconds.
+    /// Returns the maximum lag of the previous and the current window.
     pub fn max(&self) -> Span {
         self.previous.max(self.current)
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,7 +1,7 @@
-//! The shell of a gateway: turns I/O into events of [`gateway::gateway::Gateway`] and carries its
-//! effects out.
+//! The I/O shell of a gateway: turns I/O into events of [`gateway::gateway::Gateway`] and carries out its
+//! effects.
 //!
-//! What is said on the wires of callers, backend servers and the platform is left to an adapter, by the
+//! The wire formats of callers, backend servers and the platform are left to an adapter, which implements the
 //! traits of [`adapter`].
 
 pub mod adapter;
--- a/crates/relay/src/logs.rs
+++ b/crates/relay/src/logs.rs
@@ -1,9 +1,8 @@
-//! Writes the log without ever waiting for whoever reads it.
+//! Writes the log without blocking on its reader.
 //!
-//! Failure guarded against: standard output is a pipe whose reader stops, or reads slowly under load. A
-//! write would then block the one loop, and every request with it. Lines go through a bounded queue to a
-//! thread of their own; what doesn't fit is dropped and counted, and the count is logged once there is
-//! room again.
+//! Standard output may be a pipe whose reader stalls or is slow under load. A blocking write would stop the
+//! loop and with it every request. So lines go through a bounded queue to a separate thread; lines that don't
+//! fit are dropped and counted, and the count is logged once there is room again.
 
 use std::io::Write;
 use std::sync::atomic::AtomicU64;
@@ -15,26 +14,26 @@
 use line::Line;
 use log::LevelFilter;
 
-/// Lines that may wait for the reader: a second's worth of a busy entry, 200 KB at most.
+/// Capacity of the queue: one second of a busy entry's lines, at most 200 KB.
 const QUEUE_LINES: usize = 1_024;
 
-/// From so many waiting lines on, those of the ordinary course are left out, so that refusals, uncertain
-/// ends, resumed streams and duties still find room.
+/// Queue length from which on routine lines are shed, so that refusals, uncertain ends, resumed streams and
+/// duties still fit.
 const ROUTINE_LIMIT: u64 = QUEUE_LINES as u64 / 4;
 
-/// Lines that found the queue full.
+/// Lines dropped because the queue was full.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
-/// Lines of the ordinary course that were left out.
+/// Routine lines that were shed.
 static SHED: AtomicU64 = AtomicU64::new(0);
 /// Lines in the queue.
 static QUEUED: AtomicU64 = AtomicU64::new(0);
 
-/// Sets the log up: one line of key=value pairs an event, on standard output.
+/// Initializes the log: one line of key=value pairs per event, on standard output.
 pub fn init(level: LevelFilter) {
     init_to(level, Box::new(std::io::stdout()));
 }
 
-/// The same on any output.
+/// Initializes the log on any output.
 pub fn init_to(level: LevelFilter, output: Box<dyn Write + Send>) {
     let (sender, lines) = sync_channel::<Vec<u8>>(QUEUE_LINES);
     let writing = std::thread::Builder::new()
@@ -54,11 +53,11 @@
         .target(env_logger::Target::Pipe(Box::new(queue)))
         .format(line::text::format)
         .try_init();
-    // A second gateway in the same process shares the first one's log.
+    // A second gateway in the same process shares the log of the first one.
     drop(built);
 }
 
-/// Writes lines out as they come, and what was dropped before each.
+/// Writes queued lines, each preceded by the count of lines that were lost before it.
 fn run_writer(mut output: Box<dyn Write + Send>, lines: Receiver<Vec<u8>>) {
     let mut reported = 0;
     for line in lines {
@@ -76,24 +75,24 @@
     }
 }
 
-/// A line that can't be written is counted: there is nowhere to say so.
+/// Counts a line that could not be written, which can't be logged either.
 fn count_failure(written: std::io::Result<()>) {
     if written.is_err() {
         DROPPED.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Lines dropped so far because the queue was full.
+/// Returns the number of lines dropped so far because the queue was full.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Lines of the ordinary course left out so far.
+/// Returns the number of routine lines shed so far.
 pub fn shed() -> u64 {
     SHED.load(Ordering::Relaxed)
 }
 
-/// Writes one line.
+/// Writes one line, or sheds it if it is routine and the queue is long.
 pub fn write(line: &Line) {
     if line.level > log::max_level() {
         return;
@@ -105,7 +104,7 @@
     line::text::send(line, None);
 }
 
-/// Collects bytes to whole lines and hands them to the writing thread.
+/// Assembles bytes into complete lines and queues them for the writer thread.
 struct Queue {
     sender: SyncSender<Vec<u8>>,
     buffer: Vec<u8>,
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics by opentelemetry, read from the metrics port.
+//! OpenTelemetry metrics, served in the Prometheus format on the metrics port.
 //!
-//! Counts are taken from the reducer's own log lines, so that log and metrics never disagree; a line that
-//! is left out of the log under load is counted all the same.
+//! Counters are derived from the reducer's log lines, so that log and metrics never disagree; a line that is
+//! shed under load is still counted.
 
 use std::time::Duration;
 
@@ -23,14 +23,14 @@
 use crate::logs;
 use crate::outbox;
 
-/// Bounds of the latency histograms, milliseconds: around usual targets and beyond.
+/// Bucket bounds of the latency histograms, milliseconds: around usual targets and beyond.
 const LATENCY_BOUNDS: [f64; 11] = [
     5.0, 20.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1_500.0, 3_000.0, 6_000.0, 15_000.0,
 ];
 
 /// The instruments of one gateway.
 pub struct Metrics {
-    /// Kept: instruments fall silent without their provider.
+    /// Kept alive, since instruments stop recording without their provider.
     _provider: SdkMeterProvider,
     registry: Registry,
     done: Counter<u64>,
@@ -49,7 +49,7 @@
     gauges: Gauges,
 }
 
-/// What stands as it is.
+/// Instruments for current values, recorded when metrics are read.
 struct Gauges {
     open: Gauge<u64>,
     waiting: Gauge<u64>,
@@ -68,17 +68,17 @@
     memory: Gauge<u64>,
 }
 
-/// Ages of what is followed, milliseconds since it was last known to be current.
+/// Ages of the followed tables: time since each was last known to be current.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ages {
-    /// The configuration.
+    /// Age of the configuration, milliseconds.
     pub configuration_ms: u64,
-    /// The list of backend servers.
+    /// Age of the list of backend servers, milliseconds.
     pub servers_ms: u64,
 }
 
 impl Metrics {
-    /// Instruments of their own.
+    /// Creates the instruments with a registry of their own.
     pub fn new() -> Result<Metrics> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -104,29 +104,35 @@
                 .build()
         };
         Ok(Metrics {
-            done: count("dogwoodspur_requests_done", "Whole answers, by service"),
+            done: count("dogwoodspur_requests_done", "Complete answers, by service"),
             refused: count(
                 "dogwoodspur_requests_refused",
-                "Final answers of our own, by reason and verdict",
+                "Requests refused by the gateway, by reason and verdict",
             ),
             attempts: count(
                 "dogwoodspur_attempts",
-                "Requests handed to replicas, by service and whether it was the first time",
+                "Attempts on replicas, by service and whether it was the first",
             ),
             failed_attempts: count(
                 "dogwoodspur_attempts_failed",
                 "Attempts that failed, by end",
             ),
             store_calls: count("dogwoodspur_store_calls", "Table service calls, by outcome"),
-            cloud_calls: count("dogwoodspur_duty_calls", "Calls of the duties' holder"),
+            cloud_calls: count(
+                "dogwoodspur_duty_calls",
+                "Calls made as holder of a duty, by outcome",
+            ),
             digests: count(
                 "dogwoodspur_digests",
                 "Digests to other entries, by outcome",
             ),
-            digest_bytes: count("dogwoodspur_digest_bytes", "Their size, lost ones included"),
+            digest_bytes: count(
+                "dogwoodspur_digest_bytes",
+                "Bytes of digests to other entries, lost ones included",
+            ),
             reducer_busy: meter
                 .f64_counter("dogwoodspur_reducer_busy")
-                .with_description("Time spent in decisions")
+                .with_description("Time spent in the reducer")
                 .with_unit("s")
                 .build(),
             first: latency("dogwoodspur_first_token", "Arrival to first event"),
@@ -136,31 +142,40 @@
             gauges: Gauges {
                 open: gauge("dogwoodspur_open_requests", "Requests open here"),
                 waiting: gauge("dogwoodspur_waiting_requests", "Requests in the queues"),
-                version: gauge("dogwoodspur_configuration_version", "Version in force"),
-                version_age: gauge("dogwoodspur_configuration_age_ms", "Since it came in force"),
+                version: gauge(
+                    "dogwoodspur_configuration_version",
+                    "Configuration version in effect",
+                ),
+                version_age: gauge(
+                    "dogwoodspur_configuration_age_ms",
+                    "Milliseconds since the version took effect",
+                ),
                 members: gauge("dogwoodspur_members", "Entries known here"),
                 servers: gauge("dogwoodspur_servers", "Backend servers, by state"),
-                ready: gauge("dogwoodspur_ready", "1 while callers may be sent here"),
-                repeats: gauge("dogwoodspur_repeats_left", "Repeats that may still be made"),
+                ready: gauge(
+                    "dogwoodspur_ready",
+                    "1 while the entry is ready for callers",
+                ),
+                repeats: gauge("dogwoodspur_repeats_left", "Remaining retry budget"),
                 fence: gauge(
                     "dogwoodspur_duty_fence",
-                    "Fencing number while duties are held",
+                    "Fencing token while duties are held",
                 ),
                 feed_age: gauge(
                     "dogwoodspur_feed_age_ms",
-                    "Since a feed was current, by feed",
+                    "Milliseconds since a feed was last current, by feed",
                 ),
                 lag: gauge(
                     "dogwoodspur_loop_lag_ms",
-                    "Greatest delay of the loop in the last seconds",
+                    "Maximum delay of the loop in the last seconds, milliseconds",
                 ),
                 counts_bytes: gauge(
                     "dogwoodspur_counts_under_way_bytes",
-                    "Counts that were sent to other entries and not answered yet",
+                    "Bytes of counts in flight to other entries",
                 ),
                 counts_age: gauge(
                     "dogwoodspur_counts_waiting_ms",
-                    "How long another entry's counts have waited at most",
+                    "Longest time that counts have waited to be sent, milliseconds",
                 ),
                 lines: gauge(
                     "dogwoodspur_log_lines_dropped",
@@ -173,12 +188,12 @@
         })
     }
 
-    /// Counts one step of the reducer.
+    /// Records the duration of one step of the reducer.
     pub fn record_step(&self, took: Duration) {
         self.reducer_busy.add(took.as_secs_f64(), &[]);
     }
 
-    /// Counts one line of the log.
+    /// Updates the counters that derive from a log line.
     pub fn count_line(&self, line: &Line) {
         match line.event {
             "request_done" => {
@@ -211,7 +226,7 @@
         }
     }
 
-    /// Counts a call of the table service.
+    /// Counts a call to the table service by its outcome.
     pub fn count_store_call(&self, outcome: &Outcome) {
         let name = match outcome {
             Outcome::Row(_) | Outcome::Rows { .. } => "read",
@@ -223,7 +238,7 @@
         self.store_calls.add(1, &[KeyValue::new("outcome", name)]);
     }
 
-    /// Counts a digest to another entry.
+    /// Counts a digest that was sent to another entry.
     pub fn count_digest(&self, bytes: usize, arrived: bool) {
         let outcome = match arrived {
             true => "arrived",
@@ -233,7 +248,7 @@
         self.digest_bytes.add(bytes as u64, &[]);
     }
 
-    /// All metrics in the customary text form, as of now.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(
         &self,
         status: &Status,
@@ -290,7 +305,7 @@
     }
 }
 
-/// Resident memory of the process; 0 where the system doesn't tell.
+/// Returns the resident memory of the process; 0 if the system doesn't provide it.
 fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let status = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -301,12 +316,12 @@
     pages.unwrap_or(0) * PAGE
 }
 
-/// A field of a line as a label.
+/// Returns a field of a log line as a label.
 fn label(line: &Line, name: &'static str) -> KeyValue {
     KeyValue::new(name, line.field(name).to_owned())
 }
 
-/// A field of a line as a number.
+/// Returns a field of a log line as a number; 0 if it is missing or not numeric.
 fn number(line: &Line, name: &str) -> f64 {
     line.field(name).parse().unwrap_or(0.0)
 }
--- a/crates/relay/src/migration.rs
+++ b/crates/relay/src/migration.rs
@@ -1,8 +1,8 @@
-//! Moving a run: its server stops it and hands its memory over, and the same request goes on elsewhere.
+//! Migrates a run: its server stops it and hands over its KV cache, and another server resumes the request.
 //!
-//! Failure guarded against: a stream that may not be begun anew ends with its server. It shows as answers that break
-//! off whenever reclaimable servers are taken back. One that is moved is one run still: its server has stopped before
-//! the other one goes on, and events that both made are passed on once.
+//! A stream that may not be restarted would otherwise end with its server, and its answer would be truncated
+//! whenever a reclaimable instance is taken back. A migrated run still runs only once: its server has stopped
+//! it before the other one resumes, and events that both produced are relayed once.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -23,22 +23,21 @@
 use crate::flight::Flight;
 use crate::shared::Shared;
 
-/// Longest wait for the answer to an order to move: memory of 50,000 tokens takes 30 ms between zones and queues
-/// behind that of others.
+/// Timeout of a move request: a KV cache of 50,000 tokens takes 30 ms between zones and queues behind others.
 const MOVE_TIMEOUT: Span = Span::from_millis(1_000);
-/// Largest answer to it.
+/// Largest answer to a move request.
 const MAX_ANSWER_BYTES: usize = 16 << 10;
 
-/// A run on its way to another server.
+/// A run that is being moved to another server.
 pub struct Migration {
     to: Endpoint,
     transfer: Pin<Box<dyn Future<Output = Option<Transfer>>>>,
-    /// What came of the order, once it was answered.
+    /// Result of the move request, once it is answered.
     outcome: Option<Option<Transfer>>,
 }
 
 impl Migration {
-    /// Orders the run's server to stop it and hand it over.
+    /// Requests that the run's server stop it and move it to `to`.
     pub fn new(shared: &Rc<Shared>, id: &SmolStr, from: &Endpoint, to: Endpoint) -> Migration {
         let requesting = request_move(Rc::clone(shared), id.clone(), from.clone(), to.clone());
         Migration {
@@ -48,7 +47,7 @@
         }
     }
 
-    /// Waits for the answer; forever once it came.
+    /// Waits for the answer to the move request; never returns once it has arrived.
     pub async fn wait_for_answer(&mut self) {
         if self.outcome.is_some() {
             return std::future::pending().await;
@@ -56,7 +55,7 @@
         self.outcome = Some(self.transfer.as_mut().await);
     }
 
-    /// What the run goes on from, if its server has stopped it.
+    /// Returns the KV cache to resume from, if the server stopped the run and moved it.
     async fn transfer(mut self) -> Option<(Endpoint, Transfer)> {
         if self.outcome.is_none() {
             self.wait_for_answer().await;
@@ -67,7 +66,7 @@
 }
 
 impl Flight {
-    /// Goes on with a run whose stream has ended since it was moved; otherwise its end stands.
+    /// Resumes a run whose stream ended because it was moved; returns `end` unchanged if it was not.
     pub async fn continue_elsewhere(
         &mut self,
         start: &Start,
@@ -89,28 +88,28 @@
         };
         self.report(start, Report::Moved);
         match self.exchange(&next, Some(transfer)).await {
-            // It has run where it was: whatever the other server says, it isn't to be begun anew.
+            // The run has started: whatever the other server answers, the request must not be restarted.
             Some(End::NotSent | End::NotStarted) => Some(End::Broken { alive: true }),
             end => end,
         }
     }
 }
 
-/// Why a run wasn't moved.
+/// The reason why a run was not moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
-    /// Its server took no connection.
+    /// Its server accepted no connection.
     Unreached,
-    /// The connection broke before the answer: the run may have been stopped.
+    /// The connection broke before the answer; the run may have been stopped.
     Unanswered,
-    /// Its server says that the run goes on, is unknown to it, or found no room elsewhere.
+    /// Its server answered that the run continues, is unknown, or found no room elsewhere.
     NotMoved,
-    /// No answer came in time: the run may have been stopped.
+    /// The request timed out; the run may have been stopped.
     TimedOut,
 }
 
 impl Cause {
-    /// The form used in logs.
+    /// Returns the form used in logs.
     const fn as_str(self) -> &'static str {
         match self {
             Cause::Unreached => "unreached",
@@ -121,7 +120,7 @@
     }
 }
 
-/// Gives the order and logs why nothing came of it.
+/// Sends the move request; logs the reason if the run was not moved.
 async fn request_move(
     shared: Rc<Shared>,
     id: SmolStr,
@@ -145,7 +144,7 @@
     None
 }
 
-/// Has the run's server stop it and hand its memory over.
+/// Has the run's server stop it and hand over its KV cache.
 async fn hand_over(
     shared: &Shared,
     id: &str,
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -1,4 +1,4 @@
-//! The reducer's part of the settings.
+//! Derives the configuration of the reducer and the outbox from the settings.
 
 use std::time::SystemTime;
 
@@ -9,7 +9,7 @@
 
 use crate::configs::outbox;
 
-/// The reducer's part of the settings.
+/// Returns the reducer's part of the settings.
 pub fn gateway_settings(settings: &Settings) -> gateway::configs::gateway::Settings {
     let defaults = gateway::configs::gateway::Settings::default();
     let seeds = settings.peers.seeds.iter();
@@ -23,7 +23,7 @@
         repeat_ratio: f64::from(options.repeats_percent) / 100.0,
         repeat_allowance: f64::from(options.repeats_allowed),
         quota: policy::configs::quota::Config {
-            // The other half is left to what entries don't know of each other yet.
+            // The other half covers charges that other entries haven't reported yet.
             overrun_burst: options.quota_allowance / 2,
             overrun_fraction: decimal("gateway.quota_overrun", &options.quota_overrun)
                 .unwrap_or(0.0)
@@ -53,14 +53,14 @@
     .per_entry()
 }
 
-/// What counts may fill of this entry's link.
+/// Returns the outbox's limits for this entry's link.
 pub fn outbox_config(settings: &Settings) -> outbox::Config {
     let link = decimal("gateway.link_mbps", &settings.gateway.link_mbps);
     let link = link.filter(|link| *link > 0.0);
     link.map_or_else(outbox::Config::default, outbox::Config::for_link)
 }
 
-/// How much an entry can take, 1 to 255, 255 being a whole processor core or more.
+/// Returns an entry's relative capacity, 1 to 255; 255 is one processor core or more.
 fn capacity_of(processor: &str) -> u8 {
     let share = decimal("gateway.processor", processor);
     share.map_or(u8::MAX, |share| {
@@ -68,7 +68,7 @@
     })
 }
 
-/// A decimal number of the settings; none if it can't be read.
+/// Parses a decimal setting; logs a warning and returns `None` if it is malformed.
 fn decimal(option: &str, text: &str) -> Option<f64> {
     let number = text.parse::<f64>();
     if number.is_err() {
@@ -77,7 +77,7 @@
     number.ok()
 }
 
-/// The settings of membership.
+/// Returns the settings of membership.
 fn member_settings(settings: &Settings) -> member::configs::membership::Settings {
     let leases = &settings.leases;
     member::configs::membership::Settings {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Wall clock, milliseconds since 1970. Read once: it may jump.
+/// Returns the wall clock time, milliseconds since 1970; read only once, since it may jump.
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/crates/relay/src/outbox.rs
+++ b/crates/relay/src/outbox.rs
@@ -1,11 +1,12 @@
-//! Counts on their way to other entries.
+//! Paces the counts that are sent to other entries.
 //!
-//! Load pattern: an entry adds up the counts of all others and sends everyone the sum twice a second. With many
-//! entries or after many changes that is more than a narrow link carries. Sent as they come, counts queue on the
-//! link for seconds, and requests, answers and news of servers that leave stand behind them.
+//! An aggregating entry adds up the counts of all others and sends each of them the sum twice a second. With
+//! many entries or many changes a narrow link can't carry that: counts queue on the link for seconds, and
+//! requests, answers and messages about leaving servers wait behind them.
 //!
-//! So only as much is under way as the link carries in a moment, and of two sums for one peer the newer is sent.
-//! Peers that don't answer in time get a small part of that room, so that they keep it from nobody.
+//! So the bytes in flight are limited to what the link drains in a short time, and a newer sum for a peer
+//! supersedes one that still waits. Peers that are slow to answer share a small part of that window, so that
+//! they don't starve the others.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,49 +20,49 @@
 
 use crate::configs::outbox::Config;
 
-/// Counts that wait and those that are under way, by the peer's address.
+/// Counts that wait and those in flight, by the peer's address.
 #[derive(Debug)]
 pub struct Outbox {
     config: Config,
-    /// The newest counts for each peer that waits, and since when it does.
+    /// The newest counts for each waiting peer, with the time since which it waits.
     waiting: BTreeMap<SmolStr, (Time, Digest)>,
-    /// Peers in the order of their turns. Invariant: each waits, and nothing is under way to it.
+    /// Peers in the order of sending. Invariant: each is in `waiting` and has nothing in flight.
     ready: VecDeque<SmolStr>,
-    /// The same for those that are slow.
+    /// Slow peers in the order of sending.
     slow_ready: VecDeque<SmolStr>,
     in_flight: BTreeMap<SmolStr, InFlight>,
-    /// What was sent and isn't overdue, the oldest first.
+    /// Digests in flight that are not overdue, oldest first.
     sent: BTreeSet<(Time, SmolStr)>,
-    /// Bytes of these, and those of slow peers among them.
+    /// Bytes of the digests in `sent`.
     bytes: usize,
     slow_bytes: usize,
-    /// Peers that didn't answer in time, and until when that is remembered.
+    /// Peers that didn't answer in time, with the time until which they count as slow.
     slow: BTreeMap<SmolStr, Time>,
 }
 
-/// A digest without an answer.
+/// A digest that was not answered yet.
 #[derive(Debug)]
 struct InFlight {
     since: Time,
     bytes: usize,
-    /// Whether it takes the room of slow peers.
+    /// Whether it counts against the window of slow peers.
     slow: bool,
     overdue: bool,
 }
 
-/// How an outbox stands.
+/// A snapshot of an outbox.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Peers whose counts wait.
+    /// Number of peers whose counts wait.
     pub waiting: usize,
-    /// Bytes under way.
+    /// Bytes in flight.
     pub bytes: usize,
-    /// How long a peer's counts have waited at most.
+    /// Longest time that a peer's counts have been waiting.
     pub max_wait: Span,
 }
 
 impl Outbox {
-    /// An empty one.
+    /// Creates an empty outbox.
     pub fn new(config: Config) -> Outbox {
         Outbox {
             config,
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Takes counts in. Where they take the place of older ones that still wait, gives what else is in the digest, to be
-    /// sent at once: without heartbeats the peer would suspect this entry.
+    /// Queues counts for a peer. If they supersede older ones, returns the rest of the digest to be sent
+    /// immediately, since the peer would suspect this entry without heartbeats.
     pub fn enqueue(&mut self, now: Time, address: SmolStr, digest: Digest) -> Option<Digest> {
         if let Some((_, superseded)) = self.waiting.get_mut(&address) {
             let head = without_counts(&digest);
@@ -91,7 +92,7 @@
         None
     }
 
-    /// The next counts to send, if there is room for them.
+    /// Returns the next counts to send, if the window has room.
     pub fn next(&mut self, now: Time) -> Option<(SmolStr, Digest)> {
         self.mark_overdue(now);
         if self.bytes >= self.config.window() {
@@ -118,7 +119,7 @@
         Some((address, digest))
     }
 
-    /// A peer answered, or its call failed.
+    /// Records that a peer answered or that the call to it failed.
     pub fn answered(&mut self, now: Time, address: &SmolStr) {
         self.mark_overdue(now);
         let Some(sent) = self.in_flight.remove(address) else {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// When [`Outbox::next`] may find room without an answer, if something waits.
+    /// Returns when [`Outbox::next`] may find room without an answer, if something waits.
     pub fn next_wake(&self) -> Option<Time> {
         if self.ready.is_empty() && self.slow_ready.is_empty() {
             return None;
@@ -143,7 +144,7 @@
         Some(*since + self.config.ack_timeout)
     }
 
-    /// How the outbox stands.
+    /// Returns a snapshot of the outbox.
     pub fn stats(&self, now: Time) -> Stats {
         let since = self.waiting.values().map(|(since, _)| *since).min();
         Stats {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Gives up the room of what has waited too long for its answer.
+    /// Releases the window of digests whose answer is overdue.
     fn mark_overdue(&mut self, now: Time) {
         self.slow.retain(|_, until| *until > now);
         while let Some((since, address)) = self.sent.first().cloned() {
@@ -184,7 +185,7 @@
     }
 }
 
-/// A digest without its counts.
+/// Returns a digest without its counts.
 fn without_counts(digest: &Digest) -> Digest {
     let items = digest.items.iter();
     Digest {
--- a/crates/relay/src/payload.rs
+++ b/crates/relay/src/payload.rs
@@ -12,22 +12,22 @@
 use hyper::body::SizeHint;
 use tokio::sync::mpsc;
 
-/// A body that is whole, or comes piece by piece.
+/// A body that is complete or arrives in chunks.
 #[derive(Debug)]
 pub enum Payload {
-    /// Whole.
+    /// A complete body.
     Whole(Full<Bytes>),
-    /// Piece by piece; an error closes the connection, so that what is missing shows.
+    /// A body in chunks; an error closes the connection, so that the client sees the truncation.
     Chunks(mpsc::Receiver<Result<Bytes, Aborted>>),
 }
 
-/// The answer can't be finished.
+/// The error for an answer that can't be completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Aborted;
 
 impl fmt::Display for Aborted {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the answer was broken off")
+        formatter.write_str("the answer was aborted")
     }
 }
 
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other entries over capnp-rpc.
+//! Calls to and from other entries over capnp-rpc.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -30,12 +30,12 @@
 use crate::outbox::Outbox;
 use crate::shared::Shared;
 
-/// Time between two lines on digests that were lost or are late.
+/// Least interval between two log lines on lost or late digests.
 const LOG_INTERVAL: Span = Span::from_seconds(1);
-/// Counts that wait for so long are logged.
+/// Waiting time from which on counts are logged as late.
 const LATE_THRESHOLD: Span = Span::from_seconds(1);
 
-/// The way to other entries. Nothing waits for it: words come back as events.
+/// Client for other entries. Calls don't block; their answers arrive as events.
 pub struct Peers {
     client: client::Peers,
     local_id: Incarnation,
@@ -43,20 +43,20 @@
     digests: Rc<Digests>,
 }
 
-/// Digests to other entries.
+/// Sends digests to other entries.
 struct Digests {
     client: client::Peers,
     shared: Rc<Shared>,
     outbox: RefCell<Outbox>,
     losses: Losses,
-    /// Whether a task waits to look for overdue answers.
+    /// Whether a task is scheduled to check for overdue answers.
     wake_scheduled: Cell<bool>,
-    /// When late counts were logged last.
+    /// Time at which late counts were last logged.
     late_last_logged: Cell<Time>,
 }
 
-/// Digests since the last line on those that were lost. One line each would be hundreds a second where a link
-/// is full.
+/// Counts digests between two log lines on losses; one line per loss would be hundreds a second on a full
+/// link.
 #[derive(Default)]
 struct Losses {
     last_logged: Cell<Time>,
@@ -65,7 +65,7 @@
 }
 
 impl Losses {
-    /// Counts a digest; logs the losses, but not too often.
+    /// Counts a digest; logs losses at a limited rate.
     fn count(&self, now: Time, lost: bool) {
         self.sent.set(self.sent.get() + 1);
         self.lost.set(self.lost.get() + u32::from(lost));
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Sends the counts whose turn it is.
+    /// Sends all counts for which the outbox has room.
     fn pump(self: &Rc<Digests>) {
         let now = self.shared.clock.now();
         while let Some((address, digest)) = self.next(now) {
@@ -111,7 +111,7 @@
         self.outbox.borrow_mut().next(now)
     }
 
-    /// Looks again once answers are overdue, unless something is to do so already.
+    /// Schedules another pump for when answers become overdue, unless one is scheduled.
     fn schedule_wake(self: &Rc<Digests>, now: Time) {
         let wake = self.outbox.borrow().next_wake();
         let Some(wake) = wake.filter(|_| !self.wake_scheduled.replace(true)) else {
@@ -125,7 +125,7 @@
         });
     }
 
-    /// Shows how the counts get on; logs that they are late, but not too often.
+    /// Publishes the outbox's stats; logs late counts at a limited rate.
     fn publish_stats(&self, now: Time) {
         let stats = self.outbox.borrow().stats(now);
         self.shared.outbox_stats.set(stats);
@@ -140,7 +140,7 @@
 }
 
 impl Peers {
-    /// Calls peers in the name of `me`.
+    /// Creates a client that identifies itself as `local_id`.
     pub fn new(
         client: client::Peers,
         local_id: holder::Id,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Sends a digest; its loss does no harm.
+    /// Sends a digest; a lost one is not retried.
     pub fn send_digest(&self, address: SmolStr, digest: Digest, lane: Lane) {
         let immediate = match lane {
             Lane::Immediate => Some(digest),
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Sends a version of the configuration; a loss is made good by the next sending.
+    /// Sends a version of the configuration; a lost one is repeated by the next round.
     pub fn send_configuration(&self, address: SmolStr, document: Bytes) {
         let client = self.client.clone();
         let local_id = self.local_id;
@@ -195,7 +195,7 @@
 }
 
 impl Peers {
-    /// Asks another entry for a charge; its answer comes back as an event, also that none came.
+    /// Requests a charge from another entry; an event reports its answer or that none arrived.
     pub fn request_charge(&self, serial: u64, charge: Charge, home: holder::Id, address: SmolStr) {
         let client = self.client.clone();
         let handle = self.shared.handle.clone();
@@ -213,7 +213,7 @@
         });
     }
 
-    /// Gives a grant back to the entry that made it.
+    /// Returns a grant to the entry that made it.
     pub fn refund(&self, address: SmolStr, grant: Grant) {
         let client = self.client.clone();
         tokio::task::spawn_local(async move {
@@ -224,7 +224,7 @@
     }
 }
 
-/// A home's answer as the reducer takes it.
+/// Converts a peer's answer to a charge into the reducer's type.
 fn answer_from(charge: receiver::Charge) -> Answer {
     match charge {
         receiver::Charge::Granted { bucket } => Answer::Granted { bucket },
@@ -232,7 +232,7 @@
     }
 }
 
-/// The reducer's answer as peers get it.
+/// Converts the reducer's answer to a charge into the peers' type.
 fn charge_from(answer: Answer) -> receiver::Charge {
     match answer {
         Answer::Granted { bucket } => receiver::Charge::Granted { bucket },
@@ -240,9 +240,9 @@
     }
 }
 
-/// Answers peers.
+/// Answers calls from other entries.
 pub struct Responder {
-    /// What tasks have in common.
+    /// State shared by all tasks.
     pub shared: Rc<Shared>,
 }
 
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,10 +1,9 @@
-//! Connections to backend servers, one request at a time on each.
+//! Connections to backend servers, each used for one request at a time.
 //!
-//! Failures guarded against: bytes that a server sends after a whole answer would be taken for the next
-//! one's, so a connection is only used again once the HTTP library finds it idle and clean; a server
-//! closes idle connections after a time, and a request that crosses that close may or may not have run,
-//! so they are given up well before; an abandoned attempt must stop the server's work, so its connection
-//! is closed with it.
+//! Bytes that a server sends after a complete answer would be taken for the next answer, so a connection is
+//! reused only if the HTTP library finds it idle and clean. A server closes idle connections after some time,
+//! and a request that crosses the close may or may not have run, so the pool drops them well before. An
+//! abandoned attempt must stop the server's work, so its connection is closed with it.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -27,44 +26,44 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Longest time for a connection to come about: a round trip takes a few milliseconds, and a first
-/// packet that was dropped is sent again after a second.
+/// Connect timeout: a round trip takes a few milliseconds, and a dropped first packet is retransmitted after
+/// a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A replica that acknowledges nothing for so long is gone: four retransmissions on this network, so that a
-/// link that loses one packet in thirty breaks hardly any. A busy one acknowledges within milliseconds.
+/// A replica that acknowledges nothing for this time is considered gone. It covers four retransmissions on
+/// this network, so a link that loses one packet in thirty breaks hardly any connection; a busy replica
+/// acknowledges within milliseconds.
 const USER_TIMEOUT: Duration = Duration::from_millis(800);
-/// A connection on which only answers come shows by probes that the other side is gone: the first after so
-/// long without a byte, and as long between them.
+/// Interval of keepalive probes, which detect a lost peer on a connection that only receives.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long an unused connection is kept if its server doesn't say.
+/// Idle timeout for servers that state none.
 const DEFAULT_IDLE_TIMEOUT: Span = Span::from_millis(1_500);
-/// Part of a server's own idle time after which a connection isn't used any more.
+/// Fraction of a server's stated idle timeout after which a connection is no longer reused.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
-/// How long it is remembered when a server spoke last; longer than any silence that is asked for.
+/// Time for which a server's last activity is remembered; longer than any silence timeout.
 const ACTIVITY_RETENTION: Span = Span::from_seconds(20);
-/// How long a server that left is remembered; longer than a request may wait to be handed over.
+/// Time for which a closed server is remembered; longer than a request may wait to be forwarded.
 const CLOSED_RETENTION: Span = Span::from_seconds(60);
-/// Unused connections kept for each server.
+/// Idle connections kept for each server.
 const MAX_IDLE: usize = 8;
 
-/// Connections that wait for their next request.
+/// Idle connections to backend servers.
 pub struct Pool {
     clock: Clock,
     idle: RefCell<BTreeMap<SmolStr, Vec<Connection>>>,
-    /// When each server said something last, by incarnation.
+    /// Time of each server's last activity, by incarnation.
     last_activity: RefCell<BTreeMap<SmolStr, Time>>,
-    /// Servers that get nothing more, by incarnation, and since when.
+    /// Servers that accept no more requests, by incarnation, with the time since which they don't.
     closed: RefCell<BTreeMap<SmolStr, Time>>,
 }
 
-/// One connection. Dropped, it is closed.
+/// A connection to a backend server; closed when dropped.
 pub struct Connection {
-    /// Takes requests.
+    /// Sends requests.
     pub sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// It isn't used again from then on.
+    /// Time until which the connection may be reused.
     reusable_until: Time,
-    /// Whether it served a request before.
+    /// Whether the connection has served a request.
     pub used: bool,
 }
 
@@ -75,7 +74,7 @@
 }
 
 impl Pool {
-    /// No connections yet.
+    /// Creates an empty pool.
     pub fn new(clock: Clock) -> Pool {
         Pool {
             clock,
@@ -85,7 +84,7 @@
         }
     }
 
-    /// Notes that a server said something.
+    /// Records that bytes from a server arrived.
     pub fn record_activity(&self, endpoint: &Endpoint) {
         let now = self.clock.now();
         let mut last_activity = self.last_activity.borrow_mut();
@@ -97,34 +96,34 @@
         }
     }
 
-    /// Whether a server said something, on any connection, within this time.
+    /// Returns whether a server sent anything, on any connection, within this time.
     pub fn was_active(&self, endpoint: &Endpoint, within: Span) -> bool {
         let last_activity = self.last_activity.borrow();
         let time = last_activity.get(&endpoint.incarnation);
         time.is_some_and(|time| self.clock.now().since(*time) <= within)
     }
 
-    /// Takes a server up; its row may have been missing for a while though it lives.
+    /// Reopens a server, whose row may have been missing for a while although it was alive.
     pub fn open(&self, incarnation: &str) {
         self.closed.borrow_mut().remove(incarnation);
     }
 
-    /// Gives up a server that leaves: its unused connections, and requests that are not handed over yet.
+    /// Closes a leaving server: drops its idle connections and rejects requests that were not forwarded yet.
     ///
-    /// Guards against a request that waited for its connection while the server began to leave: one was
-    /// handed over 3.6 s after that, by an entry short of processor time, and would have ended with the server.
+    /// A request may wait for its connection while the server starts to leave. An entry short of processor
+    /// time forwarded one 3.6 s later, when the server's end would have cut it off.
     pub fn close(&self, incarnation: SmolStr) {
         self.idle.borrow_mut().remove(&incarnation);
         let now = self.clock.now();
         self.closed.borrow_mut().insert(incarnation, now);
     }
 
-    /// Whether a server may be handed a request now.
+    /// Returns whether requests may be forwarded to a server.
     pub fn accepts_requests(&self, endpoint: &Endpoint) -> bool {
         !self.closed.borrow().contains_key(&endpoint.incarnation)
     }
 
-    /// An unused connection to a server, if there is one.
+    /// Takes an idle connection to a server, if there is one.
     pub fn take(&self, endpoint: &Endpoint) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
@@ -137,7 +136,7 @@
         None
     }
 
-    /// A new connection to a server.
+    /// Opens a new connection to a server.
     pub async fn connect(&self, endpoint: &Endpoint) -> std::io::Result<Connection> {
         let connecting = TcpStream::connect(endpoint.address.as_str());
         let socket = match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
@@ -147,7 +146,7 @@
         socket.set_nodelay(true)?;
         let options = SockRef::from(&socket);
         options.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
-        // Closed, it is reset: what an abandoned attempt has left on its way must not reach the server later.
+        // Reset on close: unsent data of an abandoned attempt must not reach the server later.
         options.set_linger(Some(Duration::ZERO))?;
         let probes = TcpKeepalive::new()
             .with_time(KEEPALIVE_INTERVAL)
@@ -169,7 +168,7 @@
         })
     }
 
-    /// Keeps a connection whose answer was read whole, if it may be used again.
+    /// Returns a connection to the pool after its answer was read completely, if it can be reused.
     pub async fn release(
         &self,
         endpoint: &Endpoint,
@@ -193,7 +192,7 @@
         }
     }
 
-    /// Closes and forgets what is too old.
+    /// Drops expired connections and records.
     pub fn sweep(&self) {
         let now = self.clock.now();
         let mut last_activity = self.last_activity.borrow_mut();
@@ -210,7 +209,7 @@
     }
 }
 
-/// How long a connection may be used again after this answer; none if it may not.
+/// Returns how long a connection may be reused after this answer; `None` if it may not.
 fn idle_time(headers: &HeaderMap) -> Option<Span> {
     let has_token = |name: &str, word: &str| {
         let mut values = headers.get_all(name).iter();
--- a/crates/relay/src/ports.rs
+++ b/crates/relay/src/ports.rs
@@ -1,4 +1,4 @@
-//! Small ports beside the callers': addresses, readiness and metrics.
+//! The ports for address queries, readiness probes and metrics.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 
 /// Pause after a connection could not be accepted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// How long a connection may be idle: probes and callers come at least this often or anew.
+/// Idle timeout of connections, longer than the usual interval of probes and queries.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Serves one port until the future is dropped.
@@ -47,7 +47,7 @@
     }
 }
 
-/// Answers one question.
+/// Answers one request.
 async fn answer(
     shared: Rc<Shared>,
     request: Request<Incoming>,
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts one gateway: sockets, tasks, loop.
+//! Starts a gateway: its sockets, tasks and loop.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -51,25 +51,25 @@
 use crate::shell;
 use crate::shell::Shell;
 
-/// Longest time for the last words of answers to reach their callers.
+/// Longest time for the ends of answers to reach their callers at shutdown.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time between two looks whether the settings file has changed.
+/// Interval at which the settings file is checked for changes.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What an adapter brings.
+/// The platform's implementations of the adapter traits.
 pub struct Adapter {
-    /// Callers' and backend servers' wires.
+    /// Codec for callers and backend servers.
     pub codec: Rc<dyn Codec>,
     /// The table service.
     pub tables: Rc<dyn Tables>,
-    /// Calls for holders of duties, if the platform has any.
+    /// Client for duty calls, if the platform has any.
     pub cloud: Option<Rc<dyn Cloud>>,
-    /// The table of the configuration.
+    /// Feed of the configuration's table.
     pub configuration: Rc<dyn Feed>,
-    /// The table of backend servers.
+    /// Feed of the backend servers' table.
     pub servers: Rc<dyn Feed>,
-    /// Where the settings were read, to be read again when they change.
+    /// Path of the settings file, which is reloaded when it changes.
     pub settings_path: Option<PathBuf>,
 }
 
@@ -89,7 +89,7 @@
     })
 }
 
-/// The sockets of one gateway, bound.
+/// The bound sockets of one gateway.
 pub struct Sockets {
     callers: TcpListener,
     directory: TcpListener,
@@ -98,21 +98,21 @@
     metrics: Option<TcpListener>,
 }
 
-/// Where a gateway is to be reached.
+/// The addresses on which a gateway listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
-    /// Callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Questions for addresses.
+    /// Address for address queries.
     pub directory: SocketAddr,
-    /// Readiness.
+    /// Address for readiness probes.
     pub readiness: SocketAddr,
-    /// Other entries.
+    /// Address for other entries.
     pub peers: SocketAddr,
 }
 
-/// Serves on bound sockets until a stop is done; each word on `stops` asks for one, each on `reload` for a
-/// new look at the settings. Runs within a `LocalSet`.
+/// Serves on bound sockets until a stop completes. Each message on `stops` requests a stop, and each
+/// notification of `reload` a reload of the settings. Must run within a `LocalSet`.
 pub async fn serve(
     settings: Settings,
     sockets: Sockets,
@@ -210,7 +210,7 @@
 }
 
 impl Sockets {
-    /// Binds what the settings name.
+    /// Binds the addresses of the settings.
     pub async fn bind(settings: &Settings) -> Result<Sockets> {
         Ok(Sockets {
             callers: listen(settings.callers.listen).await?,
@@ -224,7 +224,7 @@
         })
     }
 
-    /// What was bound.
+    /// Returns the bound addresses.
     pub fn bound(&self) -> Result<Bound> {
         Ok(Bound {
             callers: self.callers.local_addr()?,
@@ -238,10 +238,10 @@
 /// Binds one socket.
 async fn listen(address: SocketAddr) -> Result<TcpListener> {
     let listener = TcpListener::bind(address).await;
-    listener.with_context(|| format!("can't listen on {address}"))
+    listener.with_context(|| format!("failed to listen on {address}"))
 }
 
-/// Passes signals on.
+/// Forwards SIGTERM as a stop and SIGHUP as a reload.
 async fn watch_signals(stop: mpsc::UnboundedSender<()>, reload: Rc<Notify>) {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         log::error!(event = "signals_unwatched"; "");
@@ -262,8 +262,8 @@
     }
 }
 
-/// Reads the settings again when that is asked for, or when the file has changed without a word. Settings
-/// that can't be read change nothing.
+/// Reloads the settings on request and when the file's modification time changes; unreadable settings are
+/// logged and ignored.
 async fn watch_settings(path: Option<PathBuf>, shared: Rc<Shared>, reload: Rc<Notify>) {
     let Some(path) = path else {
         return;
@@ -295,7 +295,7 @@
     }
 }
 
-/// Who this entry is.
+/// Determines this entry's identity.
 fn resolve_identity(settings: &Settings, sockets: &Sockets) -> Result<Identity> {
     let callers = sockets.callers.local_addr()?;
     let peers = sockets.peers.local_addr()?;
@@ -321,7 +321,7 @@
     );
 }
 
-/// A number from the system's source of randomness.
+/// Returns a random number from the operating system.
 fn random() -> Result<u64> {
-    getrandom::u64().map_err(|error| anyhow::anyhow!("no randomness: {error}"))
+    getrandom::u64().map_err(|error| anyhow::anyhow!("failed to read random bytes: {error}"))
 }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one entry have in common.
+//! State shared by the tasks of one entry.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,40 +18,40 @@
 use crate::outbox;
 use crate::pool::Pool;
 
-/// Handed to every task.
+/// The shared state.
 pub struct Shared {
-    /// The way to the loop.
+    /// Sends messages to the loop.
     pub handle: Handle,
-    /// The wires' names.
+    /// Encodes and decodes messages on the wire.
     pub codec: Rc<dyn Codec>,
     /// Connections to backend servers.
     pub pool: Pool,
     /// The process's clock.
     pub clock: Clock,
-    /// What is counted.
+    /// Metrics of the entry.
     pub metrics: Metrics,
-    /// How the entry stands, as of the last step.
+    /// Status of the entry as of the last step.
     pub status: Cell<Status>,
-    /// How late the loop runs.
+    /// Maximum lag of the loop.
     pub lag: Cell<Span>,
-    /// Counts on their way to other entries.
+    /// State of the outbox.
     pub outbox_stats: Cell<outbox::Stats>,
-    /// When the configuration was known to be current.
+    /// Time at which the configuration was last known to be current.
     pub configuration_confirmed_at: Cell<Time>,
-    /// Least pause between two reads of the list of backend servers; none while others read it.
+    /// Least pause between two reads of the list of backend servers; `None` while other entries read it.
     pub servers_poll_interval: watch::Sender<Option<Span>>,
-    /// What callers may send now.
+    /// Limits on callers' requests.
     pub limits: RefCell<Limits>,
-    /// Whether callers may be sent here.
+    /// Whether the entry is ready for callers.
     pub ready: Cell<bool>,
-    /// Whether a stop was asked for: callers are told to connect elsewhere.
+    /// Whether a stop was requested, in which case callers are told to reconnect elsewhere.
     pub stopping: Cell<bool>,
-    /// Names the next request.
+    /// Number of the next request.
     pub next_serial: Cell<u64>,
 }
 
 impl Shared {
-    /// All metrics as text.
+    /// Renders all metrics as text.
     pub fn metrics_text(&self) -> Vec<u8> {
         let now = self.clock.now();
         let ages = Ages {
@@ -66,7 +66,7 @@
         )
     }
 
-    /// A number not used before.
+    /// Allocates a number for a request.
     pub fn allocate_serial(&self) -> u64 {
         let serial = self.next_serial.get();
         self.next_serial.set(serial + 1);
--- a/crates/relay/src/shell.rs
+++ b/crates/relay/src/shell.rs
@@ -1,4 +1,4 @@
-//! The one loop: takes messages, steps the reducer, carries its effects out.
+//! The event loop: receives messages, steps the reducer and carries out its effects.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -31,32 +31,32 @@
 pub struct Shell {
     /// The reducer.
     pub gateway: Gateway,
-    /// What tasks have in common.
+    /// State shared by all tasks.
     pub shared: Rc<Shared>,
     /// The platform's table service.
     pub tables: Rc<dyn Tables>,
-    /// The platform's calls for holders of duties, if it has any.
+    /// Client for duty calls, if the platform has any.
     pub cloud: Option<Rc<dyn Cloud>>,
-    /// Other entries.
+    /// Client for other entries.
     pub peers: Peers,
-    /// Asks for a read of the configuration.
+    /// Requests a full read of the configuration.
     pub read_configuration: Rc<Notify>,
-    /// Asks for a read of the list of servers.
+    /// Requests a full read of the list of servers.
     pub read_servers: Rc<Notify>,
-    /// Tasks of open requests.
+    /// Channels to the tasks of open requests, by request number.
     pub flights: HashMap<u64, mpsc::UnboundedSender<Command>>,
-    /// Who waits for addresses, by number.
+    /// Pending address queries, by requester number.
     pub address_replies: HashMap<u64, oneshot::Sender<Option<Addresses>>>,
-    /// Entries that wait for a charge, by number.
+    /// Pending charges of other entries, by requester number.
     pub charge_replies: HashMap<u64, oneshot::Sender<Option<Answer>>>,
-    /// Names the next asker.
+    /// Number of the last requester.
     pub next_requester: u64,
-    /// How late the loop runs.
+    /// Lag of the loop.
     pub lag: Lag,
 }
 
 impl Shell {
-    /// Runs until the reducer has nothing left to do. Timers go before messages.
+    /// Runs until the reducer asks to exit. Timers take precedence over messages.
     pub async fn run(mut self, mut inbox: Inbox, mut stops: mpsc::UnboundedReceiver<()>) {
         let mut wake = Wake::new(self.shared.clock.now());
         loop {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Notes how late the loop is with something that was due.
+    /// Records the lag of handling something that was due.
     fn record_lag(&mut self, due: Time) {
         let late = self.lag.record(self.shared.clock.now(), due);
         self.shared.lag.set(self.lag.max());
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes one event; gives whether the process may end.
+    /// Handles one event; returns whether the process may exit.
     fn step(&mut self, event: Event) -> bool {
         let mut effects = Vec::new();
         let now = self.shared.clock.now();
@@ -115,7 +115,7 @@
         exit
     }
 
-    /// Shows tasks how the entry stands.
+    /// Publishes the entry's status to the tasks.
     fn publish_status(&mut self, now: Time) {
         let status = self.gateway.status(now);
         self.shared.status.set(status);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The event of a message; notes who waits for what follows.
+    /// Converts a message to an event and stores the channel for its answer.
     fn event_from(&mut self, message: Message) -> Option<Event> {
         match message {
             Message::Event(event) => Some(event),
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Carries one effect out, without waiting for anything.
+    /// Carries out one effect without blocking.
     fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Flight { serial, command } => {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Sends a call to the table service; its outcome comes back as an event.
+    /// Calls the table service; an event reports the outcome.
     fn call_store(&self, id: store::call::Id, call: store::call::Call) {
         let shared = Rc::clone(&self.shared);
         let tables = Rc::clone(&self.tables);
@@ -219,10 +219,10 @@
         });
     }
 
-    /// Makes a call for the holder of a duty, if its lease still holds as the call leaves.
+    /// Makes a call for the holder of a duty, if its lease is still valid when the call is sent.
     ///
-    /// Guards against a pause between the decision and the call: the lease may have gone to another entry
-    /// meanwhile, and two would act.
+    /// A pause between the decision and the call may outlast the lease. Another entry may hold it by then,
+    /// and both would act.
     fn call_cloud(&self, id: u64, call: duty::Call, lease: duty::Lease) {
         let shared = Rc::clone(&self.shared);
         let cloud = self.cloud.clone();
@@ -240,10 +240,10 @@
     }
 }
 
-/// Time between two sweeps of unused connections.
+/// Interval at which expired connections are dropped.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Closes unused connections in time.
+/// Drops expired connections periodically.
 pub async fn sweep(shared: Rc<Shared>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
--- a/crates/relay/src/wake.rs
+++ b/crates/relay/src/wake.rs
@@ -1,23 +1,23 @@
-//! When the loop lets time pass in the reducer.
+//! Schedules the ticks that advance time in the reducer.
 
 use clock::Span;
 use clock::Time;
 
-/// Time passes in the reducer at least this often.
+/// Longest interval between two ticks.
 const MAX_INTERVAL: Span = Span::from_millis(250);
-/// And at most this often: each time costs some tens of microseconds.
+/// Shortest interval between two ticks, since each costs some tens of microseconds.
 const MIN_INTERVAL: Span = Span::from_millis(5);
 
-/// The next time at which the reducer is to act on the time alone.
+/// The next time at which a tick is due.
 #[derive(Clone, Copy, Debug)]
 pub struct Wake {
     due: Time,
-    /// When it last did.
+    /// Time of the last tick.
     last_tick: Time,
 }
 
 impl Wake {
-    /// Due at once.
+    /// Creates a timer that is due immediately.
     pub fn new(now: Time) -> Wake {
         Wake {
             due: now,
@@ -25,20 +25,20 @@
         }
     }
 
-    /// When it is due.
+    /// Returns when the next tick is due.
     pub fn due(&self) -> Time {
         self.due
     }
 
-    /// The reducer took an event and wants to be woken at `wanted`.
+    /// Schedules the next tick after an event, for when the reducer wants to be woken.
     pub fn schedule(&mut self, now: Time, wanted: Time) {
-        // Counted from the last time: from each message, timers would never be due beside a steady stream of them.
+        // Counted from the last tick: counted from each message, timers would starve under steady traffic.
         self.due = wanted
             .min(now + MAX_INTERVAL)
             .max(self.last_tick + MIN_INTERVAL);
     }
 
-    /// The reducer acted on the time.
+    /// Records that a tick was handled.
     pub fn record_tick(&mut self, now: Time) {
         self.last_tick = now;
     }
--- a/crates/relay/tests/inbox.rs
+++ b/crates/relay/tests/inbox.rs
@@ -1,4 +1,4 @@
-//! The order in which the loop takes messages in.
+//! The order in which the loop receives messages.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 use relay::inbox::Handle;
 use relay::inbox::Message;
 
-/// After a freeze requests were handed to a server before the news that it had left was taken in, which came later.
+/// After a freeze, requests were forwarded to a server before the later message that it had left was handled.
 #[tokio::test]
 async fn news_is_taken_in_before_requests() {
     let (handle, mut inbox) = Handle::new(Clock::start());
@@ -20,7 +20,7 @@
     for expected in 0..3 {
         let next = inbox.next().await.unwrap().message;
         let Message::Event(Event::CallerDisconnected { serial }) = next else {
-            panic!("not in the order in which they were sent");
+            panic!("requests are out of order");
         };
         assert_eq!(serial, expected);
     }
--- a/crates/relay/tests/logs.rs
+++ b/crates/relay/tests/logs.rs
@@ -1,4 +1,4 @@
-//! The log never holds up whoever writes it.
+//! Writing the log never blocks.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,7 +13,7 @@
 use log::LevelFilter;
 use relay::logs;
 
-/// Output whose reader can stop reading.
+/// Output whose reader can stall.
 #[derive(Clone, Default)]
 struct Pipe {
     read: Arc<Mutex<Vec<u8>>>,
@@ -42,8 +42,8 @@
     }
 }
 
-/// The reader of the log stops. Requests go on: no line waits for it, those of the ordinary course are left
-/// out first, what doesn't fit is dropped, and both are counted and told once the reader is back.
+/// The reader of the log stalls. No line may wait for it: routine lines are shed first, then lines that don't
+/// fit are dropped, and the losses are logged once the reader is back.
 #[test]
 fn a_stalled_reader_blocks_no_writer() {
     let pipe = Pipe::default();
@@ -62,7 +62,11 @@
         started.elapsed()
     );
     assert!(logs::shed() > 10_000, "{}", logs::shed());
-    assert_eq!(logs::dropped(), 0, "there was room for what matters");
+    assert_eq!(
+        logs::dropped(),
+        0,
+        "no line other than routine ones is lost"
+    );
     for index in 0..5_000 {
         logs::write(&Line::info("request_refused").with("request", index));
     }
@@ -72,7 +76,7 @@
     while !pipe.text().contains("request=199\n") || !pipe.text().contains("log_lines_dropped") {
         assert!(
             started.elapsed() < Duration::from_secs(20),
-            "the log never came"
+            "the log was never written"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/relay/tests/outbox.rs
+++ b/crates/relay/tests/outbox.rs
@@ -1,4 +1,4 @@
-//! Counts and requests that leave by the same narrow link, without a network.
+//! Simulates counts and requests that share a narrow link.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,48 +15,48 @@
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
 
-/// Time between two rounds of counts, milliseconds.
+/// Interval between two rounds of counts.
 const ROUND_MS: u64 = 500;
-/// Time between two requests, and their size.
+/// Interval between two requests, and their size.
 const REQUEST_INTERVAL_MS: u64 = 40;
 const REQUEST_BYTES: usize = 12_000;
-/// From the last byte on the link until the peer's answer is here, milliseconds.
+/// Time from the last byte on the link to the peer's answer.
 const ACK_DELAY_MS: u64 = 3;
-/// A call without an answer has failed by then, milliseconds.
+/// Time after which a call without an answer has failed.
 const CALL_TIMEOUT_MS: u64 = 2_000;
-/// An entry without heartbeats for 1,250 ms is suspected; the way of one takes up to 150.
+/// An entry without heartbeats for 1,250 ms is suspected, and a heartbeat takes up to 150 ms.
 const MAX_SILENCE_MS: u64 = 1_100;
-/// What a server that leaves leaves to news of it and requests under way: a request may wait for the link so long.
+/// Longest wait of a request for the link, for it to reach a leaving server in time.
 const MAX_WAIT_MS: u64 = 100;
 
-/// An entry's own link: first in, first out.
+/// An entry's own link, first in, first out.
 struct Link {
     bytes_per_ms: f64,
     free_at_ms: f64,
 }
 
 impl Link {
-    /// When the last byte is through.
+    /// Sends bytes; returns when the last one has left the link.
     fn send(&mut self, now: u64, bytes: usize) -> u64 {
         self.free_at_ms = self.free_at_ms.max(now as f64) + bytes as f64 / self.bytes_per_ms;
         self.free_at_ms.ceil() as u64
     }
 
-    /// How long a byte waits that is sent now.
+    /// Returns how long a byte that is sent now waits.
     fn wait(&self, now: u64) -> u64 {
         (self.free_at_ms - now as f64).max(0.0) as u64
     }
 }
 
-/// What came of a run.
+/// The result of a simulation.
 #[derive(Default)]
 struct Outcome {
     longest_wait: u64,
-    /// The newest round that each peer has.
+    /// The newest round that each peer received.
     rounds: BTreeMap<usize, u64>,
-    /// When each peer got the last heartbeat.
+    /// Time of the last heartbeat that each peer received.
     last_heartbeat: BTreeMap<usize, u64>,
-    /// The longest time for which one that answers didn't.
+    /// The longest time that a peer which answers was without a heartbeat.
     longest_silence: u64,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// An entry that sends counts of `bytes` to each peer in each round, and requests besides.
+/// An entry that sends `bytes` of counts to each peer in each round, and requests besides.
 struct Scenario {
     peers: usize,
     bytes: usize,
@@ -102,7 +102,7 @@
                     let peer: usize = address.parse().unwrap();
                     outcome.record_heartbeat(peer, now);
                     let newest = outcome.rounds.entry(peer).or_default();
-                    assert!(round >= *newest, "counts overtook newer ones");
+                    assert!(round >= *newest, "older counts arrived after newer ones");
                     *newest = round;
                 }
             }
@@ -151,7 +151,7 @@
 
 #[test]
 fn requests_do_not_wait_behind_counts_that_fill_the_link() {
-    // A request that waited for seconds reached its server long after that had begun to leave.
+    // A request that waited for seconds reached its server long after it had started to leave.
     for megabits in [10, 20] {
         for (peers, bytes) in [(62, 14_000), (75, 14_000), (300, 6_000), (840, 3_000)] {
             let scenario = Scenario {
@@ -164,7 +164,7 @@
             let waited_ms = scenario.simulate().longest_wait;
             assert!(
                 waited_ms <= MAX_WAIT_MS,
-                "{waited_ms} ms behind counts for {peers} at {megabits} Mbit/s"
+                "waited {waited_ms} ms behind counts for {peers} peers at {megabits} Mbit/s"
             );
         }
     }
@@ -172,7 +172,7 @@
 
 #[test]
 fn heartbeats_do_not_wait_behind_counts() {
-    // Entries that add up counts would be suspected on narrow links, and others would take their place by turns.
+    // On narrow links, aggregating entries would be suspected, and their role would flap between entries.
     for (peers, bytes) in [(75, 14_000), (300, 6_000)] {
         let scenario = Scenario {
             peers,
@@ -186,7 +186,7 @@
         let silence_ms = outcome.longest_silence;
         assert!(
             silence_ms <= MAX_SILENCE_MS,
-            "unheard for {silence_ms} ms by one of {peers}"
+            "one of {peers} peers got no heartbeat for {silence_ms} ms"
         );
         assert!(outcome.longest_wait <= MAX_WAIT_MS);
     }
@@ -194,7 +194,7 @@
 
 #[test]
 fn counts_reach_every_peer_as_fast_as_the_link_allows() {
-    // Counts that are always overtaken by newer ones before their turn would never come.
+    // Counts that newer ones always overtake before their turn would never arrive.
     let scenario = Scenario {
         peers: 300,
         bytes: 6_000,
@@ -211,7 +211,7 @@
 
 #[test]
 fn peers_that_do_not_answer_keep_counts_from_nobody() {
-    // A third of the peers is cut off: calls to them take two seconds to fail.
+    // A third of the peers is partitioned: calls to them take two seconds to fail.
     let scenario = Scenario {
         peers: 75,
         bytes: 6_000,
--- a/crates/relay/tests/pool.rs
+++ b/crates/relay/tests/pool.rs
@@ -28,8 +28,8 @@
 
 #[tokio::test]
 async fn a_closed_server_gets_no_more_requests() {
-    // A connection to the server is being made, and another lies unused, when the server begins to leave. Either
-    // would have carried a request to it that its end cuts off.
+    // The server starts to leave while one connection is in use and another is idle. Either would carry a
+    // request that the server's end cuts off.
     let (_listener, endpoint) = listener().await;
     let check = async {
         let pool = Pool::new(Clock::start());
@@ -43,7 +43,7 @@
         pool.close(endpoint.incarnation.clone());
         assert!(!pool.accepts_requests(&endpoint));
         assert!(pool.take(&endpoint).is_none());
-        // The answer that was awaited on the other connection came whole.
+        // The answer on the other connection is complete.
         pool.release(&endpoint, busy, &HeaderMap::new()).await;
         assert!(pool.take(&endpoint).is_none());
     };
@@ -64,8 +64,8 @@
 
 #[tokio::test]
 async fn an_abandoned_request_does_not_go_on_by_itself() {
-    // A closed socket delivers what it holds: behind a full link or a cut, a request that had long been given up reached
-    // its server seconds later.
+    // A closed socket still delivers its buffered data: over a full or interrupted link, an abandoned request
+    // reached its server seconds later.
     let (listener, endpoint) = listener().await;
     let check = async {
         let pool = Pool::new(Clock::start());
@@ -73,7 +73,7 @@
         let (mut server, _) = listener.accept().await.unwrap();
         let body = Bytes::from(vec![b'x'; 32 << 20]);
         let sending = connection.sender.send_request(request(body));
-        // The server reads nothing: both sides' buffers fill.
+        // The server reads nothing, so the buffers of both sides fill.
         let waited = tokio::time::timeout(Duration::from_millis(100), sending).await;
         assert!(waited.is_err());
         drop(connection);
--- a/crates/relay/tests/wake.rs
+++ b/crates/relay/tests/wake.rs
@@ -1,9 +1,9 @@
-//! The loop's timers beside a steady stream of messages.
+//! The loop's timers under a steady stream of messages.
 
 use clock::Time;
 use relay::wake::Wake;
 
-/// Heartbeats, leases and deadlines stood still for as long as messages came faster than every 5 ms.
+/// Heartbeats, leases and deadlines starved while messages arrived more often than every 5 ms.
 #[test]
 fn timers_run_beside_a_steady_stream_of_messages() {
     let mut wake = Wake::new(Time::ZERO);
@@ -13,7 +13,7 @@
             wake.record_tick(now);
             ticks += 1;
         }
-        // A message each millisecond, and a timer that has long been due.
+        // A message arrives each millisecond, and a timer is long overdue.
         wake.schedule(now, Time::ZERO);
     }
     assert!(ticks >= 190, "acted {ticks} times in a second");
