--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -157,8 +157,8 @@
         }
         // A run that is stopped to be moved ends without its last event. If only the end of the connection
         // delimits the stream, it would look complete.
-        let cut = self.migrating.get() && !is_framed(&answer.head.headers);
-        if state.splitter.has_partial_event() || !state.started || cut {
+        let truncated = self.migrating.get() && !is_framed(&answer.head.headers);
+        if state.splitter.has_partial_event() || !state.started || truncated {
             return Some(End::Broken { alive: true });
         }
         self.caller.finish();
@@ -234,12 +234,12 @@
                 return Head::Ended(End::NotSent);
             }
         };
-        let left = start.time_left - shared.clock.now().since(started);
-        if left == Span::ZERO || !shared.pool.accepts_requests(&start.endpoint) {
+        let remaining = start.time_left - shared.clock.now().since(started);
+        if remaining == Span::ZERO || !shared.pool.accepts_requests(&start.endpoint) {
             return Head::Ended(End::NotSent);
         }
         let start = Start {
-            time_left: left,
+            time_left: remaining,
             ..start.clone()
         };
         let request = build_request(shared, inbound, &start, resume);
@@ -296,10 +296,10 @@
         Classification::NotStarted => {
             let rest = Limited::new(body, MAX_BUFFERED_BYTES).collect();
             if let Ok(Ok(_)) = tokio::time::timeout(DRAIN_TIMEOUT, rest).await {
-                let keeping = shared
+                let releasing = shared
                     .pool
                     .release(&start.endpoint, connection, &head.headers);
-                keeping.await;
+                releasing.await;
             }
             Head::Ended(End::NotStarted)
         }
@@ -347,15 +347,15 @@
     start: &Start,
     pending: impl Future<Output = T>,
 ) -> Result<T, End> {
-    let Some(patience) = start.silence_timeout else {
+    let Some(limit) = start.silence_timeout else {
         return Ok(pending.await);
     };
     let mut pending = std::pin::pin!(pending);
     loop {
-        match tokio::time::timeout(patience.as_duration(), pending.as_mut()).await {
+        match tokio::time::timeout(limit.as_duration(), pending.as_mut()).await {
             Ok(value) => return Ok(value),
-            Err(_) if start.stream && shared.pool.was_active(&start.endpoint, patience) => {}
-            Err(_) => return Err(End::TimedOut { waited: patience }),
+            Err(_) if start.stream && shared.pool.was_active(&start.endpoint, limit) => {}
+            Err(_) => return Err(End::TimedOut { waited: limit }),
         }
     }
 }
--- a/crates/relay/src/consumers.rs
+++ b/crates/relay/src/consumers.rs
@@ -86,7 +86,7 @@
     }
 
     /// Applies configurations and roll-out orders; the table also holds other rows.
-    fn take(&self, rows: &[Row]) {
+    fn apply_rows(&self, rows: &[Row]) {
         for row in rows {
             self.apply_order(row);
             if !self.shared.codec.is_configuration_row(row) {
@@ -130,13 +130,13 @@
 
 impl Consumer for ConfigurationConsumer {
     fn replace(&self, rows: Rows) {
-        self.take(&rows.rows);
+        self.apply_rows(&rows.rows);
         let ordered = self.rollout_services(&rows.rows);
         self.shared.handle.send_event(Event::RolloutsKnown(ordered));
     }
 
     fn apply(&self, changes: Changes) {
-        self.take(&changes.written);
+        self.apply_rows(&changes.written);
         for service in self.rollout_services(&changes.deleted) {
             self.shared
                 .handle
@@ -215,8 +215,8 @@
 
     fn apply(&self, changes: Changes) {
         let (written, unusable) = self.decode_rows(&changes.written);
-        let ended = unusable.iter().chain(&changes.deleted);
-        let removed = ended.map(removal_from).collect();
+        let gone = unusable.iter().chain(&changes.deleted);
+        let removed = gone.map(removal_from).collect();
         self.shared.handle.send_event(Event::Servers(Reading {
             revision: changes.revision,
             update: Update::Changes { written, removed },
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -67,7 +67,7 @@
                 consumer.mark_current();
                 consumer.replace(rows);
                 let fault = tokio::select! {
-                    fault = changes(&feed, &consumer, revision) => Some(fault),
+                    fault = poll_changes(&feed, &consumer, revision) => Some(fault),
                     () = refresh.notified() => None,
                 };
                 match fault {
@@ -86,7 +86,11 @@
 }
 
 /// Polls for changes until a poll fails.
-async fn changes(feed: &Rc<dyn Feed>, consumer: &Rc<dyn Consumer>, mut revision: u64) -> Fault {
+async fn poll_changes(
+    feed: &Rc<dyn Feed>,
+    consumer: &Rc<dyn Consumer>,
+    mut revision: u64,
+) -> Fault {
     loop {
         consumer.wait_for_turn().await;
         revision = revision.max(consumer.known_revision());
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -99,7 +99,7 @@
     shared: Rc<Shared>,
     request: Request<Incoming>,
 ) -> Result<Response<Payload>, Infallible> {
-    let mut response = match read(&shared, request).await {
+    let mut response = match dispatch(&shared, request).await {
         Ok(answer) => answer,
         Err(refusal) => shared.codec.encode_refusal(&refusal).map(Payload::from),
     };
@@ -111,7 +111,7 @@
 }
 
 /// Reads a complete request, starts its task and waits for the head of its answer.
-async fn read(
+async fn dispatch(
     shared: &Rc<Shared>,
     request: Request<Incoming>,
 ) -> Result<Response<Payload>, Refusal> {
--- a/crates/relay/src/logs.rs
+++ b/crates/relay/src/logs.rs
@@ -36,11 +36,11 @@
 /// Initializes the log on any output.
 pub fn init_to(level: LevelFilter, output: Box<dyn Write + Send>) {
     let (sender, lines) = sync_channel::<Vec<u8>>(QUEUE_LINES);
-    let writing = std::thread::Builder::new()
+    let spawned = std::thread::Builder::new()
         .name(String::from("log"))
         .stack_size(64 << 10)
         .spawn(move || run_writer(output, lines));
-    if writing.is_err() {
+    if spawned.is_err() {
         eprintln!("level=error event=log_thread_failed");
         return;
     }
@@ -48,13 +48,13 @@
         sender,
         buffer: Vec::new(),
     };
-    let built = env_logger::Builder::new()
+    let initialized = env_logger::Builder::new()
         .filter_level(level)
         .target(env_logger::Target::Pipe(Box::new(queue)))
         .format(line::text::format)
         .try_init();
     // A second gateway in the same process shares the log of the first one.
-    drop(built);
+    drop(initialized);
 }
 
 /// Writes queued lines, each preceded by the count of lines that were lost before it.
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -15,9 +15,9 @@
     let seeds = settings.peers.seeds.iter();
     let options = &settings.gateway;
     gateway::configs::gateway::Settings {
-        seeds: seeds.map(|one| one.to_smolstr()).collect(),
+        seeds: seeds.map(|seed| seed.to_smolstr()).collect(),
         entries: options.entries,
-        capacity: capacity_of(&options.processor),
+        capacity: relative_capacity(&options.processor),
         address_ttl: Span::from_millis(settings.callers.address_ttl_ms),
         grace: Span::from_millis(settings.shutdown.grace_ms),
         repeat_ratio: f64::from(options.repeats_percent) / 100.0,
@@ -55,13 +55,13 @@
 
 /// Returns the outbox's limits for this entry's link.
 pub fn outbox_config(settings: &Settings) -> outbox::Config {
-    let link = decimal("gateway.link_mbps", &settings.gateway.link_mbps);
-    let link = link.filter(|link| *link > 0.0);
-    link.map_or_else(outbox::Config::default, outbox::Config::for_link)
+    let megabits = decimal("gateway.link_mbps", &settings.gateway.link_mbps);
+    let megabits = megabits.filter(|megabits| *megabits > 0.0);
+    megabits.map_or_else(outbox::Config::default, outbox::Config::for_link)
 }
 
 /// Returns an entry's relative capacity, 1 to 255; 255 is one processor core or more.
-fn capacity_of(processor: &str) -> u8 {
+fn relative_capacity(processor: &str) -> u8 {
     let share = decimal("gateway.processor", processor);
     share.map_or(u8::MAX, |share| {
         (share * f64::from(u8::MAX)).clamp(1.0, f64::from(u8::MAX)) as u8
@@ -92,6 +92,6 @@
 
 /// Returns the wall clock time, milliseconds since 1970; read only once, since it may jump.
 fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+    let elapsed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -175,14 +175,14 @@
         mut connection: Connection,
         headers: &HeaderMap,
     ) {
-        let Some(idle_time) = idle_time(headers) else {
+        let Some(idle_timeout) = idle_timeout(headers) else {
             return;
         };
         if connection.sender.ready().await.is_err() || !self.accepts_requests(endpoint) {
             return;
         }
         let now = self.clock.now();
-        connection.reusable_until = now + idle_time;
+        connection.reusable_until = now + idle_timeout;
         connection.used = true;
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(endpoint.incarnation.clone()).or_default();
@@ -210,7 +210,7 @@
 }
 
 /// Returns how long a connection may be reused after this answer; `None` if it may not.
-fn idle_time(headers: &HeaderMap) -> Option<Span> {
+fn idle_timeout(headers: &HeaderMap) -> Option<Span> {
     let has_token = |name: &str, word: &str| {
         let mut values = headers.get_all(name).iter();
         values.any(|value| {
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -197,7 +197,7 @@
         flights: HashMap::new(),
         address_replies: HashMap::new(),
         charge_replies: HashMap::new(),
-        next_requester: 0,
+        last_requester: 0,
         lag: Lag::default(),
     };
     shell.run(inbox, stops).await;
--- a/crates/relay/src/shell.rs
+++ b/crates/relay/src/shell.rs
@@ -50,7 +50,7 @@
     /// Pending charges of other entries, by requester number.
     pub charge_replies: HashMap<u64, oneshot::Sender<Option<Answer>>>,
     /// Number of the last requester.
-    pub next_requester: u64,
+    pub last_requester: u64,
     /// Lag of the loop.
     pub lag: Lag,
 }
@@ -101,9 +101,9 @@
             event,
             Event::Attempt { .. } | Event::Arrived { .. } | Event::ChargeRequested { .. }
         );
-        let begun = Instant::now();
+        let started = Instant::now();
         self.gateway.step(now, event, &mut effects);
-        self.shared.metrics.record_step(begun.elapsed());
+        self.shared.metrics.record_step(started.elapsed());
         if changed {
             self.publish_status(now);
         }
@@ -144,14 +144,14 @@
                 None
             }
             Message::Charge { charge, reply } => {
-                self.next_requester += 1;
-                let requester = self.next_requester;
+                self.last_requester += 1;
+                let requester = self.last_requester;
                 self.charge_replies.insert(requester, reply);
                 Some(Event::ChargeRequested { requester, charge })
             }
             Message::Addresses { zone, reply } => {
-                self.next_requester += 1;
-                let requester = self.next_requester;
+                self.last_requester += 1;
+                let requester = self.last_requester;
                 self.address_replies.insert(requester, reply);
                 Some(Event::AddressesRequested { requester, zone })
             }
