--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -42,7 +42,7 @@
     digests: Counter<u64>,
     digest_bytes: Counter<u64>,
     reducer_busy: Counter<f64>,
-    first: Histogram<f64>,
+    first_token: Histogram<f64>,
     total_latency: Histogram<f64>,
     longest_pause: Histogram<f64>,
     queue_wait: Histogram<f64>,
@@ -135,7 +135,7 @@
                 .with_description("Time spent in the reducer")
                 .with_unit("s")
                 .build(),
-            first: latency("dogwoodspur_first_token", "Arrival to first event"),
+            first_token: latency("dogwoodspur_first_token", "Arrival to first event"),
             total_latency: latency("dogwoodspur_answer", "Arrival to the end of the answer"),
             longest_pause: latency("dogwoodspur_pause", "Longest pause of each stream"),
             queue_wait: latency("dogwoodspur_wait", "Arrival to the first attempt"),
@@ -199,7 +199,7 @@
             "request_done" => {
                 let service = [label(line, "service")];
                 self.done.add(1, &service);
-                self.first.record(number(line, "first_ms"), &service);
+                self.first_token.record(number(line, "first_ms"), &service);
                 self.total_latency
                     .record(number(line, "total_ms"), &service);
                 self.longest_pause
