--- a/crates/daemon/src/fleet_port.rs
+++ b/crates/daemon/src/fleet_port.rs
@@ -77,11 +77,11 @@
         address: SmolStr,
         fence: u64,
         target: Target,
-        until: Time,
+        lease_end: Time,
     ) {
         let port = self.clone();
         tokio::task::spawn_local(async move {
-            if port.clock.now() >= until {
+            if port.clock.now() >= lease_end {
                 return;
             }
             let target = engine::Target {
@@ -116,11 +116,11 @@
         token: SmolStr,
         kind: Kind,
         pool: SmolStr,
-        until: Time,
+        lease_end: Time,
     ) {
         let port = self.clone();
         tokio::task::spawn_local(async move {
-            if port.clock.now() >= until {
+            if port.clock.now() >= lease_end {
                 return;
             }
             let wish = Wish {
@@ -143,13 +143,13 @@
     }
 
     /// Gives an instance back once its work had time to end or move.
-    pub fn stop(&self, id: SmolStr, after: Span, until: Time) {
+    pub fn stop(&self, id: SmolStr, delay: Span, lease_end: Time) {
         let port = self.clone();
         tokio::task::spawn_local(async move {
-            if port.clock.now() >= until {
+            if port.clock.now() >= lease_end {
                 return;
             }
-            tokio::time::sleep(after.as_duration()).await;
+            tokio::time::sleep(delay.as_duration()).await;
             if Cloud::new(&port.client, &port.cloud)
                 .stop(&id)
                 .await
--- a/crates/daemon/src/flight.rs
+++ b/crates/daemon/src/flight.rs
@@ -17,7 +17,7 @@
 use back::failure::Failure;
 use back::http_client::HttpClient;
 use clock::Span;
-use entry::attempt::Place;
+use entry::attempt::Endpoint;
 use entry::attempt::Report;
 use entry::effect::Command;
 use entry::event::Event;
@@ -77,7 +77,7 @@
     attempt: u32,
     /// The engine's stream.
     stream: Stream,
-    place: Place,
+    endpoint: Endpoint,
     account: SmolStr,
     /// The caller's offset of that stream's first token.
     base: u64,
@@ -158,7 +158,7 @@
                     None => Flow::Over,
                 },
                 () = self.output.closed() => {
-                    self.shared.link.event(Event::CallerGone { serial: self.serial });
+                    self.shared.link.event(Event::CallerDisconnected { serial: self.serial });
                     Flow::Over
                 }
                 word = self.phase.next() => self.word(word).await,
@@ -195,30 +195,34 @@
             }
             Command::Start {
                 stream,
-                place,
+                endpoint,
                 priority,
                 account,
             } => {
                 if self.passed >= u64::from(self.chat.max_new_tokens) {
                     return self.whole(stream).await;
                 }
-                self.start(stream, place, priority, account);
+                self.start(stream, endpoint, priority, account);
             }
             Command::Attach {
                 attempt,
                 stream,
-                place,
+                endpoint,
                 base,
                 account,
             } => self.attach(Running {
                 attempt,
                 stream,
-                place,
+                endpoint,
                 account,
                 base,
                 how: Asked::Adopted,
             }),
-            Command::Move { stream, place, how } => self.move_to(stream, place, how),
+            Command::Move {
+                stream,
+                endpoint,
+                transfer,
+            } => self.move_to(stream, endpoint, transfer),
         }
         Flow::On
     }
@@ -247,8 +251,8 @@
             account: running.account.clone(),
             deployment: self.chat.deployment.clone(),
             stream: running.stream,
-            address: running.place.address.clone(),
-            incarnation: running.place.incarnation.clone(),
+            address: running.endpoint.address.clone(),
+            incarnation: running.endpoint.incarnation.clone(),
             base: running.base,
         })
     }
@@ -260,7 +264,7 @@
         };
         let client = self.shared.client.clone();
         tokio::task::spawn_local(async move {
-            let engine = Engine::new(&client, &running.place.address);
+            let engine = Engine::new(&client, &running.endpoint.address);
             let _ = engine.cancel(running.stream).await;
         });
     }
--- a/crates/daemon/src/flight/opening.rs
+++ b/crates/daemon/src/flight/opening.rs
@@ -4,7 +4,7 @@
 use back::events::Events;
 use back::failure::Failure;
 use bytes::Bytes;
-use entry::attempt::Place;
+use entry::attempt::Endpoint;
 use policy::decision::Transfer;
 use request::id::Stream;
 use smol_str::SmolStr;
@@ -17,13 +17,19 @@
 
 impl Flight {
     /// Starts the call, behind what was passed on already.
-    pub(super) fn start(&mut self, stream: Stream, place: Place, priority: u8, account: SmolStr) {
+    pub(super) fn start(
+        &mut self,
+        stream: Stream,
+        endpoint: Endpoint,
+        priority: u8,
+        account: SmolStr,
+    ) {
         let base = self.relay.next();
         self.relay.begin(stream.attempt, base);
         self.running = Some(Running {
             attempt: stream.attempt,
             stream,
-            place: place.clone(),
+            endpoint: endpoint.clone(),
             account,
             base,
             how: Asked::Fresh,
@@ -31,7 +37,7 @@
         let body = self.body();
         let client = self.shared.client.clone();
         self.phase = Phase::Opening(Box::pin(async move {
-            let engine = Engine::new(&client, &place.address);
+            let engine = Engine::new(&client, &endpoint.address);
             let events = engine.start(stream, priority, body).await;
             Opened {
                 events,
@@ -45,7 +51,7 @@
         self.relay.begin(running.attempt, running.base);
         let offset = self.relay.next().saturating_sub(running.base);
         let stream = running.stream;
-        let address = running.place.address.clone();
+        let address = running.endpoint.address.clone();
         let client = self.shared.client.clone();
         self.running = Some(running);
         self.phase = Phase::Opening(Box::pin(async move {
@@ -58,7 +64,7 @@
     }
 
     /// Moves the running stream, by its KV cache or by running it again.
-    pub(super) fn move_to(&mut self, stream: Stream, place: Place, how: Transfer) {
+    pub(super) fn move_to(&mut self, stream: Stream, endpoint: Endpoint, how: Transfer) {
         let Some(old) = self.running.clone() else {
             return;
         };
@@ -68,15 +74,15 @@
         self.running = Some(Running {
             attempt: stream.attempt,
             stream,
-            place: place.clone(),
+            endpoint: endpoint.clone(),
             account: old.account,
             base,
             how: Asked::Fresh,
         });
         let client = self.shared.client.clone();
         self.phase = Phase::Opening(Box::pin(async move {
-            let from = Engine::new(&client, &old.place.address);
-            let to = Engine::new(&client, &place.address);
+            let from = Engine::new(&client, &old.endpoint.address);
+            let to = Engine::new(&client, &endpoint.address);
             let events = match how {
                 Transfer::Kv => transfer(&from, old.stream, &to, stream, offset).await,
                 Transfer::Rerun => Err(Failure::NotSent),
--- a/crates/daemon/src/flight/words.rs
+++ b/crates/daemon/src/flight/words.rs
@@ -48,7 +48,10 @@
                 let token = self.token();
                 self.output.begin(&token).await;
                 match moved {
-                    Some(how) => self.report(Report::Moved { how, recomputed: 0 }),
+                    Some(transfer) => self.report(Report::Moved {
+                        transfer,
+                        recomputed: 0,
+                    }),
                     None => self.report(Report::Head),
                 }
                 Flow::On
@@ -68,10 +71,10 @@
         };
         let recomputed = self.chat.prompt_tokens + u32::try_from(self.passed).unwrap_or(u32::MAX);
         self.report(Report::Moved {
-            how: Transfer::Rerun,
+            transfer: Transfer::Rerun,
             recomputed,
         });
-        self.start(running.stream, running.place, 0, running.account);
+        self.start(running.stream, running.endpoint, 0, running.account);
     }
 
     /// A start or a resume failed.
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Result;
 use entry::effect::Effect;
-use entry::entry::Vitals;
+use entry::entry::Stats;
 use entry::line::Line;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::Counter;
@@ -102,13 +102,13 @@
     }
 
     /// Shows how the entry stands.
-    pub fn show(&self, vitals: &Vitals) {
-        self.open.record(vitals.open_requests, &[]);
-        self.version.record(vitals.version, &[]);
-        self.members.record(vitals.members, &[]);
-        self.backends.record(vitals.backends, &[]);
-        self.ready.record(u64::from(vitals.ready), &[]);
-        self.store.record(u64::from(vitals.store_available), &[]);
+    pub fn show(&self, stats: &Stats) {
+        self.open.record(stats.open_requests, &[]);
+        self.version.record(stats.version, &[]);
+        self.members.record(stats.members, &[]);
+        self.backends.record(stats.backends, &[]);
+        self.ready.record(u64::from(stats.ready), &[]);
+        self.store.record(u64::from(stats.store_available), &[]);
     }
 
     /// Counts one line.
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -55,8 +55,8 @@
         let client = self.client.clone();
         let link = Rc::clone(&self.link);
         tokio::task::spawn_local(async move {
-            let by = client.inherit(&address, &estates).await.unwrap_or(None);
-            link.event(Event::EstatesTaken { by });
+            let heir = client.inherit(&address, &estates).await.unwrap_or(None);
+            link.event(Event::EstatesAccepted { heir });
         });
     }
 
--- a/crates/daemon/src/plain.rs
+++ b/crates/daemon/src/plain.rs
@@ -67,7 +67,7 @@
                 command = self.commands.recv() => command,
                 () = self.head.closed(), if !gone => {
                     gone = true;
-                    self.shared.link.event(Event::CallerGone { serial: self.serial });
+                    self.shared.link.event(Event::CallerDisconnected { serial: self.serial });
                     continue;
                 }
             };
@@ -76,10 +76,13 @@
                 Some(Command::Refuse(refusal)) => {
                     break Some(answer::refused(&self.request, &refusal));
                 }
-                Some(Command::Start { stream, place, .. }) => {
+                Some(Command::Start {
+                    stream, endpoint, ..
+                }) => {
                     let attempt = stream.attempt;
                     let called =
-                        plain::call(&self.shared.client, &place.address, self.call.clone()).await;
+                        plain::call(&self.shared.client, &endpoint.address, self.call.clone())
+                            .await;
                     match called {
                         Ok(whole) => {
                             self.report(attempt, Report::Head);
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -14,7 +14,7 @@
 use back::http_client::HttpClient;
 use clock::Span;
 use entry::event::Event;
-use entry::instance::Cached;
+use entry::instance::CacheUpdate;
 use entry::instance::Instance;
 use entry::instance::Notice;
 use policy::mix::Kind;
@@ -142,7 +142,7 @@
         let after = heard.borrow().get(&incarnation).copied().unwrap_or(0);
         tokio::task::spawn_local(async move {
             let read = Engine::new(&client, &address).cache_events(after).await;
-            let events: Vec<Cached> = read
+            let events: Vec<CacheUpdate> = read
                 .unwrap_or_default()
                 .iter()
                 .filter_map(cached_of)
@@ -162,8 +162,8 @@
 }
 
 /// A cache event as the reducer sees it.
-fn cached_of(event: &CacheEvent) -> Option<Cached> {
-    Some(Cached {
+fn cached_of(event: &CacheEvent) -> Option<CacheUpdate> {
+    Some(CacheUpdate {
         sequence: event.seq,
         prefix: u64::from_str_radix(&event.prefix, 16).ok()?,
         stored: event.stored,
@@ -222,6 +222,6 @@
 fn notice_of(notice: &back::cloud::Notice) -> Notice {
     Notice {
         incarnation: notice.incarnation.clone(),
-        left: Span::from_millis(notice.deadline_ms),
+        time_left: Span::from_millis(notice.deadline_ms),
     }
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -272,7 +272,7 @@
         address_ttl: Span::from_millis(settings.callers.address_ttl_ms),
         grace: Span::from_millis(settings.shutdown.grace_ms),
         zero_unix_ms: unix_ms(),
-        request_time: Span::from_millis(settings.callers.request_timeout_ms),
+        request_timeout: Span::from_millis(settings.callers.request_timeout_ms),
         seeds: settings
             .peers
             .seeds
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -78,7 +78,7 @@
 }
 
 impl Shell {
-    /// Runs until the reducer has nothing left to do.
+    /// Runs lease_end the reducer has nothing left to do.
     pub async fn run(
         mut self,
         mut messages: mpsc::UnboundedReceiver<Message>,
@@ -91,7 +91,7 @@
             let event = tokio::select! {
                 Some(message) = messages.recv() => self.event_of(message),
                 Some(call) = calls.recv() => Some(self.operator(call)),
-                Some(hurry) = stops.recv() => Some(Event::StopAsked { hurry }),
+                Some(immediate) = stops.recv() => Some(Event::StopRequested { immediate }),
                 _ = tick.tick() => Some(Event::Tick),
                 else => return,
             };
@@ -113,9 +113,9 @@
         self.entry.step(now, event, &mut effects);
         self.metrics.stepped(&effects, begun.elapsed());
         if tick {
-            let vitals = self.entry.vitals(now);
-            self.ready.set(vitals.ready);
-            self.metrics.show(&vitals);
+            let stats = self.entry.stats(now);
+            self.ready.set(stats.ready);
+            self.metrics.show(&stats);
         }
         let mut exit = false;
         for effect in effects {
@@ -142,32 +142,28 @@
                 None
             }
             Message::Addresses { key, prefix, reply } => {
-                let asker = self.askers.number();
-                self.askers.addresses.insert(asker, reply);
-                Some(Event::AddressesAsked { asker, key, prefix })
+                let call = self.askers.number();
+                self.askers.addresses.insert(call, reply);
+                Some(Event::AddressesRequested { call, key, prefix })
             }
             Message::Cancel {
                 key,
                 request,
                 reply,
             } => {
-                let asker = self.askers.number();
-                self.askers.cancels.insert(asker, reply);
-                Some(Event::CancelAsked {
-                    asker,
-                    key,
-                    request,
-                })
+                let call = self.askers.number();
+                self.askers.cancels.insert(call, reply);
+                Some(Event::CancelRequested { call, key, request })
             }
             Message::Spend { ticket, reply } => {
-                let asker = self.askers.number();
-                self.askers.spends.insert(asker, reply);
-                Some(Event::SpendAsked { asker, ticket })
+                let call = self.askers.number();
+                self.askers.spends.insert(call, reply);
+                Some(Event::SpendRequested { call, ticket })
             }
             Message::Inherit { estates, reply } => {
-                let asker = self.askers.number();
-                self.askers.heirs.insert(asker, reply);
-                Some(Event::EstatesOffered { asker, estates })
+                let call = self.askers.number();
+                self.askers.heirs.insert(call, reply);
+                Some(Event::EstatesOffered { call, estates })
             }
         }
     }
@@ -190,13 +186,13 @@
                     let _ = flight.send(command);
                 }
             }
-            Effect::Addresses { asker, answer } => {
-                if let Some(reply) = self.askers.addresses.remove(&asker) {
+            Effect::Addresses { call, answer } => {
+                if let Some(reply) = self.askers.addresses.remove(&call) {
                     let _ = reply.send(answer);
                 }
             }
-            Effect::CancelAnswer { asker, refusal } => {
-                if let Some(reply) = self.askers.cancels.remove(&asker) {
+            Effect::CancelAnswer { call, refusal } => {
+                if let Some(reply) = self.askers.cancels.remove(&call) {
                     let _ = reply.send(refusal);
                 }
             }
@@ -207,17 +203,17 @@
             }
             Effect::Store { id, call } => self.call_store(id, call),
             Effect::Log(line) => logs::write(&self.name, &line),
-            Effect::SpendAnswer { asker, answer } => {
-                if let Some(reply) = self.askers.spends.remove(&asker) {
+            Effect::SpendAnswer { call, answer } => {
+                if let Some(reply) = self.askers.spends.remove(&call) {
                     let _ = reply.send(answer);
                 }
             }
-            Effect::EstatesTaken { asker, by } => {
-                if let Some(reply) = self.askers.heirs.remove(&asker) {
-                    let _ = reply.send(by);
+            Effect::EstatesAccepted { call, heir } => {
+                if let Some(reply) = self.askers.heirs.remove(&call) {
+                    let _ = reply.send(heir);
                 }
             }
-            Effect::AskSpend {
+            Effect::RequestSpend {
                 serial,
                 address,
                 ticket,
@@ -238,18 +234,22 @@
                 address,
                 fence,
                 target,
-                until,
+                lease_end,
             } => self
                 .fleet
-                .order(deployment, engine, address, fence, target, until),
+                .order(deployment, engine, address, fence, target, lease_end),
             Effect::StartInstance {
                 deployment,
                 token,
                 kind,
                 pool,
-                until,
-            } => self.fleet.start(deployment, token, kind, pool, until),
-            Effect::StopInstance { id, after, until } => self.fleet.stop(id, after, until),
+                lease_end,
+            } => self.fleet.start(deployment, token, kind, pool, lease_end),
+            Effect::StopInstance {
+                id,
+                delay,
+                lease_end,
+            } => self.fleet.stop(id, delay, lease_end),
             Effect::Exit => {}
         }
     }
--- a/crates/entry/src/accounts.rs
+++ b/crates/entry/src/accounts.rs
@@ -60,7 +60,7 @@
 
     /// Takes over the promises of a configuration.
     pub(crate) fn promise(&mut self, now: Time) {
-        let targets = promises(self.book.snapshot());
+        let targets = promises(self.catalog.snapshot());
         self.collector.ledger.promise(now, targets);
     }
 
--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -13,7 +13,7 @@
     pub(crate) fn addresses_asked(
         &mut self,
         now: Time,
-        asker: u64,
+        call: u64,
         key: Option<SmolStr>,
         prefix: Option<u64>,
         effects: &mut Vec<Effect>,
@@ -30,7 +30,7 @@
             ttl: self.settings.address_ttl,
             tickets,
         };
-        effects.push(Effect::Addresses { asker, answer });
+        effects.push(Effect::Addresses { call, answer });
     }
 
     /// Entries that admit requests, as far as known here; the owner of the prefix comes first.
--- a/crates/entry/src/arrivals.rs
+++ b/crates/entry/src/arrivals.rs
@@ -15,7 +15,7 @@
 
 use crate::arrival::Arrival;
 use crate::arrival::Work;
-use crate::attempt::Place;
+use crate::attempt::Endpoint;
 use crate::effect::Command;
 use crate::effect::Effect;
 use crate::entry::Entry;
@@ -146,9 +146,9 @@
             return Err(refusal.with_retry_after(NOT_READY_RETRY));
         }
         let account = self.account_of(arrival.key.as_ref())?;
-        let deployment = self.book.deployment(&arrival.deployment);
+        let deployment = self.catalog.deployment(&arrival.deployment);
         let deployment = deployment.ok_or_else(|| unknown_deployment(&arrival.deployment))?;
-        let grant = self.book.grant(&arrival.deployment, &account);
+        let grant = self.catalog.grant(&arrival.deployment, &account);
         let grant = grant.ok_or_else(forbidden)?;
         let job = self.job_of(serial, &account, deployment, grant, arrival)?;
         Ok(Flight {
@@ -177,7 +177,7 @@
 
     /// The account that a key belongs to.
     pub(crate) fn account_of(&self, key: Option<&SmolStr>) -> Result<SmolStr, Refusal> {
-        let account = key.and_then(|key| self.book.account_by_key(key));
+        let account = key.and_then(|key| self.catalog.account_by_key(key));
         account.map(|account| account.name.clone()).ok_or_else(|| {
             Refusal::not_run(
                 Reason::Unauthorized,
@@ -196,9 +196,9 @@
         arrival: &Arrival,
     ) -> Result<Job, Refusal> {
         let keys = self
-            .book
+            .catalog
             .account_key(account)
-            .zip(self.book.known_pool(&deployment.pool));
+            .zip(self.catalog.known_pool(&deployment.pool));
         let (account, pool) = keys.ok_or_else(forbidden)?;
         let (kind, prompt_tokens, max_new_tokens, prefix) = sizes_of(&arrival.work);
         let asked_once = arrival.idempotency_key.is_some() || arrival.ticket.is_some();
@@ -250,7 +250,7 @@
             command: Command::Attach {
                 attempt,
                 stream: word.stream,
-                place: Place {
+                endpoint: Endpoint {
                     address: word.address,
                     incarnation: word.incarnation,
                 },
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -27,7 +27,7 @@
     /// The engine's stream goes on at the replica it was moved to.
     Moved {
         /// By which means.
-        how: Transfer,
+        transfer: Transfer,
         /// Tokens that were computed a second time for it.
         recomputed: u32,
     },
@@ -37,7 +37,7 @@
 
 /// Where the shell finds a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Endpoint {
     /// `host:port`.
     pub address: SmolStr,
     /// This life of the server.
--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -42,11 +42,14 @@
                 flight.tokens += u64::from(tokens);
                 self.scheduler.progressed(now, job::Id(serial), tokens);
             }
-            Report::Moved { how, recomputed } => {
+            Report::Moved {
+                transfer,
+                recomputed,
+            } => {
                 flight.recomputed += u64::from(recomputed);
                 let line = Line::info("request_moved")
                     .with("request", flight.origin)
-                    .with("how", format_args!("{how:?}"))
+                    .with("how", format_args!("{transfer:?}"))
                     .with("recomputed", recomputed);
                 effects.push(Effect::Log(line));
             }
@@ -118,13 +121,13 @@
     pub(crate) fn cancel_asked(
         &mut self,
         now: Time,
-        asker: u64,
+        call: u64,
         key: Option<SmolStr>,
         request: &str,
         effects: &mut Vec<Effect>,
     ) {
         let refusal = self.cancel(now, key.as_ref(), request, effects).err();
-        effects.push(Effect::CancelAnswer { asker, refusal });
+        effects.push(Effect::CancelAnswer { call, refusal });
     }
 
     /// Cancels the request if it is open here and belongs to the account of that key.
@@ -183,7 +186,7 @@
 
     /// Ends requests that take longer than any may.
     pub(crate) fn flights_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let limit = self.settings.request_time;
+        let limit = self.settings.request_timeout;
         // Serials rise with the time of arrival, so the first that is in time ends the search.
         while let Some((serial, flight)) = self.flights.first_key_value() {
             if now.since(flight.arrived) < limit {
--- a/crates/entry/src/backends.rs
+++ b/crates/entry/src/backends.rs
@@ -13,7 +13,7 @@
 use policy::replica;
 use smol_str::SmolStr;
 
-use crate::attempt::Place;
+use crate::attempt::Endpoint;
 use crate::instance::Instance;
 
 /// Time to clear a server that the list calls leaving without a notice.
@@ -127,9 +127,9 @@
     }
 
     /// Where the shell finds a server.
-    pub fn place(&self, key: replica::Key) -> Option<Place> {
+    pub fn endpoint(&self, key: replica::Key) -> Option<Endpoint> {
         let instance = self.instance(key)?;
-        Some(Place {
+        Some(Endpoint {
             address: instance.address.clone(),
             incarnation: instance.incarnation.clone(),
         })
--- a/crates/entry/src/book.rs
+++ b/crates/entry/src/catalog.rs
@@ -15,7 +15,7 @@
 ///
 /// Keys are looked up by their SHA-256, which tells a guesser nothing of how close a guess was.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Catalog {
     snapshot: Snapshot,
     by_key_hash: BTreeMap<SmolStr, usize>,
     by_deployment: BTreeMap<SmolStr, usize>,
@@ -27,7 +27,7 @@
     pools: BTreeMap<SmolStr, pool::Key>,
 }
 
-impl Book {
+impl Catalog {
     /// Replaces the configuration; versions only rise, an older one is ignored.
     ///
     /// Guards against a revert: a late answer of the store or a stale peer shows as a lower version.
--- a/crates/entry/src/configs/entry.rs
+++ b/crates/entry/src/configs/entry.rs
@@ -23,11 +23,11 @@
     /// Wall clock at the process's time zero, milliseconds since 1970; only for reports to people.
     pub zero_unix_ms: u64,
     /// Longest time from a request's arrival to the end of its answer.
-    pub request_time: Span,
+    pub request_timeout: Span,
     /// Longest wait of a non-idempotent request for its leave to run before it is given up.
-    pub leave_wait: Span,
+    pub permit_timeout: Span,
     /// Time after which a ticket is asked for again, if no word came.
-    pub ask_again: Span,
+    pub ticket_retry_interval: Span,
 }
 
 impl Default for Settings {
@@ -41,9 +41,9 @@
             agreement: config::configs::agreement::Settings::default(),
             seeds: Vec::new(),
             zero_unix_ms: 0,
-            request_time: Span::from_seconds(600),
-            leave_wait: Span::from_seconds(2),
-            ask_again: Span::from_millis(300),
+            request_timeout: Span::from_seconds(600),
+            permit_timeout: Span::from_seconds(2),
+            ticket_retry_interval: Span::from_millis(300),
         }
     }
 }
--- a/crates/entry/src/configuration.rs
+++ b/crates/entry/src/configuration.rs
@@ -78,7 +78,7 @@
         asked: Change,
         effects: &mut Vec<Effect>,
     ) {
-        let checked = operators::check(self.book.snapshot(), &asked.edit);
+        let checked = operators::check(self.catalog.snapshot(), &asked.edit);
         if let Err(fault) = checked
             && !self.agreement.holds(&asked.id)
         {
@@ -123,10 +123,10 @@
     /// Puts a configuration in force.
     fn apply(&mut self, now: Time, snapshot: &Snapshot, effects: &mut Vec<Effect>) {
         let version = snapshot.version;
-        if !self.book.apply(snapshot.clone()) {
+        if !self.catalog.apply(snapshot.clone()) {
             return;
         }
-        for (key, spec) in self.book.account_specs() {
+        for (key, spec) in self.catalog.account_specs() {
             self.scheduler.set_account(key, spec);
         }
         self.promise(now);
--- a/crates/entry/src/decisions.rs
+++ b/crates/entry/src/decisions.rs
@@ -19,7 +19,12 @@
         match decision {
             Decision::Start { job, replica } => self.start(now, job, replica, effects),
             Decision::Refuse { job, refusal } => self.refuse(now, job.0, refusal, effects),
-            Decision::Move { job, to, how, .. } => self.move_flight(job, to, how, effects),
+            Decision::Move {
+                job,
+                to,
+                how: transfer,
+                ..
+            } => self.move_flight(job, to, transfer, effects),
             Decision::Cancel { job, .. } => {
                 self.catch_up.forget(job);
                 effects.push(Effect::Flight {
@@ -44,9 +49,9 @@
         if self.catch_up.keep(job, replica) {
             return;
         }
-        let place = self.backends.place(replica);
-        let place = place.filter(|place| !self.backends.is_leaving(&place.incarnation));
-        let Some(place) = place else {
+        let endpoint = self.backends.endpoint(replica);
+        let endpoint = endpoint.filter(|endpoint| !self.backends.is_leaving(&endpoint.incarnation));
+        let Some(endpoint) = endpoint else {
             return self.with_scheduler(now, effects, |scheduler, out| {
                 scheduler.attempt_ended(now, job, End::NotStarted, 0, out);
             });
@@ -70,16 +75,16 @@
         let line = Line::debug("request_started")
             .with("request", flight.origin)
             .with("attempt", flight.attempt)
-            .with("replica", &place.incarnation);
+            .with("replica", &endpoint.incarnation);
         let account = flight.account.clone();
-        let snapshot = self.book.snapshot();
+        let snapshot = self.catalog.snapshot();
         let priority = snapshot.account(&account).map_or(0, |one| one.priority);
         effects.push(Effect::Log(line));
         effects.push(Effect::Flight {
             serial: job.0,
             command: Command::Start {
                 stream,
-                place,
+                endpoint,
                 priority,
                 account,
             },
@@ -91,13 +96,13 @@
         &mut self,
         job: job::Id,
         to: replica::Key,
-        how: Transfer,
+        transfer: Transfer,
         effects: &mut Vec<Effect>,
     ) {
         if self.catch_up.redirect(job, to) {
             return;
         }
-        let Some(place) = self.backends.place(to) else {
+        let Some(endpoint) = self.backends.endpoint(to) else {
             return;
         };
         let Some(flight) = self.flights.get_mut(&job.0) else {
@@ -108,7 +113,11 @@
         flight.moves += 1;
         effects.push(Effect::Flight {
             serial: job.0,
-            command: Command::Move { stream, place, how },
+            command: Command::Move {
+                stream,
+                endpoint,
+                transfer,
+            },
         });
     }
 }
--- a/crates/entry/src/effect.rs
+++ b/crates/entry/src/effect.rs
@@ -15,7 +15,7 @@
 use smol_str::SmolStr;
 use verdict::Refusal;
 
-use crate::attempt::Place;
+use crate::attempt::Endpoint;
 use crate::line::Line;
 
 /// One effect.
@@ -31,14 +31,14 @@
     /// The answer to a question for addresses.
     Addresses {
         /// Who asked.
-        asker: u64,
+        call: u64,
         /// The answer.
         answer: Addresses,
     },
     /// The answer to a wish to cancel.
     CancelAnswer {
         /// Who asked.
-        asker: u64,
+        call: u64,
         /// None when it was done.
         refusal: Option<Refusal>,
     },
@@ -57,7 +57,7 @@
         reply: Result<ops::reply::Reply, ops::fault::Fault>,
     },
     /// Ask a peer whether a ticket may be spent; its word, or its loss, comes back as an event.
-    AskSpend {
+    RequestSpend {
         /// Which request waits for it.
         serial: u64,
         /// `host:port` of the peer.
@@ -68,7 +68,7 @@
     /// Tell a peer whether a ticket may be spent.
     SpendAnswer {
         /// Who asked.
-        asker: u64,
+        call: u64,
         /// Our word.
         answer: Answer,
     },
@@ -80,11 +80,11 @@
         estates: Vec<Estate>,
     },
     /// Tell a leaving peer that its ledger is held here now.
-    EstatesTaken {
+    EstatesAccepted {
         /// Who offered it.
-        asker: u64,
+        call: u64,
         /// Our incarnation, or none when we are leaving ourselves.
-        by: Option<Incarnation>,
+        heir: Option<Incarnation>,
     },
     /// Send a digest to a peer.
     SendDigest {
@@ -122,7 +122,7 @@
         /// What it is to serve.
         target: Target,
         /// When the leader's lease ends.
-        until: Time,
+        lease_end: Time,
     },
     /// Ask the cloud for an instance, if it is not `until` yet when the wish leaves.
     StartInstance {
@@ -135,7 +135,7 @@
         /// For which pool.
         pool: SmolStr,
         /// When the leader's lease ends.
-        until: Time,
+        lease_end: Time,
     },
     /// Give an instance back to the cloud after a while, if the lease was valid until then or the
     /// order was given while it was.
@@ -143,9 +143,9 @@
         /// Name of the machine.
         id: SmolStr,
         /// Time for its work to end or move.
-        after: Span,
+        delay: Span,
         /// When the leader's lease ended as it was ordered.
-        until: Time,
+        lease_end: Time,
     },
     /// One line of the log.
     Log(Line),
@@ -163,7 +163,7 @@
         /// The attempt's stream.
         stream: Stream,
         /// Where.
-        place: Place,
+        endpoint: Endpoint,
         /// Priority for the engine: 0 goes first, 9 last.
         priority: u8,
         /// The resume word for the caller, still open; the shell seals it.
@@ -176,7 +176,7 @@
         /// The engine's stream.
         stream: Stream,
         /// Where.
-        place: Place,
+        endpoint: Endpoint,
         /// The caller's offset of that stream's first token.
         base: u64,
         /// Whose it is.
@@ -187,9 +187,9 @@
         /// The new attempt's stream.
         stream: Stream,
         /// Where to.
-        place: Place,
+        endpoint: Endpoint,
         /// By which means.
-        how: Transfer,
+        transfer: Transfer,
     },
     /// Stop the attempt that runs; the request stays open.
     Stop,
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -20,7 +20,7 @@
 
 use crate::accounts;
 use crate::backends::Backends;
-use crate::book::Book;
+use crate::catalog::Catalog;
 use crate::catchup::CatchUp;
 use crate::configs::entry::Settings;
 use crate::configuration;
@@ -40,7 +40,7 @@
     pub(crate) settings: Settings,
     pub(crate) random: Pcg64Mcg,
     pub(crate) seals: Seals,
-    pub(crate) book: Book,
+    pub(crate) catalog: Catalog,
     pub(crate) backends: Backends,
     pub(crate) scheduler: Scheduler,
     /// Open requests by serial.
@@ -77,7 +77,7 @@
 
 /// How an entry stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Vitals {
+pub struct Stats {
     /// Requests open here.
     pub open_requests: u64,
     /// Configuration version in force here.
@@ -116,7 +116,7 @@
             settings,
             random: Pcg64Mcg::seed_from_u64(seed),
             seals: Seals::new(shared_key),
-            book: Book::default(),
+            catalog: Catalog::default(),
             backends: Backends::default(),
             scheduler: Scheduler::new(seed),
             flights: BTreeMap::new(),
@@ -144,14 +144,12 @@
     fn take(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Arrived { serial, arrival } => self.arrived(now, serial, arrival, effects),
-            Event::CallerGone { serial } => self.caller_gone(now, serial, effects),
-            Event::CancelAsked {
-                asker,
-                key,
-                request,
-            } => self.cancel_asked(now, asker, key, &request, effects),
-            Event::AddressesAsked { asker, key, prefix } => {
-                self.addresses_asked(now, asker, key, prefix, effects);
+            Event::CallerDisconnected { serial } => self.caller_gone(now, serial, effects),
+            Event::CancelRequested { call, key, request } => {
+                self.cancel_asked(now, call, key, &request, effects)
+            }
+            Event::AddressesRequested { call, key, prefix } => {
+                self.addresses_asked(now, call, key, prefix, effects);
             }
             Event::Attempt {
                 serial,
@@ -195,14 +193,14 @@
             } => self.cache_read(now, &incarnation, &events),
             Event::Store { id, outcome } => self.store_answered(now, id, outcome, effects),
             Event::Operator { call, request } => self.operator_called(now, call, request, effects),
-            Event::SpendAsked { asker, ticket } => self.spend_asked(now, asker, &ticket, effects),
+            Event::SpendRequested { call, ticket } => self.spend_asked(now, call, &ticket, effects),
             Event::SpendAnswered { serial, answer } => {
                 self.spend_answered(now, serial, answer, effects);
             }
-            Event::EstatesOffered { asker, estates } => {
-                self.estates_offered(now, asker, estates, effects);
+            Event::EstatesOffered { call, estates } => {
+                self.estates_offered(now, call, estates, effects);
             }
-            Event::EstatesTaken { by } => self.estates_taken(now, by, effects),
+            Event::EstatesAccepted { heir } => self.estates_accepted(now, heir, effects),
             Event::DigestReceived(digest) => {
                 self.attend(now, member::event::Event::Digest(digest), effects);
             }
@@ -210,7 +208,7 @@
                 self.configure_received(now, from.0, message, effects);
             }
             Event::Tick => self.tick(now, effects),
-            Event::StopAsked { hurry } => self.stop_asked(now, hurry, effects),
+            Event::StopRequested { immediate } => self.stop_requested(now, immediate, effects),
         }
     }
 
@@ -220,10 +218,10 @@
     }
 
     /// How this entry stands, for metrics.
-    pub fn vitals(&self, now: Time) -> Vitals {
-        Vitals {
+    pub fn stats(&self, now: Time) -> Stats {
+        Stats {
             open_requests: self.flights.len() as u64,
-            version: self.book.version(),
+            version: self.catalog.version(),
             members: self.membership.directory().present_count() as u64,
             backends: self.backends.iter().count() as u64,
             ready: self.is_ready(now),
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -12,7 +12,7 @@
 
 use crate::arrival::Arrival;
 use crate::attempt::Report;
-use crate::instance::Cached;
+use crate::instance::CacheUpdate;
 use crate::instance::Instance;
 use crate::instance::Notice;
 
@@ -27,23 +27,23 @@
         arrival: Arrival,
     },
     /// The caller's connection is gone.
-    CallerGone {
+    CallerDisconnected {
         /// Which request.
         serial: u64,
     },
     /// A caller asks to cancel a request.
-    CancelAsked {
+    CancelRequested {
         /// Whom to answer.
-        asker: u64,
+        call: u64,
         /// The bearer key.
         key: Option<SmolStr>,
         /// The request's name, as given.
         request: SmolStr,
     },
     /// A caller asks which entries to use.
-    AddressesAsked {
+    AddressesRequested {
         /// Whom to answer.
-        asker: u64,
+        call: u64,
         /// The bearer key.
         key: Option<SmolStr>,
         /// Prefix hash of its next request.
@@ -92,7 +92,7 @@
         /// Which life of which server.
         incarnation: SmolStr,
         /// Its events, in order.
-        events: Vec<Cached>,
+        events: Vec<CacheUpdate>,
     },
     /// The table service answered, or did not.
     Store {
@@ -109,9 +109,9 @@
         request: ops::request::Request,
     },
     /// A peer asks whether a ticket of ours may be spent.
-    SpendAsked {
+    SpendRequested {
         /// Whom to answer.
-        asker: u64,
+        call: u64,
         /// The ticket.
         ticket: Ticket,
     },
@@ -125,14 +125,14 @@
     /// A leaving peer hands its ledger on to us.
     EstatesOffered {
         /// Whom to answer.
-        asker: u64,
+        call: u64,
         /// What it hands on.
         estates: Vec<Estate>,
     },
     /// A peer took over our ledger, or did not say so.
-    EstatesTaken {
+    EstatesAccepted {
         /// The peer, if it said so.
-        by: Option<Incarnation>,
+        heir: Option<Incarnation>,
     },
     /// A digest came from a peer.
     DigestReceived(Digest),
@@ -146,8 +146,8 @@
     /// Time has passed.
     Tick,
     /// The process is asked to stop.
-    StopAsked {
+    StopRequested {
         /// Whether to stop without waiting for requests in progress.
-        hurry: bool,
+        immediate: bool,
     },
 }
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -27,7 +27,7 @@
 
 /// One cache event of a model engine; they come late and with gaps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cached {
+pub struct CacheUpdate {
     /// Rises with each event.
     pub sequence: u64,
     /// Hash of a prompt's beginning.
@@ -42,5 +42,5 @@
     /// Which life of which instance.
     pub incarnation: SmolStr,
     /// Time left.
-    pub left: Span,
+    pub time_left: Span,
 }
--- a/crates/entry/src/leaders.rs
+++ b/crates/entry/src/leaders.rs
@@ -120,7 +120,7 @@
         let Some(pool) = pool else {
             return;
         };
-        let deployments = self.book.snapshot().deployments.iter();
+        let deployments = self.catalog.snapshot().deployments.iter();
         let names: Vec<SmolStr> = deployments
             .filter(|deployment| deployment.pool == pool)
             .map(|deployment| deployment.name.clone())
@@ -134,7 +134,7 @@
 
     /// Assigns each deployment to the member that should lead it.
     fn assign(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let deployments = self.book.snapshot().deployments.clone();
+        let deployments = self.catalog.snapshot().deployments.clone();
         let gone: Vec<SmolStr> = self
             .leaders
             .leads
@@ -187,7 +187,7 @@
 
     /// Instances of a deployment's pool that stay.
     fn pool_of(&self, name: &str) -> Vec<FleetInstance> {
-        let Some(deployment) = self.book.deployment(name) else {
+        let Some(deployment) = self.catalog.deployment(name) else {
             return Vec::new();
         };
         let list = self.leaders.list.iter();
@@ -212,8 +212,8 @@
                 engine,
                 fence,
                 target,
-                until,
-            } => self.order(name, &engine, fence, target, until, effects),
+                until: lease_end,
+            } => self.order(name, &engine, fence, target, lease_end, effects),
             FleetEffect::Read(engine) => {
                 if let Some(address) = self.address_of(&engine) {
                     effects.push(Effect::ReadEngine {
@@ -223,14 +223,16 @@
                     });
                 }
             }
-            FleetEffect::Start { token, kind, until } => {
-                self.wish(name, token, kind, until, effects)
-            }
+            FleetEffect::Start {
+                token,
+                kind,
+                until: lease_end,
+            } => self.wish(name, token, kind, lease_end, effects),
             FleetEffect::Stop {
                 id,
                 incarnation,
-                until,
-            } => self.give_back(now, id, &incarnation, until, effects),
+                until: lease_end,
+            } => self.give_back(now, id, &incarnation, lease_end, effects),
             FleetEffect::Leads(fence) => {
                 let line = Line::info("fleet_leads").with("deployment", name);
                 effects.push(Effect::Log(line.with("fence", fence)));
@@ -249,7 +251,7 @@
         engine: &SmolStr,
         fence: u64,
         target: Target,
-        until: Time,
+        lease_end: Time,
         effects: &mut Vec<Effect>,
     ) {
         let Some(address) = self.address_of(engine) else {
@@ -267,7 +269,7 @@
             address,
             fence,
             target,
-            until,
+            lease_end,
         });
     }
 
@@ -277,10 +279,10 @@
         name: &SmolStr,
         token: SmolStr,
         kind: policy::mix::Kind,
-        until: Time,
+        lease_end: Time,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(pool) = self.book.deployment(name).map(|one| one.pool.clone()) else {
+        let Some(pool) = self.catalog.deployment(name).map(|one| one.pool.clone()) else {
             return;
         };
         let line = Line::info("instance_wished")
@@ -294,7 +296,7 @@
             token,
             kind,
             pool,
-            until,
+            lease_end,
         });
     }
 
@@ -305,7 +307,7 @@
         now: Time,
         id: SmolStr,
         incarnation: &SmolStr,
-        until: Time,
+        lease_end: Time,
         effects: &mut Vec<Effect>,
     ) {
         let line = Line::info("instance_given_back").with("replica", incarnation);
@@ -316,8 +318,8 @@
         }
         effects.push(Effect::StopInstance {
             id,
-            after: GIVE_BACK_TIME,
-            until,
+            delay: GIVE_BACK_TIME,
+            lease_end,
         });
     }
 
--- a/crates/entry/src/leave.rs
+++ b/crates/entry/src/leave.rs
@@ -89,7 +89,7 @@
             let refusal = Refusal::not_run(Reason::Malformed, "the ticket isn't yours");
             return self.refuse(now, serial, refusal, effects);
         };
-        let until = now + self.settings.leave_wait;
+        let until = now + self.settings.permit_timeout;
         self.ask_spend(now, serial, ticket, until, effects);
     }
 
@@ -109,7 +109,7 @@
             let answer = self.ledger.spend(now, &ticket);
             return self.leave_answered(now, serial, answer, effects);
         }
-        let again = now + self.settings.ask_again;
+        let again = now + self.settings.ticket_retry_interval;
         if let Some(flight) = self.flights.get_mut(&serial) {
             let ticket = ticket.clone();
             flight.waits_for = Some(Leave::Ticket {
@@ -119,7 +119,7 @@
             });
         }
         match self.ledger_holder(now, ticket.minter) {
-            Some(address) => effects.push(Effect::AskSpend {
+            Some(address) => effects.push(Effect::RequestSpend {
                 serial,
                 address,
                 ticket,
@@ -189,33 +189,33 @@
     pub(crate) fn spend_asked(
         &mut self,
         now: Time,
-        asker: u64,
+        call: u64,
         ticket: &Ticket,
         effects: &mut Vec<Effect>,
     ) {
         let answer = self.ledger.spend(now, ticket);
-        effects.push(Effect::SpendAnswer { asker, answer });
+        effects.push(Effect::SpendAnswer { call, answer });
     }
 
     /// A leaving peer hands its ledger on. An entry that is leaving itself takes none.
     pub(crate) fn estates_offered(
         &mut self,
         now: Time,
-        asker: u64,
+        call: u64,
         estates: Vec<Estate>,
         effects: &mut Vec<Effect>,
     ) {
         if self.stop.is_stopping() {
-            effects.push(Effect::EstatesTaken { asker, by: None });
+            effects.push(Effect::EstatesAccepted { call, heir: None });
             return;
         }
         let line = Line::info("ledger_inherited").with("minters", estates.len());
         for estate in estates {
             self.ledger.inherit(now, estate);
         }
-        let by = Some(self.identity.incarnation);
+        let heir = Some(self.identity.incarnation);
         effects.push(Effect::Log(line));
-        effects.push(Effect::EstatesTaken { asker, by });
+        effects.push(Effect::EstatesAccepted { call, heir });
     }
 
     /// Inserts the row of the caller's key, if it is absent.
@@ -224,7 +224,7 @@
             let refusal = Refusal::not_run(Reason::Malformed, "idempotency-key has 1 to 200 bytes");
             return self.refuse(now, serial, refusal, effects);
         }
-        let until = now + self.settings.leave_wait;
+        let until = now + self.settings.permit_timeout;
         let token = format_smolstr!("{:016x}", self.random.next_u64());
         let Some(flight) = self.flights.get_mut(&serial) else {
             return;
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod arrival;
 pub mod attempt;
 pub mod backends;
-pub mod book;
+pub mod catalog;
 pub mod configs;
 pub mod effect;
 pub mod entry;
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -44,10 +44,10 @@
 
     /// One deployment as it stands.
     fn deployment_reply(&self, name: &str) -> Result<Reply, Fault> {
-        let deployment = self.book.deployment(name);
+        let deployment = self.catalog.deployment(name);
         let deployment = deployment.ok_or_else(|| Fault::NotFound(format!("deployment {name}")))?;
         Ok(Reply::Deployment {
-            version: self.book.version(),
+            version: self.catalog.version(),
             deployment: deployment.clone(),
         })
     }
@@ -62,7 +62,7 @@
 
     /// The whole configuration as it stands.
     fn configuration_reply(&self) -> Reply {
-        let snapshot = self.book.snapshot();
+        let snapshot = self.catalog.snapshot();
         Reply::Configuration {
             version: snapshot.version,
             deployments: snapshot.deployments.clone(),
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -8,7 +8,7 @@
 use crate::backends::LISTED_LEAVE_TIME;
 use crate::effect::Effect;
 use crate::entry::Entry;
-use crate::instance::Cached;
+use crate::instance::CacheUpdate;
 use crate::instance::Instance;
 use crate::instance::Notice;
 use crate::line::Line;
@@ -43,13 +43,13 @@
         effects: &mut Vec<Effect>,
     ) {
         for notice in notices {
-            let deadline = now + notice.left;
+            let deadline = now + notice.time_left;
             if self.own_instance.as_ref() == Some(&notice.incarnation) {
                 self.stop_by(now, deadline, effects);
                 continue;
             }
             if self.backends.mark_leaving(notice.incarnation.clone()) {
-                self.publish_leaving(now, &notice.incarnation, notice.left, effects);
+                self.publish_leaving(now, &notice.incarnation, notice.time_left, effects);
             }
             // Told again even if a peer or the list said so before: they don't know the deadline.
             self.backend_leaving(now, &notice.incarnation, deadline, effects);
@@ -79,7 +79,7 @@
     }
 
     /// Takes in what an engine's cache holds.
-    pub(crate) fn cache_read(&mut self, now: Time, incarnation: &str, events: &[Cached]) {
+    pub(crate) fn cache_read(&mut self, now: Time, incarnation: &str, events: &[CacheUpdate]) {
         let Some(key) = self.backends.key_of(incarnation) else {
             return;
         };
@@ -98,7 +98,7 @@
     fn backend_joined(&mut self, now: Time, instance: Instance, effects: &mut Vec<Effect>) {
         let spec = replica::Spec {
             incarnation: instance.incarnation.clone(),
-            pool: self.book.pool_key(&instance.pool),
+            pool: self.catalog.pool_key(&instance.pool),
             zone: instance.zone.clone(),
             slots: ASSUMED_SLOTS,
         };
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -52,7 +52,7 @@
         entries.sort_by(|one, other| one.name.cmp(&other.name));
         Reply::Status(Status {
             entry: self.identity.name.clone(),
-            version: self.book.version(),
+            version: self.catalog.version(),
             store_available: self.store_available,
             entries,
             backends,
@@ -61,7 +61,7 @@
 
     /// Past changes that are kept, the newest first.
     pub(crate) fn history_reply(&self, before: Option<u64>, limit: usize) -> Reply {
-        let newest = self.book.version();
+        let newest = self.catalog.version();
         let before = before.unwrap_or(newest + 1);
         let mut versions = self.agreement.kept();
         versions.retain(|version| version.version < before);
@@ -81,7 +81,7 @@
             Target::Entry(name) if *name == self.identity.name => {
                 let already_leaving = self.stop.is_stopping();
                 let running = count(self.flights.len());
-                self.stop_asked(now, false, effects);
+                self.stop_requested(now, false, effects);
                 Ok(Reply::Drained {
                     already_leaving,
                     running,
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -49,13 +49,13 @@
 
 impl Entry {
     /// Begins to stop; asked a second time in a hurry, the grace ends at once.
-    pub(crate) fn stop_asked(&mut self, now: Time, hurry: bool, effects: &mut Vec<Effect>) {
+    pub(crate) fn stop_requested(&mut self, now: Time, immediate: bool, effects: &mut Vec<Effect>) {
         let line = Line::info("stop_asked")
-            .with("hurry", hurry)
+            .with("hurry", immediate)
             .with("open", self.flights.len());
         effects.push(Effect::Log(line));
         let linger = self.settings.address_ttl + NEWS_TIME;
-        if hurry {
+        if immediate {
             self.stop_until(now, now, now, effects);
         } else {
             self.stop_until(now, now + self.settings.grace, now + linger, effects);
@@ -120,20 +120,20 @@
     }
 
     /// A peer holds our ledger now, or can't be reached: its tickets then end as "may have run".
-    pub(crate) fn estates_taken(
+    pub(crate) fn estates_accepted(
         &mut self,
         now: Time,
-        by: Option<Incarnation>,
+        heir: Option<Incarnation>,
         effects: &mut Vec<Effect>,
     ) {
-        let line = match by {
+        let line = match heir {
             Some(heir) => Line::info("ledger_handed_on").with("heir", heir),
             None => Line::warn("ledger_lost"),
         };
         effects.push(Effect::Log(line));
         self.stop.ledger_settled = Some(now);
         self.collect(now, collector::Event::Stopped, effects);
-        let heir = by.map(|heir| holder::Id(heir.0));
+        let heir = heir.map(|heir| holder::Id(heir.0));
         self.attend(now, MemberEvent::Leave { heir }, effects);
         self.stop_tick(now, effects);
     }
@@ -197,7 +197,7 @@
                 address: row.peer_address,
                 estates,
             }),
-            None => self.estates_taken(now, None, effects),
+            None => self.estates_accepted(now, None, effects),
         }
     }
 
--- a/crates/matrix/src/world/callers.rs
+++ b/crates/matrix/src/world/callers.rs
@@ -131,11 +131,7 @@
             }
         );
         let key = Some(self.callers[number].key.clone());
-        let event = move |asker| Event::CancelAsked {
-            asker,
-            key,
-            request,
-        };
+        let event = move |call| Event::CancelRequested { call, key, request };
         let input = Input::Asked(Asker::Cancel, Box::new(event));
         self.after(HOP, Happening::Input(node, input));
     }
@@ -251,8 +247,8 @@
 
     fn ask_ticket(&mut self, number: usize, node: usize) {
         let key = Some(self.callers[number].key.clone());
-        let event = move |asker| Event::AddressesAsked {
-            asker,
+        let event = move |call| Event::AddressesRequested {
+            call,
             key,
             prefix: None,
         };
@@ -263,8 +259,8 @@
     }
 
     /// An entry answers with addresses and tickets.
-    pub(crate) fn addresses_given(&mut self, node: usize, asker: u64, answer: Addresses) {
-        let Some(Asker::Addresses(number)) = self.nodes[node].askers.remove(&asker) else {
+    pub(crate) fn addresses_given(&mut self, node: usize, call: u64, answer: Addresses) {
+        let Some(Asker::Addresses(number)) = self.nodes[node].askers.remove(&call) else {
             return;
         };
         let ticket = answer.tickets.first();
--- a/crates/matrix/src/world/cloud.rs
+++ b/crates/matrix/src/world/cloud.rs
@@ -23,7 +23,7 @@
             if let Some((_, end)) = backend.leaving {
                 notices.push(Notice {
                     incarnation: backend.incarnation.clone(),
-                    left: end.since(self.now),
+                    time_left: end.since(self.now),
                 });
             }
         }
@@ -31,7 +31,7 @@
             if let Some(end) = node.leaving {
                 notices.push(Notice {
                     incarnation: node.instance.clone(),
-                    left: end.since(self.now),
+                    time_left: end.since(self.now),
                 });
             }
         }
@@ -115,7 +115,7 @@
         };
         if self.nodes[node].alive {
             self.nodes[node].stopping = true;
-            self.tell(node, Event::StopAsked { hurry: false });
+            self.tell(node, Event::StopRequested { immediate: false });
         }
     }
 }
--- a/crates/matrix/src/world/effects.rs
+++ b/crates/matrix/src/world/effects.rs
@@ -29,17 +29,17 @@
     pub(crate) fn perform(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Flight { serial, command } => self.flight_commanded(node, serial, command),
-            Effect::Addresses { asker, answer } => self.addresses_given(node, asker, answer),
+            Effect::Addresses { call, answer } => self.addresses_given(node, call, answer),
             Effect::CancelAnswer { .. } | Effect::Log(_) => {}
             Effect::Operator { call, reply } => self.operator_answered(node, call, reply),
             Effect::Store { id, call } => self.store_asked(node, id, call),
-            Effect::AskSpend {
+            Effect::RequestSpend {
                 serial,
                 address,
                 ticket,
             } => {
                 let asker = Asker::Spend { from: node, serial };
-                let event = move |asker| Event::SpendAsked { asker, ticket };
+                let event = move |call| Event::SpendRequested { call, ticket };
                 let lost = Event::SpendAnswered {
                     serial,
                     answer: None,
@@ -49,12 +49,12 @@
             Effect::OfferEstates { address, estates } => {
                 self.handovers += 1;
                 let asker = Asker::Heir { from: node };
-                let event = move |asker| Event::EstatesOffered { asker, estates };
-                let lost = Event::EstatesTaken { by: None };
+                let event = move |call| Event::EstatesOffered { call, estates };
+                let lost = Event::EstatesAccepted { heir: None };
                 self.call_peer(node, &address, Input::Asked(asker, Box::new(event)), lost);
             }
-            Effect::SpendAnswer { asker, answer } => self.spend_answer(node, asker, answer),
-            Effect::EstatesTaken { asker, by } => self.heir_answer(node, asker, by),
+            Effect::SpendAnswer { call, answer } => self.spend_answer(node, call, answer),
+            Effect::EstatesAccepted { call, heir } => self.heir_answer(node, call, heir),
             Effect::SendDigest { address, digest } => {
                 let event = Event::DigestReceived(digest);
                 self.send_peer(node, &address, Input::Event(event));
@@ -132,16 +132,16 @@
         self.send_peer(node, &address, Input::Event(event));
     }
 
-    fn spend_answer(&mut self, node: usize, asker: u64, answer: Answer) {
-        if let Some(Asker::Spend { from, serial }) = self.nodes[node].askers.remove(&asker) {
+    fn spend_answer(&mut self, node: usize, call: u64, answer: Answer) {
+        if let Some(Asker::Spend { from, serial }) = self.nodes[node].askers.remove(&call) {
             let answer = Some(answer);
             self.answer_peer(node, from, Event::SpendAnswered { serial, answer });
         }
     }
 
-    fn heir_answer(&mut self, node: usize, asker: u64, by: Option<Incarnation>) {
-        if let Some(Asker::Heir { from }) = self.nodes[node].askers.remove(&asker) {
-            self.answer_peer(node, from, Event::EstatesTaken { by });
+    fn heir_answer(&mut self, node: usize, call: u64, heir: Option<Incarnation>) {
+        if let Some(Asker::Heir { from }) = self.nodes[node].askers.remove(&call) {
+            self.answer_peer(node, from, Event::EstatesAccepted { heir });
         }
     }
 
--- a/crates/matrix/src/world/engine.rs
+++ b/crates/matrix/src/world/engine.rs
@@ -8,7 +8,7 @@
 use request::id::Stream;
 use smol_str::SmolStr;
 
-use entry::attempt::Place;
+use entry::attempt::Endpoint;
 
 use crate::history::Ask;
 use crate::history::Try;
@@ -65,9 +65,9 @@
 /// A move that is under way.
 #[derive(Clone)]
 pub(crate) struct Moving {
-    pub from: Place,
+    pub from: Endpoint,
     pub old: Stream,
-    pub to: Place,
+    pub to: Endpoint,
     pub new: Stream,
     pub offset: u64,
     pub number: Try,
@@ -236,8 +236,8 @@
 
     /// Neither engine is to go on with it.
     fn move_failed(&mut self, reader: Reader, moving: Moving) {
-        for (place, stream) in [(moving.from, moving.old), (moving.to, moving.new)] {
-            if let Some(slot) = self.backend_at(&place.address) {
+        for (endpoint, stream) in [(moving.from, moving.old), (moving.to, moving.new)] {
+            if let Some(slot) = self.backend_at(&endpoint.address) {
                 self.backends[slot].streams.remove(&stream);
             }
         }
--- a/crates/matrix/src/world/flight.rs
+++ b/crates/matrix/src/world/flight.rs
@@ -3,7 +3,7 @@
 use clock::Span;
 use entry::arrival::Arrival;
 use entry::arrival::Work;
-use entry::attempt::Place;
+use entry::attempt::Endpoint;
 use entry::attempt::Report;
 use entry::effect::Command;
 use policy::decision::Transfer;
@@ -57,7 +57,7 @@
 pub(super) struct Running {
     pub(super) attempt: u32,
     pub(super) stream: Stream,
-    pub(super) place: Place,
+    pub(super) endpoint: Endpoint,
     pub(super) account: SmolStr,
     pub(super) base: u64,
     pub(super) how: Asked,
@@ -150,14 +150,14 @@
             }
             Command::Start {
                 stream,
-                place,
+                endpoint,
                 account,
                 ..
-            } => self.start_stream(node, serial, stream, place, account),
+            } => self.start_stream(node, serial, stream, endpoint, account),
             Command::Attach {
                 attempt,
                 stream,
-                place,
+                endpoint,
                 base,
                 account,
             } => {
@@ -165,15 +165,19 @@
                 let running = Running {
                     attempt,
                     stream,
-                    place,
+                    endpoint,
                     account,
                     base,
                     how,
                 };
                 self.attach(node, serial, running);
             }
-            Command::Move { stream, place, how } => {
-                self.move_stream(node, serial, stream, place, how);
+            Command::Move {
+                stream,
+                endpoint,
+                transfer,
+            } => {
+                self.move_stream(node, serial, stream, endpoint, transfer);
             }
         }
     }
@@ -187,7 +191,7 @@
         node: usize,
         serial: u64,
         stream: Stream,
-        place: Place,
+        endpoint: Endpoint,
         account: SmolStr,
     ) {
         let link = self.new_link();
@@ -203,7 +207,7 @@
         flight.running = Some(Running {
             attempt: stream.attempt,
             stream,
-            place: place.clone(),
+            endpoint: endpoint.clone(),
             account,
             base,
             how: Asked::Fresh,
@@ -216,7 +220,7 @@
             base,
             end: flight.tokens,
         };
-        self.call_engine(node, serial, link, place, order);
+        self.call_engine(node, serial, link, endpoint, order);
     }
 
     /// The answer was cut between its last token and its end.
@@ -241,9 +245,15 @@
         flight.relay.begin(running.attempt, running.base);
         flight.link = link;
         let offset = flight.relay.next().saturating_sub(running.base);
-        let (stream, place) = (running.stream, running.place.clone());
+        let (stream, endpoint) = (running.stream, running.endpoint.clone());
         flight.running = Some(running);
-        self.call_engine(node, serial, link, place, Order::Resume { stream, offset });
+        self.call_engine(
+            node,
+            serial,
+            link,
+            endpoint,
+            Order::Resume { stream, offset },
+        );
     }
 
     fn move_stream(
@@ -251,8 +261,8 @@
         node: usize,
         serial: u64,
         stream: Stream,
-        place: Place,
-        how: Transfer,
+        endpoint: Endpoint,
+        transfer: Transfer,
     ) {
         let link = self.new_link();
         let Some(flight) = self.flight(node, serial) else {
@@ -267,21 +277,21 @@
         flight.running = Some(Running {
             attempt: stream.attempt,
             stream,
-            place: place.clone(),
+            endpoint: endpoint.clone(),
             how: Asked::Fresh,
             ..old.clone()
         });
         let number = flight.number;
         let moving = Moving {
-            from: old.place.clone(),
+            from: old.endpoint.clone(),
             old: old.stream,
-            to: place.clone(),
+            to: endpoint.clone(),
             new: stream,
             offset,
             number,
-            how,
+            how: transfer,
         };
-        self.call_engine(node, serial, link, old.place, Order::Export(moving));
+        self.call_engine(node, serial, link, old.endpoint, Order::Export(moving));
     }
 
     /// The sealed word with which the caller can come back to the running stream.
@@ -293,8 +303,8 @@
             account: running.account.clone(),
             deployment: flight.account_deployment.clone(),
             stream: running.stream,
-            address: running.place.address.clone(),
-            incarnation: running.place.incarnation.clone(),
+            address: running.endpoint.address.clone(),
+            incarnation: running.endpoint.incarnation.clone(),
             base: running.base,
         };
         Some(SmolStr::from(self.seals.resume.close(&word)))
@@ -308,16 +318,23 @@
         flight.link = 0;
         if let Some(running) = flight.running.take() {
             let stream = running.stream;
-            self.call_engine(node, serial, 0, running.place, Order::Cancel { stream });
+            self.call_engine(node, serial, 0, running.endpoint, Order::Cancel { stream });
         }
     }
 
     /// Sends an order to an engine; it lands though the sender stops meanwhile.
-    fn call_engine(&mut self, node: usize, serial: u64, link: u64, place: Place, order: Order) {
+    fn call_engine(
+        &mut self,
+        node: usize,
+        serial: u64,
+        link: u64,
+        endpoint: Endpoint,
+        order: Order,
+    ) {
         let reader = Reader { node, serial, link };
         let call = EngineCall {
             reader,
-            address: place.address,
+            address: endpoint.address,
             order,
         };
         let time = HOP + Span::from_millis(self.draw(3));
--- a/crates/matrix/src/world/input.rs
+++ b/crates/matrix/src/world/input.rs
@@ -92,6 +92,6 @@
             flights.remove(&serial);
             self.drop_reader(node, serial);
         }
-        self.tell(node, Event::CallerGone { serial });
+        self.tell(node, Event::CallerDisconnected { serial });
     }
 }
--- a/crates/matrix/src/world/plain.rs
+++ b/crates/matrix/src/world/plain.rs
@@ -26,7 +26,9 @@
             Command::HandOff { .. } | Command::Drop => {
                 self.nodes[node].flights.remove(&serial);
             }
-            Command::Start { stream, place, .. } => {
+            Command::Start {
+                stream, endpoint, ..
+            } => {
                 let link = u64::from(stream.attempt);
                 let Some(flight) = self.nodes[node].flights.get_mut(&serial) else {
                     return;
@@ -36,7 +38,7 @@
                 let reader = Reader { node, serial, link };
                 let call = ServiceCall {
                     reader,
-                    address: place.address,
+                    address: endpoint.address,
                     ask,
                     number,
                 };
--- a/crates/matrix/src/world/stream.rs
+++ b/crates/matrix/src/world/stream.rs
@@ -54,7 +54,14 @@
             self.tell_caller(number, CallerWord::Head { token });
         }
         match moved {
-            Some(how) => self.report(node, serial, Report::Moved { how, recomputed: 0 }),
+            Some(transfer) => self.report(
+                node,
+                serial,
+                Report::Moved {
+                    transfer,
+                    recomputed: 0,
+                },
+            ),
             None => self.report(node, serial, Report::Head),
         }
     }
@@ -69,15 +76,22 @@
         };
         if moved {
             let recomputed = flight.passed as u32;
-            let how = Transfer::Rerun;
-            self.report(node, serial, Report::Moved { how, recomputed });
+            let transfer = Transfer::Rerun;
+            self.report(
+                node,
+                serial,
+                Report::Moved {
+                    transfer,
+                    recomputed,
+                },
+            );
             let Running {
                 stream,
-                place,
+                endpoint,
                 account,
                 ..
             } = running;
-            return self.start_stream(node, serial, stream, place, account);
+            return self.start_stream(node, serial, stream, endpoint, account);
         }
         match (running.how, failure) {
             (Asked::Adopted, _) => self.report(node, serial, Report::AttachFailed),
