--- a/crates/entry/src/accounts.rs
+++ b/crates/entry/src/accounting.rs
@@ -30,14 +30,14 @@
 
 impl Entry {
     /// Lets the collector write its summary when that is due.
-    pub(crate) fn accounts_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub(crate) fn accounting_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.collector.next_wake().is_some_and(|wake| wake <= now) {
-            self.collect(now, collector::Event::Wake, effects);
+            self.step_collector(now, collector::Event::Wake, effects);
         }
     }
 
     /// Takes one event into the collector and carries out what it asks for.
-    pub(crate) fn collect(
+    pub(crate) fn step_collector(
         &mut self,
         now: Time,
         event: collector::Event,
@@ -48,7 +48,7 @@
         for effect in asked {
             match effect {
                 collector::Effect::Store { id, call } => {
-                    self.ask_store(Waiter::Collector(id), call);
+                    self.queue_store_call(Waiter::Collector(id), call);
                 }
                 collector::Effect::Report { asker, report } => effects.push(Effect::Operator {
                     call: asker,
@@ -59,13 +59,13 @@
     }
 
     /// Takes over the promises of a configuration.
-    pub(crate) fn promise(&mut self, now: Time) {
-        let targets = promises(self.catalog.snapshot());
+    pub(crate) fn set_targets(&mut self, now: Time) {
+        let targets = targets_of(self.catalog.snapshot());
         self.collector.ledger.promise(now, targets);
     }
 
     /// Counts an answered request.
-    pub(crate) fn count_answered(&mut self, now: Time, flight: &Flight) {
+    pub(crate) fn record_answered(&mut self, now: Time, flight: &Flight) {
         let sample = Sample {
             outcome: Outcome::Answered,
             cause: self.cause_of(now, flight),
@@ -77,8 +77,8 @@
     }
 
     /// Counts a request that ends otherwise.
-    pub(crate) fn count_refused(&mut self, now: Time, flight: &Flight, refusal: &Refusal) {
-        let (outcome, cause) = blame(refusal.reason);
+    pub(crate) fn record_refused(&mut self, now: Time, flight: &Flight, refusal: &Refusal) {
+        let (outcome, cause) = outcome_of(refusal.reason);
         let sample = Sample {
             outcome,
             cause,
@@ -90,7 +90,7 @@
     }
 
     /// Notes in the journal what the log is told of requests: `explain` shows the same lines.
-    pub(crate) fn note_lines(&mut self, now: Time, effects: &[Effect]) {
+    pub(crate) fn journal_lines(&mut self, now: Time, effects: &[Effect]) {
         for effect in effects {
             let Effect::Log(line) = effect else {
                 continue;
@@ -125,7 +125,7 @@
 }
 
 /// All promises of a configuration.
-fn promises(snapshot: &Snapshot) -> Vec<((SmolStr, SmolStr), burn::report::Target)> {
+fn targets_of(snapshot: &Snapshot) -> Vec<((SmolStr, SmolStr), burn::report::Target)> {
     let deployments = snapshot.deployments.iter();
     deployments
         .flat_map(|deployment| {
@@ -167,11 +167,13 @@
         return 0;
     };
     let busy: Span = now.since(started);
-    busy.as_millis().saturating_mul(flight.hourly_micros) / HOUR_MILLIS / flight.share.max(1)
+    busy.as_millis().saturating_mul(flight.hourly_micros)
+        / HOUR_MILLIS
+        / flight.replica_slots.max(1)
 }
 
 /// How a refusal counts.
-fn blame(reason: Reason) -> (Outcome, Cause) {
+fn outcome_of(reason: Reason) -> (Outcome, Cause) {
     match reason {
         Reason::Malformed
         | Reason::TooLarge
--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -10,7 +10,7 @@
 
 impl Entry {
     /// Answers with the entries to use and, to a known account, some tickets.
-    pub(crate) fn addresses_asked(
+    pub(crate) fn addresses_requested(
         &mut self,
         now: Time,
         call: u64,
--- a/crates/entry/src/arrivals.rs
+++ b/crates/entry/src/arrivals.rs
@@ -23,27 +23,27 @@
 use crate::line::Line;
 
 /// When a caller of a leaving entry may come back; it then asks for other addresses.
-pub(crate) const LEAVING_RETRY: Span = Span::from_millis(100);
+pub(crate) const LEAVING_RETRY_DELAY: Span = Span::from_millis(100);
 
 /// When a caller may come back to an entry without a configuration.
-const NOT_READY_RETRY: Span = Span::from_millis(500);
+const NOT_READY_RETRY_DELAY: Span = Span::from_millis(500);
 
 /// Tokens that a plain call counts as.
 const PLAIN_TOKENS: u32 = 1;
 
 impl Entry {
     /// Admits a request, or gives it its final answer at once.
-    pub(crate) fn arrived(
+    pub(crate) fn request_arrived(
         &mut self,
         now: Time,
         serial: u64,
         arrival: Arrival,
         effects: &mut Vec<Effect>,
     ) {
-        let flight = match self.check_in(now, serial, &arrival) {
+        let flight = match self.admit(now, serial, &arrival) {
             Ok(flight) => flight,
             Err(refusal) => {
-                let refusal = true_of_arrival(&arrival, refusal);
+                let refusal = correct_arrival_verdict(&arrival, refusal);
                 return self.refuse_arrival(serial, refusal, effects);
             }
         };
@@ -54,9 +54,9 @@
         let non_idempotent = !flight.job.idempotent;
         self.flights.insert(serial, flight);
         if non_idempotent || arrival.idempotency_key.is_some() || arrival.ticket.is_some() {
-            self.seek_leave(now, serial, &arrival, effects);
+            self.request_permit(now, serial, &arrival, effects);
         } else {
-            self.offer(now, serial, effects);
+            self.schedule(now, serial, effects);
         }
     }
 
@@ -68,11 +68,11 @@
     }
 
     /// Gives the request to the scheduler.
-    pub(crate) fn offer(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
+    pub(crate) fn schedule(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
         let Some(flight) = self.flights.get_mut(&serial) else {
             return;
         };
-        flight.waits_for = None;
+        flight.pending_permit = None;
         let job = flight.job;
         self.with_scheduler(now, effects, |scheduler, out| {
             scheduler.offer(now, job, out)
@@ -90,8 +90,8 @@
         let Some(flight) = self.flights.remove(&serial) else {
             return;
         };
-        let refusal = truthful(&flight, refusal);
-        self.count_refused(now, &flight, &refusal);
+        let refusal = correct_verdict(&flight, refusal);
+        self.record_refused(now, &flight, &refusal);
         let line = Line::info("request_refused")
             .with("request", flight.origin)
             .with("account", &flight.account)
@@ -133,17 +133,17 @@
     }
 
     /// Checks account, deployment and grant, and makes the open request.
-    fn check_in(&mut self, now: Time, serial: u64, arrival: &Arrival) -> Result<Flight, Refusal> {
+    fn admit(&mut self, now: Time, serial: u64, arrival: &Arrival) -> Result<Flight, Refusal> {
         if self.stop.is_stopping() {
             let refusal = Refusal::not_run(Reason::Leaving, "this entry is leaving");
-            return Err(refusal.with_retry_after(LEAVING_RETRY));
+            return Err(refusal.with_retry_after(LEAVING_RETRY_DELAY));
         }
         if !self.is_ready(now) {
             let refusal = Refusal::not_run(
                 Reason::NotReady,
                 "this entry can't be sure yet of the newest configuration",
             );
-            return Err(refusal.with_retry_after(NOT_READY_RETRY));
+            return Err(refusal.with_retry_after(NOT_READY_RETRY_DELAY));
         }
         let account = self.account_of(arrival.key.as_ref())?;
         let deployment = self.catalog.deployment(&arrival.deployment);
@@ -159,7 +159,7 @@
             job,
             attempt: 0,
             replica: None,
-            waits_for: None,
+            pending_permit: None,
             may_have_run: false,
             may_have_run_before: false,
             accepted: false,
@@ -167,7 +167,7 @@
             started: None,
             worst_gap: Span::ZERO,
             hourly_micros: 0,
-            share: 1,
+            replica_slots: 1,
             first_token: None,
             tokens: 0,
             recomputed: 0,
@@ -198,10 +198,10 @@
         let keys = self
             .catalog
             .account_key(account)
-            .zip(self.catalog.known_pool(&deployment.pool));
+            .zip(self.catalog.known_pool_key(&deployment.pool));
         let (account, pool) = keys.ok_or_else(forbidden)?;
         let (kind, prompt_tokens, max_new_tokens, prefix) = sizes_of(&arrival.work);
-        let asked_once = arrival.idempotency_key.is_some() || arrival.ticket.is_some();
+        let at_most_once = arrival.idempotency_key.is_some() || arrival.ticket.is_some();
         Ok(Job {
             id: job::Id(serial),
             account,
@@ -211,7 +211,7 @@
             max_new_tokens,
             prefix,
             fingerprint: arrival.fingerprint,
-            idempotent: !asked_once && is_idempotent(deployment, &arrival.work),
+            idempotent: !at_most_once && is_idempotent(deployment, &arrival.work),
             first_token: Span::from_millis(grant.first_token_ms),
             token_gap: Span::from_millis(grant.token_gap_ms),
             terms: job::Terms::default(),
@@ -228,33 +228,34 @@
         effects: &mut Vec<Effect>,
     ) {
         let serial = flight.id.serial;
-        let word: Option<Resume> = self.seals.resume.open(sealed);
-        let word = word
-            .filter(|word| word.account == flight.account && word.deployment == flight.deployment);
-        let Some(word) = word else {
+        let token: Option<Resume> = self.seals.resume.open(sealed);
+        let token = token.filter(|token| {
+            token.account == flight.account && token.deployment == flight.deployment
+        });
+        let Some(token) = token else {
             let refusal = Refusal::not_run(Reason::Forbidden, "the resume token isn't yours");
             return self.refuse_arrival(serial, refusal, effects);
         };
-        flight.origin = word.request;
+        flight.origin = token.request;
         self.begin_journal(now, &flight);
         flight.may_have_run = true;
         let attempt = flight.next_stream().attempt;
-        flight.replica = self.backends.key_of(&word.incarnation);
+        flight.replica = self.backends.key_of(&token.incarnation);
         let line = Line::info("request_resumed")
             .with("request", flight.origin)
             .with("offset", offset)
-            .with("replica", &word.incarnation);
+            .with("replica", &token.incarnation);
         effects.push(Effect::Log(line));
         effects.push(Effect::Flight {
             serial,
             command: Command::Attach {
                 attempt,
-                stream: word.stream,
+                stream: token.stream,
                 endpoint: Endpoint {
-                    address: word.address,
-                    incarnation: word.incarnation,
+                    address: token.address,
+                    incarnation: token.incarnation,
                 },
-                base: word.base,
+                base: token.base,
                 account: flight.account.clone(),
             },
         });
@@ -269,7 +270,7 @@
 }
 
 /// The verdict that is true of this request: "not run" only if no attempt can have run.
-fn truthful(flight: &Flight, mut refusal: Refusal) -> Refusal {
+fn correct_verdict(flight: &Flight, mut refusal: Refusal) -> Refusal {
     if flight.may_have_run && refusal.verdict == verdict::Verdict::NotRun {
         refusal.verdict = verdict::Verdict::MayHaveRun;
     }
@@ -278,7 +279,7 @@
 
 /// The verdict that is true of a request that isn't taken in: one that comes back with a resume word
 /// ran before its connection broke.
-fn true_of_arrival(arrival: &Arrival, mut refusal: Refusal) -> Refusal {
+fn correct_arrival_verdict(arrival: &Arrival, mut refusal: Refusal) -> Refusal {
     if arrival.resume.is_some() {
         refusal.verdict = verdict::Verdict::MayHaveRun;
     }
--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -78,7 +78,7 @@
         if matches!(end, End::Finished | End::Left) {
             effects.push(Effect::Log(finished_line(now, flight)));
             if let Some(flight) = self.flights.remove(&serial) {
-                self.count_answered(now, &flight);
+                self.record_answered(now, &flight);
             }
         }
         let job = job::Id(serial);
@@ -99,7 +99,7 @@
                 scheduler.attempt_ended(now, job, End::NotStarted, 0, out);
             });
         } else {
-            self.offer(now, serial, effects);
+            self.schedule(now, serial, effects);
         }
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// A caller wants a request of its own cancelled.
-    pub(crate) fn cancel_asked(
+    pub(crate) fn cancel_requested(
         &mut self,
         now: Time,
         call: u64,
--- a/crates/entry/src/backends.rs
+++ b/crates/entry/src/backends.rs
@@ -20,7 +20,7 @@
 pub const LISTED_LEAVE_TIME: Span = Span::from_seconds(30);
 
 /// Most incarnations that are remembered as gone; the oldest names are dropped first.
-const GONE_KEPT: usize = 65_536;
+const MAX_LEAVING: usize = 65_536;
 
 /// What became known of the servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 
 impl Backends {
     /// Compares the list with what is known.
-    pub fn read_list(&mut self, now: Time, list: &[Instance]) -> Vec<Change> {
+    pub fn reconcile(&mut self, now: Time, list: &[Instance]) -> Vec<Change> {
         let mut changes = Vec::new();
         for instance in list {
             let leaving = self.leaving.contains(&instance.incarnation);
@@ -82,7 +82,7 @@
             return false;
         }
         self.leaving_order.push_back(incarnation);
-        if self.leaving_order.len() > GONE_KEPT
+        if self.leaving_order.len() > MAX_LEAVING
             && let Some(oldest) = self.leaving_order.pop_front()
         {
             self.leaving.remove(&oldest);
--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -38,20 +38,20 @@
         self.by_key_hash.clear();
         self.by_deployment.clear();
         self.by_grant.clear();
-        for (at, account) in snapshot.accounts.iter().enumerate() {
+        for (index, account) in snapshot.accounts.iter().enumerate() {
             for hash in &account.key_hashes {
-                self.by_key_hash.insert(hash.clone(), at);
+                self.by_key_hash.insert(hash.clone(), index);
             }
             let next = account::Key(self.accounts.len() as u32);
             self.accounts.entry(account.name.clone()).or_insert(next);
         }
-        for (at, deployment) in snapshot.deployments.iter().enumerate() {
-            self.by_deployment.insert(deployment.name.clone(), at);
+        for (index, deployment) in snapshot.deployments.iter().enumerate() {
+            self.by_deployment.insert(deployment.name.clone(), index);
             let grants = deployment.grants.iter().enumerate();
-            let grants = grants.map(|(at, grant)| (grant.account.clone(), at));
+            let grants = grants.map(|(index, grant)| (grant.account.clone(), index));
             self.by_grant
                 .insert(deployment.name.clone(), grants.collect());
-            self.pool_key(&deployment.pool);
+            self.intern_pool_key(&deployment.pool);
         }
         self.snapshot = snapshot;
         true
@@ -69,20 +69,20 @@
 
     /// The account that a bearer key belongs to.
     pub fn account_by_key(&self, key: &str) -> Option<&Account> {
-        let at = *self.by_key_hash.get(&hash_key(key))?;
-        self.snapshot.accounts.get(at)
+        let index = *self.by_key_hash.get(&hash_key(key))?;
+        self.snapshot.accounts.get(index)
     }
 
     /// The deployment of that name.
     pub fn deployment(&self, name: &str) -> Option<&Deployment> {
-        let at = *self.by_deployment.get(name)?;
-        self.snapshot.deployments.get(at)
+        let index = *self.by_deployment.get(name)?;
+        self.snapshot.deployments.get(index)
     }
 
     /// What a deployment promised an account.
     pub fn grant(&self, deployment: &str, account: &str) -> Option<&Grant> {
-        let place = self.by_grant.get(deployment)?.get(account)?;
-        self.deployment(deployment)?.grants.get(*place)
+        let index = self.by_grant.get(deployment)?.get(account)?;
+        self.deployment(deployment)?.grants.get(*index)
     }
 
     /// The scheduler's key of an account.
@@ -102,13 +102,13 @@
     }
 
     /// The scheduler's key of a pool.
-    pub fn pool_key(&mut self, name: &SmolStr) -> pool::Key {
+    pub fn intern_pool_key(&mut self, name: &SmolStr) -> pool::Key {
         let next = pool::Key(self.pools.len() as u32);
         *self.pools.entry(name.clone()).or_insert(next)
     }
 
     /// The scheduler's key of a pool that is known.
-    pub fn known_pool(&self, name: &str) -> Option<pool::Key> {
+    pub fn known_pool_key(&self, name: &str) -> Option<pool::Key> {
         self.pools.get(name).copied()
     }
 }
--- a/crates/entry/src/catchup.rs
+++ b/crates/entry/src/catch_up.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against work for a server whose end was announced while this process stood still. It shows
 //! as a start long after the notice: the paused entry runs on with what it knew before. The guard
-//! holds because the process's own clock shows the gap, and starts are kept back until notices came
+//! holds because the process's own clock shows the gap, and starts are deferred back until notices came
 //! twice, the first of which may have been on its way before the pause. It gives up after a short
 //! time, so that a platform that doesn't answer stops no requests.
 
@@ -18,79 +18,83 @@
 use crate::line::Line;
 
 /// A step that follows the last after a longer gap means that the process stood still.
-const LONGEST_GAP: Span = Span::from_seconds(2);
+const MAX_STEP_GAP: Span = Span::from_seconds(2);
 
-/// Longest time that starts are kept back.
-const LONGEST_WAIT: Span = Span::from_seconds(2);
+/// Longest time that starts are deferred back.
+const MAX_START_DELAY: Span = Span::from_seconds(2);
 
 /// Readings of the notices after which starts go on.
-const READINGS: u32 = 2;
+const REQUIRED_READS: u32 = 2;
 
 /// What a pause has left to do.
 #[derive(Debug, Default)]
 pub(crate) struct CatchUp {
     last_step: Time,
-    /// Set while starts are kept back.
-    until: Option<Time>,
-    readings: u32,
-    kept: BTreeMap<job::Id, replica::Key>,
+    /// Set while starts are deferred back.
+    deferred_until: Option<Time>,
+    notice_reads: u32,
+    deferred: BTreeMap<job::Id, replica::Key>,
 }
 
 impl CatchUp {
     /// Keeps a start back, if a pause is not caught up with yet; gives whether it did.
-    pub fn keep(&mut self, job: job::Id, replica: replica::Key) -> bool {
-        if self.until.is_some() {
-            self.kept.insert(job, replica);
+    pub fn defer(&mut self, job: job::Id, replica: replica::Key) -> bool {
+        if self.deferred_until.is_some() {
+            self.deferred.insert(job, replica);
         }
-        self.until.is_some()
+        self.deferred_until.is_some()
     }
 
-    /// Sends a kept start elsewhere; gives whether there is one.
+    /// Sends a deferred start elsewhere; gives whether there is one.
     pub fn redirect(&mut self, job: job::Id, replica: replica::Key) -> bool {
-        let kept = self.kept.get_mut(&job);
-        kept.map(|kept| *kept = replica).is_some()
+        let deferred = self.deferred.get_mut(&job);
+        deferred.map(|deferred| *deferred = replica).is_some()
     }
 
-    /// Forgets a kept start.
+    /// Forgets a deferred start.
     pub fn forget(&mut self, job: job::Id) {
-        self.kept.remove(&job);
+        self.deferred.remove(&job);
     }
 }
 
 impl Entry {
     /// Looks at the time that has passed since the last step.
-    pub(crate) fn note_gap(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub(crate) fn detect_pause(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let gap = now.since(self.catch_up.last_step);
         self.catch_up.last_step = now;
-        if gap <= LONGEST_GAP {
+        if gap <= MAX_STEP_GAP {
             return;
         }
         let line = Line::warn("paused").with("gap_ms", gap.as_millis());
         effects.push(Effect::Log(line));
-        self.catch_up.until = Some(now + LONGEST_WAIT);
-        self.catch_up.readings = 0;
+        self.catch_up.deferred_until = Some(now + MAX_START_DELAY);
+        self.catch_up.notice_reads = 0;
     }
 
     /// The notices were read once more.
-    pub(crate) fn caught_notices(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        self.catch_up.readings += 1;
-        if self.catch_up.readings >= READINGS {
-            self.caught_up(now, effects);
+    pub(crate) fn notices_refreshed(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        self.catch_up.notice_reads += 1;
+        if self.catch_up.notice_reads >= REQUIRED_READS {
+            self.release_starts(now, effects);
         }
     }
 
     /// Gives up waiting for notices when it takes too long.
     pub(crate) fn catch_up_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if self.catch_up.until.is_some_and(|until| until <= now) {
-            self.caught_up(now, effects);
+        if self
+            .catch_up
+            .deferred_until
+            .is_some_and(|until| until <= now)
+        {
+            self.release_starts(now, effects);
         }
     }
 
-    /// Lets the kept starts go.
-    fn caught_up(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        self.catch_up.until = None;
-        for (job, replica) in std::mem::take(&mut self.catch_up.kept) {
-            self.start(now, job, replica, effects);
+    /// Lets the deferred starts go.
+    fn release_starts(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        self.catch_up.deferred_until = None;
+        for (job, replica) in std::mem::take(&mut self.catch_up.deferred) {
+            self.start_attempt(now, job, replica, effects);
         }
     }
 }
--- a/crates/entry/src/configuration.rs
+++ b/crates/entry/src/configuration.rs
@@ -30,7 +30,7 @@
 use crate::store_calls::Waiter;
 
 /// Shortest time that a change is given to be in force everywhere.
-const LEAST_WAIT: Span = Span::from_millis(500);
+const MIN_CHANGE_WAIT: Span = Span::from_millis(500);
 
 impl Entry {
     /// Lets the agreement machine act on the time.
@@ -40,23 +40,28 @@
             .next_wake(now)
             .is_some_and(|wake| wake <= now + Span::from_millis(1))
         {
-            self.agree(now, ConfigEvent::Wake, effects);
+            self.step_agreement(now, ConfigEvent::Wake, effects);
         }
     }
 
     /// Takes one event into the agreement machine and carries out what it asks for.
-    pub(crate) fn agree(&mut self, now: Time, event: ConfigEvent, effects: &mut Vec<Effect>) {
+    pub(crate) fn step_agreement(
+        &mut self,
+        now: Time,
+        event: ConfigEvent,
+        effects: &mut Vec<Effect>,
+    ) {
         let mut asked = Vec::new();
         self.agreement.step(now, event, &mut asked);
         for effect in asked {
             match effect {
                 ConfigEffect::Store { id, call } => {
-                    self.ask_store(Waiter::Agreement(id), call);
+                    self.queue_store_call(Waiter::Agreement(id), call);
                 }
                 ConfigEffect::Send { to, message } => self.send_configure(to, message, effects),
-                ConfigEffect::View => self.look(now, effects),
-                ConfigEffect::Apply(snapshot) => self.apply(now, &snapshot, effects),
-                ConfigEffect::Announce(version) => self.applied(now, version, effects),
+                ConfigEffect::View => self.refresh_members(now, effects),
+                ConfigEffect::Apply(snapshot) => self.apply_configuration(now, &snapshot, effects),
+                ConfigEffect::Announce(version) => self.announce_applied(now, version, effects),
                 ConfigEffect::Answer { operation, answer } => {
                     let reply = reply_of(self.agreement.snapshot(), answer);
                     let call = operation.0;
@@ -71,14 +76,14 @@
     /// A change that was committed before is not checked again: after a lost answer it comes a second
     /// time, and its own effect (the deployment is there now) would speak against it. The machine
     /// gives it the result of the first time.
-    pub(crate) fn change_asked(
+    pub(crate) fn change_requested(
         &mut self,
         now: Time,
         call: u64,
         asked: Change,
         effects: &mut Vec<Effect>,
     ) {
-        let checked = operators::check(self.catalog.snapshot(), &asked.edit);
+        let checked = operators::check_edit(self.catalog.snapshot(), &asked.edit);
         if let Err(fault) = checked
             && !self.agreement.holds(&asked.id)
         {
@@ -93,19 +98,19 @@
         let submit = ConfigEvent::Submit {
             operation: Operation(call),
             change,
-            deadline: now + asked.wait.max(LEAST_WAIT),
+            deadline: now + asked.wait.max(MIN_CHANGE_WAIT),
         };
-        self.agree(now, submit, effects);
+        self.step_agreement(now, submit, effects);
     }
 
     /// All members were read.
-    pub(crate) fn viewed(&mut self, now: Time, view: View, effects: &mut Vec<Effect>) {
-        self.agree(now, ConfigEvent::View(view), effects);
+    pub(crate) fn members_read(&mut self, now: Time, view: View, effects: &mut Vec<Effect>) {
+        self.step_agreement(now, ConfigEvent::View(view), effects);
     }
 
     /// Our own lease was gained, renewed or lost.
-    pub(crate) fn leased(&mut self, now: Time, holding: Holding, effects: &mut Vec<Effect>) {
-        self.agree(now, ConfigEvent::Lease(holding), effects);
+    pub(crate) fn lease_changed(&mut self, now: Time, holding: Holding, effects: &mut Vec<Effect>) {
+        self.step_agreement(now, ConfigEvent::Lease(holding), effects);
     }
 
     /// A peer sent a message.
@@ -117,11 +122,11 @@
         effects: &mut Vec<Effect>,
     ) {
         let from = holder::Id(from);
-        self.agree(now, ConfigEvent::Peer { from, message }, effects);
+        self.step_agreement(now, ConfigEvent::Peer { from, message }, effects);
     }
 
     /// Puts a configuration in force.
-    fn apply(&mut self, now: Time, snapshot: &Snapshot, effects: &mut Vec<Effect>) {
+    fn apply_configuration(&mut self, now: Time, snapshot: &Snapshot, effects: &mut Vec<Effect>) {
         let version = snapshot.version;
         if !self.catalog.apply(snapshot.clone()) {
             return;
@@ -129,7 +134,7 @@
         for (key, spec) in self.catalog.account_specs() {
             self.scheduler.set_account(key, spec);
         }
-        self.promise(now);
+        self.set_targets(now);
         effects.push(Effect::Log(
             Line::info("configuration_applied").with("version", version),
         ));
--- a/crates/entry/src/decisions.rs
+++ b/crates/entry/src/decisions.rs
@@ -15,9 +15,9 @@
 
 impl Entry {
     /// Carries one decision out.
-    pub(crate) fn decided(&mut self, now: Time, decision: Decision, effects: &mut Vec<Effect>) {
+    pub(crate) fn execute(&mut self, now: Time, decision: Decision, effects: &mut Vec<Effect>) {
         match decision {
-            Decision::Start { job, replica } => self.start(now, job, replica, effects),
+            Decision::Start { job, replica } => self.start_attempt(now, job, replica, effects),
             Decision::Refuse { job, refusal } => self.refuse(now, job.0, refusal, effects),
             Decision::Move {
                 job,
@@ -39,14 +39,14 @@
     ///
     /// This is where the effect leaves: a server that became known as leaving since the scheduler
     /// chose it gets nothing, and the scheduler chooses again.
-    pub(crate) fn start(
+    pub(crate) fn start_attempt(
         &mut self,
         now: Time,
         job: job::Id,
         replica: replica::Key,
         effects: &mut Vec<Effect>,
     ) {
-        if self.catch_up.keep(job, replica) {
+        if self.catch_up.defer(job, replica) {
             return;
         }
         let endpoint = self.backends.endpoint(replica);
@@ -63,13 +63,13 @@
                 scheduler.attempt_ended(now, job, End::Left, 0, out);
             });
         };
-        let again = flight.may_have_run;
+        let restarted = flight.may_have_run;
         let stream = flight.next_stream();
         flight.replica = Some(replica);
         flight.started.get_or_insert(now);
         flight.hourly_micros = hourly_micros;
-        flight.share = u64::from(ASSUMED_SLOTS);
-        if again {
+        flight.replica_slots = u64::from(ASSUMED_SLOTS);
+        if restarted {
             flight.recomputed += u64::from(flight.job.prompt_tokens) + flight.tokens;
         }
         let line = Line::debug("request_started")
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -18,10 +18,10 @@
 use smol_str::SmolStr;
 use store::throttle::Throttle;
 
-use crate::accounts;
+use crate::accounting;
 use crate::backends::Backends;
 use crate::catalog::Catalog;
-use crate::catchup::CatchUp;
+use crate::catch_up::CatchUp;
 use crate::configs::entry::Settings;
 use crate::configuration;
 use crate::effect::Effect;
@@ -29,8 +29,8 @@
 use crate::flight::Flight;
 use crate::identity::Identity;
 use crate::leaders::Leaders;
-use crate::leave::Seals;
 use crate::members;
+use crate::permits::Seals;
 use crate::stop::Stop;
 use crate::store_calls::Waiter;
 
@@ -46,14 +46,14 @@
     /// Open requests by serial.
     pub(crate) flights: BTreeMap<u64, Flight>,
     /// Open requests that wait for leave to run; may name some that don't any more.
-    pub(crate) seeking_leave: BTreeSet<u64>,
+    pub(crate) awaiting_permit: BTreeSet<u64>,
     pub(crate) ledger: Ledger,
     pub(crate) agreement: Agreement,
     pub(crate) membership: Membership,
     /// When peers are told next what our accounts ask for.
-    pub(crate) next_demand: Time,
+    pub(crate) next_digest: Time,
     /// Orders our pieces of news.
-    pub(crate) news_version: u64,
+    pub(crate) digest_version: u64,
     pub(crate) stop: Stop,
     pub(crate) catch_up: CatchUp,
     /// The life of the instance that this entry runs on, as the platform calls it.
@@ -70,7 +70,7 @@
     /// Calls that wait for their turn within our share of the table service.
     pub(crate) throttle: Throttle<store::call::Id>,
     /// Calls that found the queue full.
-    pub(crate) store_refused: Vec<store::call::Id>,
+    pub(crate) rejected_store_calls: Vec<store::call::Id>,
     /// What waits for which call of the table service.
     pub(crate) store_calls: BTreeMap<store::call::Id, Waiter>,
 }
@@ -107,11 +107,11 @@
             membership: members::membership(&identity, seeds, settings.members, seed),
             leaders: Leaders::default(),
             offers: Vec::new(),
-            collector: accounts::collector(&identity, settings.zero_unix_ms),
+            collector: accounting::collector(&identity, settings.zero_unix_ms),
             journal: Journal::new(identity.name.clone()),
             store_available: true,
-            next_demand: Time::ZERO,
-            news_version: 0,
+            next_digest: Time::ZERO,
+            digest_version: 0,
             identity,
             settings,
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -120,13 +120,13 @@
             backends: Backends::default(),
             scheduler: Scheduler::new(seed),
             flights: BTreeMap::new(),
-            seeking_leave: BTreeSet::new(),
+            awaiting_permit: BTreeSet::new(),
             stop: Stop::default(),
             catch_up: CatchUp::default(),
             own_instance: None,
             next_store_call: 0,
             throttle: Throttle::new(store_settings),
-            store_refused: Vec::new(),
+            rejected_store_calls: Vec::new(),
             store_calls: BTreeMap::new(),
         }
     }
@@ -134,22 +134,24 @@
     /// Takes one event and appends what follows from it.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         let before = effects.len();
-        self.note_gap(now, effects);
-        self.take(now, event, effects);
+        self.detect_pause(now, effects);
+        self.dispatch(now, event, effects);
         self.make_store_calls(now, effects);
-        self.note_lines(now, &effects[before..]);
+        self.journal_lines(now, &effects[before..]);
     }
 
     /// Passes an event to the part that it concerns.
-    fn take(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
+    fn dispatch(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
-            Event::Arrived { serial, arrival } => self.arrived(now, serial, arrival, effects),
+            Event::Arrived { serial, arrival } => {
+                self.request_arrived(now, serial, arrival, effects)
+            }
             Event::CallerDisconnected { serial } => self.caller_gone(now, serial, effects),
             Event::CancelRequested { call, key, request } => {
-                self.cancel_asked(now, call, key, &request, effects)
+                self.cancel_requested(now, call, key, &request, effects)
             }
             Event::AddressesRequested { call, key, prefix } => {
-                self.addresses_asked(now, call, key, prefix, effects);
+                self.addresses_requested(now, call, key, prefix, effects);
             }
             Event::Attempt {
                 serial,
@@ -158,21 +160,21 @@
             } => self.attempt_reported(now, serial, attempt, report, effects),
             Event::InstancesRead(list) => {
                 self.instances_read(now, &list, effects);
-                self.leaders_listed(now, &list, effects);
+                self.update_leader_instances(now, &list, effects);
             }
             Event::PricesRead(offers) => {
-                self.priced(now, &offers, effects);
+                self.update_leader_prices(now, &offers, effects);
                 self.offers = offers;
             }
             Event::Fleet { deployment, event } => {
-                self.lead_step(now, &deployment, event, effects);
+                self.step_leader(now, &deployment, event, effects);
             }
             Event::OwnInstanceRead {
                 incarnation,
                 leaving,
             } => self.own_instance_read(now, incarnation, leaving, effects),
             Event::EntriesRead(addresses) => {
-                self.attend(
+                self.step_membership(
                     now,
                     member::event::Event::InstancesListed(addresses),
                     effects,
@@ -185,7 +187,7 @@
             } => {
                 self.load_read(now, &incarnation, report);
                 let requests = report.running + report.waiting;
-                self.leaders_loaded(now, &incarnation, requests, effects);
+                self.update_leader_load(now, &incarnation, requests, effects);
             }
             Event::CacheRead {
                 incarnation,
@@ -193,7 +195,9 @@
             } => self.cache_read(now, &incarnation, &events),
             Event::Store { id, outcome } => self.store_answered(now, id, outcome, effects),
             Event::Operator { call, request } => self.operator_called(now, call, request, effects),
-            Event::SpendRequested { call, ticket } => self.spend_asked(now, call, &ticket, effects),
+            Event::SpendRequested { call, ticket } => {
+                self.spend_requested(now, call, &ticket, effects)
+            }
             Event::SpendAnswered { serial, answer } => {
                 self.spend_answered(now, serial, answer, effects);
             }
@@ -202,7 +206,7 @@
             }
             Event::EstatesAccepted { heir } => self.estates_accepted(now, heir, effects),
             Event::DigestReceived(digest) => {
-                self.attend(now, member::event::Event::Digest(digest), effects);
+                self.step_membership(now, member::event::Event::Digest(digest), effects);
             }
             Event::ConfigureReceived { from, message } => {
                 self.configure_received(now, from.0, message, effects);
@@ -234,11 +238,11 @@
         self.members_tick(now, effects);
         self.configuration_tick(now, effects);
         self.leaders_tick(now, effects);
-        self.leaves_tick(now, effects);
+        self.permits_tick(now, effects);
         self.catch_up_tick(now, effects);
         self.flights_tick(now, effects);
         self.with_scheduler(now, effects, |scheduler, out| scheduler.poll(now, out));
-        self.accounts_tick(now, effects);
+        self.accounting_tick(now, effects);
         self.stop_tick(now, effects);
     }
 
@@ -252,7 +256,7 @@
         let mut decisions = Vec::new();
         let result = call(&mut self.scheduler, &mut decisions);
         for decision in decisions {
-            self.decided(now, decision, effects);
+            self.execute(now, decision, effects);
         }
         result
     }
--- a/crates/entry/src/flight.rs
+++ b/crates/entry/src/flight.rs
@@ -27,7 +27,7 @@
     /// Where it runs.
     pub replica: Option<replica::Key>,
     /// What it waits for before the scheduler may see it.
-    pub waits_for: Option<Leave>,
+    pub pending_permit: Option<Permit>,
     /// Whether bytes of it were handed to a backend server that did not refuse to start it.
     ///
     /// Unset only when the very attempt that set it ends as not started. While it is set nothing
@@ -46,7 +46,7 @@
     /// Price of an hour of its replica, millionths of the currency.
     pub hourly_micros: u64,
     /// What its replica runs at once.
-    pub share: u64,
+    pub replica_slots: u64,
     /// When its first token, or the head of its answer, was passed on.
     pub first_token: Option<Time>,
     /// Tokens passed on by this entry.
@@ -57,17 +57,17 @@
     pub moves: u32,
 }
 
-/// Leave that a non-idempotent request needs before it is dispatched.
+/// Permit that a non-idempotent request needs before it is dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Leave {
+pub enum Permit {
     /// The word of the entry that holds its ticket's ledger.
     Ticket {
         /// The ticket.
         ticket: Ticket,
         /// When it is asked for again, if no word came.
-        again: Time,
+        retry_at: Time,
         /// When no more tries are made.
-        until: Time,
+        deadline: Time,
     },
     /// Its own row in the table service.
     Intent {
@@ -76,7 +76,7 @@
         /// Names our attempt at the row.
         token: SmolStr,
         /// When no more tries are made.
-        until: Time,
+        deadline: Time,
     },
 }
 
--- a/crates/entry/src/leaders.rs
+++ b/crates/entry/src/leaders.rs
@@ -33,14 +33,14 @@
 const ASSIGN_INTERVAL: Span = Span::from_seconds(1);
 
 /// Time to clear an instance that is given back.
-const GIVE_BACK_TIME: Span = Span::from_seconds(30);
+const RELEASE_GRACE: Span = Span::from_seconds(30);
 
 /// The leaders of this entry.
 #[derive(Debug, Default)]
 pub(crate) struct Leaders {
-    leads: BTreeMap<SmolStr, Lead>,
+    by_deployment: BTreeMap<SmolStr, Lead>,
     next_assign: Time,
-    list: Vec<Instance>,
+    instances: Vec<Instance>,
 }
 
 impl Entry {
@@ -48,63 +48,68 @@
     pub(crate) fn leaders_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if now >= self.leaders.next_assign {
             self.leaders.next_assign = now + ASSIGN_INTERVAL;
-            self.assign(now, effects);
+            self.assign_leaders(now, effects);
         }
         let due: Vec<SmolStr> = self
             .leaders
-            .leads
+            .by_deployment
             .iter()
             .filter(|(_, lead)| lead.next_wake(now).is_some_and(|wake| wake <= now))
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
-            self.lead_step(now, &name, FleetEvent::Wake, effects);
+            self.step_leader(now, &name, FleetEvent::Wake, effects);
         }
     }
 
     /// Takes one event into a leader and carries out what it asks for.
-    pub(crate) fn lead_step(
+    pub(crate) fn step_leader(
         &mut self,
         now: Time,
         name: &SmolStr,
         event: FleetEvent,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(lead) = self.leaders.leads.get_mut(name) else {
+        let Some(lead) = self.leaders.by_deployment.get_mut(name) else {
             return;
         };
         let mut asked = Vec::new();
         lead.step(now, event, &mut asked);
         for effect in asked {
-            self.led(now, name, effect, effects);
+            self.perform_leader_effect(now, name, effect, effects);
         }
     }
 
     /// The instance list was read.
-    pub(crate) fn leaders_listed(
+    pub(crate) fn update_leader_instances(
         &mut self,
         now: Time,
         list: &[Instance],
         effects: &mut Vec<Effect>,
     ) {
-        self.leaders.list = list.to_vec();
-        let names: Vec<SmolStr> = self.leaders.leads.keys().cloned().collect();
+        self.leaders.instances = list.to_vec();
+        let names: Vec<SmolStr> = self.leaders.by_deployment.keys().cloned().collect();
         for name in names {
-            let listed = FleetEvent::Listed(self.pool_of(&name));
-            self.lead_step(now, &name, listed, effects);
+            let listed = FleetEvent::Listed(self.pool_instances(&name));
+            self.step_leader(now, &name, listed, effects);
         }
     }
 
     /// Prices were read.
-    pub(crate) fn priced(&mut self, now: Time, offers: &[Offer], effects: &mut Vec<Effect>) {
-        let names: Vec<SmolStr> = self.leaders.leads.keys().cloned().collect();
+    pub(crate) fn update_leader_prices(
+        &mut self,
+        now: Time,
+        offers: &[Offer],
+        effects: &mut Vec<Effect>,
+    ) {
+        let names: Vec<SmolStr> = self.leaders.by_deployment.keys().cloned().collect();
         for name in names {
-            self.lead_step(now, &name, FleetEvent::Priced(offers.to_vec()), effects);
+            self.step_leader(now, &name, FleetEvent::Priced(offers.to_vec()), effects);
         }
     }
 
     /// An engine reported its load: its leader counts the demand.
-    pub(crate) fn leaders_loaded(
+    pub(crate) fn update_leader_load(
         &mut self,
         now: Time,
         incarnation: &str,
@@ -113,7 +118,7 @@
     ) {
         let pool = self
             .leaders
-            .list
+            .instances
             .iter()
             .find(|one| one.incarnation == incarnation)
             .map(|one| one.pool.clone());
@@ -128,31 +133,31 @@
         for name in names {
             let engine = incarnation.to_smolstr();
             let loaded = FleetEvent::Loaded { engine, requests };
-            self.lead_step(now, &name, loaded, effects);
+            self.step_leader(now, &name, loaded, effects);
         }
     }
 
     /// Assigns each deployment to the member that should lead it.
-    fn assign(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn assign_leaders(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let deployments = self.catalog.snapshot().deployments.clone();
         let gone: Vec<SmolStr> = self
             .leaders
-            .leads
+            .by_deployment
             .keys()
             .filter(|name| !deployments.iter().any(|one| one.name == **name))
             .cloned()
             .collect();
         for name in gone {
-            self.lead_step(now, &name, FleetEvent::Assigned(None), effects);
-            self.leaders.leads.remove(&name);
+            self.step_leader(now, &name, FleetEvent::Assigned(None), effects);
+            self.leaders.by_deployment.remove(&name);
         }
         for deployment in deployments {
             let mission = self
                 .should_lead(now, &deployment.name)
                 .then(|| mission_of(&deployment))
                 .filter(|mission| mission.target.is_some() || mission.size.is_some());
-            self.open_lead(now, &deployment.name, mission.is_some(), effects);
-            self.lead_step(
+            self.create_leader(now, &deployment.name, mission.is_some(), effects);
+            self.step_leader(
                 now,
                 &deployment.name,
                 FleetEvent::Assigned(mission),
@@ -162,19 +167,25 @@
     }
 
     /// Makes a leader that doesn't exist yet and tells it what is known.
-    fn open_lead(&mut self, now: Time, name: &SmolStr, wanted: bool, effects: &mut Vec<Effect>) {
-        if !wanted || self.leaders.leads.contains_key(name) {
+    fn create_leader(
+        &mut self,
+        now: Time,
+        name: &SmolStr,
+        wanted: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        if !wanted || self.leaders.by_deployment.contains_key(name) {
             return;
         }
         let me = holder::Id(self.identity.incarnation.0);
         let settings = fleet::configs::lead::Settings::default();
         let seed = self.identity.incarnation.0 ^ xxh3_64(name.as_bytes());
         let lead = Lead::new(me, name.clone(), settings, seed);
-        self.leaders.leads.insert(name.clone(), lead);
+        self.leaders.by_deployment.insert(name.clone(), lead);
         let offers = self.offers.clone();
-        self.lead_step(now, name, FleetEvent::Priced(offers), effects);
-        let listed = FleetEvent::Listed(self.pool_of(name));
-        self.lead_step(now, name, listed, effects);
+        self.step_leader(now, name, FleetEvent::Priced(offers), effects);
+        let listed = FleetEvent::Listed(self.pool_instances(name));
+        self.step_leader(now, name, listed, effects);
     }
 
     /// Whether this entry is the one that should lead a deployment. One that leaves leads nothing.
@@ -186,11 +197,11 @@
     }
 
     /// Instances of a deployment's pool that stay.
-    fn pool_of(&self, name: &str) -> Vec<FleetInstance> {
+    fn pool_instances(&self, name: &str) -> Vec<FleetInstance> {
         let Some(deployment) = self.catalog.deployment(name) else {
             return Vec::new();
         };
-        let list = self.leaders.list.iter();
+        let list = self.leaders.instances.iter();
         list.filter(|one| one.pool == deployment.pool && !one.leaving)
             .filter(|one| !self.backends.is_leaving(&one.incarnation))
             .map(|one| FleetInstance {
@@ -202,18 +213,24 @@
     }
 
     /// Carries out one thing that a leader asks for.
-    fn led(&mut self, now: Time, name: &SmolStr, effect: FleetEffect, effects: &mut Vec<Effect>) {
+    fn perform_leader_effect(
+        &mut self,
+        now: Time,
+        name: &SmolStr,
+        effect: FleetEffect,
+        effects: &mut Vec<Effect>,
+    ) {
         match effect {
             FleetEffect::Store { id, call } => {
                 let deployment = name.clone();
-                self.ask_store(Waiter::Leader { deployment, id }, call);
+                self.queue_store_call(Waiter::Leader { deployment, id }, call);
             }
             FleetEffect::Order {
                 engine,
                 fence,
                 target,
                 until: lease_end,
-            } => self.order(name, &engine, fence, target, lease_end, effects),
+            } => self.order_engine(name, &engine, fence, target, lease_end, effects),
             FleetEffect::Read(engine) => {
                 if let Some(address) = self.address_of(&engine) {
                     effects.push(Effect::ReadEngine {
@@ -227,12 +244,12 @@
                 token,
                 kind,
                 until: lease_end,
-            } => self.wish(name, token, kind, lease_end, effects),
+            } => self.request_instance(name, token, kind, lease_end, effects),
             FleetEffect::Stop {
                 id,
                 incarnation,
                 until: lease_end,
-            } => self.give_back(now, id, &incarnation, lease_end, effects),
+            } => self.release_instance(now, id, &incarnation, lease_end, effects),
             FleetEffect::Leads(fence) => {
                 let line = Line::info("fleet_leads").with("deployment", name);
                 effects.push(Effect::Log(line.with("fence", fence)));
@@ -245,7 +262,7 @@
     }
 
     /// Sends an order to an engine.
-    fn order(
+    fn order_engine(
         &mut self,
         name: &SmolStr,
         engine: &SmolStr,
@@ -274,7 +291,7 @@
     }
 
     /// Asks the cloud for an instance.
-    fn wish(
+    fn request_instance(
         &mut self,
         name: &SmolStr,
         token: SmolStr,
@@ -302,7 +319,7 @@
 
     /// Gives an instance back: first no entry sends it new work, and what runs there is moved; the
     /// cloud is told once that had its time.
-    fn give_back(
+    fn release_instance(
         &mut self,
         now: Time,
         id: SmolStr,
@@ -313,18 +330,18 @@
         let line = Line::info("instance_given_back").with("replica", incarnation);
         effects.push(Effect::Log(line));
         if self.backends.mark_leaving(incarnation.clone()) {
-            self.publish_leaving(now, incarnation, GIVE_BACK_TIME, effects);
-            self.backend_leaving(now, incarnation, now + GIVE_BACK_TIME, effects);
+            self.publish_leaving(now, incarnation, RELEASE_GRACE, effects);
+            self.backend_leaving(now, incarnation, now + RELEASE_GRACE, effects);
         }
         effects.push(Effect::StopInstance {
             id,
-            delay: GIVE_BACK_TIME,
+            delay: RELEASE_GRACE,
             lease_end,
         });
     }
 
     fn address_of(&self, incarnation: &str) -> Option<SmolStr> {
-        let list = self.leaders.list.iter();
+        let list = self.leaders.instances.iter();
         let mut found = list.filter(|one| one.incarnation == incarnation);
         found.next().map(|one| one.address.clone())
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -18,18 +18,18 @@
 
 pub use line;
 
-mod accounts;
+mod accounting;
 mod addresses;
 mod arrivals;
 mod attempts;
-mod catchup;
+mod catch_up;
 mod configuration;
 mod decisions;
 
 mod leaders;
-mod leave;
 mod members;
 mod operators;
+mod permits;
 mod platform;
 mod status;
 mod stop;
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -23,35 +23,45 @@
 use crate::store_calls::Waiter;
 
 /// Time between two pieces of news on what our accounts ask for.
-const DEMAND_INTERVAL: Span = Span::from_seconds(1);
+const DIGEST_INTERVAL: Span = Span::from_seconds(1);
 
 impl Entry {
     /// Lets the membership machine act on the time, and tells peers what the scheduler has to say.
     pub(crate) fn members_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.membership.next_wake() <= now {
-            self.attend(now, MemberEvent::Wake, effects);
+            self.step_membership(now, MemberEvent::Wake, effects);
         }
-        let due = now >= self.next_demand;
+        let due = now >= self.next_digest;
         if due || self.scheduler.take_urgent() {
-            self.next_demand = now + DEMAND_INTERVAL;
-            self.publish_news(now, effects);
+            self.next_digest = now + DIGEST_INTERVAL;
+            self.publish_scheduler_digest(now, effects);
         }
     }
 
     /// Takes one event into the membership machine and carries out what it asks for.
-    pub(crate) fn attend(&mut self, now: Time, event: MemberEvent, effects: &mut Vec<Effect>) {
+    pub(crate) fn step_membership(
+        &mut self,
+        now: Time,
+        event: MemberEvent,
+        effects: &mut Vec<Effect>,
+    ) {
         let mut asked = Vec::new();
         self.membership.step(now, event, &mut asked);
         for effect in asked {
-            self.attended(now, effect, effects);
+            self.perform_membership_effect(now, effect, effects);
         }
     }
 
     /// Carries out one thing that the membership machine asks for.
-    fn attended(&mut self, now: Time, effect: MemberEffect, effects: &mut Vec<Effect>) {
+    fn perform_membership_effect(
+        &mut self,
+        now: Time,
+        effect: MemberEffect,
+        effects: &mut Vec<Effect>,
+    ) {
         match effect {
             MemberEffect::Store { id, call } => {
-                self.ask_store(Waiter::Membership(id), call);
+                self.queue_store_call(Waiter::Membership(id), call);
             }
             MemberEffect::Send { to, digest } => {
                 if let Some(address) = self.membership.peer_address(to).cloned() {
@@ -61,31 +71,31 @@
             MemberEffect::Greet { address, digest } => {
                 effects.push(Effect::SendDigest { address, digest });
             }
-            MemberEffect::Lease(holding) => self.leased(now, holding, effects),
-            MemberEffect::View(view) => self.viewed(now, view, effects),
+            MemberEffect::Lease(holding) => self.lease_changed(now, holding, effects),
+            MemberEffect::View(view) => self.members_read(now, view, effects),
             MemberEffect::Applied { member, version } => {
-                let heard = config::event::Event::Applied { member, version };
-                self.agree(now, heard, effects);
+                let event = config::event::Event::Applied { member, version };
+                self.step_agreement(now, event, effects);
             }
-            MemberEffect::Item(item) => self.news_came(now, &item, effects),
+            MemberEffect::Item(item) => self.item_received(now, &item, effects),
             MemberEffect::Peers(peers) => {
                 let entries = u32::try_from(peers.len() + 1).unwrap_or(u32::MAX);
                 self.scheduler.set_entries(entries);
                 self.throttle.set_members(now, peers.len() + 1);
-                self.agree(now, config::event::Event::Peers(peers), effects);
+                self.step_agreement(now, config::event::Event::Peers(peers), effects);
             }
-            MemberEffect::Left => self.left(now, effects),
+            MemberEffect::Left => self.leave_recorded(now, effects),
         }
     }
 
     /// All members are to be read soon.
-    pub(crate) fn look(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        self.attend(now, MemberEvent::ReadAll, effects);
+    pub(crate) fn refresh_members(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        self.step_membership(now, MemberEvent::ReadAll, effects);
     }
 
     /// A configuration version is in force here: others are to hear of it.
-    pub(crate) fn applied(&mut self, now: Time, version: u64, effects: &mut Vec<Effect>) {
-        self.attend(now, MemberEvent::Applied(version), effects);
+    pub(crate) fn announce_applied(&mut self, now: Time, version: u64, effects: &mut Vec<Effect>) {
+        self.step_membership(now, MemberEvent::Applied(version), effects);
     }
 
     /// Tells all entries that a backend server leaves.
@@ -103,7 +113,7 @@
             age_ms: 0,
             payload: left.as_millis().to_le_bytes().to_vec(),
         };
-        self.attend(now, MemberEvent::Publish(item), effects);
+        self.step_membership(now, MemberEvent::Publish(item), effects);
     }
 
     /// `host:port` of the entry that holds the ledger of a minter, if that isn't lost.
@@ -136,14 +146,14 @@
     }
 
     /// Takes in a piece of news.
-    fn news_came(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    fn item_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         match item.topic {
             Topic::Leaving => {
                 if self.backends.mark_leaving(item.key.clone()) {
                     self.backend_leaving(now, &item.key, now + time_left(item), effects);
                 }
             }
-            Topic::Demand | Topic::Quarantine => self.scheduler_news(now, item, effects),
+            Topic::Demand | Topic::Quarantine => self.scheduler_digest_received(now, item, effects),
             Topic::Heir
             | Topic::Count
             | Topic::Ended
@@ -156,7 +166,7 @@
     }
 
     /// Gives the scheduler what another entry's scheduler has to say.
-    fn scheduler_news(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
+    fn scheduler_digest_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let peer = holder::Id::parse(&item.key).map_or(0, |id| id.0);
         if peer == self.identity.incarnation.0 {
             return;
@@ -176,13 +186,13 @@
     }
 
     /// Tells all entries what this scheduler has to say.
-    fn publish_news(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn publish_scheduler_digest(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let digest = self.scheduler.digest(now);
         let urgent = !digest.quarantine.items.is_empty() || !digest.quarantine.claims.is_empty();
         if !urgent && digest.limit.claims.is_empty() {
             return;
         }
-        self.news_version += 1;
+        self.digest_version += 1;
         let item = Item {
             topic: if urgent {
                 Topic::Quarantine
@@ -190,11 +200,11 @@
                 Topic::Demand
             },
             key: format_smolstr!("{}", self.identity.incarnation),
-            version: self.news_version,
+            version: self.digest_version,
             age_ms: 0,
             payload: wire::news::encode(&digest),
         };
-        self.attend(now, MemberEvent::Publish(item), effects);
+        self.step_membership(now, MemberEvent::Publish(item), effects);
     }
 }
 
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -27,15 +27,19 @@
         effects: &mut Vec<Effect>,
     ) {
         let reply = match request {
-            Request::Change(change) => return self.change_asked(now, call, change, effects),
+            Request::Change(change) => return self.change_requested(now, call, change, effects),
             Request::GetDeployment { name } => self.deployment_reply(&name),
             Request::ListDeployments => Ok(self.configuration_reply()),
             Request::GetHistory { before, limit } => Ok(self.history_reply(before, limit)),
             Request::GetStatus => Ok(self.status_reply(now)),
-            Request::Drain(target) => self.drain_asked(now, &target, effects),
+            Request::Drain(target) => self.drain(now, &target, effects),
             Request::Report { deployment } => {
                 let asker = call;
-                return self.collect(now, collector::Event::Asked { asker, deployment }, effects);
+                return self.step_collector(
+                    now,
+                    collector::Event::Asked { asker, deployment },
+                    effects,
+                );
             }
             Request::Explain { request } => self.explain_reply(&request),
         };
@@ -72,7 +76,7 @@
 }
 
 /// Whether an edit makes sense on a configuration.
-pub(crate) fn check(before: &Snapshot, edit: &Edit) -> Result<(), Fault> {
+pub(crate) fn check_edit(before: &Snapshot, edit: &Edit) -> Result<(), Fault> {
     match edit {
         Edit::CreateDeployment(deployment) => match before.deployment(&deployment.name) {
             Some(_) => Err(Fault::AlreadyExists(format!(
@@ -82,10 +86,10 @@
             None => check_grants(before, deployment),
         },
         Edit::ChangeDeployment(deployment) => {
-            deployment_there(before, &deployment.name)?;
+            require_deployment(before, &deployment.name)?;
             check_grants(before, deployment)
         }
-        Edit::RemoveDeployment(name) => deployment_there(before, name),
+        Edit::RemoveDeployment(name) => require_deployment(before, name),
         Edit::PutAccount(_) => Ok(()),
         Edit::RemoveAccount(name) => check_removal(before, name),
     }
@@ -123,7 +127,7 @@
     serde_json::to_string(value).unwrap_or_default()
 }
 
-fn deployment_there(snapshot: &Snapshot, name: &str) -> Result<(), Fault> {
+fn require_deployment(snapshot: &Snapshot, name: &str) -> Result<(), Fault> {
     match snapshot.deployment(name) {
         Some(_) => Ok(()),
         None => Err(Fault::NotFound(format!("deployment {name}"))),
--- a/crates/entry/src/leave.rs
+++ b/crates/entry/src/permits.rs
@@ -1,4 +1,4 @@
-//! Leave to run a non-idempotent request: by ticket, or by a row of its own in the table service.
+//! Permit to run a non-idempotent request: by ticket, or by a row of its own in the table service.
 //!
 //! Guards against such a request running twice. The fault shows when a caller repeats a request at
 //! another entry after a cut, or when the store's answer to the first try was lost. A ticket is spent
@@ -30,7 +30,7 @@
 use crate::arrival::Arrival;
 use crate::effect::Effect;
 use crate::entry::Entry;
-use crate::flight::Leave;
+use crate::flight::Permit;
 use crate::line::Line;
 use crate::store_calls::Waiter;
 
@@ -38,10 +38,10 @@
 const INTENT_TABLE: &str = "intents";
 
 /// Longest idempotency key, bytes.
-const KEY_BYTES: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 
 /// When a caller may come back while the table service is down.
-const STORE_RETRY: Span = Span::from_seconds(2);
+const STORE_RETRY_DELAY: Span = Span::from_seconds(2);
 
 /// Seals of what callers carry.
 pub struct Seals {
@@ -64,58 +64,64 @@
 impl Entry {
     /// Seeks leave for a request that must not run twice; one without key and ticket can't be
     /// repeated by name, so it has leave at once.
-    pub(crate) fn seek_leave(
+    pub(crate) fn request_permit(
         &mut self,
         now: Time,
         serial: u64,
         arrival: &Arrival,
         effects: &mut Vec<Effect>,
     ) {
-        self.seeking_leave.insert(serial);
+        self.awaiting_permit.insert(serial);
         if let Some(sealed) = &arrival.ticket {
-            self.seek_by_ticket(now, serial, sealed, effects);
+            self.request_by_ticket(now, serial, sealed, effects);
         } else if let Some(key) = &arrival.idempotency_key {
-            self.seek_by_row(now, serial, key, effects);
+            self.request_by_row(now, serial, key, effects);
         } else {
-            self.offer(now, serial, effects);
+            self.schedule(now, serial, effects);
         }
     }
 
     /// Spends the ticket here, or asks the entry that holds its ledger.
-    fn seek_by_ticket(&mut self, now: Time, serial: u64, sealed: &str, effects: &mut Vec<Effect>) {
+    fn request_by_ticket(
+        &mut self,
+        now: Time,
+        serial: u64,
+        sealed: &str,
+        effects: &mut Vec<Effect>,
+    ) {
         let ticket: Option<Ticket> = self.seals.ticket.open(sealed);
         let account = self.flights.get(&serial).map(|flight| &flight.account);
         let Some(ticket) = ticket.filter(|ticket| Some(&ticket.account) == account) else {
             let refusal = Refusal::not_run(Reason::Malformed, "the ticket isn't yours");
             return self.refuse(now, serial, refusal, effects);
         };
-        let until = now + self.settings.permit_timeout;
-        self.ask_spend(now, serial, ticket, until, effects);
+        let deadline = now + self.settings.permit_timeout;
+        self.spend_ticket(now, serial, ticket, deadline, effects);
     }
 
     /// Asks for a ticket where its ledger is held now.
     ///
     /// Asking again after a lost word is safe: were the first question answered "granted", the second
     /// would be answered "spent", and nothing runs.
-    fn ask_spend(
+    fn spend_ticket(
         &mut self,
         now: Time,
         serial: u64,
         ticket: Ticket,
-        until: Time,
+        deadline: Time,
         effects: &mut Vec<Effect>,
     ) {
         if self.ledger.holds(ticket.minter) {
             let answer = self.ledger.spend(now, &ticket);
-            return self.leave_answered(now, serial, answer, effects);
+            return self.permit_answered(now, serial, answer, effects);
         }
-        let again = now + self.settings.ticket_retry_interval;
+        let retry_at = now + self.settings.ticket_retry_interval;
         if let Some(flight) = self.flights.get_mut(&serial) {
             let ticket = ticket.clone();
-            flight.waits_for = Some(Leave::Ticket {
+            flight.pending_permit = Some(Permit::Ticket {
                 ticket,
-                again,
-                until,
+                retry_at,
+                deadline,
             });
         }
         match self.ledger_holder(now, ticket.minter) {
@@ -124,11 +130,11 @@
                 address,
                 ticket,
             }),
-            None => self.look(now, effects),
+            None => self.refresh_members(now, effects),
         }
     }
 
-    /// A peer's word on a ticket came, or was lost; a lost one is asked for again by the tick.
+    /// A peer's word on a ticket came, or was lost; a lost one is asked for retry_at by the tick.
     pub(crate) fn spend_answered(
         &mut self,
         now: Time,
@@ -136,40 +142,43 @@
         answer: Option<Answer>,
         effects: &mut Vec<Effect>,
     ) {
-        let waits = self.flights.get(&serial).map(|flight| &flight.waits_for);
-        let waits = matches!(waits, Some(Some(Leave::Ticket { .. })));
+        let waits = self
+            .flights
+            .get(&serial)
+            .map(|flight| &flight.pending_permit);
+        let waits = matches!(waits, Some(Some(Permit::Ticket { .. })));
         match answer {
             // It may have moved on to an heir that is not known here yet.
-            Some(Answer::Unknown) | None => self.look(now, effects),
-            Some(answer) if waits => self.leave_answered(now, serial, answer, effects),
+            Some(Answer::Unknown) | None => self.refresh_members(now, effects),
+            Some(answer) if waits => self.permit_answered(now, serial, answer, effects),
             Some(_) => {}
         }
     }
 
     /// Asks again for tickets whose word was lost, and gives up those that take too long.
-    fn tickets_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let seeking = self.seeking_leave.iter();
+    fn ticket_permits_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        let seeking = self.awaiting_permit.iter();
         let due: Vec<(u64, Ticket, Time)> = seeking
-            .filter_map(|serial| match &self.flights.get(serial)?.waits_for {
-                Some(Leave::Ticket {
+            .filter_map(|serial| match &self.flights.get(serial)?.pending_permit {
+                Some(Permit::Ticket {
                     ticket,
-                    again,
-                    until,
-                }) if *again <= now => Some((*serial, ticket.clone(), *until)),
+                    retry_at,
+                    deadline,
+                }) if *retry_at <= now => Some((*serial, ticket.clone(), *deadline)),
                 _ => None,
             })
             .collect();
-        for (serial, ticket, until) in due {
-            if until <= now {
-                self.leave_answered(now, serial, Answer::Unknown, effects);
+        for (serial, ticket, deadline) in due {
+            if deadline <= now {
+                self.permit_answered(now, serial, Answer::Unknown, effects);
             } else {
-                self.ask_spend(now, serial, ticket, until, effects);
+                self.spend_ticket(now, serial, ticket, deadline, effects);
             }
         }
     }
 
     /// Runs the request, or says that an earlier one under the same ticket may have run.
-    fn leave_answered(
+    fn permit_answered(
         &mut self,
         now: Time,
         serial: u64,
@@ -177,7 +186,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let message = match answer {
-            Answer::Granted => return self.offer(now, serial, effects),
+            Answer::Granted => return self.schedule(now, serial, effects),
             Answer::Spent => "a request with this ticket was accepted before",
             Answer::Unknown => "nobody can say any more whether this ticket was used",
         };
@@ -186,7 +195,7 @@
     }
 
     /// A peer asks whether a ticket of a ledger held here may be spent.
-    pub(crate) fn spend_asked(
+    pub(crate) fn spend_requested(
         &mut self,
         now: Time,
         call: u64,
@@ -219,18 +228,22 @@
     }
 
     /// Inserts the row of the caller's key, if it is absent.
-    fn seek_by_row(&mut self, now: Time, serial: u64, key: &str, effects: &mut Vec<Effect>) {
-        if key.is_empty() || key.len() > KEY_BYTES {
+    fn request_by_row(&mut self, now: Time, serial: u64, key: &str, effects: &mut Vec<Effect>) {
+        if key.is_empty() || key.len() > MAX_KEY_BYTES {
             let refusal = Refusal::not_run(Reason::Malformed, "idempotency-key has 1 to 200 bytes");
             return self.refuse(now, serial, refusal, effects);
         }
-        let until = now + self.settings.permit_timeout;
+        let deadline = now + self.settings.permit_timeout;
         let token = format_smolstr!("{:016x}", self.random.next_u64());
         let Some(flight) = self.flights.get_mut(&serial) else {
             return;
         };
         let key = format_smolstr!("{}/{}", flight.account, key);
-        flight.waits_for = Some(Leave::Intent { key, token, until });
+        flight.pending_permit = Some(Permit::Intent {
+            key,
+            token,
+            deadline,
+        });
         self.insert_row(serial);
     }
 
@@ -239,7 +252,7 @@
         let Some(flight) = self.flights.get(&serial) else {
             return;
         };
-        let Some(Leave::Intent { key, token, .. }) = &flight.waits_for else {
+        let Some(Permit::Intent { key, token, .. }) = &flight.pending_permit else {
             return;
         };
         let at = Address {
@@ -255,7 +268,7 @@
             }],
             writes: vec![Write { at, value }],
         };
-        self.ask_store(Waiter::Intent { serial }, Call::Transact(transaction));
+        self.queue_store_call(Waiter::Intent { serial }, Call::Transact(transaction));
     }
 
     /// The table service answered an insert.
@@ -269,13 +282,16 @@
         let Some(flight) = self.flights.get(&serial) else {
             return;
         };
-        let Some(Leave::Intent { token, until, .. }) = &flight.waits_for else {
+        let Some(Permit::Intent {
+            token, deadline, ..
+        }) = &flight.pending_permit
+        else {
             return;
         };
-        let in_time = now < *until;
+        let in_time = now < *deadline;
         match outcome {
-            Outcome::Committed(_) => self.offer(now, serial, effects),
-            Outcome::Conflict(rows) if is_own(&rows, token) => self.offer(now, serial, effects),
+            Outcome::Committed(_) => self.schedule(now, serial, effects),
+            Outcome::Conflict(rows) if is_own(&rows, token) => self.schedule(now, serial, effects),
             Outcome::Conflict(_) => {
                 let message = "a request with this idempotency key was accepted before";
                 let refusal = Refusal::may_have_run(Reason::Repeated, message);
@@ -287,19 +303,19 @@
     }
 
     /// Asks again where a word was lost, and gives up requests whose rows take too long. None of them was handed to a backend server.
-    pub(crate) fn leaves_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        self.tickets_tick(now, effects);
-        let overdue = |leave: &Option<Leave>| matches!(leave, Some(Leave::Intent { until, .. }) if *until <= now);
+    pub(crate) fn permits_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        self.ticket_permits_tick(now, effects);
+        let overdue = |leave: &Option<Permit>| matches!(leave, Some(Permit::Intent { deadline, .. }) if *deadline <= now);
         let flights = &self.flights;
-        self.seeking_leave.retain(|serial| {
+        self.awaiting_permit.retain(|serial| {
             let flight = flights.get(serial);
-            flight.is_some_and(|flight| flight.waits_for.is_some())
+            flight.is_some_and(|flight| flight.pending_permit.is_some())
         });
-        let seeking = self.seeking_leave.iter();
+        let seeking = self.awaiting_permit.iter();
         let late: Vec<u64> = seeking
             .filter(|serial| {
                 let flight = flights.get(serial);
-                flight.is_some_and(|flight| overdue(&flight.waits_for))
+                flight.is_some_and(|flight| overdue(&flight.pending_permit))
             })
             .copied()
             .collect();
@@ -320,5 +336,5 @@
 /// The refusal of a request whose row could not be written.
 fn store_refusal() -> Refusal {
     let message = "the table service doesn't answer; come back with the same key";
-    Refusal::not_run(Reason::StoreUnavailable, message).with_retry_after(STORE_RETRY)
+    Refusal::not_run(Reason::StoreUnavailable, message).with_retry_after(STORE_RETRY_DELAY)
 }
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -24,7 +24,7 @@
         list: &[Instance],
         effects: &mut Vec<Effect>,
     ) {
-        for change in self.backends.read_list(now, list) {
+        for change in self.backends.reconcile(now, list) {
             match change {
                 Change::Joined(instance) => self.backend_joined(now, instance, effects),
                 Change::Leaving(incarnation, deadline) => {
@@ -54,7 +54,7 @@
             // Told again even if a peer or the list said so before: they don't know the deadline.
             self.backend_leaving(now, &notice.incarnation, deadline, effects);
         }
-        self.caught_notices(now, effects);
+        self.notices_refreshed(now, effects);
     }
 
     /// Takes in what the list says of our own instance.
@@ -98,7 +98,7 @@
     fn backend_joined(&mut self, now: Time, instance: Instance, effects: &mut Vec<Effect>) {
         let spec = replica::Spec {
             incarnation: instance.incarnation.clone(),
-            pool: self.catalog.pool_key(&instance.pool),
+            pool: self.catalog.intern_pool_key(&instance.pool),
             zone: instance.zone.clone(),
             slots: ASSUMED_SLOTS,
         };
@@ -113,7 +113,7 @@
         let key = self.scheduler.replica_joined(now, spec, &mut decisions);
         self.backends.add(key, instance);
         for decision in decisions {
-            self.decided(now, decision, effects);
+            self.execute(now, decision, effects);
         }
     }
 
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -44,7 +44,7 @@
                 } else {
                     BackendState::Live
                 },
-                running: self.running_at(&instance.incarnation),
+                running: self.running_on(&instance.incarnation),
             })
             .collect();
         backends.sort_by(|one, other| one.incarnation.cmp(&other.incarnation));
@@ -71,7 +71,7 @@
     }
 
     /// Takes an entry or a backend server out of use.
-    pub(crate) fn drain_asked(
+    pub(crate) fn drain(
         &mut self,
         now: Time,
         target: &Target,
@@ -80,7 +80,7 @@
         match target {
             Target::Entry(name) if *name == self.identity.name => {
                 let already_leaving = self.stop.is_stopping();
-                let running = count(self.flights.len());
+                let running = saturating_u32(self.flights.len());
                 self.stop_requested(now, false, effects);
                 Ok(Reply::Drained {
                     already_leaving,
@@ -108,7 +108,7 @@
         if self.backends.key_of(incarnation).is_none() {
             return Err(Fault::NotFound(format!("backend server {incarnation}")));
         }
-        let running = self.running_at(incarnation);
+        let running = self.running_on(incarnation);
         let already_leaving = !self.backends.mark_leaving(incarnation.clone());
         if !already_leaving {
             self.publish_leaving(now, incarnation, LISTED_LEAVE_TIME, effects);
@@ -121,10 +121,10 @@
     }
 
     /// Requests of this entry that run at a backend server.
-    fn running_at(&self, incarnation: &str) -> u32 {
+    fn running_on(&self, incarnation: &str) -> u32 {
         let key = self.backends.key_of(incarnation);
         let here = |replica| key.is_some() && replica == key;
-        count(
+        saturating_u32(
             self.flights
                 .values()
                 .filter(|one| here(one.replica))
@@ -145,7 +145,7 @@
             zone: row.zone.clone(),
             address: row.address.clone(),
             applied_version: known.beat.applied.max(row.applied),
-            lease: lease_of(now, known),
+            lease: lease_state(now, known),
             release: if own {
                 SmolStr::new_static(RELEASE)
             } else {
@@ -156,7 +156,7 @@
 }
 
 /// State of a member's lease, by its heartbeat.
-fn lease_of(now: Time, known: &Member) -> LeaseState {
+fn lease_state(now: Time, known: &Member) -> LeaseState {
     let silent = now.since(known.last_seen);
     let term = known.record.row.term();
     match known.record.row.state {
@@ -190,6 +190,6 @@
     }
 }
 
-fn count(length: usize) -> u32 {
+fn saturating_u32(length: usize) -> u32 {
     u32::try_from(length).unwrap_or(u32::MAX)
 }
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -10,14 +10,14 @@
 use verdict::Reason;
 use verdict::Refusal;
 
-use crate::arrivals::LEAVING_RETRY;
+use crate::arrivals::LEAVING_RETRY_DELAY;
 use crate::effect::Command;
 use crate::effect::Effect;
 use crate::entry::Entry;
 use crate::line::Line;
 
 /// Longest wait, once all else is done, for the table service to note that we left.
-const LEAVE_WAIT: Span = Span::from_seconds(3);
+const LEAVE_TIMEOUT: Span = Span::from_seconds(3);
 
 /// Part of a notice in which requests may finish here; the rest is for handing on what is left.
 const FINISH_SHARE: f64 = 0.5;
@@ -26,17 +26,17 @@
 const LINGER_SHARE: f64 = 0.8;
 
 /// Time until other entries have heard that this one leaves and no longer name it.
-const NEWS_TIME: Span = Span::from_millis(1_500);
+const GOSSIP_TIME: Span = Span::from_millis(1_500);
 
 /// How far a planned stop has come.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Stop {
     deadline: Option<Time>,
     /// Until when callers may still come who were told of this entry before it began to leave.
-    linger: Time,
+    linger_until: Time,
     ledger_sent: bool,
     ledger_settled: Option<Time>,
-    left: bool,
+    leave_recorded: bool,
     exited: bool,
 }
 
@@ -54,7 +54,7 @@
             .with("hurry", immediate)
             .with("open", self.flights.len());
         effects.push(Effect::Log(line));
-        let linger = self.settings.address_ttl + NEWS_TIME;
+        let linger = self.settings.address_ttl + GOSSIP_TIME;
         if immediate {
             self.stop_until(now, now, now, effects);
         } else {
@@ -63,28 +63,34 @@
     }
 
     /// Our own instance will be taken away then: part of the time is kept for handing on.
-    pub(crate) fn stop_by(&mut self, now: Time, gone: Time, effects: &mut Vec<Effect>) {
+    pub(crate) fn stop_by(&mut self, now: Time, reclaim: Time, effects: &mut Vec<Effect>) {
         if !self.stop.is_stopping() {
-            let left = gone.since(now);
+            let left = reclaim.since(now);
             let line = Line::info("instance_leaving")
                 .with("left_ms", left.as_millis())
                 .with("open", self.flights.len());
             effects.push(Effect::Log(line));
         }
-        let usable = gone.since(now).scaled(FINISH_SHARE);
+        let usable = reclaim.since(now).scaled(FINISH_SHARE);
         let grace = usable.min(self.settings.grace);
-        let linger = gone.since(now).scaled(LINGER_SHARE);
-        let linger = linger.min(self.settings.address_ttl + NEWS_TIME);
+        let linger = reclaim.since(now).scaled(LINGER_SHARE);
+        let linger = linger.min(self.settings.address_ttl + GOSSIP_TIME);
         self.stop_until(now, now + grace, now + linger, effects);
     }
 
     /// Stops; the soonest of several deadlines counts.
-    fn stop_until(&mut self, now: Time, deadline: Time, linger: Time, effects: &mut Vec<Effect>) {
+    fn stop_until(
+        &mut self,
+        now: Time,
+        deadline: Time,
+        linger_until: Time,
+        effects: &mut Vec<Effect>,
+    ) {
         if self.stop.deadline.is_none() {
-            self.stop.linger = linger;
-            self.attend(now, MemberEvent::Drain, effects);
+            self.stop.linger_until = linger_until;
+            self.step_membership(now, MemberEvent::Drain, effects);
         }
-        self.stop.linger = self.stop.linger.min(linger);
+        self.stop.linger_until = self.stop.linger_until.min(linger_until);
         let earlier = self.stop.deadline.unwrap_or(deadline);
         self.stop.deadline = Some(earlier.min(deadline));
         self.stop_tick(now, effects);
@@ -99,20 +105,20 @@
             return;
         }
         if now >= deadline {
-            self.refuse_waiting(now, effects);
-            self.hand_off_all(now, effects);
+            self.refuse_unstarted(now, effects);
+            self.hand_off_streams(now, effects);
         }
         // Callers keep addresses for a while and come here still. Were the process gone, the requests
         // that they had sent by then would show as cut; while it stays they are told "not run".
-        if !self.flights.is_empty() || now < self.stop.linger {
+        if !self.flights.is_empty() || now < self.stop.linger_until {
             return;
         }
-        self.hand_ledger_on(now, effects);
+        self.hand_off_ledger(now, effects);
         let waited = self
             .stop
             .ledger_settled
-            .is_some_and(|settled| now.since(settled) >= LEAVE_WAIT);
-        if (self.stop.left && self.collector.is_done()) || waited {
+            .is_some_and(|settled| now.since(settled) >= LEAVE_TIMEOUT);
+        if (self.stop.leave_recorded && self.collector.is_done()) || waited {
             self.stop.exited = true;
             effects.push(Effect::Log(Line::info("stopped")));
             effects.push(Effect::Exit);
@@ -132,14 +138,14 @@
         };
         effects.push(Effect::Log(line));
         self.stop.ledger_settled = Some(now);
-        self.collect(now, collector::Event::Stopped, effects);
+        self.step_collector(now, collector::Event::Stopped, effects);
         let heir = heir.map(|heir| holder::Id(heir.0));
-        self.attend(now, MemberEvent::Leave { heir }, effects);
+        self.step_membership(now, MemberEvent::Leave { heir }, effects);
         self.stop_tick(now, effects);
     }
 
     /// Refuses what was not handed to a backend server yet: nobody would be left to start it.
-    fn refuse_waiting(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn refuse_unstarted(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let waiting: Vec<u64> = self
             .flights
             .values()
@@ -151,7 +157,7 @@
             self.refuse(
                 now,
                 serial,
-                refusal.with_retry_after(LEAVING_RETRY),
+                refusal.with_retry_after(LEAVING_RETRY_DELAY),
                 effects,
             );
             let job = job::Id(serial);
@@ -164,7 +170,7 @@
     /// Sends every open stream on to another entry.
     ///
     /// A plain call in progress is waited for: nobody else can read its answer.
-    fn hand_off_all(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn hand_off_streams(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let Some(address) = self.successor().map(|row| row.address) else {
             return;
         };
@@ -186,7 +192,7 @@
     }
 
     /// Offers the ledger to a peer, once.
-    fn hand_ledger_on(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn hand_off_ledger(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.stop.ledger_sent {
             return;
         }
@@ -202,8 +208,8 @@
     }
 
     /// The table service has it that we left.
-    pub(crate) fn left(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        self.stop.left = true;
+    pub(crate) fn leave_recorded(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        self.stop.leave_recorded = true;
         self.stop_tick(now, effects);
     }
 }
--- a/crates/entry/src/store_calls.rs
+++ b/crates/entry/src/store_calls.rs
@@ -52,20 +52,20 @@
 impl Entry {
     /// Asks the table service something as soon as the share allows; the answer finds its way by
     /// `waiter`.
-    pub(crate) fn ask_store(&mut self, waiter: Waiter, call: Call) {
+    pub(crate) fn queue_store_call(&mut self, waiter: Waiter, call: Call) {
         let id = call::Id(self.next_store_call);
         self.next_store_call += 1;
         let refused = self.throttle.push(waiter.priority(), id, call);
         self.store_calls.insert(id, waiter);
         if let Some((id, _)) = refused {
-            self.store_refused.push(id);
+            self.rejected_store_calls.push(id);
         }
     }
 
     /// Makes the calls whose turn has come, and tells those that found the queue full.
     pub(crate) fn make_store_calls(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        while let Some(id) = self.store_refused.pop() {
-            self.store_answer(now, id, Outcome::Unavailable, effects);
+        while let Some(id) = self.rejected_store_calls.pop() {
+            self.route_store_answer(now, id, Outcome::Unavailable, effects);
         }
         while let Some((id, call)) = self.throttle.pop(now) {
             effects.push(Effect::Store { id, call });
@@ -81,11 +81,11 @@
         effects: &mut Vec<Effect>,
     ) {
         self.store_available = !matches!(outcome, Outcome::Unavailable | Outcome::Unknown);
-        self.store_answer(now, id, outcome, effects);
+        self.route_store_answer(now, id, outcome, effects);
     }
 
     /// Passes an answer to whoever waits for it.
-    fn store_answer(
+    fn route_store_answer(
         &mut self,
         now: Time,
         id: call::Id,
@@ -94,18 +94,18 @@
     ) {
         match self.store_calls.remove(&id) {
             Some(Waiter::Agreement(id)) => {
-                self.agree(now, config::event::Event::Store { id, outcome }, effects);
+                self.step_agreement(now, config::event::Event::Store { id, outcome }, effects);
             }
             Some(Waiter::Membership(id)) => {
-                self.attend(now, member::event::Event::Store { id, outcome }, effects);
+                self.step_membership(now, member::event::Event::Store { id, outcome }, effects);
             }
             Some(Waiter::Collector(id)) => {
                 let answered = burn::collector::Event::Store { id, outcome };
-                self.collect(now, answered, effects);
+                self.step_collector(now, answered, effects);
             }
             Some(Waiter::Leader { deployment, id }) => {
                 let answered = fleet::event::Event::Store { id, outcome };
-                self.lead_step(now, &deployment, answered, effects);
+                self.step_leader(now, &deployment, answered, effects);
             }
             Some(Waiter::Intent { serial }) => self.intent_answered(now, serial, outcome, effects),
             None => {}
--- a/crates/entry/tests/backends.rs
+++ b/crates/entry/tests/backends.rs
@@ -36,18 +36,18 @@
     let mut backends = Backends::default();
     let live = [instance("i-1.1", false)];
     assert!(matches!(
-        backends.read_list(now, &live)[..],
+        backends.reconcile(now, &live)[..],
         [Change::Joined(_)]
     ));
     backends.add(replica::Key(0), instance("i-1.1", false));
     assert!(backends.mark_leaving("i-1.1".into()));
-    assert!(backends.read_list(now, &live).is_empty());
+    assert!(backends.reconcile(now, &live).is_empty());
     assert!(backends.is_leaving("i-1.1"));
     backends.remove("i-1.1");
-    assert!(backends.read_list(now, &live).is_empty());
+    assert!(backends.reconcile(now, &live).is_empty());
     let returned = [instance("i-1.2", false)];
     assert!(matches!(
-        backends.read_list(now, &returned)[..],
+        backends.reconcile(now, &returned)[..],
         [Change::Joined(_)]
     ));
 }
@@ -57,7 +57,7 @@
     let now = Time::from_millis(5);
     let mut backends = Backends::default();
     backends.add(replica::Key(0), instance("i-1.1", false));
-    let changes = backends.read_list(now, &[instance("i-1.1", true)]);
+    let changes = backends.reconcile(now, &[instance("i-1.1", true)]);
     let expected = Change::Leaving("i-1.1".into(), now + Span::from_seconds(30));
     assert_eq!(changes, [expected]);
 }
