--- a/crates/entry/examples/slopes.rs
+++ b/crates/entry/examples/slopes.rs
@@ -1,10 +1,11 @@
-//! What one reducer costs as it knows more: bytes and microseconds by replicas, accounts and requests.
+//! Measures memory and time of one reducer by the number of replicas, accounts and open requests.
 //!
 //! `cargo run --release -p entry --example slopes`
 //!
-//! Three numbers (replicas, accounts, open requests) measure that row alone: memory counts only then,
-//! since a process doesn't give back what an earlier row held. Memory is what the process holds after a state was built, less what it held before; time is that of
-//! whole requests (arrival, head, tokens, end) after the state was built.
+//! With three numbers (replicas, accounts, open requests) only that row is measured. Memory is only
+//! comparable then, since a process doesn't return the memory of earlier rows to the system. Memory is
+//! the resident size after building the state, less the size before; time is that of whole requests
+//! (arrival, head, tokens, end) on the built state.
 
 use std::time::Instant;
 
@@ -36,16 +37,16 @@
 use smol_str::format_smolstr;
 use store::call::Outcome;
 
-/// Whole requests timed for each row.
+/// Number of timed requests in each row.
 const TIMED: u64 = 2_000;
 
-/// Tokens of a timed request, reported in this many counts.
+/// Number of reports in which a request's tokens arrive.
 const COUNTS: u32 = 4;
 
-/// Bytes of a memory page.
+/// Size of a memory page, bytes.
 const PAGE: u64 = 4_096;
 
-/// One entry of a size.
+/// An entry of a given size.
 struct Scene {
     entry: Entry,
     now: Time,
@@ -73,7 +74,7 @@
     }
 }
 
-/// Builds an entry of a size and measures it.
+/// Builds an entry of a given size, measures it and prints the row.
 fn row(replicas: u64, accounts: u64, open: u64) {
     let before = resident();
     let mut scene = Scene::new(accounts);
@@ -119,7 +120,7 @@
         scene
     }
 
-    /// Lets the entry gain its lease: the store answers as if it held nothing else.
+    /// Lets the entry acquire its lease from an otherwise empty table.
     fn join(&mut self) {
         let mut events = vec![Event::Tick];
         let mut table = store::fake::Table::default();
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Puts a configuration with so many accounts in force, as a peer hands it over.
+    /// Applies a configuration with the given number of accounts, as if sent by a peer.
     fn configure(&mut self, accounts: u64) {
         let mut snapshot = Snapshot {
             version: 1,
@@ -165,13 +166,13 @@
         self.step(Event::ConfigureReceived { from, message });
     }
 
-    /// Lets the instance list show so many replicas.
+    /// Lists the given number of replicas.
     fn list(&mut self, replicas: u64) {
         let list = (0..replicas).map(instance).collect();
         self.step(Event::InstancesRead(list));
     }
 
-    /// Opens a request that streams on.
+    /// Starts a request that keeps streaming.
     fn open(&mut self) -> Option<(u64, u32)> {
         let serial = self.next;
         self.next += 1;
@@ -190,7 +191,7 @@
         Some((serial, started))
     }
 
-    /// One request from its arrival to its end; gives the events that it took.
+    /// Runs a request from arrival to end and returns the number of events.
     fn whole(&mut self) -> u64 {
         self.now = self.now + Span::from_millis(1);
         let Some((serial, attempt)) = self.open() else {
@@ -208,7 +209,7 @@
         3 + u64::from(COUNTS)
     }
 
-    /// Microseconds of a tick.
+    /// Returns the mean time of a tick, microseconds.
     fn ticks(&mut self) -> f64 {
         let begun = Instant::now();
         for _ in 0..100 {
@@ -290,7 +291,7 @@
     }
 }
 
-/// Bytes that this process holds in memory.
+/// Returns the resident memory of this process, bytes.
 fn resident() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
--- a/crates/entry/src/accounting.rs
+++ b/crates/entry/src/accounting.rs
@@ -1,4 +1,4 @@
-//! What requests came to: samples for the burn report, and the journal that `explain` reads.
+//! Records finished requests: samples for the burn report and the journal that `explain` reads.
 
 use burn::collector;
 use burn::collector::Collector;
@@ -25,18 +25,18 @@
 use crate::line::Line;
 use crate::store_calls::Waiter;
 
-/// Milliseconds in an hour.
+/// Milliseconds per hour.
 const HOUR_MILLIS: u64 = 3_600_000;
 
 impl Entry {
-    /// Lets the collector write its summary when that is due.
+    /// Wakes the collector when its summary is due.
     pub(crate) fn accounting_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.collector.next_wake().is_some_and(|wake| wake <= now) {
             self.step_collector(now, collector::Event::Wake, effects);
         }
     }
 
-    /// Takes one event into the collector and carries out what it asks for.
+    /// Passes an event to the collector and performs its effects.
     pub(crate) fn step_collector(
         &mut self,
         now: Time,
@@ -58,13 +58,13 @@
         }
     }
 
-    /// Takes over the promises of a configuration.
+    /// Sets the latency targets of the configuration in force.
     pub(crate) fn set_targets(&mut self, now: Time) {
         let targets = targets_of(self.catalog.snapshot());
         self.collector.ledger.promise(now, targets);
     }
 
-    /// Counts an answered request.
+    /// Records an answered request.
     pub(crate) fn record_answered(&mut self, now: Time, flight: &Flight) {
         let sample = Sample {
             outcome: Outcome::Answered,
@@ -76,7 +76,7 @@
         self.journal.end(&request, Verdict::Done);
     }
 
-    /// Counts a request that ends otherwise.
+    /// Records a refused request.
     pub(crate) fn record_refused(&mut self, now: Time, flight: &Flight, refusal: &Refusal) {
         let (outcome, cause) = outcome_of(refusal.reason);
         let sample = Sample {
@@ -89,7 +89,7 @@
         self.journal.end(&request, refusal.verdict);
     }
 
-    /// Notes in the journal what the log is told of requests: `explain` shows the same lines.
+    /// Copies log lines of requests into the journal, so that `explain` shows the same lines.
     pub(crate) fn journal_lines(&mut self, now: Time, effects: &[Effect]) {
         for effect in effects {
             let Effect::Log(line) = effect else {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// What held an answered request up, should it have missed its targets.
+    /// Returns the likely cause if an answered request missed its targets.
     fn cause_of(&self, now: Time, flight: &Flight) -> Cause {
         if flight.moves > 0 || flight.recomputed > 0 {
             return Cause::Reclaim;
@@ -117,14 +117,14 @@
     }
 }
 
-/// A new collector of an entry.
+/// Returns an entry's new collector.
 pub(crate) fn collector(identity: &Identity, zero_unix_ms: u64) -> Collector {
     let incarnation = format_smolstr!("{}", identity.incarnation);
     let ledger = Ledger::new(identity.name.clone(), incarnation, zero_unix_ms);
     Collector::new(Time::ZERO, ledger)
 }
 
-/// All promises of a configuration.
+/// Returns the targets of all grants, by deployment and account.
 fn targets_of(snapshot: &Snapshot) -> Vec<((SmolStr, SmolStr), burn::report::Target)> {
     let deployments = snapshot.deployments.iter();
     deployments
@@ -146,7 +146,7 @@
     }
 }
 
-/// What is the same of every ended request.
+/// Returns a sample with the fields that don't depend on the outcome.
 fn sample_of(now: Time, flight: &Flight) -> Sample {
     let first_token = flight.first_token.map(|at| at.since(flight.arrived));
     Sample {
@@ -161,7 +161,7 @@
     }
 }
 
-/// The request's share of its replica's price: the time there, over what the replica runs at once.
+/// Returns a request's share of its replica's cost: time there, divided by the replica's slots.
 fn cost_of(now: Time, flight: &Flight) -> u64 {
     let Some(started) = flight.started else {
         return 0;
@@ -172,7 +172,7 @@
         / flight.replica_slots.max(1)
 }
 
-/// How a refusal counts.
+/// Returns the outcome and cause that a refusal is counted under.
 fn outcome_of(reason: Reason) -> (Outcome, Cause) {
     match reason {
         Reason::Malformed
@@ -191,7 +191,7 @@
     }
 }
 
-/// A line's fields but the request's name.
+/// Returns a line's fields as text, without the request id.
 fn detail_of(line: &Line) -> String {
     let fields = line.fields.iter().filter(|(name, _)| *name != "request");
     let pairs: Vec<String> = fields
--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -1,4 +1,4 @@
-//! Answers to callers who ask which entries to use.
+//! Answers to callers that ask for the addresses of entries.
 
 use clock::Time;
 use smol_str::SmolStr;
@@ -9,7 +9,7 @@
 use crate::entry::Entry;
 
 impl Entry {
-    /// Answers with the entries to use and, to a known account, some tickets.
+    /// Answers with the usable entries and, for a known account, tickets.
     pub(crate) fn addresses_requested(
         &mut self,
         now: Time,
@@ -33,7 +33,7 @@
         effects.push(Effect::Addresses { call, answer });
     }
 
-    /// Entries that admit requests, as far as known here; the owner of the prefix comes first.
+    /// Returns the entries known to admit requests, the owner of the prefix first.
     fn usable_entries(&mut self, now: Time, prefix: Option<u64>) -> Vec<Address> {
         let named = self.membership.addresses(now, prefix);
         named
--- a/crates/entry/src/arrival.rs
+++ b/crates/entry/src/arrival.rs
@@ -1,45 +1,45 @@
-//! A caller's request as the reducer sees it: no body, only what decisions need.
+//! A caller's request as the reducer sees it: without the body, only what decisions need.
 
 use smol_str::SmolStr;
 
-/// One request that was read whole.
+/// A request that was read in full.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// The bearer key, if one came along.
+    /// Bearer key, if present.
     pub key: Option<SmolStr>,
-    /// Which deployment it names.
+    /// Name of the deployment.
     pub deployment: SmolStr,
-    /// What it asks for.
+    /// The requested work.
     pub work: Work,
-    /// Hash of the whole content; equal for a repeat of the same request.
+    /// Hash of the whole content; equal for repeats of the same request.
     pub fingerprint: u64,
-    /// The caller's own idempotency key.
+    /// The caller's idempotency key.
     pub idempotency_key: Option<SmolStr>,
-    /// A sealed ticket.
+    /// Sealed ticket.
     pub ticket: Option<SmolStr>,
-    /// A sealed resume word.
+    /// Sealed resume token.
     pub resume: Option<SmolStr>,
-    /// The offset that the caller wants next.
+    /// Offset of the next token that the caller wants.
     pub offset: u64,
 }
 
-/// What a request asks for.
+/// The work of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// Tokens from a model.
+    /// Token generation by a model.
     Model {
         /// Estimated prompt length, tokens.
         prompt_tokens: u32,
-        /// Most tokens to generate.
+        /// Maximum number of tokens to generate.
         max_new_tokens: u32,
-        /// Hash of the prompt's beginning.
+        /// Hash of the prompt's prefix.
         prefix: u64,
     },
-    /// A call of a plain service.
+    /// Call to a plain service.
     Plain {
-        /// Method, upper case.
+        /// HTTP method, upper case.
         method: SmolStr,
-        /// Path behind the deployment's name.
+        /// Path after the deployment's name.
         path: SmolStr,
     },
 }
--- a/crates/entry/src/arrivals.rs
+++ b/crates/entry/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests as they arrive: who sent them, what they may call, and what they need before they run.
+//! Admission of requests: authentication, grants, permits and resumption.
 
 use clock::Span;
 use clock::Time;
@@ -22,17 +22,17 @@
 use crate::flight::Flight;
 use crate::line::Line;
 
-/// When a caller of a leaving entry may come back; it then asks for other addresses.
+/// Retry delay for callers of a leaving entry; they then ask for other addresses.
 pub(crate) const LEAVING_RETRY_DELAY: Span = Span::from_millis(100);
 
-/// When a caller may come back to an entry without a configuration.
+/// Retry delay for callers of an entry without a current configuration.
 const NOT_READY_RETRY_DELAY: Span = Span::from_millis(500);
 
-/// Tokens that a plain call counts as.
+/// Prompt tokens that a plain call is counted as.
 const PLAIN_TOKENS: u32 = 1;
 
 impl Entry {
-    /// Admits a request, or gives it its final answer at once.
+    /// Admits a request or refuses it.
     pub(crate) fn request_arrived(
         &mut self,
         now: Time,
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Begins to note what happens to a request, under the name that its caller knows.
+    /// Starts the journal of a request, under the id that its caller knows.
     fn begin_journal(&mut self, now: Time, flight: &Flight) {
         let request = flight.origin.to_smolstr();
         self.journal
             .begin(now, &request, &flight.account, &flight.deployment);
     }
 
-    /// Gives the request to the scheduler.
+    /// Passes a request to the scheduler.
     pub(crate) fn schedule(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
         let Some(flight) = self.flights.get_mut(&serial) else {
             return;
@@ -79,7 +79,7 @@
         });
     }
 
-    /// Ends an open request with its final word.
+    /// Refuses an open request and closes it.
     pub(crate) fn refuse(
         &mut self,
         now: Time,
@@ -99,14 +99,14 @@
         self.send_refusal(serial, refusal, line, effects);
     }
 
-    /// Ends a request that was never open.
+    /// Refuses a request that was not admitted.
     fn refuse_arrival(&mut self, serial: u64, refusal: Refusal, effects: &mut Vec<Effect>) {
         let id = self.id_of(serial);
         let line = Line::info("request_refused").with("request", id);
         self.send_refusal(serial, refusal, line, effects);
     }
 
-    /// Sends the final word and logs it.
+    /// Sends a refusal and logs it.
     fn send_refusal(
         &mut self,
         serial: u64,
@@ -124,7 +124,7 @@
         });
     }
 
-    /// The name of a request that arrived here.
+    /// Returns the id of a request that arrived at this entry.
     pub(crate) fn id_of(&self, serial: u64) -> Id {
         Id {
             incarnation: self.identity.incarnation,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Checks account, deployment and grant, and makes the open request.
+    /// Checks account, deployment and grant, and builds the open request.
     fn admit(&mut self, now: Time, serial: u64, arrival: &Arrival) -> Result<Flight, Refusal> {
         if self.stop.is_stopping() {
             let refusal = Refusal::not_run(Reason::Leaving, "this entry is leaving");
@@ -175,7 +175,7 @@
         })
     }
 
-    /// The account that a key belongs to.
+    /// Returns the account of a bearer key.
     pub(crate) fn account_of(&self, key: Option<&SmolStr>) -> Result<SmolStr, Refusal> {
         let account = key.and_then(|key| self.catalog.account_by_key(key));
         account.map(|account| account.name.clone()).ok_or_else(|| {
@@ -186,7 +186,7 @@
         })
     }
 
-    /// What the scheduler gets to know of a request.
+    /// Builds the scheduler's job for a request.
     fn job_of(
         &self,
         serial: u64,
@@ -218,7 +218,7 @@
         })
     }
 
-    /// Continues a stream that began at another entry, or here before its connection broke.
+    /// Resumes a stream that began at another entry, or here before its connection broke.
     fn resume_flight(
         &mut self,
         now: Time,
@@ -269,7 +269,7 @@
     }
 }
 
-/// The verdict that is true of this request: "not run" only if no attempt can have run.
+/// Corrects the verdict of a refusal: "not run" only if no attempt can have run.
 fn correct_verdict(flight: &Flight, mut refusal: Refusal) -> Refusal {
     if flight.may_have_run && refusal.verdict == verdict::Verdict::NotRun {
         refusal.verdict = verdict::Verdict::MayHaveRun;
@@ -277,8 +277,8 @@
     refusal
 }
 
-/// The verdict that is true of a request that isn't taken in: one that comes back with a resume word
-/// ran before its connection broke.
+/// Corrects the verdict of a refusal before admission: a request with a resume token ran before its
+/// connection broke.
 fn correct_arrival_verdict(arrival: &Arrival, mut refusal: Refusal) -> Refusal {
     if arrival.resume.is_some() {
         refusal.verdict = verdict::Verdict::MayHaveRun;
@@ -286,7 +286,7 @@
     refusal
 }
 
-/// Kind, prompt length, most new tokens and prefix of some work.
+/// Returns the kind, prompt length, maximum new tokens and prefix hash of some work.
 fn sizes_of(work: &Work) -> (job::Kind, u32, u32, u64) {
     match work {
         Work::Model {
@@ -298,7 +298,7 @@
     }
 }
 
-/// Whether the deployment allows this work to run a second time.
+/// Returns whether the deployment allows this work to run more than once.
 fn is_idempotent(deployment: &Deployment, work: &Work) -> bool {
     match work {
         Work::Model { .. } => true,
@@ -309,12 +309,12 @@
     }
 }
 
-/// The refusal of a deployment that isn't there.
+/// Returns the refusal for an unknown deployment.
 fn unknown_deployment(name: &SmolStr) -> Refusal {
     Refusal::not_run(Reason::Unknown, format!("no deployment is named {name}"))
 }
 
-/// The refusal of an account without a grant.
+/// Returns the refusal for an account without a grant.
 fn forbidden() -> Refusal {
     Refusal::not_run(
         Reason::Forbidden,
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,45 +1,45 @@
-//! What the shell reports of one attempt to run a request.
+//! Reports of the shell on an attempt to run a request.
 
 use clock::Span;
 use policy::decision::Transfer;
 use policy::job::End;
 use smol_str::SmolStr;
 
-/// A report on the attempt that is running now; reports of older attempts are dropped.
+/// A report on the current attempt; reports on earlier attempts are ignored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
-    /// The backend server began to answer.
+    /// The backend server sent the head of its answer.
     Head,
-    /// Tokens were passed on.
+    /// Tokens were relayed to the caller.
     Tokens {
-        /// How many since the last report.
+        /// Number of tokens since the last report.
         tokens: u32,
-        /// Longest time between two of them.
+        /// Longest gap between two of them.
         worst_gap: Span,
     },
-    /// The attempt is over.
+    /// The attempt ended.
     Ended {
-        /// How.
+        /// How it ended.
         end: End,
-        /// Tokens passed on that weren't reported yet.
+        /// Relayed tokens that were not reported yet.
         tokens: u32,
     },
-    /// The engine's stream goes on at the replica it was moved to.
+    /// The stream continues at the replica that it was moved to.
     Moved {
-        /// By which means.
+        /// Transfer method.
         transfer: Transfer,
-        /// Tokens that were computed a second time for it.
+        /// Number of tokens computed again for the move.
         recomputed: u32,
     },
-    /// The stream to be continued is no longer there.
+    /// The stream to resume no longer exists.
     AttachFailed,
 }
 
-/// Where the shell finds a backend server.
+/// Address and incarnation of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// `host:port`.
+    /// `host:port` of the server.
     pub address: SmolStr,
-    /// This life of the server.
+    /// Incarnation of the server.
     pub incarnation: SmolStr,
 }
--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of attempts, cancels and callers that go away.
+//! Handlers of attempt reports, cancellations, disconnects and request timeouts.
 
 use clock::Time;
 use policy::job;
@@ -16,7 +16,7 @@
 use crate::line::Line;
 
 impl Entry {
-    /// Takes a report of the newest attempt; reports of older ones are dropped.
+    /// Processes a report on the current attempt; reports on earlier attempts are ignored.
     pub(crate) fn attempt_reported(
         &mut self,
         now: Time,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The attempt is over: the request is done, or the scheduler decides how it goes on.
+    /// Handles the end of an attempt: the request is done, or the scheduler decides how to continue.
     fn attempt_ended(
         &mut self,
         now: Time,
@@ -87,7 +87,7 @@
         });
     }
 
-    /// The stream that a caller came back for is gone: prompt and text so far are run again.
+    /// Handles a failed resumption: the prompt and the text so far are run again.
     fn attach_failed(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
         let Some(flight) = self.flights.get_mut(&serial) else {
             return;
@@ -103,10 +103,10 @@
         }
     }
 
-    /// The caller's connection is gone.
+    /// Handles the loss of a caller's connection.
     ///
-    /// A plain call that was handed on runs to its end, so that its outcome becomes known. A model
-    /// stream is left with its engine for the resume window: the caller may come back for it.
+    /// A plain call that was dispatched runs to completion, so that its outcome becomes known. The
+    /// engine keeps a model stream for the resume window, in case the caller reconnects.
     pub(crate) fn caller_gone(&mut self, now: Time, serial: u64, effects: &mut Vec<Effect>) {
         let Some(flight) = self.flights.get(&serial) else {
             return;
@@ -117,7 +117,7 @@
         self.drop_flight(now, serial, Command::Drop, effects);
     }
 
-    /// A caller wants a request of its own cancelled.
+    /// Answers a caller's request to cancel one of its own requests.
     pub(crate) fn cancel_requested(
         &mut self,
         now: Time,
@@ -130,7 +130,7 @@
         effects.push(Effect::CancelAnswer { call, refusal });
     }
 
-    /// Cancels the request if it is open here and belongs to the account of that key.
+    /// Cancels a request if it is open here and belongs to the account of the key.
     fn cancel(
         &mut self,
         now: Time,
@@ -141,7 +141,7 @@
         let account = self.account_of(key)?;
         let found = Id::parse(request).and_then(|id| self.find(id, &account));
         let Some(serial) = found else {
-            // One answer for "not there" and "not yours", so that nobody learns of others' requests.
+            // The same answer for missing and foreign requests, so as not to reveal the latter.
             return Err(Refusal::not_run(
                 Reason::Unknown,
                 "no such request is open here",
@@ -156,7 +156,7 @@
         Ok(())
     }
 
-    /// The serial of an account's open request.
+    /// Returns the serial of an account's open request.
     fn find(&self, id: Id, account: &str) -> Option<u64> {
         let mut flights = self.flights.values();
         flights
@@ -164,7 +164,7 @@
             .map(|flight| flight.id.serial)
     }
 
-    /// Closes a request here without a final word to its caller; its engine stream is left alone.
+    /// Closes a request without a final answer to its caller; the engine keeps its stream.
     pub(crate) fn drop_flight(
         &mut self,
         now: Time,
@@ -184,10 +184,10 @@
         });
     }
 
-    /// Ends requests that take longer than any may.
+    /// Refuses requests that exceed the request timeout.
     pub(crate) fn flights_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let limit = self.settings.request_timeout;
-        // Serials rise with the time of arrival, so the first that is in time ends the search.
+        // Serials increase with arrival time, so the first that is in time ends the search.
         while let Some((serial, flight)) = self.flights.first_key_value() {
             if now.since(flight.arrived) < limit {
                 return;
@@ -203,7 +203,7 @@
     }
 }
 
-/// The log's line of an answered request.
+/// Returns the log line of a finished request.
 fn finished_line(now: Time, flight: &Flight) -> Line {
     let first_token = flight.first_token.unwrap_or(now).since(flight.arrived);
     Line::info("request_done")
--- a/crates/entry/src/backends.rs
+++ b/crates/entry/src/backends.rs
@@ -1,8 +1,8 @@
-//! Backend servers by incarnation: what the instance list, notices and peers say of them.
+//! Registry of backend servers by incarnation, from the instance list, notices and peers.
 //!
-//! Leaving is sticky. The list lags, so a server that announced its end can show as live again a few
-//! reads later; new work sent there would be cut off. Once any source has said that an incarnation
-//! leaves, nothing turns that back: a server that returns comes under a new incarnation.
+//! Leaving is permanent. The instance list lags, so a server that announced its end can appear as live
+//! again a few readings later, and new work sent to it would be cut off. Once any source reports an
+//! incarnation as leaving, no later reading reverts it: a returning server has a new incarnation.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,35 +16,35 @@
 use crate::attempt::Endpoint;
 use crate::instance::Instance;
 
-/// Time to clear a server that the list calls leaving without a notice.
+/// Time until the assumed end of a server that the list marks as leaving without a notice.
 pub const LISTED_LEAVE_TIME: Span = Span::from_seconds(30);
 
-/// Most incarnations that are remembered as gone; the oldest names are dropped first.
+/// Maximum number of remembered leaving incarnations; the oldest are evicted first.
 const MAX_LEAVING: usize = 65_536;
 
-/// What became known of the servers.
+/// A difference between the instance list and the known servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A server not seen before.
+    /// A new server.
     Joined(Instance),
-    /// A known server has to be cleared by then.
+    /// A known server leaves; its requests must have moved by the given time.
     Leaving(SmolStr, Time),
-    /// A known server is off the list.
+    /// A known server is no longer listed.
     Lost(SmolStr),
 }
 
-/// All servers that this entry may use.
+/// The known backend servers.
 #[derive(Debug, Default)]
 pub struct Backends {
     known: BTreeMap<SmolStr, Backend>,
     by_key: BTreeMap<replica::Key, SmolStr>,
-    /// Incarnations that leave or are gone; an incarnation never gets out of here.
+    /// Incarnations that are leaving or gone.
     leaving: BTreeSet<SmolStr>,
-    /// The same names, the oldest first; each once.
+    /// The same incarnations, oldest first.
     leaving_order: VecDeque<SmolStr>,
 }
 
-/// One known server.
+/// A known server and its key in the scheduler.
 #[derive(Debug)]
 struct Backend {
     key: replica::Key,
@@ -52,7 +52,7 @@
 }
 
 impl Backends {
-    /// Compares the list with what is known.
+    /// Compares the instance list with the known servers and returns the differences.
     pub fn reconcile(&mut self, now: Time, list: &[Instance]) -> Vec<Change> {
         let mut changes = Vec::new();
         for instance in list {
@@ -74,9 +74,7 @@
         changes
     }
 
-    /// A notice, a peer or the server itself says that an incarnation leaves.
-    ///
-    /// Gives whether that is news.
+    /// Marks an incarnation as leaving; returns false if it already was.
     pub fn mark_leaving(&mut self, incarnation: SmolStr) -> bool {
         if !self.leaving.insert(incarnation.clone()) {
             return false;
@@ -90,24 +88,24 @@
         true
     }
 
-    /// Whether an incarnation gets no new work.
+    /// Returns whether an incarnation is leaving and gets no new work.
     pub fn is_leaving(&self, incarnation: &str) -> bool {
         self.leaving.contains(incarnation)
     }
 
-    /// Incarnations known to leave, for peers.
+    /// Returns all leaving incarnations.
     pub fn leaving(&self) -> impl Iterator<Item = &SmolStr> {
         self.leaving.iter()
     }
 
-    /// Takes a server in under the scheduler's key.
+    /// Adds a server under its key in the scheduler.
     pub fn add(&mut self, key: replica::Key, instance: Instance) {
         self.by_key.insert(key, instance.incarnation.clone());
         let incarnation = instance.incarnation.clone();
         self.known.insert(incarnation, Backend { key, instance });
     }
 
-    /// Forgets a server; its incarnation never comes back.
+    /// Removes a server and marks its incarnation as leaving.
     pub fn remove(&mut self, incarnation: &str) -> Option<replica::Key> {
         let backend = self.known.remove(incarnation)?;
         self.by_key.remove(&backend.key);
@@ -115,18 +113,18 @@
         Some(backend.key)
     }
 
-    /// The scheduler's key of a server.
+    /// Returns a server's key in the scheduler.
     pub fn key_of(&self, incarnation: &str) -> Option<replica::Key> {
         self.known.get(incarnation).map(|backend| backend.key)
     }
 
-    /// The server that a key stands for.
+    /// Returns the instance of a key.
     pub fn instance(&self, key: replica::Key) -> Option<&Instance> {
         let incarnation = self.by_key.get(&key)?;
         self.known.get(incarnation).map(|backend| &backend.instance)
     }
 
-    /// Where the shell finds a server.
+    /// Returns the endpoint of a key.
     pub fn endpoint(&self, key: replica::Key) -> Option<Endpoint> {
         let instance = self.instance(key)?;
         Some(Endpoint {
@@ -135,7 +133,7 @@
         })
     }
 
-    /// All known servers.
+    /// Iterates over all known servers.
     pub fn iter(&self) -> impl Iterator<Item = &Instance> {
         self.known.values().map(|backend| &backend.instance)
     }
--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, indexed for requests.
+//! The configuration in force, indexed for request lookups.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,27 @@
 use policy::pool;
 use smol_str::SmolStr;
 
-/// The configuration in force.
+/// The configuration in force, with indexes.
 ///
-/// Keys are looked up by their SHA-256, which tells a guesser nothing of how close a guess was.
+/// Bearer keys are looked up by their SHA-256, so that lookup times reveal nothing about how close a
+/// guessed key was.
 #[derive(Debug, Default)]
 pub struct Catalog {
     snapshot: Snapshot,
     by_key_hash: BTreeMap<SmolStr, usize>,
     by_deployment: BTreeMap<SmolStr, usize>,
-    /// By deployment and account.
+    /// Index of a grant, by deployment and account.
     by_grant: BTreeMap<SmolStr, BTreeMap<SmolStr, usize>>,
-    /// Kept over versions, so that a key always stands for the same account.
+    /// Kept across versions, so that a key always refers to the same account.
     accounts: BTreeMap<SmolStr, account::Key>,
-    /// Kept over versions, so that a key always stands for the same pool.
+    /// Kept across versions, so that a key always refers to the same pool.
     pools: BTreeMap<SmolStr, pool::Key>,
 }
 
 impl Catalog {
-    /// Replaces the configuration; versions only rise, an older one is ignored.
+    /// Replaces the configuration; returns false and ignores it unless its version is newer.
     ///
-    /// Guards against a revert: a late answer of the store or a stale peer shows as a lower version.
+    /// Prevents a revert by a late answer of the table service or by a stale peer.
     pub fn apply(&mut self, snapshot: Snapshot) -> bool {
         if snapshot.version <= self.snapshot.version {
             return false;
@@ -57,40 +58,40 @@
         true
     }
 
-    /// The configuration as it stands.
+    /// Returns the configuration in force.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// The version in force; 0 before there is any.
+    /// Returns the version in force, or 0 before the first.
     pub fn version(&self) -> u64 {
         self.snapshot.version
     }
 
-    /// The account that a bearer key belongs to.
+    /// Returns the account of a bearer key.
     pub fn account_by_key(&self, key: &str) -> Option<&Account> {
         let index = *self.by_key_hash.get(&hash_key(key))?;
         self.snapshot.accounts.get(index)
     }
 
-    /// The deployment of that name.
+    /// Returns a deployment by name.
     pub fn deployment(&self, name: &str) -> Option<&Deployment> {
         let index = *self.by_deployment.get(name)?;
         self.snapshot.deployments.get(index)
     }
 
-    /// What a deployment promised an account.
+    /// Returns the grant of a deployment to an account.
     pub fn grant(&self, deployment: &str, account: &str) -> Option<&Grant> {
         let index = self.by_grant.get(deployment)?.get(account)?;
         self.deployment(deployment)?.grants.get(*index)
     }
 
-    /// The scheduler's key of an account.
+    /// Returns an account's key in the scheduler.
     pub fn account_key(&self, name: &str) -> Option<account::Key> {
         self.accounts.get(name).copied()
     }
 
-    /// Accounts with their keys, for the scheduler.
+    /// Returns the keys and scheduler specs of all accounts.
     pub fn account_specs(&self) -> Vec<(account::Key, account::Spec)> {
         let accounts = self.snapshot.accounts.iter();
         accounts
@@ -101,19 +102,19 @@
             .collect()
     }
 
-    /// The scheduler's key of a pool.
+    /// Returns a pool's key in the scheduler, creating it if needed.
     pub fn intern_pool_key(&mut self, name: &SmolStr) -> pool::Key {
         let next = pool::Key(self.pools.len() as u32);
         *self.pools.entry(name.clone()).or_insert(next)
     }
 
-    /// The scheduler's key of a pool that is known.
+    /// Returns the key of a known pool.
     pub fn known_pool_key(&self, name: &str) -> Option<pool::Key> {
         self.pools.get(name).copied()
     }
 }
 
-/// An account as the scheduler wants it.
+/// Converts an account to its scheduler spec.
 fn spec_of(account: &Account) -> account::Spec {
     account::Spec {
         name: account.name.clone(),
--- a/crates/entry/src/catch_up.rs
+++ b/crates/entry/src/catch_up.rs
@@ -1,10 +1,9 @@
-//! After a pause: no new work leaves before the platform's notices were read again.
+//! Defers starts after a pause of the process until the platform's notices were read again.
 //!
-//! Guards against work for a server whose end was announced while this process stood still. It shows
-//! as a start long after the notice: the paused entry runs on with what it knew before. The guard
-//! holds because the process's own clock shows the gap, and starts are deferred back until notices came
-//! twice, the first of which may have been on its way before the pause. It gives up after a short
-//! time, so that a platform that doesn't answer stops no requests.
+//! Guards against dispatching to a server whose reclaim was announced while this process was paused:
+//! the resumed entry would act on stale state. The process's own clock shows the gap. Starts are
+//! deferred until notices were read twice, since the first reading may have been in flight before the
+//! pause. The deferral times out, so that an unresponsive platform doesn't block requests.
 
 use std::collections::BTreeMap;
 
@@ -17,27 +16,27 @@
 use crate::entry::Entry;
 use crate::line::Line;
 
-/// A step that follows the last after a longer gap means that the process stood still.
+/// Maximum time between two steps; a longer gap means that the process was paused.
 const MAX_STEP_GAP: Span = Span::from_seconds(2);
 
-/// Longest time that starts are deferred back.
+/// Maximum time that starts are deferred.
 const MAX_START_DELAY: Span = Span::from_seconds(2);
 
-/// Readings of the notices after which starts go on.
+/// Number of notice readings after which deferred starts are released.
 const REQUIRED_READS: u32 = 2;
 
-/// What a pause has left to do.
+/// State of catching up after a pause.
 #[derive(Debug, Default)]
 pub(crate) struct CatchUp {
     last_step: Time,
-    /// Set while starts are deferred back.
+    /// Set while starts are deferred.
     deferred_until: Option<Time>,
     notice_reads: u32,
     deferred: BTreeMap<job::Id, replica::Key>,
 }
 
 impl CatchUp {
-    /// Keeps a start back, if a pause is not caught up with yet; gives whether it did.
+    /// Defers a start if the entry is catching up; returns whether it did.
     pub fn defer(&mut self, job: job::Id, replica: replica::Key) -> bool {
         if self.deferred_until.is_some() {
             self.deferred.insert(job, replica);
@@ -45,20 +44,20 @@
         self.deferred_until.is_some()
     }
 
-    /// Sends a deferred start elsewhere; gives whether there is one.
+    /// Changes the replica of a deferred start; returns whether there is one.
     pub fn redirect(&mut self, job: job::Id, replica: replica::Key) -> bool {
         let deferred = self.deferred.get_mut(&job);
         deferred.map(|deferred| *deferred = replica).is_some()
     }
 
-    /// Forgets a deferred start.
+    /// Drops a deferred start.
     pub fn forget(&mut self, job: job::Id) {
         self.deferred.remove(&job);
     }
 }
 
 impl Entry {
-    /// Looks at the time that has passed since the last step.
+    /// Detects a pause by the time since the last step.
     pub(crate) fn detect_pause(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let gap = now.since(self.catch_up.last_step);
         self.catch_up.last_step = now;
@@ -71,7 +70,7 @@
         self.catch_up.notice_reads = 0;
     }
 
-    /// The notices were read once more.
+    /// Counts a reading of the notices.
     pub(crate) fn notices_refreshed(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.catch_up.notice_reads += 1;
         if self.catch_up.notice_reads >= REQUIRED_READS {
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Gives up waiting for notices when it takes too long.
+    /// Releases deferred starts after the timeout.
     pub(crate) fn catch_up_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self
             .catch_up
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Lets the deferred starts go.
+    /// Releases all deferred starts.
     fn release_starts(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.catch_up.deferred_until = None;
         for (job, replica) in std::mem::take(&mut self.catch_up.deferred) {
--- a/crates/entry/src/configs/entry.rs
+++ b/crates/entry/src/configs/entry.rs
@@ -1,32 +1,32 @@
-//! Times and shares of one entry.
+//! Settings of the reducer.
 
 use clock::Span;
 use smol_str::SmolStr;
 
-/// What the reducer needs of the settings.
+/// Timeouts and limits of one entry, and the settings of its components.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How long a caller may keep an address answer.
+    /// How long a caller may cache an address answer.
     pub address_ttl: Span,
-    /// Tickets given out with each address answer.
+    /// Number of tickets in each address answer.
     pub tickets_per_answer: u64,
-    /// Time in which requests may finish before they are handed to a peer, on a planned stop.
+    /// Time for requests to finish on a planned stop before they are handed to a peer.
     pub grace: Span,
-    /// What the table service takes from all entries together.
+    /// Rate limits of the table service, shared by all entries.
     pub store: store::configs::budget::Settings,
-    /// Leases, reads and digests of members.
+    /// Membership: leases, reads and digests.
     pub members: member::configs::membership::Settings,
-    /// How changes of the configuration are agreed.
+    /// Agreement on configuration changes.
     pub agreement: config::configs::agreement::Settings,
-    /// Peer addresses to try while no members are known.
+    /// Peer addresses to contact while no members are known.
     pub seeds: Vec<SmolStr>,
-    /// Wall clock at the process's time zero, milliseconds since 1970; only for reports to people.
+    /// Wall clock at the process's time zero, Unix milliseconds; only used in reports.
     pub zero_unix_ms: u64,
     /// Longest time from a request's arrival to the end of its answer.
     pub request_timeout: Span,
-    /// Longest wait of a non-idempotent request for its leave to run before it is given up.
+    /// Longest time that a non-idempotent request waits for its permit.
     pub permit_timeout: Span,
-    /// Time after which a ticket is asked for again, if no word came.
+    /// Time after which an unanswered ticket request is retried.
     pub ticket_retry_interval: Span,
 }
 
--- a/crates/entry/src/configuration.rs
+++ b/crates/entry/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: what the agreement machine is told, asks for and puts in force.
+//! Connects the configuration agreement to the entry: passes it events and performs its effects.
 
 use clock::Span;
 use clock::Time;
@@ -29,11 +29,11 @@
 use crate::operators;
 use crate::store_calls::Waiter;
 
-/// Shortest time that a change is given to be in force everywhere.
+/// Shortest time allowed for a change to be applied everywhere.
 const MIN_CHANGE_WAIT: Span = Span::from_millis(500);
 
 impl Entry {
-    /// Lets the agreement machine act on the time.
+    /// Wakes the agreement when it is due.
     pub(crate) fn configuration_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self
             .agreement
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes one event into the agreement machine and carries out what it asks for.
+    /// Passes an event to the agreement and performs its effects.
     pub(crate) fn step_agreement(
         &mut self,
         now: Time,
@@ -71,11 +71,11 @@
         }
     }
 
-    /// An operator's change: its edits are checked here, its base against the newest version there.
+    /// Validates an operator's change and submits it; the agreement checks its base version.
     ///
-    /// A change that was committed before is not checked again: after a lost answer it comes a second
-    /// time, and its own effect (the deployment is there now) would speak against it. The machine
-    /// gives it the result of the first time.
+    /// A change that was already committed is not validated again: on a retry after a lost answer, its
+    /// own effect (the deployment now exists) would make it invalid. The agreement returns the
+    /// original result.
     pub(crate) fn change_requested(
         &mut self,
         now: Time,
@@ -103,17 +103,17 @@
         self.step_agreement(now, submit, effects);
     }
 
-    /// All members were read.
+    /// Handles a complete reading of the members.
     pub(crate) fn members_read(&mut self, now: Time, view: View, effects: &mut Vec<Effect>) {
         self.step_agreement(now, ConfigEvent::View(view), effects);
     }
 
-    /// Our own lease was gained, renewed or lost.
+    /// Handles a change of this entry's own lease.
     pub(crate) fn lease_changed(&mut self, now: Time, holding: Holding, effects: &mut Vec<Effect>) {
         self.step_agreement(now, ConfigEvent::Lease(holding), effects);
     }
 
-    /// A peer sent a message.
+    /// Handles a peer's configuration message.
     pub(crate) fn configure_received(
         &mut self,
         now: Time,
@@ -125,7 +125,7 @@
         self.step_agreement(now, ConfigEvent::Peer { from, message }, effects);
     }
 
-    /// Puts a configuration in force.
+    /// Applies a new configuration version.
     fn apply_configuration(&mut self, now: Time, snapshot: &Snapshot, effects: &mut Vec<Effect>) {
         let version = snapshot.version;
         if !self.catalog.apply(snapshot.clone()) {
@@ -140,7 +140,7 @@
         ));
     }
 
-    /// Sends a message to a member whose address is known; otherwise it counts as lost.
+    /// Sends a message to a member; it is dropped if the member's address is unknown.
     fn send_configure(&mut self, to: holder::Id, message: Message, effects: &mut Vec<Effect>) {
         if let Some(address) = self.membership.peer_address(to).cloned() {
             effects.push(Effect::SendConfigure { address, message });
@@ -148,12 +148,12 @@
     }
 }
 
-/// A new agreement machine of an entry.
+/// Returns an entry's new agreement.
 pub(crate) fn agreement(me: holder::Id, settings: Settings, seed: u64) -> Agreement {
     Agreement::new(me, settings, validate, seed)
 }
 
-/// Whether a configuration hangs together: checked on the version that a change would make.
+/// Validates a configuration: every granted account must exist.
 fn validate(snapshot: &Snapshot) -> Result<(), SmolStr> {
     for deployment in &snapshot.deployments {
         for grant in &deployment.grants {
@@ -169,7 +169,7 @@
     Ok(())
 }
 
-/// An operator's edit in the terms of the configuration.
+/// Converts an operator's edit to a configuration edit.
 fn edit_of(edit: Edit) -> edit::Edit {
     match edit {
         Edit::CreateDeployment(deployment) | Edit::ChangeDeployment(deployment) => {
@@ -181,7 +181,7 @@
     }
 }
 
-/// The answer to an operator.
+/// Converts the agreement's answer to a reply to the operator.
 fn reply_of(newest: &Snapshot, answer: Answer) -> Result<Reply, Fault> {
     let changed = match answer {
         Answer::Accepted { version } => Changed::Accepted { version },
--- a/crates/entry/src/decisions.rs
+++ b/crates/entry/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Carries the scheduler's decisions out.
+//! Executes the scheduler's decisions.
 
 use clock::Time;
 use policy::decision::Decision;
@@ -14,7 +14,7 @@
 use crate::platform::ASSUMED_SLOTS;
 
 impl Entry {
-    /// Carries one decision out.
+    /// Executes a decision.
     pub(crate) fn execute(&mut self, now: Time, decision: Decision, effects: &mut Vec<Effect>) {
         match decision {
             Decision::Start { job, replica } => self.start_attempt(now, job, replica, effects),
@@ -35,10 +35,10 @@
         }
     }
 
-    /// Hands a request to a backend server.
+    /// Dispatches a request to a backend server.
     ///
-    /// This is where the effect leaves: a server that became known as leaving since the scheduler
-    /// chose it gets nothing, and the scheduler chooses again.
+    /// If the server was reported as leaving since the scheduler chose it, nothing is sent and the
+    /// scheduler chooses again.
     pub(crate) fn start_attempt(
         &mut self,
         now: Time,
--- a/crates/entry/src/effect.rs
+++ b/crates/entry/src/effect.rs
@@ -1,4 +1,4 @@
-//! Everything that an entry does, as data; the shell carries it out.
+//! The effects that the reducer emits for the shell to perform.
 
 use clock::Span;
 use clock::Time;
@@ -18,208 +18,208 @@
 use crate::attempt::Endpoint;
 use crate::line::Line;
 
-/// One effect.
+/// An output of the reducer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Something for the task that holds a request.
+    /// Sends a command to the task that serves a request.
     Flight {
-        /// Which request.
+        /// Serial of the request.
         serial: u64,
-        /// What to do.
+        /// The command.
         command: Command,
     },
-    /// The answer to a question for addresses.
+    /// Answers a request for addresses.
     Addresses {
-        /// Who asked.
+        /// Id of the call.
         call: u64,
         /// The answer.
         answer: Addresses,
     },
-    /// The answer to a wish to cancel.
+    /// Answers a request to cancel.
     CancelAnswer {
-        /// Who asked.
+        /// Id of the call.
         call: u64,
-        /// None when it was done.
+        /// Why the request was not cancelled; none on success.
         refusal: Option<Refusal>,
     },
-    /// A call of the table service.
+    /// Calls the table service.
     Store {
-        /// Names the call in the answer.
+        /// Id of the call, repeated in the answer.
         id: store::call::Id,
         /// The call.
         call: store::call::Call,
     },
-    /// The answer to an operator.
+    /// Answers an operator.
     Operator {
-        /// Which call.
+        /// Id of the call.
         call: u64,
         /// The answer.
         reply: Result<ops::reply::Reply, ops::fault::Fault>,
     },
-    /// Ask a peer whether a ticket may be spent; its word, or its loss, comes back as an event.
+    /// Asks a peer to spend a ticket; the answer or its loss is reported as an event.
     RequestSpend {
-        /// Which request waits for it.
+        /// Serial of the request that needs the ticket.
         serial: u64,
         /// `host:port` of the peer.
         address: SmolStr,
         /// The ticket.
         ticket: Ticket,
     },
-    /// Tell a peer whether a ticket may be spent.
+    /// Answers a peer's request to spend a ticket.
     SpendAnswer {
-        /// Who asked.
+        /// Id of the call.
         call: u64,
-        /// Our word.
+        /// The answer.
         answer: Answer,
     },
-    /// Hand our ledger on to a peer.
+    /// Hands this entry's ledgers over to a peer.
     OfferEstates {
         /// `host:port` of the peer.
         address: SmolStr,
-        /// What is handed on.
+        /// The ledgers.
         estates: Vec<Estate>,
     },
-    /// Tell a leaving peer that its ledger is held here now.
+    /// Tells a leaving peer whether this entry took over its ledgers.
     EstatesAccepted {
-        /// Who offered it.
+        /// Id of the call.
         call: u64,
-        /// Our incarnation, or none when we are leaving ourselves.
+        /// This entry's incarnation, or none if it is leaving itself.
         heir: Option<Incarnation>,
     },
-    /// Send a digest to a peer.
+    /// Sends a digest to a peer.
     SendDigest {
         /// `host:port` of the peer.
         address: SmolStr,
         /// The digest.
         digest: Digest,
     },
-    /// Send a message about the configuration to a peer.
+    /// Sends a configuration message to a peer.
     SendConfigure {
         /// `host:port` of the peer.
         address: SmolStr,
         /// The message.
         message: Message,
     },
-    /// Read what an engine serves; the answer comes back as a fleet event.
+    /// Reads which model an engine serves; the answer is reported as a fleet event.
     ReadEngine {
-        /// Whose leader asks.
+        /// Deployment whose leader needs the answer.
         deployment: SmolStr,
-        /// The engine's incarnation.
+        /// Incarnation of the engine.
         engine: SmolStr,
         /// `host:port` of the engine.
         address: SmolStr,
     },
-    /// Send an order to an engine, if it is not `until` yet when it leaves.
+    /// Sends an order to an engine, unless the leader's lease has ended before it is sent.
     OrderEngine {
-        /// Whose leader orders.
+        /// Deployment whose leader gives the order.
         deployment: SmolStr,
-        /// The engine's incarnation.
+        /// Incarnation of the engine.
         engine: SmolStr,
         /// `host:port` of the engine.
         address: SmolStr,
-        /// Fencing number.
+        /// Fencing token.
         fence: u64,
-        /// What it is to serve.
+        /// Model, version and role to serve.
         target: Target,
-        /// When the leader's lease ends.
+        /// End of the leader's lease.
         lease_end: Time,
     },
-    /// Ask the cloud for an instance, if it is not `until` yet when the wish leaves.
+    /// Requests an instance from the cloud, unless the leader's lease has ended before it is sent.
     StartInstance {
-        /// Whose leader asks.
+        /// Deployment whose leader requests the instance.
         deployment: SmolStr,
-        /// Names the wish.
+        /// Idempotency token of the request.
         token: SmolStr,
-        /// Where and as what.
+        /// Zone, class and market of the instance.
         kind: Kind,
-        /// For which pool.
+        /// Pool that the instance joins.
         pool: SmolStr,
-        /// When the leader's lease ends.
+        /// End of the leader's lease.
         lease_end: Time,
     },
-    /// Give an instance back to the cloud after a while, if the lease was valid until then or the
-    /// order was given while it was.
+    /// Returns an instance to the cloud after a delay, unless the leader's lease had already ended
+    /// when the order was received.
     StopInstance {
-        /// Name of the machine.
+        /// Cloud id of the instance.
         id: SmolStr,
-        /// Time for its work to end or move.
+        /// Time for its requests to finish or move.
         delay: Span,
-        /// When the leader's lease ended as it was ordered.
+        /// End of the leader's lease, as of the order.
         lease_end: Time,
     },
-    /// One line of the log.
+    /// Writes a log line.
     Log(Line),
-    /// Nothing is left to do: the process may end.
+    /// Ends the process; nothing is left to do.
     Exit,
 }
 
-/// What the task that holds a request is to do.
+/// A command to the task that serves a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Give the caller its final answer now.
+    /// Send the caller its final answer.
     Refuse(Refusal),
-    /// Run it at this backend server; a model call goes on behind the tokens passed on so far.
+    /// Run the request at a backend server; a model call continues after the tokens already relayed.
     Start {
-        /// The attempt's stream.
+        /// Stream of the attempt.
         stream: Stream,
-        /// Where.
+        /// The backend server.
         endpoint: Endpoint,
-        /// Priority for the engine: 0 goes first, 9 last.
+        /// Priority at the engine, from 0 (first) to 9 (last).
         priority: u8,
-        /// The resume word for the caller, still open; the shell seals it.
+        /// Account for the resume token, which the shell seals.
         account: SmolStr,
     },
-    /// Go on reading a stream that an engine still holds.
+    /// Continue reading a stream that an engine still holds.
     Attach {
-        /// Our attempt's number.
+        /// Number of this entry's attempt.
         attempt: u32,
-        /// The engine's stream.
+        /// Stream at the engine.
         stream: Stream,
-        /// Where.
+        /// The engine's server.
         endpoint: Endpoint,
-        /// The caller's offset of that stream's first token.
+        /// Offset of the stream's first token in the caller's answer.
         base: u64,
-        /// Whose it is.
+        /// Account of the caller.
         account: SmolStr,
     },
-    /// Move the running stream.
+    /// Move the running stream to another replica.
     Move {
-        /// The new attempt's stream.
+        /// Stream of the new attempt.
         stream: Stream,
-        /// Where to.
+        /// The new server.
         endpoint: Endpoint,
-        /// By which means.
+        /// Transfer method.
         transfer: Transfer,
     },
-    /// Stop the attempt that runs; the request stays open.
+    /// Stop the running attempt; the request stays open.
     Stop,
-    /// Nobody waits for an answer any more: end without a word.
+    /// End without an answer: the caller is gone.
     Drop,
-    /// End the stream here; the caller goes on at another entry.
+    /// End the stream here and redirect the caller to another entry.
     HandOff {
         /// `host:port` of that entry.
         address: SmolStr,
     },
 }
 
-/// Which entries a caller may use.
+/// The entries that a caller may use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Addresses {
-    /// Entries, best first.
+    /// Entries in order of preference.
     pub entries: Vec<Address>,
-    /// How long the answer may be kept.
+    /// How long the answer may be cached.
     pub ttl: Span,
-    /// Tickets, still open; the shell seals them.
+    /// Unsealed tickets; the shell seals them.
     pub tickets: Vec<Ticket>,
 }
 
-/// One entry as told to callers.
+/// An entry's address for callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Address {
-    /// `host:port`.
+    /// `host:port` that callers connect to.
     pub address: SmolStr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: SmolStr,
-    /// Share of new connections it should get, against the others'.
+    /// Relative share of new connections.
     pub weight: u32,
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! The state of one entry and the step that takes it from event to event.
+//! The state of one entry and its transition on each event.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -34,7 +34,7 @@
 use crate::stop::Stop;
 use crate::store_calls::Waiter;
 
-/// One entry.
+/// The reducer's state.
 pub struct Entry {
     pub(crate) identity: Identity,
     pub(crate) settings: Settings,
@@ -45,58 +45,58 @@
     pub(crate) scheduler: Scheduler,
     /// Open requests by serial.
     pub(crate) flights: BTreeMap<u64, Flight>,
-    /// Open requests that wait for leave to run; may name some that don't any more.
+    /// Requests that wait for a permit; may include requests that no longer do, until the next tick.
     pub(crate) awaiting_permit: BTreeSet<u64>,
     pub(crate) ledger: Ledger,
     pub(crate) agreement: Agreement,
     pub(crate) membership: Membership,
-    /// When peers are told next what our accounts ask for.
+    /// Time of the next scheduler digest.
     pub(crate) next_digest: Time,
-    /// Orders our pieces of news.
+    /// Version of the last published scheduler digest.
     pub(crate) digest_version: u64,
     pub(crate) stop: Stop,
     pub(crate) catch_up: CatchUp,
-    /// The life of the instance that this entry runs on, as the platform calls it.
+    /// Incarnation of the instance that this entry runs on.
     pub(crate) own_instance: Option<SmolStr>,
     pub(crate) leaders: Leaders,
-    /// Prices as last read.
+    /// Latest prices.
     pub(crate) offers: Vec<Offer>,
     pub(crate) collector: Collector,
     pub(crate) journal: Journal,
-    /// Whether the table service answered the last call.
+    /// Whether the last call to the table service was answered.
     pub(crate) store_available: bool,
-    /// Names the next call of the table service.
+    /// Id of the next call to the table service.
     pub(crate) next_store_call: u64,
-    /// Calls that wait for their turn within our share of the table service.
+    /// Queued calls to the table service, rate limited to this entry's share.
     pub(crate) throttle: Throttle<store::call::Id>,
-    /// Calls that found the queue full.
+    /// Calls rejected because the queue was full.
     pub(crate) rejected_store_calls: Vec<store::call::Id>,
-    /// What waits for which call of the table service.
+    /// Recipients of the answers to pending calls to the table service.
     pub(crate) store_calls: BTreeMap<store::call::Id, Waiter>,
 }
 
-/// How an entry stands.
+/// Gauges of an entry, for metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stats {
-    /// Requests open here.
+    /// Number of open requests.
     pub open_requests: u64,
-    /// Configuration version in force here.
+    /// Configuration version in force.
     pub version: u64,
-    /// Entries known here, this one included.
+    /// Number of known entries, including this one.
     pub members: u64,
-    /// Backend servers known here.
+    /// Number of known backend servers.
     pub backends: u64,
     /// Whether requests are admitted.
     pub ready: bool,
-    /// Whether the table service answered the last call.
+    /// Whether the last call to the table service was answered.
     pub store_available: bool,
 }
 
 impl Entry {
-    /// An entry that has seen nothing yet.
+    /// Returns an entry in its initial state.
     ///
-    /// `shared_key` is the entries' common key, under which tickets and resume words are sealed;
-    /// `seed` feeds every random choice.
+    /// `shared_key` is the key that all entries share to seal tickets and resume tokens; `seed`
+    /// seeds every random choice.
     pub fn new(identity: Identity, settings: Settings, shared_key: &str, seed: u64) -> Entry {
         let me = holder::Id(identity.incarnation.0);
         let seeds = settings.seeds.clone();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Takes one event and appends what follows from it.
+    /// Processes one event and appends the resulting effects.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         let before = effects.len();
         self.detect_pause(now, effects);
@@ -140,7 +140,7 @@
         self.journal_lines(now, &effects[before..]);
     }
 
-    /// Passes an event to the part that it concerns.
+    /// Dispatches an event to its handlers.
     fn dispatch(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Arrived { serial, arrival } => {
@@ -216,12 +216,12 @@
         }
     }
 
-    /// Whether this entry admits requests now.
+    /// Returns whether this entry admits requests.
     pub fn is_ready(&self, now: Time) -> bool {
         self.agreement.admits(now) && !self.stop.is_stopping()
     }
 
-    /// How this entry stands, for metrics.
+    /// Returns the gauges for metrics.
     pub fn stats(&self, now: Time) -> Stats {
         Stats {
             open_requests: self.flights.len() as u64,
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Lets time pass in every part.
+    /// Advances every component to `now`.
     fn tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.members_tick(now, effects);
         self.configuration_tick(now, effects);
@@ -246,7 +246,7 @@
         self.stop_tick(now, effects);
     }
 
-    /// Calls the scheduler and carries its decisions out.
+    /// Calls the scheduler and executes its decisions.
     pub(crate) fn with_scheduler<T>(
         &mut self,
         now: Time,
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen to an entry.
+//! The events that the reducer processes.
 
 use config::message::Message;
 use member::digest::Digest;
@@ -16,138 +16,138 @@
 use crate::instance::Instance;
 use crate::instance::Notice;
 
-/// One event.
+/// An input of the reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller's request was read whole.
+    /// A caller's request was read in full.
     Arrived {
-        /// Its serial at this entry, rising by one.
+        /// Serial of the request at this entry, increasing by one.
         serial: u64,
-        /// What it asks for.
+        /// The request.
         arrival: Arrival,
     },
-    /// The caller's connection is gone.
+    /// The caller's connection was closed.
     CallerDisconnected {
-        /// Which request.
+        /// Serial of the request.
         serial: u64,
     },
     /// A caller asks to cancel a request.
     CancelRequested {
-        /// Whom to answer.
+        /// Id of the call to answer.
         call: u64,
-        /// The bearer key.
+        /// Bearer key.
         key: Option<SmolStr>,
-        /// The request's name, as given.
+        /// Request id, as the caller gave it.
         request: SmolStr,
     },
-    /// A caller asks which entries to use.
+    /// A caller asks for the addresses of entries.
     AddressesRequested {
-        /// Whom to answer.
+        /// Id of the call to answer.
         call: u64,
-        /// The bearer key.
+        /// Bearer key.
         key: Option<SmolStr>,
-        /// Prefix hash of its next request.
+        /// Prefix hash of the caller's next request.
         prefix: Option<u64>,
     },
-    /// News of an attempt.
+    /// The shell reports on an attempt.
     Attempt {
-        /// Which request.
+        /// Serial of the request.
         serial: u64,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// What happened.
+        /// The report.
         report: Report,
     },
     /// The instance list was read.
     InstancesRead(Vec<Instance>),
-    /// The instance list names the instance that this entry runs on.
+    /// The instance list contains the instance that this entry runs on.
     OwnInstanceRead {
-        /// This life of the instance.
+        /// Incarnation of the instance.
         incarnation: SmolStr,
-        /// Whether the list says that it is leaving.
+        /// Whether the list marks it as leaving.
         leaving: bool,
     },
     /// Prices were read.
     PricesRead(Vec<Offer>),
-    /// Something for the leader of a deployment: engines read, orders refused, wishes answered.
+    /// An event for the leader of a deployment's fleet.
     Fleet {
-        /// Which deployment.
+        /// Name of the deployment.
         deployment: SmolStr,
-        /// What happened.
+        /// The event.
         event: fleet::event::Event,
     },
-    /// The instance list names these entries, by the addresses that callers connect to.
+    /// The instance list contains these entries, by the addresses that callers connect to.
     EntriesRead(Vec<SmolStr>),
     /// Reclaim notices were read.
     NoticesRead(Vec<Notice>),
     /// A backend server reported its load.
     LoadRead {
-        /// Which life of which server.
+        /// Incarnation of the server.
         incarnation: SmolStr,
-        /// Its report.
+        /// The load report.
         report: replica::Report,
     },
-    /// A model engine published what its cache holds.
+    /// A model engine published changes of its prefix cache.
     CacheRead {
-        /// Which life of which server.
+        /// Incarnation of the server.
         incarnation: SmolStr,
-        /// Its events, in order.
+        /// The changes, in order.
         events: Vec<CacheUpdate>,
     },
-    /// The table service answered, or did not.
+    /// A call to the table service completed or failed.
     Store {
-        /// Which call.
+        /// Id of the call.
         id: store::call::Id,
-        /// What became of it.
+        /// Outcome of the call.
         outcome: store::call::Outcome,
     },
-    /// An operator calls.
+    /// An operator's request was received.
     Operator {
-        /// Whom to answer.
+        /// Id of the call to answer.
         call: u64,
-        /// What is asked.
+        /// The request.
         request: ops::request::Request,
     },
-    /// A peer asks whether a ticket of ours may be spent.
+    /// A peer asks to spend a ticket whose ledger this entry holds.
     SpendRequested {
-        /// Whom to answer.
+        /// Id of the call to answer.
         call: u64,
         /// The ticket.
         ticket: Ticket,
     },
-    /// A peer answered whether a ticket may be spent; none when its word was lost.
+    /// A peer answered a request to spend a ticket, or the answer was lost.
     SpendAnswered {
-        /// Which request.
+        /// Serial of the request that needs the ticket.
         serial: u64,
-        /// The peer's word.
+        /// The answer, or none if it was lost.
         answer: Option<Answer>,
     },
-    /// A leaving peer hands its ledger on to us.
+    /// A leaving peer hands its ledgers over to this entry.
     EstatesOffered {
-        /// Whom to answer.
+        /// Id of the call to answer.
         call: u64,
-        /// What it hands on.
+        /// The ledgers.
         estates: Vec<Estate>,
     },
-    /// A peer took over our ledger, or did not say so.
+    /// A peer took over this entry's ledgers, declined, or did not answer.
     EstatesAccepted {
-        /// The peer, if it said so.
+        /// Incarnation of the peer that accepted, if any.
         heir: Option<Incarnation>,
     },
-    /// A digest came from a peer.
+    /// A peer sent a digest.
     DigestReceived(Digest),
-    /// A message about the configuration came from a peer.
+    /// A peer sent a configuration message.
     ConfigureReceived {
-        /// The peer's incarnation.
+        /// Incarnation of the peer.
         from: Incarnation,
-        /// What it says.
+        /// The message.
         message: Message,
     },
     /// Time has passed.
     Tick,
-    /// The process is asked to stop.
+    /// The process was asked to stop.
     StopRequested {
-        /// Whether to stop without waiting for requests in progress.
+        /// Whether to stop without waiting for open requests.
         immediate: bool,
     },
 }
--- a/crates/entry/src/flight.rs
+++ b/crates/entry/src/flight.rs
@@ -1,4 +1,4 @@
-//! One open request at this entry.
+//! A request in flight at this entry.
 
 use clock::Span;
 use clock::Time;
@@ -12,76 +12,76 @@
 /// An open request.
 #[derive(Clone, Debug)]
 pub struct Flight {
-    /// Its name at this entry; names its streams as well.
+    /// Id at this entry; also the prefix of its stream ids.
     pub id: Id,
-    /// The name under which the caller first got to know it.
+    /// Id under which the caller first knew the request.
     pub origin: Id,
-    /// Whose it is.
+    /// Account of the caller.
     pub account: SmolStr,
-    /// What serves it.
+    /// Name of the deployment.
     pub deployment: SmolStr,
-    /// What the scheduler knows of it.
+    /// The scheduler's job.
     pub job: Job,
-    /// Number of the newest attempt; only rises, reports of older ones are dropped.
+    /// Number of the current attempt; only increases.
     pub attempt: u32,
-    /// Where it runs.
+    /// Replica that runs the request.
     pub replica: Option<replica::Key>,
-    /// What it waits for before the scheduler may see it.
+    /// Permit that the request waits for before it is scheduled.
     pub pending_permit: Option<Permit>,
-    /// Whether bytes of it were handed to a backend server that did not refuse to start it.
+    /// Whether a backend server may have run the request.
     ///
-    /// Unset only when the very attempt that set it ends as not started. While it is set nothing
-    /// says "not run" of this request.
+    /// Reset only if the attempt that set it ends as not started. While it is set, no refusal of this
+    /// request has the verdict "not run".
     pub may_have_run: bool,
-    /// What `may_have_run` was before the newest attempt.
+    /// Value of `may_have_run` before the current attempt.
     pub may_have_run_before: bool,
-    /// Whether the caller has the head of its answer: from then on it must end in a whole answer.
+    /// Whether the head of the answer was sent; from then on the answer must be completed.
     pub accepted: bool,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Time,
-    /// When it was first handed to a backend server.
+    /// Time of the first dispatch to a backend server.
     pub started: Option<Time>,
-    /// Longest time between two tokens so far.
+    /// Longest gap between two tokens so far.
     pub worst_gap: Span,
-    /// Price of an hour of its replica, millionths of the currency.
+    /// Price of the replica per hour, in millionths of the currency.
     pub hourly_micros: u64,
-    /// What its replica runs at once.
+    /// Number of requests that the replica runs concurrently.
     pub replica_slots: u64,
-    /// When its first token, or the head of its answer, was passed on.
+    /// Time at which the first token, or the head of the answer, was relayed.
     pub first_token: Option<Time>,
-    /// Tokens passed on by this entry.
+    /// Number of tokens relayed by this entry.
     pub tokens: u64,
-    /// Tokens computed a second time for it.
+    /// Number of tokens computed more than once.
     pub recomputed: u64,
-    /// Moves between replicas.
+    /// Number of moves between replicas.
     pub moves: u32,
 }
 
-/// Permit that a non-idempotent request needs before it is dispatched.
+/// A permit that a non-idempotent request needs before it is dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// The word of the entry that holds its ticket's ledger.
+    /// Granted by the entry that holds the ledger of the ticket.
     Ticket {
         /// The ticket.
         ticket: Ticket,
-        /// When it is asked for again, if no word came.
+        /// Time of the next try if no answer arrives.
         retry_at: Time,
-        /// When no more tries are made.
+        /// Time at which the request is refused.
         deadline: Time,
     },
-    /// Its own row in the table service.
+    /// Granted by inserting the request's own row into the table service.
     Intent {
-        /// The row's key.
+        /// Key of the row.
         key: SmolStr,
-        /// Names our attempt at the row.
+        /// Token of the insert; identifies the row as our own on a retry.
         token: SmolStr,
-        /// When no more tries are made.
+        /// Time at which the request is refused.
         deadline: Time,
     },
 }
 
 impl Flight {
-    /// The stream of a new attempt; from now on the request may have run.
+    /// Starts a new attempt and returns its stream; from now on the request may have run.
     pub fn next_stream(&mut self) -> Stream {
         self.attempt += 1;
         self.may_have_run_before = self.may_have_run;
--- a/crates/entry/src/identity.rs
+++ b/crates/entry/src/identity.rs
@@ -1,14 +1,14 @@
-//! Who this entry is.
+//! Identity of an entry.
 
 use request::id::Incarnation;
 use smol_str::SmolStr;
 
-/// The name and place of one entry process.
+/// Name, incarnation and addresses of an entry process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Name of the entry, the same over its lives.
+    /// Name of the entry, the same across restarts.
     pub name: SmolStr,
-    /// This life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
     /// Availability zone.
     pub zone: SmolStr,
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -1,46 +1,46 @@
-//! Instances as the platform names them.
+//! Instances, cache updates and reclaim notices as the platform and engines report them.
 
 use clock::Span;
 use policy::mix::Kind;
 use smol_str::SmolStr;
 
-/// One line of the instance list. The list lags behind reality.
+/// An item of the instance list, which lags behind reality.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Name of the machine, for the cloud.
+    /// Cloud id of the instance.
     pub id: SmolStr,
-    /// This life of the instance, unique for ever.
+    /// Incarnation of the instance; never reused.
     pub incarnation: SmolStr,
-    /// `host:port` of the server on it.
+    /// `host:port` of its server.
     pub address: SmolStr,
     /// Availability zone.
     pub zone: SmolStr,
-    /// Pool it belongs to.
+    /// Name of its pool.
     pub pool: SmolStr,
-    /// Where and as what it is had.
+    /// Zone, class and market of the instance.
     pub kind: Kind,
-    /// Price of an hour, millionths of the currency; 0 while it isn't known.
+    /// Price per hour, millionths of the currency; 0 if unknown.
     pub hourly_micros: u64,
-    /// Whether the list says that it is leaving.
+    /// Whether the list marks the instance as leaving.
     pub leaving: bool,
 }
 
-/// One cache event of a model engine; they come late and with gaps.
+/// A change of a model engine's prefix cache; changes arrive late and with gaps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheUpdate {
-    /// Rises with each event.
+    /// Sequence number, increasing with each change.
     pub sequence: u64,
-    /// Hash of a prompt's beginning.
+    /// Hash of a prompt's prefix.
     pub prefix: u64,
-    /// Whether it is held now.
+    /// Whether the prefix was stored, rather than evicted.
     pub stored: bool,
 }
 
-/// The cloud's word that an instance will be taken away.
+/// A reclaim notice of the cloud.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
-    /// Which life of which instance.
+    /// Incarnation of the instance.
     pub incarnation: SmolStr,
-    /// Time left.
+    /// Time until the instance is taken away.
     pub time_left: Span,
 }
--- a/crates/entry/src/leaders.rs
+++ b/crates/entry/src/leaders.rs
@@ -1,8 +1,8 @@
-//! Fleets: which deployments this entry should lead, and what their leaders ask for.
+//! Fleet leaders: assigns deployments to this entry and performs the leaders' effects.
 //!
-//! Every deployment has one entry that should lead it, by rendezvous over the live members; it claims
-//! the lease. Until its lease lapses a former leader stays the holder, so that two entries that see
-//! different members never both act.
+//! Rendezvous hashing over the live members picks the entry that should lead a deployment; that entry
+//! claims the lease. A former leader holds its lease until it lapses, so that two entries with
+//! different views of the members never act at the same time.
 
 use std::collections::BTreeMap;
 
@@ -29,13 +29,13 @@
 use crate::line::Line;
 use crate::store_calls::Waiter;
 
-/// Time between two looks at who should lead what.
+/// Time between two assignments of leaders.
 const ASSIGN_INTERVAL: Span = Span::from_seconds(1);
 
-/// Time to clear an instance that is given back.
+/// Time for the requests of a released instance to finish or move.
 const RELEASE_GRACE: Span = Span::from_seconds(30);
 
-/// The leaders of this entry.
+/// The fleet leaders of this entry.
 #[derive(Debug, Default)]
 pub(crate) struct Leaders {
     by_deployment: BTreeMap<SmolStr, Lead>,
@@ -44,7 +44,7 @@
 }
 
 impl Entry {
-    /// Lets leaders act on the time, and looks at who should lead what.
+    /// Wakes leaders that are due and reassigns deployments periodically.
     pub(crate) fn leaders_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if now >= self.leaders.next_assign {
             self.leaders.next_assign = now + ASSIGN_INTERVAL;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Takes one event into a leader and carries out what it asks for.
+    /// Passes an event to a leader and performs its effects.
     pub(crate) fn step_leader(
         &mut self,
         now: Time,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The instance list was read.
+    /// Passes the instance list to all leaders.
     pub(crate) fn update_leader_instances(
         &mut self,
         now: Time,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Prices were read.
+    /// Passes new prices to all leaders.
     pub(crate) fn update_leader_prices(
         &mut self,
         now: Time,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// An engine reported its load: its leader counts the demand.
+    /// Passes an engine's load to the leaders of its pool, which size their fleets by it.
     pub(crate) fn update_leader_load(
         &mut self,
         now: Time,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Assigns each deployment to the member that should lead it.
+    /// Assigns deployments to this entry or withdraws them, by the current members.
     fn assign_leaders(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let deployments = self.catalog.snapshot().deployments.clone();
         let gone: Vec<SmolStr> = self
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Makes a leader that doesn't exist yet and tells it what is known.
+    /// Creates a leader, if it is needed and doesn't exist, and passes it the known state.
     fn create_leader(
         &mut self,
         now: Time,
@@ -188,7 +188,7 @@
         self.step_leader(now, name, listed, effects);
     }
 
-    /// Whether this entry is the one that should lead a deployment. One that leaves leads nothing.
+    /// Returns whether this entry should lead a deployment; a leaving entry leads none.
     fn should_lead(&self, now: Time, name: &str) -> bool {
         let key = xxh3_64(name.as_bytes());
         !self.stop.is_stopping()
@@ -196,7 +196,7 @@
             && self.is_ready(now)
     }
 
-    /// Instances of a deployment's pool that stay.
+    /// Returns the instances of a deployment's pool that are not leaving.
     fn pool_instances(&self, name: &str) -> Vec<FleetInstance> {
         let Some(deployment) = self.catalog.deployment(name) else {
             return Vec::new();
@@ -212,7 +212,7 @@
             .collect()
     }
 
-    /// Carries out one thing that a leader asks for.
+    /// Performs an effect of a leader.
     fn perform_leader_effect(
         &mut self,
         now: Time,
@@ -290,7 +290,7 @@
         });
     }
 
-    /// Asks the cloud for an instance.
+    /// Requests an instance from the cloud.
     fn request_instance(
         &mut self,
         name: &SmolStr,
@@ -317,8 +317,8 @@
         });
     }
 
-    /// Gives an instance back: first no entry sends it new work, and what runs there is moved; the
-    /// cloud is told once that had its time.
+    /// Releases an instance: all entries stop dispatching to it and move its requests; the cloud is
+    /// told after the grace period.
     fn release_instance(
         &mut self,
         now: Time,
@@ -347,7 +347,7 @@
     }
 }
 
-/// What the leader of a deployment has to see to.
+/// Returns the mission of a deployment's leader: what its engines serve and the fleet's size.
 fn mission_of(deployment: &Deployment) -> Mission {
     let target = match &deployment.kind {
         Kind::Model {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The reducer of one entry: all events in, effects out.
+//! The reducer of one entry: consumes events and emits effects.
 //!
-//! [`entry::Entry::step`] reads no clock, does no I/O and draws randomness from the seed it was
-//! given, so that a test replays any history exactly. The shell in the `daemon` crate turns I/O into
-//! [`event::Event`]s and carries [`effect::Effect`]s out.
+//! [`entry::Entry::step`] reads no clock, performs no I/O and draws randomness from the seed it was
+//! given, so a test can replay any history exactly. The shell in the `daemon` crate turns I/O into
+//! [`event::Event`]s and performs the [`effect::Effect`]s.
 
 pub mod arrival;
 pub mod attempt;
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -1,4 +1,4 @@
-//! Other entries: what the membership machine is told, asks for and knows.
+//! Connects the membership protocol to the entry: passes it events and performs its effects.
 
 use clock::Span;
 use clock::Time;
@@ -22,11 +22,11 @@
 use crate::line::Line;
 use crate::store_calls::Waiter;
 
-/// Time between two pieces of news on what our accounts ask for.
+/// Time between two scheduler digests.
 const DIGEST_INTERVAL: Span = Span::from_seconds(1);
 
 impl Entry {
-    /// Lets the membership machine act on the time, and tells peers what the scheduler has to say.
+    /// Wakes the membership protocol when it is due and publishes scheduler digests.
     pub(crate) fn members_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.membership.next_wake() <= now {
             self.step_membership(now, MemberEvent::Wake, effects);
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes one event into the membership machine and carries out what it asks for.
+    /// Passes an event to the membership protocol and performs its effects.
     pub(crate) fn step_membership(
         &mut self,
         now: Time,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Carries out one thing that the membership machine asks for.
+    /// Performs an effect of the membership protocol.
     fn perform_membership_effect(
         &mut self,
         now: Time,
@@ -88,17 +88,17 @@
         }
     }
 
-    /// All members are to be read soon.
+    /// Requests a full reading of the members.
     pub(crate) fn refresh_members(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.step_membership(now, MemberEvent::ReadAll, effects);
     }
 
-    /// A configuration version is in force here: others are to hear of it.
+    /// Announces the applied configuration version to other entries.
     pub(crate) fn announce_applied(&mut self, now: Time, version: u64, effects: &mut Vec<Effect>) {
         self.step_membership(now, MemberEvent::Applied(version), effects);
     }
 
-    /// Tells all entries that a backend server leaves.
+    /// Announces to all entries that a backend server is leaving.
     pub(crate) fn publish_leaving(
         &mut self,
         now: Time,
@@ -116,9 +116,9 @@
         self.step_membership(now, MemberEvent::Publish(item), effects);
     }
 
-    /// `host:port` of the entry that holds the ledger of a minter, if that isn't lost.
+    /// Returns the peer address of the entry that holds a minter's ledger, or none if it is lost.
     ///
-    /// Follows heirs of heirs; a chain longer than the directory can't be a true one.
+    /// Follows heirs of heirs; a chain longer than the directory must be a cycle.
     pub(crate) fn ledger_holder(&self, now: Time, minter: Incarnation) -> Option<SmolStr> {
         let mut holder = holder::Id(minter.0);
         for _ in 0..=self.membership.directory().iter().count() {
@@ -130,8 +130,8 @@
         None
     }
 
-    /// A member that stays, to take over what this entry leaves behind: the nearest by name, so that
-    /// a wave of leaving entries doesn't all choose one.
+    /// Returns the live member that takes over this entry's ledgers and streams: the next by id, so
+    /// that many entries leaving at once choose different successors.
     pub(crate) fn successor(&self) -> Option<Row> {
         let me = self.identity.incarnation.0;
         let mut live: Vec<&Row> = self
@@ -145,7 +145,7 @@
         live.first().map(|row| (*row).clone())
     }
 
-    /// Takes in a piece of news.
+    /// Handles an item gossiped by another entry.
     fn item_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         match item.topic {
             Topic::Leaving => {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Gives the scheduler what another entry's scheduler has to say.
+    /// Passes another entry's scheduler digest to the scheduler.
     fn scheduler_digest_received(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         let peer = holder::Id::parse(&item.key).map_or(0, |id| id.0);
         if peer == self.identity.incarnation.0 {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Tells all entries what this scheduler has to say.
+    /// Publishes the scheduler's digest to all entries.
     fn publish_scheduler_digest(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let digest = self.scheduler.digest(now);
         let urgent = !digest.quarantine.items.is_empty() || !digest.quarantine.claims.is_empty();
@@ -208,7 +208,7 @@
     }
 }
 
-/// Time that a leaving server has left by a peer's word, less the time that the word took.
+/// Returns the time left to a leaving server by a peer's item, less the item's age.
 fn time_left(item: &Item) -> Span {
     match <[u8; 8]>::try_from(item.payload.as_slice()) {
         Ok(bytes) => Span::from_millis(u64::from_le_bytes(bytes)) - Span::from_millis(item.age_ms),
@@ -216,7 +216,7 @@
     }
 }
 
-/// A new membership machine of an entry.
+/// Returns an entry's new membership.
 pub(crate) fn membership(
     identity: &Identity,
     seeds: Vec<SmolStr>,
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' calls.
+//! Handlers of operators' requests.
 
 use burn::collector;
 use clock::Time;
@@ -18,7 +18,7 @@
 use crate::entry::Entry;
 
 impl Entry {
-    /// Answers an operator, or begins what will answer it.
+    /// Answers an operator's request, or starts the operation that will answer it.
     pub(crate) fn operator_called(
         &mut self,
         now: Time,
@@ -46,7 +46,7 @@
         effects.push(Effect::Operator { call, reply });
     }
 
-    /// One deployment as it stands.
+    /// Returns a deployment and the configuration version.
     fn deployment_reply(&self, name: &str) -> Result<Reply, Fault> {
         let deployment = self.catalog.deployment(name);
         let deployment = deployment.ok_or_else(|| Fault::NotFound(format!("deployment {name}")))?;
@@ -56,7 +56,7 @@
         })
     }
 
-    /// What happened to a request here.
+    /// Returns the journal of a request.
     fn explain_reply(&self, request: &str) -> Result<Reply, Fault> {
         match self.journal.explain(request) {
             Some(explanation) => Ok(Reply::Explained(explanation)),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The whole configuration as it stands.
+    /// Returns the whole configuration.
     fn configuration_reply(&self) -> Reply {
         let snapshot = self.catalog.snapshot();
         Reply::Configuration {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Whether an edit makes sense on a configuration.
+/// Checks whether an edit is valid on a configuration.
 pub(crate) fn check_edit(before: &Snapshot, edit: &Edit) -> Result<(), Fault> {
     match edit {
         Edit::CreateDeployment(deployment) => match before.deployment(&deployment.name) {
@@ -95,7 +95,7 @@
     }
 }
 
-/// What changed by edits that others made, in the terms of operators.
+/// Converts concurrent edits to the differences shown to operators.
 pub(crate) fn differences(newest: &Snapshot, edits: Vec<edit::Edit>) -> Vec<Difference> {
     let mut differences: Vec<Difference> = edits
         .into_iter()
@@ -134,7 +134,7 @@
     }
 }
 
-/// An account may go once nothing is granted to it.
+/// Checks that an account can be removed: it must exist and have no grants.
 fn check_removal(snapshot: &Snapshot, name: &SmolStr) -> Result<(), Fault> {
     if snapshot.account(name).is_none() {
         return Err(Fault::NotFound(format!("account {name}")));
@@ -152,7 +152,7 @@
     }
 }
 
-/// Every grant must name an account that is there.
+/// Checks that every granted account exists.
 fn check_grants(snapshot: &Snapshot, deployment: &Deployment) -> Result<(), Fault> {
     let stray = deployment
         .grants
--- a/crates/entry/src/permits.rs
+++ b/crates/entry/src/permits.rs
@@ -1,9 +1,9 @@
-//! Permit to run a non-idempotent request: by ticket, or by a row of its own in the table service.
+//! Permits for non-idempotent requests, by ticket or by a row in the table service.
 //!
-//! Guards against such a request running twice. The fault shows when a caller repeats a request at
-//! another entry after a cut, or when the store's answer to the first try was lost. A ticket is spent
-//! in its minter's ledger alone; a row is inserted only if absent and names the one attempt that may
-//! run. Either way exactly one request gets leave, whatever any clock or lease says.
+//! Guards against running such a request twice, when a caller repeats it at another entry after a
+//! broken connection or when the table service's answer to an insert was lost. A ticket is spent only
+//! in its minter's ledger; a row is inserted only if absent and names the one attempt that may run.
+//! Either way exactly one request gets the permit, regardless of clocks and leases.
 
 use clock::Span;
 use clock::Time;
@@ -34,25 +34,25 @@
 use crate::line::Line;
 use crate::store_calls::Waiter;
 
-/// Table of the rows of callers' idempotency keys.
+/// Table with a row for each idempotency key.
 const INTENT_TABLE: &str = "intents";
 
-/// Longest idempotency key, bytes.
+/// Maximum length of an idempotency key, bytes.
 const MAX_KEY_BYTES: usize = 200;
 
-/// When a caller may come back while the table service is down.
+/// Retry delay for callers while the table service is unavailable.
 const STORE_RETRY_DELAY: Span = Span::from_seconds(2);
 
-/// Seals of what callers carry.
+/// Seals for the tokens that callers hold.
 pub struct Seals {
-    /// For resume words.
+    /// Seals resume tokens.
     pub resume: Seal,
-    /// For tickets.
+    /// Seals tickets.
     pub ticket: Seal,
 }
 
 impl Seals {
-    /// Seals under the entries' common key.
+    /// Creates the seals from the key that all entries share.
     pub fn new(shared_key: &str) -> Seals {
         Seals {
             resume: Seal::new(shared_key, RESUME_PURPOSE),
@@ -62,8 +62,8 @@
 }
 
 impl Entry {
-    /// Seeks leave for a request that must not run twice; one without key and ticket can't be
-    /// repeated by name, so it has leave at once.
+    /// Requests the permit for a non-idempotent request. One without key and ticket can't be recognized
+    /// as a repeat, so it is scheduled directly.
     pub(crate) fn request_permit(
         &mut self,
         now: Time,
@@ -99,10 +99,10 @@
         self.spend_ticket(now, serial, ticket, deadline, effects);
     }
 
-    /// Asks for a ticket where its ledger is held now.
+    /// Spends a ticket at the current holder of its ledger.
     ///
-    /// Asking again after a lost word is safe: were the first question answered "granted", the second
-    /// would be answered "spent", and nothing runs.
+    /// Retrying after a lost answer is safe: if the first try was granted, the retry is answered
+    /// "spent" and nothing runs.
     fn spend_ticket(
         &mut self,
         now: Time,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A peer's word on a ticket came, or was lost; a lost one is asked for retry_at by the tick.
+    /// Handles a peer's answer on a ticket; the tick retries after a lost one.
     pub(crate) fn spend_answered(
         &mut self,
         now: Time,
@@ -148,14 +148,14 @@
             .map(|flight| &flight.pending_permit);
         let waits = matches!(waits, Some(Some(Permit::Ticket { .. })));
         match answer {
-            // It may have moved on to an heir that is not known here yet.
+            // The ledger may have moved to an heir that is not known here yet.
             Some(Answer::Unknown) | None => self.refresh_members(now, effects),
             Some(answer) if waits => self.permit_answered(now, serial, answer, effects),
             Some(_) => {}
         }
     }
 
-    /// Asks again for tickets whose word was lost, and gives up those that take too long.
+    /// Retries unanswered ticket requests and refuses those past their deadline.
     fn ticket_permits_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let seeking = self.awaiting_permit.iter();
         let due: Vec<(u64, Ticket, Time)> = seeking
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Runs the request, or says that an earlier one under the same ticket may have run.
+    /// Schedules the request, or refuses it because an earlier one with the ticket may have run.
     fn permit_answered(
         &mut self,
         now: Time,
@@ -194,7 +194,7 @@
         self.refuse(now, serial, refusal, effects);
     }
 
-    /// A peer asks whether a ticket of a ledger held here may be spent.
+    /// Answers a peer that asks to spend a ticket of a ledger held here.
     pub(crate) fn spend_requested(
         &mut self,
         now: Time,
@@ -206,7 +206,7 @@
         effects.push(Effect::SpendAnswer { call, answer });
     }
 
-    /// A leaving peer hands its ledger on. An entry that is leaving itself takes none.
+    /// Takes over a leaving peer's ledgers; declines if this entry is leaving itself.
     pub(crate) fn estates_offered(
         &mut self,
         now: Time,
@@ -227,7 +227,7 @@
         effects.push(Effect::EstatesAccepted { call, heir });
     }
 
-    /// Inserts the row of the caller's key, if it is absent.
+    /// Inserts the row of the caller's key if absent.
     fn request_by_row(&mut self, now: Time, serial: u64, key: &str, effects: &mut Vec<Effect>) {
         if key.is_empty() || key.len() > MAX_KEY_BYTES {
             let refusal = Refusal::not_run(Reason::Malformed, "idempotency-key has 1 to 200 bytes");
@@ -247,7 +247,7 @@
         self.insert_row(serial);
     }
 
-    /// Sends the insert. Sending it again is safe: a row with our own token counts as inserted.
+    /// Sends the insert. Retries are safe: a row with our own token counts as inserted.
     fn insert_row(&mut self, serial: u64) {
         let Some(flight) = self.flights.get(&serial) else {
             return;
@@ -271,7 +271,7 @@
         self.queue_store_call(Waiter::Intent { serial }, Call::Transact(transaction));
     }
 
-    /// The table service answered an insert.
+    /// Handles the table service's answer to an insert.
     pub(crate) fn intent_answered(
         &mut self,
         now: Time,
@@ -302,7 +302,8 @@
         }
     }
 
-    /// Asks again where a word was lost, and gives up requests whose rows take too long. None of them was handed to a backend server.
+    /// Retries unanswered ticket requests and refuses requests past their deadline, none of which was
+    /// dispatched.
     pub(crate) fn permits_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.ticket_permits_tick(now, effects);
         let overdue = |leave: &Option<Permit>| matches!(leave, Some(Permit::Intent { deadline, .. }) if *deadline <= now);
@@ -325,7 +326,7 @@
     }
 }
 
-/// Whether the row in the way is our own insert, whose answer was lost.
+/// Returns whether the conflicting row is our own insert, whose answer was lost.
 fn is_own(rows: &[(Address, Option<Row>)], token: &SmolStr) -> bool {
     rows.iter().any(|(_, row)| {
         row.as_ref()
@@ -333,7 +334,7 @@
     })
 }
 
-/// The refusal of a request whose row could not be written.
+/// Returns the refusal for a request whose row could not be written.
 fn store_refusal() -> Refusal {
     let message = "the table service doesn't answer; come back with the same key";
     Refusal::not_run(Reason::StoreUnavailable, message).with_retry_after(STORE_RETRY_DELAY)
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform says of backend servers.
+//! Handlers of the platform's readings: instances, notices, load and caches.
 
 use clock::Time;
 use policy::replica;
@@ -13,11 +13,11 @@
 use crate::instance::Notice;
 use crate::line::Line;
 
-/// Requests that a server is taken to run at once until its own reports say more.
+/// Assumed number of concurrent requests of a server until it reports its own.
 pub(crate) const ASSUMED_SLOTS: u32 = 32;
 
 impl Entry {
-    /// Takes in a reading of the instance list.
+    /// Handles a reading of the instance list.
     pub(crate) fn instances_read(
         &mut self,
         now: Time,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Takes in reclaim notices. A notice of a server not seen yet is remembered as well.
+    /// Handles reclaim notices; those of servers not listed yet are remembered as well.
     pub(crate) fn notices_read(
         &mut self,
         now: Time,
@@ -51,13 +51,13 @@
             if self.backends.mark_leaving(notice.incarnation.clone()) {
                 self.publish_leaving(now, &notice.incarnation, notice.time_left, effects);
             }
-            // Told again even if a peer or the list said so before: they don't know the deadline.
+            // Repeated even if a peer or the list reported it first: they don't know the deadline.
             self.backend_leaving(now, &notice.incarnation, deadline, effects);
         }
         self.notices_refreshed(now, effects);
     }
 
-    /// Takes in what the list says of our own instance.
+    /// Handles the listing of this entry's own instance.
     pub(crate) fn own_instance_read(
         &mut self,
         now: Time,
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Takes in a load report.
+    /// Handles a server's load report.
     pub(crate) fn load_read(&mut self, now: Time, incarnation: &str, report: replica::Report) {
         if let Some(key) = self.backends.key_of(incarnation) {
             self.scheduler.replica_reported(now, key, report);
         }
     }
 
-    /// Takes in what an engine's cache holds.
+    /// Handles changes of an engine's prefix cache.
     pub(crate) fn cache_read(&mut self, now: Time, incarnation: &str, events: &[CacheUpdate]) {
         let Some(key) = self.backends.key_of(incarnation) else {
             return;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A new server may be used.
+    /// Adds a new server.
     fn backend_joined(&mut self, now: Time, instance: Instance, effects: &mut Vec<Effect>) {
         let spec = replica::Spec {
             incarnation: instance.incarnation.clone(),
@@ -107,8 +107,8 @@
             .with("zone", &instance.zone)
             .with("pool", &instance.pool);
         effects.push(Effect::Log(line));
-        // The decisions that follow from the new server need its address, so they are carried out
-        // after it is known here.
+        // The resulting decisions need the server's address, so the server is added before they are
+        // executed.
         let mut decisions = Vec::new();
         let key = self.scheduler.replica_joined(now, spec, &mut decisions);
         self.backends.add(key, instance);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A server gets no new work; what runs there is moved in time.
+    /// Stops dispatching to a leaving server and moves its requests before the deadline.
     pub(crate) fn backend_leaving(
         &mut self,
         now: Time,
@@ -137,7 +137,7 @@
         });
     }
 
-    /// A server is gone from the list.
+    /// Removes a server that is no longer listed.
     fn backend_lost(&mut self, now: Time, incarnation: &str, effects: &mut Vec<Effect>) {
         if let Some(key) = self.backends.remove(incarnation) {
             let line = Line::info("backend_lost").with("replica", incarnation);
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -1,4 +1,4 @@
-//! How things stand, as this entry knows it, for operators.
+//! Status, history and drain requests of operators.
 
 use clock::Time;
 use config::edit;
@@ -22,11 +22,11 @@
 use crate::effect::Effect;
 use crate::entry::Entry;
 
-/// Release of this entry.
+/// Release version of this entry.
 const RELEASE: &str = env!("CARGO_PKG_VERSION");
 
 impl Entry {
-    /// How entries and backend servers stand.
+    /// Returns the status of all entries and backend servers, as known here.
     pub(crate) fn status_reply(&self, now: Time) -> Reply {
         let directory = self.membership.directory();
         let entries = directory
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Past changes that are kept, the newest first.
+    /// Returns the retained changes, newest first.
     pub(crate) fn history_reply(&self, before: Option<u64>, limit: usize) -> Reply {
         let newest = self.catalog.version();
         let before = before.unwrap_or(newest + 1);
@@ -70,7 +70,7 @@
         Reply::History(versions.iter().map(past_change).collect())
     }
 
-    /// Takes an entry or a backend server out of use.
+    /// Drains an entry or a backend server.
     pub(crate) fn drain(
         &mut self,
         now: Time,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes a backend server out of use at every entry.
+    /// Drains a backend server at every entry.
     fn drain_backend(
         &mut self,
         now: Time,
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Requests of this entry that run at a backend server.
+    /// Returns the number of this entry's requests that run on a backend server.
     fn running_on(&self, incarnation: &str) -> u32 {
         let key = self.backends.key_of(incarnation);
         let here = |replica| key.is_some() && replica == key;
@@ -132,7 +132,7 @@
         )
     }
 
-    /// One entry, as known here.
+    /// Returns the status of one entry.
     fn entry_status(&self, now: Time, known: &Member) -> EntryStatus {
         let row = &known.record.row;
         let own = row.id.0 == self.identity.incarnation.0;
@@ -155,7 +155,7 @@
     }
 }
 
-/// State of a member's lease, by its heartbeat.
+/// Returns the state of a member's lease by the age of its heartbeat.
 fn lease_state(now: Time, known: &Member) -> LeaseState {
     let silent = now.since(known.last_seen);
     let term = known.record.row.term();
@@ -167,7 +167,7 @@
     }
 }
 
-/// A kept version in the terms of operators. The versions carry no time.
+/// Converts a configuration version to a past change. Versions carry no timestamp.
 fn past_change(version: &Version) -> PastChange {
     let edits: Vec<String> = version.edits.iter().map(summary_of).collect();
     PastChange {
@@ -178,7 +178,7 @@
     }
 }
 
-/// One edit in words.
+/// Returns a one-line summary of an edit.
 fn summary_of(edit: &edit::Edit) -> String {
     let verb = match edit {
         edit::Edit::PutAccount(_) | edit::Edit::PutDeployment(_) => "put",
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: admit nothing, finish or hand on what is open, hand the ledger on, exit.
+//! Planned stop: refuses new requests, finishes or hands off open ones, hands off the ledger, exits.
 
 use burn::collector;
 use clock::Span;
@@ -16,23 +16,23 @@
 use crate::entry::Entry;
 use crate::line::Line;
 
-/// Longest wait, once all else is done, for the table service to note that we left.
+/// Longest wait, after everything else, for the table service to record that this entry left.
 const LEAVE_TIMEOUT: Span = Span::from_seconds(3);
 
-/// Part of a notice in which requests may finish here; the rest is for handing on what is left.
+/// Share of a notice in which requests may finish here; the rest is for handing off streams.
 const FINISH_SHARE: f64 = 0.5;
 
-/// Part of a notice after which this entry no longer waits for callers with old addresses.
+/// Share of a notice after which the entry no longer waits for callers with cached addresses.
 const LINGER_SHARE: f64 = 0.8;
 
-/// Time until other entries have heard that this one leaves and no longer name it.
+/// Time until other entries know that this one is leaving and stop listing it.
 const GOSSIP_TIME: Span = Span::from_millis(1_500);
 
-/// How far a planned stop has come.
+/// Progress of a planned stop.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Stop {
     deadline: Option<Time>,
-    /// Until when callers may still come who were told of this entry before it began to leave.
+    /// Time until which callers may arrive that got this entry's address before it began to leave.
     linger_until: Time,
     ledger_sent: bool,
     ledger_settled: Option<Time>,
@@ -41,14 +41,14 @@
 }
 
 impl Stop {
-    /// Whether this entry is leaving.
+    /// Returns whether this entry is leaving.
     pub(crate) fn is_stopping(&self) -> bool {
         self.deadline.is_some()
     }
 }
 
 impl Entry {
-    /// Begins to stop; asked a second time in a hurry, the grace ends at once.
+    /// Starts a planned stop; an immediate one, possibly after a graceful one, has no grace period.
     pub(crate) fn stop_requested(&mut self, now: Time, immediate: bool, effects: &mut Vec<Effect>) {
         let line = Line::info("stop_asked")
             .with("hurry", immediate)
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Our own instance will be taken away then: part of the time is kept for handing on.
+    /// Stops before the own instance is reclaimed, reserving part of the time for handing off.
     pub(crate) fn stop_by(&mut self, now: Time, reclaim: Time, effects: &mut Vec<Effect>) {
         if !self.stop.is_stopping() {
             let left = reclaim.since(now);
@@ -78,7 +78,7 @@
         self.stop_until(now, now + grace, now + linger, effects);
     }
 
-    /// Stops; the soonest of several deadlines counts.
+    /// Stops by the earliest of several deadlines.
     fn stop_until(
         &mut self,
         now: Time,
@@ -96,7 +96,7 @@
         self.stop_tick(now, effects);
     }
 
-    /// Takes the stop as far as it goes now.
+    /// Advances the stop as far as possible.
     pub(crate) fn stop_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let Some(deadline) = self.stop.deadline else {
             return;
@@ -108,8 +108,8 @@
             self.refuse_unstarted(now, effects);
             self.hand_off_streams(now, effects);
         }
-        // Callers keep addresses for a while and come here still. Were the process gone, the requests
-        // that they had sent by then would show as cut; while it stays they are told "not run".
+        // Callers with cached addresses still connect here. If the process were gone, their requests
+        // would be cut off; while it runs they are refused as "not run".
         if !self.flights.is_empty() || now < self.stop.linger_until {
             return;
         }
@@ -125,7 +125,8 @@
         }
     }
 
-    /// A peer holds our ledger now, or can't be reached: its tickets then end as "may have run".
+    /// Handles a peer's answer to the handover; if none took the ledger, its tickets end as "may have
+    /// run".
     pub(crate) fn estates_accepted(
         &mut self,
         now: Time,
@@ -144,7 +145,7 @@
         self.stop_tick(now, effects);
     }
 
-    /// Refuses what was not handed to a backend server yet: nobody would be left to start it.
+    /// Refuses requests that were not dispatched yet, since no entry would be left to start them.
     fn refuse_unstarted(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let waiting: Vec<u64> = self
             .flights
@@ -167,9 +168,9 @@
         }
     }
 
-    /// Sends every open stream on to another entry.
+    /// Redirects every open stream to another entry.
     ///
-    /// A plain call in progress is waited for: nobody else can read its answer.
+    /// Plain calls in progress are waited for, since no other entry can read their answers.
     fn hand_off_streams(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let Some(address) = self.successor().map(|row| row.address) else {
             return;
@@ -181,7 +182,7 @@
             .map(|flight| flight.id.serial)
             .collect();
         if !streams.is_empty() {
-            // What a stop that doesn't wait costs: callers connect anew, nothing is computed again.
+            // The cost of not waiting: callers reconnect, but nothing is computed again.
             let line = Line::info("streams_handed_on").with("streams", streams.len());
             effects.push(Effect::Log(line.with("to", &address)));
         }
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Offers the ledger to a peer, once.
+    /// Offers the ledger to a peer, at most once.
     fn hand_off_ledger(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.stop.ledger_sent {
             return;
@@ -207,7 +208,7 @@
         }
     }
 
-    /// The table service has it that we left.
+    /// Handles the table service's confirmation that this entry left.
     pub(crate) fn leave_recorded(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.stop.leave_recorded = true;
         self.stop_tick(now, effects);
--- a/crates/entry/src/store_calls.rs
+++ b/crates/entry/src/store_calls.rs
@@ -1,8 +1,8 @@
-//! Calls of the table service: whom each is for, and its turn within this entry's share.
+//! Calls to the table service: routes answers and limits the rate to this entry's share.
 //!
-//! Answers the pattern of many entries that come back at once after an outage: each spends only its
-//! share of what the service takes, renewals before the configuration, that before callers' rows, those
-//! before summaries. Without it the burst takes the service down again, leases and all.
+//! Guards against a thundering herd of entries after an outage, which would take the table service down
+//! again and with it all leases. Within its share an entry prefers lease renewals to configuration,
+//! configuration to callers' rows, and those to summaries.
 
 use clock::Time;
 use smol_str::SmolStr;
@@ -14,31 +14,31 @@
 use crate::effect::Effect;
 use crate::entry::Entry;
 
-/// Who waits for an answer of the table service.
+/// The recipient of an answer from the table service.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Waiter {
-    /// The agreement machine, by its own number.
+    /// The agreement, with its own call id.
     Agreement(call::Id),
-    /// The membership machine, by its own number.
+    /// The membership protocol, with its own call id.
     Membership(call::Id),
-    /// The collector of the burn report, by its own number.
+    /// The collector of the burn report, with its own call id.
     Collector(call::Id),
-    /// The leader of a deployment, by its own number.
+    /// The leader of a deployment, with its own call id.
     Leader {
-        /// Which deployment.
+        /// Name of the deployment.
         deployment: SmolStr,
-        /// Its number.
+        /// Call id of the leader.
         id: call::Id,
     },
-    /// A request's own row.
+    /// The row of a non-idempotent request.
     Intent {
-        /// Which request.
+        /// Serial of the request.
         serial: u64,
     },
 }
 
 impl Waiter {
-    /// How urgent its calls are.
+    /// Returns the priority of the recipient's calls.
     fn priority(&self) -> Priority {
         match self {
             Waiter::Membership(_) | Waiter::Leader { .. } => Priority::Lease,
@@ -50,8 +50,7 @@
 }
 
 impl Entry {
-    /// Asks the table service something as soon as the share allows; the answer finds its way by
-    /// `waiter`.
+    /// Queues a call to the table service; its answer is routed to `waiter`.
     pub(crate) fn queue_store_call(&mut self, waiter: Waiter, call: Call) {
         let id = call::Id(self.next_store_call);
         self.next_store_call += 1;
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Makes the calls whose turn has come, and tells those that found the queue full.
+    /// Makes the calls that the rate limit allows and fails those that found the queue full.
     pub(crate) fn make_store_calls(&mut self, now: Time, effects: &mut Vec<Effect>) {
         while let Some(id) = self.rejected_store_calls.pop() {
             self.route_store_answer(now, id, Outcome::Unavailable, effects);
@@ -72,7 +71,7 @@
         }
     }
 
-    /// The table service answered a call.
+    /// Handles the table service's answer to a call.
     pub(crate) fn store_answered(
         &mut self,
         now: Time,
@@ -84,7 +83,7 @@
         self.route_store_answer(now, id, outcome, effects);
     }
 
-    /// Passes an answer to whoever waits for it.
+    /// Routes an answer to its recipient.
     fn route_store_answer(
         &mut self,
         now: Time,
--- a/crates/entry/tests/backends.rs
+++ b/crates/entry/tests/backends.rs
@@ -1,4 +1,4 @@
-//! Which backend servers get new work.
+//! Tests of the registry of backend servers.
 
 use clock::Span;
 use clock::Time;
@@ -28,8 +28,8 @@
     }
 }
 
-/// A dossier stops half way: it was started at a server that had announced its end. The instance list
-/// lags and shows the server as live again after the notice, and every later reading might revive it.
+/// Guards against dispatching to a server that announced its end: the instance list lags and shows the
+/// server as live again after the notice.
 #[test]
 fn a_stale_list_never_revives_a_server() {
     let now = Time::from_millis(1);
@@ -62,8 +62,8 @@
     assert_eq!(changes, [expected]);
 }
 
-/// Names of servers that left are bounded; the newest must be kept. They were once dropped in
-/// alphabetical order, so that a server which had just announced its end could be forgotten.
+/// Guards against evicting leaving servers in alphabetical order, by which a server that just announced
+/// its end could be forgotten.
 #[test]
 fn the_newest_leaves_are_remembered() {
     let mut backends = Backends::default();
