--- a/crates/entry/examples/slopes.rs
+++ b/crates/entry/examples/slopes.rs
@@ -38,19 +38,19 @@
 use store::call::Outcome;
 
 /// Number of timed requests in each row.
-const TIMED: u64 = 2_000;
+const TIMED_REQUESTS: u64 = 2_000;
 
 /// Number of reports in which a request's tokens arrive.
-const COUNTS: u32 = 4;
+const TOKEN_REPORTS: u32 = 4;
 
 /// Size of a memory page, bytes.
-const PAGE: u64 = 4_096;
+const PAGE_BYTES: u64 = 4_096;
 
 /// An entry of a given size.
-struct Scene {
+struct Fixture {
     entry: Entry,
     now: Time,
-    next: u64,
+    next_serial: u64,
     accounts: u64,
 }
 
@@ -60,46 +60,46 @@
         .skip(1)
         .flat_map(|text| text.parse())
         .collect();
-    if let [replicas, accounts, open] = numbers[..] {
-        return row(replicas, accounts, open);
+    if let [replicas, accounts, open_requests] = numbers[..] {
+        return measure_row(replicas, accounts, open_requests);
     }
     for replicas in [12, 120, 1_200, 12_000] {
-        row(replicas, 5, 0);
+        measure_row(replicas, 5, 0);
     }
     for accounts in [50, 500, 5_000] {
-        row(12, accounts, 0);
+        measure_row(12, accounts, 0);
     }
-    for open in [100, 1_000, 10_000] {
-        row(open / 20 + 12, 5, open);
+    for open_requests in [100, 1_000, 10_000] {
+        measure_row(open_requests / 20 + 12, 5, open_requests);
     }
 }
 
 /// Builds an entry of a given size, measures it and prints the row.
-fn row(replicas: u64, accounts: u64, open: u64) {
-    let before = resident();
-    let mut scene = Scene::new(accounts);
-    scene.list(replicas);
-    for _ in 0..open {
-        scene.open();
+fn measure_row(replicas: u64, accounts: u64, open_requests: u64) {
+    let before = resident_bytes();
+    let mut fixture = Fixture::new(accounts);
+    fixture.list_instances(replicas);
+    for _ in 0..open_requests {
+        fixture.open_request();
     }
-    let held = resident().saturating_sub(before);
+    let held = resident_bytes().saturating_sub(before);
     let mut events = 0;
-    let begun = Instant::now();
-    for _ in 0..TIMED {
-        events += scene.whole();
+    let start = Instant::now();
+    for _ in 0..TIMED_REQUESTS {
+        events += fixture.run_request();
     }
-    let micros = begun.elapsed().as_secs_f64() * 1e6;
-    let ticks = scene.ticks();
+    let micros = start.elapsed().as_secs_f64() * 1e6;
+    let tick_micros = fixture.tick_micros();
     println!(
-        "{replicas:8} {accounts:8} {open:7} | {:6} {:11.1} {:9.2} {ticks:8.1}",
+        "{replicas:8} {accounts:8} {open_requests:7} | {:6} {:11.1} {:9.2} {tick_micros:8.1}",
         held / 1_024,
-        micros / TIMED as f64,
+        micros / TIMED_REQUESTS as f64,
         micros / events as f64,
     );
 }
 
-impl Scene {
-    fn new(accounts: u64) -> Scene {
+impl Fixture {
+    fn new(accounts: u64) -> Fixture {
         let identity = Identity {
             name: "entry-1".into(),
             incarnation: Incarnation(1),
@@ -108,20 +108,20 @@
             peer_address: "127.0.0.1:2".into(),
         };
         let entry = Entry::new(identity, Settings::default(), "a key of all entries", 1);
-        let mut scene = Scene {
+        let mut fixture = Fixture {
             entry,
             now: Time::from_millis(1),
-            next: 1,
+            next_serial: 1,
             accounts,
         };
-        scene.join();
-        scene.configure(accounts);
-        scene.step(Event::Tick);
-        scene
+        fixture.acquire_lease();
+        fixture.configure(accounts);
+        fixture.step(Event::Tick);
+        fixture
     }
 
     /// Lets the entry acquire its lease from an otherwise empty table.
-    fn join(&mut self) {
+    fn acquire_lease(&mut self) {
         let mut events = vec![Event::Tick];
         let mut table = store::fake::Table::default();
         for _ in 0..40 {
@@ -167,15 +167,15 @@
     }
 
     /// Lists the given number of replicas.
-    fn list(&mut self, replicas: u64) {
-        let list = (0..replicas).map(instance).collect();
-        self.step(Event::InstancesRead(list));
+    fn list_instances(&mut self, replicas: u64) {
+        let instances = (0..replicas).map(instance).collect();
+        self.step(Event::InstancesRead(instances));
     }
 
     /// Starts a request that keeps streaming.
-    fn open(&mut self) -> Option<(u64, u32)> {
-        let serial = self.next;
-        self.next += 1;
+    fn open_request(&mut self) -> Option<(u64, u32)> {
+        let serial = self.next_serial;
+        self.next_serial += 1;
         let arrival = arrival(serial, self.accounts);
         let started = self
             .step(Event::Arrived { serial, arrival })
@@ -192,12 +192,12 @@
     }
 
     /// Runs a request from arrival to end and returns the number of events.
-    fn whole(&mut self) -> u64 {
+    fn run_request(&mut self) -> u64 {
         self.now = self.now + Span::from_millis(1);
-        let Some((serial, attempt)) = self.open() else {
+        let Some((serial, attempt)) = self.open_request() else {
             return 1;
         };
-        for _ in 0..COUNTS {
+        for _ in 0..TOKEN_REPORTS {
             let report = Report::Tokens {
                 tokens: 8,
                 worst_gap: Span::from_millis(20),
@@ -206,17 +206,17 @@
         }
         let end = End::Finished;
         self.report(serial, attempt, Report::Ended { end, tokens: 0 });
-        3 + u64::from(COUNTS)
+        3 + u64::from(TOKEN_REPORTS)
     }
 
     /// Returns the mean time of a tick, microseconds.
-    fn ticks(&mut self) -> f64 {
-        let begun = Instant::now();
+    fn tick_micros(&mut self) -> f64 {
+        let start = Instant::now();
         for _ in 0..100 {
             self.now = self.now + Span::from_millis(20);
             self.step(Event::Tick);
         }
-        begun.elapsed().as_secs_f64() * 1e6 / 100.0
+        start.elapsed().as_secs_f64() * 1e6 / 100.0
     }
 
     fn report(&mut self, serial: u64, attempt: u32, report: Report) {
@@ -292,11 +292,11 @@
 }
 
 /// Returns the resident memory of this process, bytes.
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
         .split_whitespace()
         .nth(1)
         .and_then(|field| field.parse().ok());
-    pages.unwrap_or(0_u64) * PAGE
+    pages.unwrap_or(0_u64) * PAGE_BYTES
 }
--- a/crates/entry/src/accounting.rs
+++ b/crates/entry/src/accounting.rs
@@ -43,9 +43,9 @@
         event: collector::Event,
         effects: &mut Vec<Effect>,
     ) {
-        let mut asked = Vec::new();
-        self.collector.step(now, event, &mut asked);
-        for effect in asked {
+        let mut outputs = Vec::new();
+        self.collector.step(now, event, &mut outputs);
+        for effect in outputs {
             match effect {
                 collector::Effect::Store { id, call } => {
                     self.queue_store_call(Waiter::Collector(id), call);
@@ -148,7 +148,7 @@
 
 /// Returns a sample with the fields that don't depend on the outcome.
 fn sample_of(now: Time, flight: &Flight) -> Sample {
-    let first_token = flight.first_token.map(|at| at.since(flight.arrived));
+    let first_token = flight.first_token.map(|time| time.since(flight.arrived));
     Sample {
         deployment: flight.deployment.clone(),
         account: flight.account.clone(),
--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -35,13 +35,13 @@
 
     /// Returns the entries known to admit requests, the owner of the prefix first.
     fn usable_entries(&mut self, now: Time, prefix: Option<u64>) -> Vec<Address> {
-        let named = self.membership.addresses(now, prefix);
-        named
+        let addresses = self.membership.addresses(now, prefix);
+        addresses
             .into_iter()
-            .map(|named| Address {
-                address: named.address,
-                zone: named.zone,
-                weight: named.weight,
+            .map(|member| Address {
+                address: member.address,
+                zone: member.zone,
+                weight: member.weight,
             })
             .collect()
     }
--- a/crates/entry/src/backends.rs
+++ b/crates/entry/src/backends.rs
@@ -36,7 +36,7 @@
 /// The known backend servers.
 #[derive(Debug, Default)]
 pub struct Backends {
-    known: BTreeMap<SmolStr, Backend>,
+    by_incarnation: BTreeMap<SmolStr, Backend>,
     by_key: BTreeMap<replica::Key, SmolStr>,
     /// Incarnations that are leaving or gone.
     leaving: BTreeSet<SmolStr>,
@@ -56,20 +56,24 @@
     pub fn reconcile(&mut self, now: Time, list: &[Instance]) -> Vec<Change> {
         let mut changes = Vec::new();
         for instance in list {
-            let leaving = self.leaving.contains(&instance.incarnation);
-            let known = self.known.contains_key(&instance.incarnation);
-            if instance.leaving && !leaving {
+            let is_leaving = self.leaving.contains(&instance.incarnation);
+            let is_known = self.by_incarnation.contains_key(&instance.incarnation);
+            if instance.leaving && !is_leaving {
                 self.mark_leaving(instance.incarnation.clone());
-                if known {
+                if is_known {
                     let deadline = now + LISTED_LEAVE_TIME;
                     changes.push(Change::Leaving(instance.incarnation.clone(), deadline));
                 }
-            } else if !instance.leaving && !leaving && !known {
+            } else if !instance.leaving && !is_leaving && !is_known {
                 changes.push(Change::Joined(instance.clone()));
             }
         }
-        let listed: BTreeSet<&SmolStr> = list.iter().map(|one| &one.incarnation).collect();
-        let lost = self.known.keys().filter(|one| !listed.contains(one));
+        let listed: BTreeSet<&SmolStr> =
+            list.iter().map(|instance| &instance.incarnation).collect();
+        let lost = self
+            .by_incarnation
+            .keys()
+            .filter(|incarnation| !listed.contains(incarnation));
         changes.extend(lost.cloned().map(Change::Lost));
         changes
     }
@@ -102,12 +106,13 @@
     pub fn add(&mut self, key: replica::Key, instance: Instance) {
         self.by_key.insert(key, instance.incarnation.clone());
         let incarnation = instance.incarnation.clone();
-        self.known.insert(incarnation, Backend { key, instance });
+        self.by_incarnation
+            .insert(incarnation, Backend { key, instance });
     }
 
     /// Removes a server and marks its incarnation as leaving.
     pub fn remove(&mut self, incarnation: &str) -> Option<replica::Key> {
-        let backend = self.known.remove(incarnation)?;
+        let backend = self.by_incarnation.remove(incarnation)?;
         self.by_key.remove(&backend.key);
         self.mark_leaving(backend.instance.incarnation);
         Some(backend.key)
@@ -115,13 +120,17 @@
 
     /// Returns a server's key in the scheduler.
     pub fn key_of(&self, incarnation: &str) -> Option<replica::Key> {
-        self.known.get(incarnation).map(|backend| backend.key)
+        self.by_incarnation
+            .get(incarnation)
+            .map(|backend| backend.key)
     }
 
     /// Returns the instance of a key.
     pub fn instance(&self, key: replica::Key) -> Option<&Instance> {
         let incarnation = self.by_key.get(&key)?;
-        self.known.get(incarnation).map(|backend| &backend.instance)
+        self.by_incarnation
+            .get(incarnation)
+            .map(|backend| &backend.instance)
     }
 
     /// Returns the endpoint of a key.
@@ -135,6 +144,8 @@
 
     /// Iterates over all known servers.
     pub fn iter(&self) -> impl Iterator<Item = &Instance> {
-        self.known.values().map(|backend| &backend.instance)
+        self.by_incarnation
+            .values()
+            .map(|backend| &backend.instance)
     }
 }
--- a/crates/entry/src/configuration.rs
+++ b/crates/entry/src/configuration.rs
@@ -51,9 +51,9 @@
         event: ConfigEvent,
         effects: &mut Vec<Effect>,
     ) {
-        let mut asked = Vec::new();
-        self.agreement.step(now, event, &mut asked);
-        for effect in asked {
+        let mut outputs = Vec::new();
+        self.agreement.step(now, event, &mut outputs);
+        for effect in outputs {
             match effect {
                 ConfigEffect::Store { id, call } => {
                     self.queue_store_call(Waiter::Agreement(id), call);
@@ -80,25 +80,25 @@
         &mut self,
         now: Time,
         call: u64,
-        asked: Change,
+        request: Change,
         effects: &mut Vec<Effect>,
     ) {
-        let checked = operators::check_edit(self.catalog.snapshot(), &asked.edit);
-        if let Err(fault) = checked
-            && !self.agreement.holds(&asked.id)
+        let validity = operators::check_edit(self.catalog.snapshot(), &request.edit);
+        if let Err(fault) = validity
+            && !self.agreement.holds(&request.id)
         {
             let reply = Err(fault);
             return effects.push(Effect::Operator { call, reply });
         }
         let change = change::Change {
-            id: asked.id,
-            base: asked.expected_version,
-            edits: vec![edit_of(asked.edit)],
+            id: request.id,
+            base: request.expected_version,
+            edits: vec![edit_of(request.edit)],
         };
         let submit = ConfigEvent::Submit {
             operation: Operation(call),
             change,
-            deadline: now + asked.wait.max(MIN_CHANGE_WAIT),
+            deadline: now + request.wait.max(MIN_CHANGE_WAIT),
         };
         self.step_agreement(now, submit, effects);
     }
--- a/crates/entry/src/decisions.rs
+++ b/crates/entry/src/decisions.rs
@@ -78,7 +78,9 @@
             .with("replica", &endpoint.incarnation);
         let account = flight.account.clone();
         let snapshot = self.catalog.snapshot();
-        let priority = snapshot.account(&account).map_or(0, |one| one.priority);
+        let priority = snapshot
+            .account(&account)
+            .map_or(0, |account| account.priority);
         effects.push(Effect::Log(line));
         effects.push(Effect::Flight {
             serial: job.0,
--- a/crates/entry/src/leaders.rs
+++ b/crates/entry/src/leaders.rs
@@ -73,9 +73,9 @@
         let Some(lead) = self.leaders.by_deployment.get_mut(name) else {
             return;
         };
-        let mut asked = Vec::new();
-        lead.step(now, event, &mut asked);
-        for effect in asked {
+        let mut outputs = Vec::new();
+        lead.step(now, event, &mut outputs);
+        for effect in outputs {
             self.perform_leader_effect(now, name, effect, effects);
         }
     }
@@ -90,8 +90,8 @@
         self.leaders.instances = list.to_vec();
         let names: Vec<SmolStr> = self.leaders.by_deployment.keys().cloned().collect();
         for name in names {
-            let listed = FleetEvent::Listed(self.pool_instances(&name));
-            self.step_leader(now, &name, listed, effects);
+            let event = FleetEvent::Listed(self.pool_instances(&name));
+            self.step_leader(now, &name, event, effects);
         }
     }
 
@@ -120,8 +120,8 @@
             .leaders
             .instances
             .iter()
-            .find(|one| one.incarnation == incarnation)
-            .map(|one| one.pool.clone());
+            .find(|instance| instance.incarnation == incarnation)
+            .map(|instance| instance.pool.clone());
         let Some(pool) = pool else {
             return;
         };
@@ -132,22 +132,26 @@
             .collect();
         for name in names {
             let engine = incarnation.to_smolstr();
-            let loaded = FleetEvent::Loaded { engine, requests };
-            self.step_leader(now, &name, loaded, effects);
+            let event = FleetEvent::Loaded { engine, requests };
+            self.step_leader(now, &name, event, effects);
         }
     }
 
     /// Assigns deployments to this entry or withdraws them, by the current members.
     fn assign_leaders(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let deployments = self.catalog.snapshot().deployments.clone();
-        let gone: Vec<SmolStr> = self
+        let removed: Vec<SmolStr> = self
             .leaders
             .by_deployment
             .keys()
-            .filter(|name| !deployments.iter().any(|one| one.name == **name))
+            .filter(|name| {
+                !deployments
+                    .iter()
+                    .any(|deployment| deployment.name == **name)
+            })
             .cloned()
             .collect();
-        for name in gone {
+        for name in removed {
             self.step_leader(now, &name, FleetEvent::Assigned(None), effects);
             self.leaders.by_deployment.remove(&name);
         }
@@ -184,8 +188,8 @@
         self.leaders.by_deployment.insert(name.clone(), lead);
         let offers = self.offers.clone();
         self.step_leader(now, name, FleetEvent::Priced(offers), effects);
-        let listed = FleetEvent::Listed(self.pool_instances(name));
-        self.step_leader(now, name, listed, effects);
+        let event = FleetEvent::Listed(self.pool_instances(name));
+        self.step_leader(now, name, event, effects);
     }
 
     /// Returns whether this entry should lead a deployment; a leaving entry leads none.
@@ -202,12 +206,12 @@
             return Vec::new();
         };
         let list = self.leaders.instances.iter();
-        list.filter(|one| one.pool == deployment.pool && !one.leaving)
-            .filter(|one| !self.backends.is_leaving(&one.incarnation))
-            .map(|one| FleetInstance {
-                id: one.id.clone(),
-                incarnation: one.incarnation.clone(),
-                kind: one.kind.clone(),
+        list.filter(|instance| instance.pool == deployment.pool && !instance.leaving)
+            .filter(|instance| !self.backends.is_leaving(&instance.incarnation))
+            .map(|instance| FleetInstance {
+                id: instance.id.clone(),
+                incarnation: instance.incarnation.clone(),
+                kind: instance.kind.clone(),
             })
             .collect()
     }
@@ -299,7 +303,11 @@
         lease_end: Time,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(pool) = self.catalog.deployment(name).map(|one| one.pool.clone()) else {
+        let Some(pool) = self
+            .catalog
+            .deployment(name)
+            .map(|deployment| deployment.pool.clone())
+        else {
             return;
         };
         let line = Line::info("instance_wished")
@@ -342,8 +350,8 @@
 
     fn address_of(&self, incarnation: &str) -> Option<SmolStr> {
         let list = self.leaders.instances.iter();
-        let mut found = list.filter(|one| one.incarnation == incarnation);
-        found.next().map(|one| one.address.clone())
+        let mut found = list.filter(|instance| instance.incarnation == incarnation);
+        found.next().map(|instance| instance.address.clone())
     }
 }
 
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -45,9 +45,9 @@
         event: MemberEvent,
         effects: &mut Vec<Effect>,
     ) {
-        let mut asked = Vec::new();
-        self.membership.step(now, event, &mut asked);
-        for effect in asked {
+        let mut outputs = Vec::new();
+        self.membership.step(now, event, &mut outputs);
+        for effect in outputs {
             self.perform_membership_effect(now, effect, effects);
         }
     }
@@ -103,7 +103,7 @@
         &mut self,
         now: Time,
         incarnation: &SmolStr,
-        left: Span,
+        time_left: Span,
         effects: &mut Vec<Effect>,
     ) {
         let item = Item {
@@ -111,7 +111,7 @@
             key: incarnation.clone(),
             version: 1,
             age_ms: 0,
-            payload: left.as_millis().to_le_bytes().to_vec(),
+            payload: time_left.as_millis().to_le_bytes().to_vec(),
         };
         self.step_membership(now, MemberEvent::Publish(item), effects);
     }
@@ -138,7 +138,7 @@
             .membership
             .directory()
             .present()
-            .map(|(_, known)| &known.record.row)
+            .map(|(_, member)| &member.record.row)
             .filter(|row| row.id.0 != me && row.state == State::Live)
             .collect();
         live.sort_by_key(|row| row.id.0.wrapping_sub(me));
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -118,7 +118,7 @@
             }
         })
         .collect();
-    differences.sort_by(|one, other| one.subject.cmp(&other.subject));
+    differences.sort_by(|a, b| a.subject.cmp(&b.subject));
     differences.dedup();
     differences
 }
@@ -154,11 +154,11 @@
 
 /// Checks that every granted account exists.
 fn check_grants(snapshot: &Snapshot, deployment: &Deployment) -> Result<(), Fault> {
-    let stray = deployment
+    let unknown = deployment
         .grants
         .iter()
         .find(|grant| snapshot.account(&grant.account).is_none());
-    match stray {
+    match unknown {
         Some(grant) => Err(Fault::Precondition(format!(
             "deployment {} grants account {}, which isn't there",
             deployment.name, grant.account
--- a/crates/entry/src/permits.rs
+++ b/crates/entry/src/permits.rs
@@ -142,23 +142,23 @@
         answer: Option<Answer>,
         effects: &mut Vec<Effect>,
     ) {
-        let waits = self
+        let pending_permit = self
             .flights
             .get(&serial)
             .map(|flight| &flight.pending_permit);
-        let waits = matches!(waits, Some(Some(Permit::Ticket { .. })));
+        let is_waiting = matches!(pending_permit, Some(Some(Permit::Ticket { .. })));
         match answer {
             // The ledger may have moved to an heir that is not known here yet.
             Some(Answer::Unknown) | None => self.refresh_members(now, effects),
-            Some(answer) if waits => self.permit_answered(now, serial, answer, effects),
+            Some(answer) if is_waiting => self.permit_answered(now, serial, answer, effects),
             Some(_) => {}
         }
     }
 
     /// Retries unanswered ticket requests and refuses those past their deadline.
     fn ticket_permits_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let seeking = self.awaiting_permit.iter();
-        let due: Vec<(u64, Ticket, Time)> = seeking
+        let awaiting = self.awaiting_permit.iter();
+        let due: Vec<(u64, Ticket, Time)> = awaiting
             .filter_map(|serial| match &self.flights.get(serial)?.pending_permit {
                 Some(Permit::Ticket {
                     ticket,
@@ -306,21 +306,21 @@
     /// dispatched.
     pub(crate) fn permits_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.ticket_permits_tick(now, effects);
-        let overdue = |leave: &Option<Permit>| matches!(leave, Some(Permit::Intent { deadline, .. }) if *deadline <= now);
+        let is_expired = |permit: &Option<Permit>| matches!(permit, Some(Permit::Intent { deadline, .. }) if *deadline <= now);
         let flights = &self.flights;
         self.awaiting_permit.retain(|serial| {
             let flight = flights.get(serial);
             flight.is_some_and(|flight| flight.pending_permit.is_some())
         });
-        let seeking = self.awaiting_permit.iter();
-        let late: Vec<u64> = seeking
+        let awaiting = self.awaiting_permit.iter();
+        let expired: Vec<u64> = awaiting
             .filter(|serial| {
                 let flight = flights.get(serial);
-                flight.is_some_and(|flight| overdue(&flight.pending_permit))
+                flight.is_some_and(|flight| is_expired(&flight.pending_permit))
             })
             .copied()
             .collect();
-        for serial in late {
+        for serial in expired {
             self.refuse(now, serial, store_refusal(), effects);
         }
     }
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -31,7 +31,7 @@
         let directory = self.membership.directory();
         let entries = directory
             .present()
-            .map(|(_, known)| self.entry_status(now, known));
+            .map(|(_, member)| self.entry_status(now, member));
         let mut backends: Vec<BackendStatus> = self
             .backends
             .iter()
@@ -47,9 +47,9 @@
                 running: self.running_on(&instance.incarnation),
             })
             .collect();
-        backends.sort_by(|one, other| one.incarnation.cmp(&other.incarnation));
+        backends.sort_by(|a, b| a.incarnation.cmp(&b.incarnation));
         let mut entries: Vec<EntryStatus> = entries.collect();
-        entries.sort_by(|one, other| one.name.cmp(&other.name));
+        entries.sort_by(|a, b| a.name.cmp(&b.name));
         Reply::Status(Status {
             entry: self.identity.name.clone(),
             version: self.catalog.version(),
@@ -123,30 +123,30 @@
     /// Returns the number of this entry's requests that run on a backend server.
     fn running_on(&self, incarnation: &str) -> u32 {
         let key = self.backends.key_of(incarnation);
-        let here = |replica| key.is_some() && replica == key;
+        let runs_there = |replica| key.is_some() && replica == key;
         saturating_u32(
             self.flights
                 .values()
-                .filter(|one| here(one.replica))
+                .filter(|flight| runs_there(flight.replica))
                 .count(),
         )
     }
 
     /// Returns the status of one entry.
-    fn entry_status(&self, now: Time, known: &Member) -> EntryStatus {
-        let row = &known.record.row;
-        let own = row.id.0 == self.identity.incarnation.0;
+    fn entry_status(&self, now: Time, member: &Member) -> EntryStatus {
+        let row = &member.record.row;
+        let is_own = row.id.0 == self.identity.incarnation.0;
         EntryStatus {
-            name: if own {
+            name: if is_own {
                 self.identity.name.clone()
             } else {
                 row.id.to_smolstr()
             },
             zone: row.zone.clone(),
             address: row.address.clone(),
-            applied_version: known.beat.applied.max(row.applied),
-            lease: lease_state(now, known),
-            release: if own {
+            applied_version: member.beat.applied.max(row.applied),
+            lease: lease_state(now, member),
+            release: if is_own {
                 SmolStr::new_static(RELEASE)
             } else {
                 SmolStr::default()
@@ -156,13 +156,13 @@
 }
 
 /// Returns the state of a member's lease by the age of its heartbeat.
-fn lease_state(now: Time, known: &Member) -> LeaseState {
-    let silent = now.since(known.last_seen);
-    let term = known.record.row.term();
-    match known.record.row.state {
+fn lease_state(now: Time, member: &Member) -> LeaseState {
+    let age = now.since(member.last_seen);
+    let term = member.record.row.term();
+    match member.record.row.state {
         State::Draining | State::Left => LeaseState::Leaving,
-        State::Live if silent > term + term => LeaseState::Lapsed,
-        State::Live if silent > term => LeaseState::Overdue,
+        State::Live if age > term + term => LeaseState::Lapsed,
+        State::Live if age > term => LeaseState::Overdue,
         State::Live => LeaseState::Held,
     }
 }
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -65,14 +65,14 @@
     /// Stops before the own instance is reclaimed, reserving part of the time for handing off.
     pub(crate) fn stop_by(&mut self, now: Time, reclaim: Time, effects: &mut Vec<Effect>) {
         if !self.stop.is_stopping() {
-            let left = reclaim.since(now);
+            let time_left = reclaim.since(now);
             let line = Line::info("instance_leaving")
-                .with("left_ms", left.as_millis())
+                .with("left_ms", time_left.as_millis())
                 .with("open", self.flights.len());
             effects.push(Effect::Log(line));
         }
-        let usable = reclaim.since(now).scaled(FINISH_SHARE);
-        let grace = usable.min(self.settings.grace);
+        let finish_time = reclaim.since(now).scaled(FINISH_SHARE);
+        let grace = finish_time.min(self.settings.grace);
         let linger = reclaim.since(now).scaled(LINGER_SHARE);
         let linger = linger.min(self.settings.address_ttl + GOSSIP_TIME);
         self.stop_until(now, now + grace, now + linger, effects);
@@ -114,11 +114,11 @@
             return;
         }
         self.hand_off_ledger(now, effects);
-        let waited = self
+        let timed_out = self
             .stop
             .ledger_settled
             .is_some_and(|settled| now.since(settled) >= LEAVE_TIMEOUT);
-        if (self.stop.leave_recorded && self.collector.is_done()) || waited {
+        if (self.stop.leave_recorded && self.collector.is_done()) || timed_out {
             self.stop.exited = true;
             effects.push(Effect::Log(Line::info("stopped")));
             effects.push(Effect::Exit);
--- a/crates/entry/src/store_calls.rs
+++ b/crates/entry/src/store_calls.rs
@@ -54,9 +54,9 @@
     pub(crate) fn queue_store_call(&mut self, waiter: Waiter, call: Call) {
         let id = call::Id(self.next_store_call);
         self.next_store_call += 1;
-        let refused = self.throttle.push(waiter.priority(), id, call);
+        let rejected = self.throttle.push(waiter.priority(), id, call);
         self.store_calls.insert(id, waiter);
-        if let Some((id, _)) = refused {
+        if let Some((id, _)) = rejected {
             self.rejected_store_calls.push(id);
         }
     }
@@ -99,12 +99,12 @@
                 self.step_membership(now, member::event::Event::Store { id, outcome }, effects);
             }
             Some(Waiter::Collector(id)) => {
-                let answered = burn::collector::Event::Store { id, outcome };
-                self.step_collector(now, answered, effects);
+                let event = burn::collector::Event::Store { id, outcome };
+                self.step_collector(now, event, effects);
             }
             Some(Waiter::Leader { deployment, id }) => {
-                let answered = fleet::event::Event::Store { id, outcome };
-                self.step_leader(now, &deployment, answered, effects);
+                let event = fleet::event::Event::Store { id, outcome };
+                self.step_leader(now, &deployment, event, effects);
             }
             Some(Waiter::Intent { serial }) => self.intent_answered(now, serial, outcome, effects),
             None => {}
