--- a/crates/entry/src/configuration.rs
+++ b/crates/entry/src/configuration.rs
@@ -198,16 +198,16 @@
         },
         Answer::Invalid { message } => return Err(Fault::Precondition(message.to_string())),
         Answer::Reused { version } => {
-            let why = format!("the change id was used for another change, version {version}");
-            return Err(Fault::Precondition(why));
+            let message = format!("the change id was used for another change, version {version}");
+            return Err(Fault::Precondition(message));
         }
         Answer::Unavailable => {
-            let why = "the table service doesn't answer; nothing was changed";
-            return Err(Fault::Unavailable(SmolStr::new_static(why)));
+            let message = "the table service doesn't answer; nothing was changed";
+            return Err(Fault::Unavailable(SmolStr::new_static(message)));
         }
         Answer::Busy => {
-            let why = "too many changes wait here; nothing was changed";
-            return Err(Fault::Unavailable(SmolStr::new_static(why)));
+            let message = "too many changes wait here; nothing was changed";
+            return Err(Fault::Unavailable(SmolStr::new_static(message)));
         }
         Answer::Unknown => return Err(Fault::OutcomeUnknown),
     };
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -25,7 +25,6 @@
 mod catch_up;
 mod configuration;
 mod decisions;
-
 mod leaders;
 mod members;
 mod operators;
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -88,11 +88,11 @@
                 })
             }
             Target::Entry(name) => {
-                let why = format!(
+                let message = format!(
                     "this is entry {}; ask entry {name} itself",
                     self.identity.name
                 );
-                Err(Fault::Precondition(why))
+                Err(Fault::Precondition(message))
             }
             Target::Backend(incarnation) => self.drain_backend(now, incarnation, effects),
         }
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -35,7 +35,7 @@
     /// Time until which callers may arrive that got this entry's address before it began to leave.
     linger_until: Time,
     ledger_sent: bool,
-    ledger_settled: Option<Time>,
+    ledger_settled_at: Option<Time>,
     leave_recorded: bool,
     exited: bool,
 }
@@ -63,17 +63,17 @@
     }
 
     /// Stops before the own instance is reclaimed, reserving part of the time for handing off.
-    pub(crate) fn stop_by(&mut self, now: Time, reclaim: Time, effects: &mut Vec<Effect>) {
+    pub(crate) fn stop_by(&mut self, now: Time, reclaim_time: Time, effects: &mut Vec<Effect>) {
         if !self.stop.is_stopping() {
-            let time_left = reclaim.since(now);
+            let time_left = reclaim_time.since(now);
             let line = Line::info("instance_leaving")
                 .with("left_ms", time_left.as_millis())
                 .with("open", self.flights.len());
             effects.push(Effect::Log(line));
         }
-        let finish_time = reclaim.since(now).scaled(FINISH_SHARE);
+        let finish_time = reclaim_time.since(now).scaled(FINISH_SHARE);
         let grace = finish_time.min(self.settings.grace);
-        let linger = reclaim.since(now).scaled(LINGER_SHARE);
+        let linger = reclaim_time.since(now).scaled(LINGER_SHARE);
         let linger = linger.min(self.settings.address_ttl + GOSSIP_TIME);
         self.stop_until(now, now + grace, now + linger, effects);
     }
@@ -116,7 +116,7 @@
         self.hand_off_ledger(now, effects);
         let timed_out = self
             .stop
-            .ledger_settled
+            .ledger_settled_at
             .is_some_and(|settled| now.since(settled) >= LEAVE_TIMEOUT);
         if (self.stop.leave_recorded && self.collector.is_done()) || timed_out {
             self.stop.exited = true;
@@ -138,7 +138,7 @@
             None => Line::warn("ledger_lost"),
         };
         effects.push(Effect::Log(line));
-        self.stop.ledger_settled = Some(now);
+        self.stop.ledger_settled_at = Some(now);
         self.step_collector(now, collector::Event::Stopped, effects);
         let heir = heir.map(|heir| holder::Id(heir.0));
         self.step_membership(now, MemberEvent::Leave { heir }, effects);
