--- a/crates/config/examples/operators.rs
+++ b/crates/config/examples/operators.rs
@@ -14,7 +14,7 @@
 use config::event::Event;
 use lease::holder;
 use lease::holding::Holding;
-use lease::view::Seen;
+use lease::view::Member;
 use lease::view::View;
 use store::fake::Table;
 
@@ -43,13 +43,13 @@
         feed(&mut entries[index], now, event, &mut table);
     }
     for entry in &mut entries {
-        let members = [1, 2].map(|id| Seen {
-            member: holder::Id(id),
+        let members = [1, 2].map(|id| Member {
+            id: holder::Id(id),
             applied: 1,
             lapsed: false,
         });
         let view = View {
-            asked: now,
+            requested_at: now,
             members: members.to_vec(),
         };
         feed(entry, now, Event::View(view), &mut table);
@@ -88,7 +88,7 @@
                 println!("operation={} answer={answer:?}", operation.0);
             }
             Effect::Apply(snapshot) => println!("applied version={}", snapshot.version),
-            Effect::Send { .. } | Effect::View | Effect::Announce(_) => {}
+            Effect::Send { .. } | Effect::ReadMembers | Effect::Announce(_) => {}
         }
     }
 }
--- a/crates/config/src/acceptance.rs
+++ b/crates/config/src/acceptance.rs
@@ -22,7 +22,7 @@
 use lease::holder;
 use lease::view::View;
 
-use crate::change::Standing;
+use crate::change::Progress;
 
 /// Follows versions until they are accepted.
 #[derive(Clone, Debug, Default)]
@@ -58,11 +58,11 @@
     /// Notes a newer view; word on members that are gone from it is dropped.
     pub fn set_view(&mut self, view: View) {
         for seen in &view.members {
-            let applied = self.applied.entry(seen.member).or_default();
+            let applied = self.applied.entry(seen.id).or_default();
             *applied = seen.applied.max(*applied);
         }
         self.applied
-            .retain(|member, _| view.members.iter().any(|seen| seen.member == *member));
+            .retain(|member, _| view.members.iter().any(|seen| seen.id == *member));
         self.view = view;
     }
 
@@ -75,7 +75,7 @@
 
     /// All members of the last view.
     pub fn members(&self) -> impl Iterator<Item = holder::Id> {
-        self.view.members.iter().map(|seen| seen.member)
+        self.view.members.iter().map(|seen| seen.id)
     }
 
     /// Whether some version waits for a newer view.
@@ -84,27 +84,27 @@
     }
 
     /// How far a version has come.
-    pub fn standing(&mut self, version: u64) -> Standing {
+    pub fn progress(&mut self, version: u64) -> Progress {
         if version <= self.accepted {
-            return Standing::Accepted;
+            return Progress::Accepted;
         }
         let Some(known) = self.known.get(&version) else {
-            return Standing::Unknown;
+            return Progress::Unknown;
         };
-        if self.view.asked < *known || self.view.members.is_empty() {
-            return Standing::Waiting(Vec::new());
+        if self.view.requested_at < *known || self.view.members.is_empty() {
+            return Progress::Waiting(Vec::new());
         }
         let waiting = self.behind(version, false);
         if !waiting.is_empty() {
-            return Standing::Waiting(waiting);
+            return Progress::Waiting(waiting);
         }
         let out = self.behind(version, true);
         if !out.is_empty() && !self.majority_applied(version) {
-            return Standing::Waiting(out);
+            return Progress::Waiting(out);
         }
         self.accepted = version;
         self.known = self.known.split_off(&(version + 1));
-        Standing::Accepted
+        Progress::Accepted
     }
 
     /// Members that have not applied the version: those that are out, or those that are not.
@@ -112,8 +112,8 @@
         self.view
             .members
             .iter()
-            .filter(|seen| seen.lapsed == out && !self.has_applied(seen.member, version))
-            .map(|seen| seen.member)
+            .filter(|seen| seen.lapsed == out && !self.has_applied(seen.id, version))
+            .map(|seen| seen.id)
             .collect()
     }
 
@@ -122,7 +122,7 @@
             .view
             .members
             .iter()
-            .filter(|seen| !seen.lapsed && self.has_applied(seen.member, version))
+            .filter(|seen| !seen.lapsed && self.has_applied(seen.id, version))
             .count();
         applied * 2 > self.view.members.len()
     }
--- a/crates/config/src/agreement.rs
+++ b/crates/config/src/agreement.rs
@@ -21,7 +21,7 @@
 
 use crate::acceptance::Acceptance;
 use crate::admission::Admission;
-use crate::change::Standing;
+use crate::change::Progress;
 use crate::configs::agreement::Settings;
 use crate::event::Effect;
 use crate::event::Event;
@@ -132,23 +132,23 @@
     }
 
     /// Whether a change of this id is part of the history kept here.
-    pub fn holds(&self, change: &str) -> bool {
+    pub fn contains_change(&self, change: &str) -> bool {
         self.history.find(change).is_some()
     }
 
     /// The versions that are kept here, in rising order.
-    pub fn kept(&self) -> Vec<row::Version> {
+    pub fn retained_versions(&self) -> Vec<row::Version> {
         let floor = self.history.floor();
         self.history.after(floor, usize::MAX).unwrap_or_default()
     }
 
     /// How far a version has come, as this entry sees it.
-    pub fn standing(&mut self, now: Time, version: u64) -> Standing {
+    pub fn progress(&mut self, now: Time, version: u64) -> Progress {
         if version > self.history.version() {
-            return Standing::Unknown;
+            return Progress::Unknown;
         }
         self.acceptance.track(now, version);
-        self.acceptance.standing(version)
+        self.acceptance.progress(version)
     }
 
     /// When [`Event::Wake`] is wanted next.
@@ -218,7 +218,7 @@
     }
 
     fn viewed(&mut self, view: View) {
-        let voters = view.members.iter().map(|seen| seen.member);
+        let voters = view.members.iter().map(|seen| seen.id);
         self.admission.set_voters(voters.collect());
         self.acceptance.set_view(view);
         self.acceptance.set_applied(self.me, self.promise.said());
@@ -259,7 +259,7 @@
         self.ask(now, effects);
         if self.acceptance.wants_view() && now >= self.next_view {
             self.next_view = now + VIEW_INTERVAL;
-            effects.push(Effect::View);
+            effects.push(Effect::ReadMembers);
         }
     }
 
--- a/crates/config/src/agreement/commits.rs
+++ b/crates/config/src/agreement/commits.rs
@@ -9,7 +9,7 @@
 use crate::change::Answer;
 use crate::change::Change;
 use crate::change::Operation;
-use crate::change::Standing;
+use crate::change::Progress;
 use crate::event::Effect;
 use crate::submission::Attempt;
 use crate::submission::Commit;
@@ -73,9 +73,9 @@
     pub(super) fn answer(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let overdue = self.submissions.overdue(now);
         for (operation, version) in self.submissions.committed() {
-            let answer = match self.acceptance.standing(version) {
-                Standing::Accepted => Answer::Accepted { version },
-                Standing::Waiting(waiting) if overdue.contains(&operation) => {
+            let answer = match self.acceptance.progress(version) {
+                Progress::Accepted => Answer::Accepted { version },
+                Progress::Waiting(waiting) if overdue.contains(&operation) => {
                     Answer::Committed { version, waiting }
                 }
                 _ => continue,
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -65,7 +65,7 @@
 
 /// How far a version has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Progress {
     /// In force at every entry that admits requests.
     Accepted,
     /// Committed; these members are waited for. Empty while they are being read.
--- a/crates/config/src/event.rs
+++ b/crates/config/src/event.rs
@@ -77,7 +77,7 @@
         message: Message,
     },
     /// Read the members again and report them as [`Event::View`].
-    View,
+    ReadMembers,
     /// From now on this configuration is in force here.
     Apply(Arc<Snapshot>),
     /// Tell the members that this version has been applied here. Comes at once or, after words to
--- a/crates/config/tests/agreement.rs
+++ b/crates/config/tests/agreement.rs
@@ -13,7 +13,7 @@
 use config::event::Event;
 use lease::holder;
 use lease::holding::Holding;
-use lease::view::Seen;
+use lease::view::Member;
 use lease::view::View;
 use store::fake::Table;
 
@@ -98,13 +98,13 @@
     assert_eq!(entry.agreement.snapshot().version, 1);
     assert_eq!(entry.answers, []);
 
-    let seen = Seen {
-        member: holder::Id(1),
+    let seen = Member {
+        id: holder::Id(1),
         applied: 0,
         lapsed: false,
     };
     let view = View {
-        asked: start,
+        requested_at: start,
         members: vec![seen],
     };
     entry.feed(start, Event::View(view), &mut table);
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -356,7 +356,7 @@
                 return;
             }
             Effect::Announce(version) => membership::Event::Applied(version),
-            Effect::View => membership::Event::ReadAll,
+            Effect::ReadMembers => membership::Event::ReadAll,
         };
         self.feed(index, Event::Membership(event));
     }
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -16,7 +16,7 @@
 use http::Response;
 use request::id::Id;
 use request::id::Incarnation;
-use request::seal::Seal;
+use request::signer::Signer;
 use serde_json::json;
 use smol_str::SmolStr;
 use tokio::sync::mpsc;
@@ -35,12 +35,12 @@
 pub struct Callers {
     shared: Rc<Shared>,
     incarnation: Incarnation,
-    tickets: Rc<Seal>,
+    tickets: Rc<Signer>,
 }
 
 impl Callers {
     /// Answers in the name of this incarnation; `tickets` seals the tickets it gives out.
-    pub fn new(shared: Rc<Shared>, incarnation: Incarnation, tickets: Seal) -> Callers {
+    pub fn new(shared: Rc<Shared>, incarnation: Incarnation, tickets: Signer) -> Callers {
         Callers {
             shared,
             incarnation,
@@ -194,7 +194,7 @@
 }
 
 /// The answer to a question for addresses.
-fn addresses_answer(addresses: &Addresses, seal: &Seal) -> Response<Payload> {
+fn addresses_answer(addresses: &Addresses, seal: &Signer) -> Response<Payload> {
     let entries: Vec<_> = addresses
         .entries
         .iter()
@@ -206,11 +206,7 @@
             })
         })
         .collect();
-    let tickets: Vec<String> = addresses
-        .tickets
-        .iter()
-        .map(|one| seal.close(one))
-        .collect();
+    let tickets: Vec<String> = addresses.tickets.iter().map(|one| seal.sign(one)).collect();
     answer::json_answer(&json!({
         "addresses": entries,
         "ttl_ms": addresses.ttl.as_millis(),
--- a/crates/daemon/src/flight.rs
+++ b/crates/daemon/src/flight.rs
@@ -26,9 +26,9 @@
 use policy::job::End;
 use request::id::Id;
 use request::id::Stream;
-use request::relay::Relay;
 use request::resume::Resume;
-use request::seal::Seal;
+use request::sequencer::Sequencer;
+use request::signer::Signer;
 use smol_str::SmolStr;
 use tokio::sync::mpsc;
 
@@ -46,7 +46,7 @@
     /// The way to backend servers.
     pub client: HttpClient,
     /// Seals resume words.
-    pub seal: Seal,
+    pub seal: Signer,
 }
 
 /// One open model call.
@@ -57,7 +57,7 @@
     chat: Chat,
     commands: mpsc::UnboundedReceiver<Command>,
     output: Output,
-    relay: Relay,
+    relay: Sequencer,
     phase: Phase,
     running: Option<Running>,
     /// Tokens passed on since the last report.
@@ -136,7 +136,7 @@
             chat,
             commands,
             output,
-            relay: Relay::starting_at(next),
+            relay: Sequencer::starting_at(next),
             phase: Phase::Idle,
             running: None,
             unreported: 0,
@@ -246,7 +246,7 @@
         let Some(running) = &self.running else {
             return String::new();
         };
-        self.shared.seal.close(&Resume {
+        self.shared.seal.sign(&Resume {
             request: self.origin,
             account: running.account.clone(),
             deployment: self.chat.deployment.clone(),
--- a/crates/daemon/src/flight/opening.rs
+++ b/crates/daemon/src/flight/opening.rs
@@ -25,7 +25,7 @@
         account: SmolStr,
     ) {
         let base = self.relay.next();
-        self.relay.begin(stream.attempt, base);
+        self.relay.begin_attempt(stream.attempt, base);
         self.running = Some(Running {
             attempt: stream.attempt,
             stream,
@@ -48,7 +48,7 @@
 
     /// Goes on reading a stream that an engine holds.
     pub(super) fn attach(&mut self, running: Running) {
-        self.relay.begin(running.attempt, running.base);
+        self.relay.begin_attempt(running.attempt, running.base);
         let offset = self.relay.next().saturating_sub(running.base);
         let stream = running.stream;
         let address = running.endpoint.address.clone();
@@ -70,7 +70,7 @@
         };
         let base = old.base;
         let offset = self.relay.next().saturating_sub(base);
-        self.relay.begin(stream.attempt, base);
+        self.relay.begin_attempt(stream.attempt, base);
         self.running = Some(Running {
             attempt: stream.attempt,
             stream,
--- a/crates/daemon/src/flight/words.rs
+++ b/crates/daemon/src/flight/words.rs
@@ -9,7 +9,7 @@
 use entry::attempt::Report;
 use policy::decision::Transfer;
 use policy::job::End;
-use request::relay::Pass;
+use request::sequencer::Decision;
 use verdict::Reason;
 use verdict::Refusal;
 
@@ -120,10 +120,10 @@
             return Flow::On;
         };
         let offset = self.relay.next();
-        match self.relay.chunk(running.attempt, engine_offset) {
-            Pass::Drop => {}
-            Pass::Gap => self.broken(&Failure::Broken),
-            Pass::Emit => {
+        match self.relay.accept(running.attempt, engine_offset) {
+            Decision::Drop => {}
+            Decision::Gap => self.broken(&Failure::Broken),
+            Decision::Emit => {
                 running.how = Asked::Fresh;
                 self.unreported += 1;
                 let last = self.last_token.replace(Instant::now());
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -12,7 +12,7 @@
 use request::id::Incarnation;
 use request::ledger::Answer;
 use request::ledger::Estate;
-use request::seal::Seal;
+use request::signer::Signer;
 use request::ticket::Ticket;
 use smol_str::SmolStr;
 use tokio::sync::oneshot;
@@ -25,12 +25,12 @@
     link: Rc<Link>,
     client: client::Peers,
     me: Incarnation,
-    tickets: Rc<Seal>,
+    tickets: Rc<Signer>,
 }
 
 impl Peers {
     /// Calls peers in the name of `me`; `tickets` seals tickets on their way.
-    pub fn new(link: Rc<Link>, client: client::Peers, me: Incarnation, tickets: Seal) -> Peers {
+    pub fn new(link: Rc<Link>, client: client::Peers, me: Incarnation, tickets: Signer) -> Peers {
         Peers {
             link,
             client,
@@ -43,7 +43,7 @@
     pub fn ask_spend(&self, serial: u64, address: SmolStr, ticket: Ticket) {
         let client = self.client.clone();
         let link = Rc::clone(&self.link);
-        let sealed = self.tickets.close(&ticket);
+        let sealed = self.tickets.sign(&ticket);
         tokio::task::spawn_local(async move {
             let answer = client.spend(&address, &sealed).await.ok();
             link.event(Event::SpendAnswered { serial, answer });
@@ -88,12 +88,12 @@
 /// Answers peers.
 pub struct Answering {
     link: Rc<Link>,
-    tickets: Seal,
+    tickets: Signer,
 }
 
 impl Answering {
     /// Answers by asking the loop; `tickets` opens tickets.
-    pub fn new(link: Rc<Link>, tickets: Seal) -> Answering {
+    pub fn new(link: Rc<Link>, tickets: Signer) -> Answering {
         Answering { link, tickets }
     }
 }
@@ -101,7 +101,7 @@
 impl Receiver for Answering {
     fn spend(&self, ticket: SmolStr) -> Pending<Answer> {
         let (reply, answer) = oneshot::channel();
-        if let Some(ticket) = self.tickets.open(&ticket) {
+        if let Some(ticket) = self.tickets.verify(&ticket) {
             self.link.send(Message::Spend { ticket, reply });
         }
         Box::pin(async move { answer.await.ok() })
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -19,9 +19,9 @@
 use peer::proof::Key;
 use prometheus::Registry;
 use request::id::Incarnation;
-use request::seal::RESUME_PURPOSE;
-use request::seal::Seal;
-use request::seal::TICKET_PURPOSE;
+use request::signer::RESUME_PURPOSE;
+use request::signer::Signer;
+use request::signer::TICKET_PURPOSE;
 use settings::Settings;
 use smol_str::SmolStr;
 use smol_str::ToSmolStr;
@@ -115,7 +115,7 @@
     let shared = Rc::new(Shared {
         link: Rc::clone(&link),
         client: client.clone(),
-        seal: Seal::new(shared_key, RESUME_PURPOSE),
+        seal: Signer::new(shared_key, RESUME_PURPOSE),
     });
     let ready = Rc::new(Cell::new(false));
     let entry = Entry::new(
@@ -124,7 +124,7 @@
         shared_key,
         random()?,
     );
-    let tickets = Seal::new(shared_key, TICKET_PURPOSE);
+    let tickets = Signer::new(shared_key, TICKET_PURPOSE);
     let callers = Rc::new(Callers::new(shared, identity.incarnation, tickets));
     let (call_sender, calls) = mpsc::channel(CALLS_WAITING);
     let operators_key = settings.operators.key.reveal().to_owned();
@@ -147,7 +147,7 @@
     let peer_key = Key::new(shared_key);
     let answering = Rc::new(Answering::new(
         Rc::clone(&link),
-        Seal::new(shared_key, TICKET_PURPOSE),
+        Signer::new(shared_key, TICKET_PURPOSE),
     ));
     let peer_limit = peer::configs::limit::Limit::default();
     let peer_server = peer::server::serve(sockets.peers, peer_key.clone(), peer_limit, answering);
@@ -155,7 +155,7 @@
         Rc::clone(&link),
         peer::client::Peers::new(peer_key, peer_limit),
         identity.incarnation,
-        Seal::new(shared_key, TICKET_PURPOSE),
+        Signer::new(shared_key, TICKET_PURPOSE),
     );
     let tasks = [
         tokio::task::spawn_local(peer_server),
--- a/crates/entry/src/arrivals.rs
+++ b/crates/entry/src/arrivals.rs
@@ -228,7 +228,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let serial = flight.id.serial;
-        let token: Option<Resume> = self.seals.resume.open(sealed);
+        let token: Option<Resume> = self.seals.resume.verify(sealed);
         let token = token.filter(|token| {
             token.account == flight.account && token.deployment == flight.deployment
         });
--- a/crates/entry/src/configuration.rs
+++ b/crates/entry/src/configuration.rs
@@ -59,7 +59,7 @@
                     self.queue_store_call(Waiter::Agreement(id), call);
                 }
                 ConfigEffect::Send { to, message } => self.send_configure(to, message, effects),
-                ConfigEffect::View => self.refresh_members(now, effects),
+                ConfigEffect::ReadMembers => self.refresh_members(now, effects),
                 ConfigEffect::Apply(snapshot) => self.apply_configuration(now, &snapshot, effects),
                 ConfigEffect::Announce(version) => self.announce_applied(now, version, effects),
                 ConfigEffect::Answer { operation, answer } => {
@@ -85,7 +85,7 @@
     ) {
         let validity = operators::check_edit(self.catalog.snapshot(), &request.edit);
         if let Err(fault) = validity
-            && !self.agreement.holds(&request.id)
+            && !self.agreement.contains_change(&request.id)
         {
             let reply = Err(fault);
             return effects.push(Effect::Operator { call, reply });
--- a/crates/entry/src/leaders.rs
+++ b/crates/entry/src/leaders.rs
@@ -10,12 +10,12 @@
 use clock::Time;
 use config::deployment::Deployment;
 use config::deployment::Kind;
+use fleet::event::Assignment;
+use fleet::event::Bounds;
 use fleet::event::Effect as FleetEffect;
 use fleet::event::Event as FleetEvent;
 use fleet::event::Instance as FleetInstance;
-use fleet::event::Mission;
-use fleet::event::Size;
-use fleet::lead::Lead;
+use fleet::leader::Leader;
 use lease::holder;
 use lease::order::Target;
 use policy::mix::Offer;
@@ -38,7 +38,7 @@
 /// The fleet leaders of this entry.
 #[derive(Debug, Default)]
 pub(crate) struct Leaders {
-    by_deployment: BTreeMap<SmolStr, Lead>,
+    by_deployment: BTreeMap<SmolStr, Leader>,
     next_assign: Time,
     instances: Vec<Instance>,
 }
@@ -132,7 +132,7 @@
             .collect();
         for name in names {
             let engine = incarnation.to_smolstr();
-            let event = FleetEvent::Loaded { engine, requests };
+            let event = FleetEvent::LoadReported { engine, requests };
             self.step_leader(now, &name, event, effects);
         }
     }
@@ -159,7 +159,7 @@
             let mission = self
                 .should_lead(now, &deployment.name)
                 .then(|| mission_of(&deployment))
-                .filter(|mission| mission.target.is_some() || mission.size.is_some());
+                .filter(|mission| mission.target.is_some() || mission.bounds.is_some());
             self.create_leader(now, &deployment.name, mission.is_some(), effects);
             self.step_leader(
                 now,
@@ -182,9 +182,9 @@
             return;
         }
         let me = holder::Id(self.identity.incarnation.0);
-        let settings = fleet::configs::lead::Settings::default();
+        let settings = fleet::configs::leader::Settings::default();
         let seed = self.identity.incarnation.0 ^ xxh3_64(name.as_bytes());
-        let lead = Lead::new(me, name.clone(), settings, seed);
+        let lead = Leader::new(me, name.clone(), settings, seed);
         self.leaders.by_deployment.insert(name.clone(), lead);
         let offers = self.offers.clone();
         self.step_leader(now, name, FleetEvent::Priced(offers), effects);
@@ -254,7 +254,7 @@
                 incarnation,
                 until: lease_end,
             } => self.release_instance(now, id, &incarnation, lease_end, effects),
-            FleetEffect::Leads(fence) => {
+            FleetEffect::Elected(fence) => {
                 let line = Line::info("fleet_leads").with("deployment", name);
                 effects.push(Effect::Log(line.with("fence", fence)));
             }
@@ -356,7 +356,7 @@
 }
 
 /// Returns the mission of a deployment's leader: what its engines serve and the fleet's size.
-fn mission_of(deployment: &Deployment) -> Mission {
+fn mission_of(deployment: &Deployment) -> Assignment {
     let target = match &deployment.kind {
         Kind::Model {
             model,
@@ -366,19 +366,19 @@
             model: model.clone(),
             adapter: adapter.clone(),
             version: version.clone(),
-            role: SmolStr::new_static(fleet::rollout::SERVE),
+            role: SmolStr::new_static(fleet::rollout::SERVE_ROLE),
         }),
         Kind::Service => None,
     };
     let bounds = deployment.fleet;
-    let size = Size {
+    let size = Bounds {
         capacity: bounds.capacity,
         least: bounds.least,
         most: bounds.most,
     };
-    Mission {
+    Assignment {
         target,
         checks_fencing: deployment.checks_fencing,
-        size: (bounds.most > 0).then_some(size),
+        bounds: (bounds.most > 0).then_some(size),
     }
 }
--- a/crates/entry/src/permits.rs
+++ b/crates/entry/src/permits.rs
@@ -10,9 +10,9 @@
 use rand::Rng;
 use request::ledger::Answer;
 use request::ledger::Estate;
-use request::seal::RESUME_PURPOSE;
-use request::seal::Seal;
-use request::seal::TICKET_PURPOSE;
+use request::signer::RESUME_PURPOSE;
+use request::signer::Signer;
+use request::signer::TICKET_PURPOSE;
 use request::ticket::Ticket;
 use serde_json::json;
 use smol_str::SmolStr;
@@ -46,17 +46,17 @@
 /// Seals for the tokens that callers hold.
 pub struct Seals {
     /// Seals resume tokens.
-    pub resume: Seal,
+    pub resume: Signer,
     /// Seals tickets.
-    pub ticket: Seal,
+    pub ticket: Signer,
 }
 
 impl Seals {
     /// Creates the seals from the key that all entries share.
     pub fn new(shared_key: &str) -> Seals {
         Seals {
-            resume: Seal::new(shared_key, RESUME_PURPOSE),
-            ticket: Seal::new(shared_key, TICKET_PURPOSE),
+            resume: Signer::new(shared_key, RESUME_PURPOSE),
+            ticket: Signer::new(shared_key, TICKET_PURPOSE),
         }
     }
 }
@@ -89,7 +89,7 @@
         sealed: &str,
         effects: &mut Vec<Effect>,
     ) {
-        let ticket: Option<Ticket> = self.seals.ticket.open(sealed);
+        let ticket: Option<Ticket> = self.seals.ticket.verify(sealed);
         let account = self.flights.get(&serial).map(|flight| &flight.account);
         let Some(ticket) = ticket.filter(|ticket| Some(&ticket.account) == account) else {
             let refusal = Refusal::not_run(Reason::Malformed, "the ticket isn't yours");
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -63,7 +63,7 @@
     pub(crate) fn history_reply(&self, before: Option<u64>, limit: usize) -> Reply {
         let newest = self.catalog.version();
         let before = before.unwrap_or(newest + 1);
-        let mut versions = self.agreement.kept();
+        let mut versions = self.agreement.retained_versions();
         versions.retain(|version| version.version < before);
         versions.reverse();
         versions.truncate(limit);
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -198,7 +198,7 @@
             return;
         }
         self.stop.ledger_sent = true;
-        let estates = self.ledger.hand_on(now);
+        let estates = self.ledger.hand_over(now);
         match self.successor() {
             Some(row) => effects.push(Effect::OfferEstates {
                 address: row.peer_address,
--- a/crates/fleet/src/configs/lead.rs
+++ b/crates/fleet/src/configs/leader.rs
@@ -1,4 +1,4 @@
-//! Settings of [`crate::lead::Lead`].
+//! Settings of [`crate::leader::Leader`].
 
 use clock::Span;
 
@@ -12,15 +12,15 @@
     /// Its choice of instances.
     pub mix: policy::configs::mix::Config,
     /// Time between two plans of the mix.
-    pub plan: Span,
+    pub plan_interval: Span,
     /// How long an instance that was asked for is waited for before it counts as never started.
-    pub start_time: Span,
+    pub start_timeout: Span,
     /// How long a peak of demand is remembered: longer than an instance takes to load a model, so that
     /// a dip doesn't stop what the next minute needs again.
-    pub memory: Span,
+    pub peak_window: Span,
     /// Part of the engines, in thousandths, that a change of model takes out of use at once. A third
     /// is what the loss of one of three zones takes, which the mix carries anyway.
-    pub out_per_mille: u32,
+    pub max_unavailable_per_mille: u32,
 }
 
 impl Default for Settings {
@@ -29,10 +29,10 @@
             claim: lease::configs::claim::Settings::default(),
             order: lease::configs::order::Settings::default(),
             mix: policy::configs::mix::Config::default(),
-            plan: Span::from_seconds(1),
-            start_time: Span::from_seconds(120),
-            memory: Span::from_seconds(600),
-            out_per_mille: 334,
+            plan_interval: Span::from_seconds(1),
+            start_timeout: Span::from_seconds(120),
+            peak_window: Span::from_seconds(600),
+            max_unavailable_per_mille: 334,
         }
     }
 }
--- a/crates/fleet/src/configs/mod.rs
+++ b/crates/fleet/src/configs/mod.rs
@@ -1,3 +1,3 @@
 //! Settings of this crate.
 
-pub mod lead;
+pub mod leader;
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -18,7 +18,7 @@
 /// The demand on one pool.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    memory: Span,
+    window: Span,
     /// Requests at each engine, by its last report.
     engines: BTreeMap<SmolStr, u32>,
     /// The highest sum of each slice, oldest first.
@@ -27,19 +27,19 @@
 
 impl Demand {
     /// Nothing known yet.
-    pub fn new(memory: Span) -> Demand {
+    pub fn new(window: Span) -> Demand {
         Demand {
-            memory,
+            window,
             engines: BTreeMap::new(),
             peaks: VecDeque::new(),
         }
     }
 
     /// Takes an engine's report.
-    pub fn reported(&mut self, now: Time, engine: SmolStr, requests: u32) {
+    pub fn record(&mut self, now: Time, engine: SmolStr, requests: u32) {
         self.engines.insert(engine, requests);
         let sum: u32 = self.engines.values().sum();
-        let slice = self.memory.as_millis() / SLICES;
+        let slice = self.window.as_millis() / SLICES;
         match self.peaks.back_mut() {
             Some((since, peak)) if now.since(*since).as_millis() < slice => *peak = sum.max(*peak),
             _ => self.peaks.push_back((now, sum)),
@@ -47,17 +47,17 @@
     }
 
     /// Forgets engines that are no longer listed.
-    pub fn keep(&mut self, listed: impl Fn(&str) -> bool) {
+    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
         self.engines.retain(|engine, _| listed(engine));
     }
 
     /// The peak that is remembered.
     pub fn peak(&mut self, now: Time) -> u32 {
-        let memory = self.memory;
+        let window = self.window;
         while self
             .peaks
             .front()
-            .is_some_and(|(since, _)| now.since(*since) > memory)
+            .is_some_and(|(since, _)| now.since(*since) > window)
         {
             self.peaks.pop_front();
         }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -22,7 +22,7 @@
         outcome: Outcome,
     },
     /// Whether this entry should lead, and what.
-    Assigned(Option<Mission>),
+    Assigned(Option<Assignment>),
     /// The instance list was read; leaving instances are left out.
     Listed(Vec<Instance>),
     /// Prices were read.
@@ -44,7 +44,7 @@
         fence: u64,
     },
     /// An engine's own report: what it has to do.
-    Loaded {
+    LoadReported {
         /// Its incarnation.
         engine: SmolStr,
         /// Requests running and waiting there.
@@ -64,18 +64,18 @@
 
 /// What a leader has to see to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Mission {
+pub struct Assignment {
     /// What engines shall serve; none for plain services.
     pub target: Option<Target>,
     /// Whether engines refuse orders with an old fencing number.
     pub checks_fencing: bool,
     /// How many instances there may be; none where others look after that.
-    pub size: Option<Size>,
+    pub bounds: Option<Bounds>,
 }
 
 /// Bounds of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Size {
+pub struct Bounds {
     /// Requests that one instance runs at once within the targets.
     pub capacity: u32,
     /// Fewest instances.
@@ -137,7 +137,7 @@
         until: Time,
     },
     /// This entry leads from now on, under this fencing number.
-    Leads(u64),
+    Elected(u64),
     /// This entry leads no longer.
     Deposed,
 }
--- a/crates/fleet/src/lead.rs
+++ b/crates/fleet/src/leader.rs
@@ -1,7 +1,7 @@
 //! The leader of one deployment.
 //!
-//! Pure: the embedder feeds [`Event`]s to [`Lead::step`], carries out the [`Effect`]s and calls again
-//! with [`Event::Wake`] at the time that [`Lead::next_wake`] names.
+//! Pure: the embedder feeds [`Event`]s to [`Leader::step`], carries out the [`Effect`]s and calls again
+//! with [`Event::Wake`] at the time that [`Leader::next_wake`] names.
 
 use std::collections::BTreeMap;
 
@@ -19,21 +19,21 @@
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
 
-use crate::configs::lead::Settings;
+use crate::configs::leader::Settings;
 use crate::demand::Demand;
+use crate::event::Assignment;
+use crate::event::Bounds;
 use crate::event::Effect;
 use crate::event::Event;
 use crate::event::Instance;
-use crate::event::Mission;
-use crate::event::Size;
 use crate::rollout::Rollout;
 
 /// The state machine.
 #[derive(Debug)]
-pub struct Lead {
+pub struct Leader {
     settings: Settings,
     name: SmolStr,
-    mission: Option<Mission>,
+    assignment: Option<Assignment>,
     claim: Claim,
     orders: Orders,
     mix: Mix,
@@ -49,15 +49,15 @@
     next_wish: u64,
 }
 
-impl Lead {
+impl Leader {
     /// A leader of the deployment of that name that isn't assigned yet.
-    pub fn new(me: holder::Id, name: SmolStr, settings: Settings, seed: u64) -> Lead {
+    pub fn new(me: holder::Id, name: SmolStr, settings: Settings, seed: u64) -> Leader {
         let lease_name = format!("fleet/{name}");
-        Lead {
+        Leader {
             claim: Claim::new(me, &lease_name, settings.claim, seed),
             orders: Orders::new(settings.order),
             mix: Mix::new(settings.mix),
-            demand: Demand::new(settings.memory),
+            demand: Demand::new(settings.peak_window),
             rollout: Rollout::default(),
             instances: Vec::new(),
             offers: Vec::new(),
@@ -65,7 +65,7 @@
             fence: None,
             next_plan: Time::ZERO,
             next_wish: 0,
-            mission: None,
+            assignment: None,
             name,
             settings,
         }
@@ -78,9 +78,9 @@
             Event::Store { id, outcome } => {
                 self.claim_step(now, claim::Event::Store { id, outcome }, effects);
             }
-            Event::Assigned(mission) => {
-                let wanted = mission.is_some();
-                self.mission = mission;
+            Event::Assigned(assignment) => {
+                let wanted = assignment.is_some();
+                self.assignment = assignment;
                 self.claim_step(now, claim::Event::Want(wanted), effects);
             }
             Event::Listed(instances) => self.listed(now, instances, effects),
@@ -93,7 +93,7 @@
             Event::EngineRefused { engine, fence } => {
                 self.order_step(now, order::Event::Refused { engine, fence }, effects);
             }
-            Event::Loaded { engine, requests } => self.demand.reported(now, engine, requests),
+            Event::LoadReported { engine, requests } => self.demand.record(now, engine, requests),
             Event::Granted { .. } => {}
             Event::Refused { token } => self.refused(now, &token),
         }
@@ -126,7 +126,7 @@
                 claim::Effect::Gained(fence) => {
                     self.fence = Some(fence);
                     self.next_plan = now;
-                    effects.push(Effect::Leads(fence));
+                    effects.push(Effect::Elected(fence));
                     self.order_step(now, order::Event::Gained(fence), effects);
                 }
                 claim::Effect::Renewed(_) => {}
@@ -184,8 +184,8 @@
         self.instances = instances;
         let listed = &self.instances;
         let is_listed = |engine: &str| listed.iter().any(|one| one.incarnation == engine);
-        self.demand.keep(is_listed);
-        self.rollout.keep(is_listed);
+        self.demand.retain(is_listed);
+        self.rollout.retain(is_listed);
         self.order_engines(now, effects);
     }
 
@@ -216,7 +216,8 @@
         running: u32,
         effects: &mut Vec<Effect>,
     ) {
-        self.rollout.read(engine.clone(), target.clone(), running);
+        self.rollout
+            .record_engine(engine.clone(), target.clone(), running);
         self.order_engines(now, effects);
         let read = order::Event::Read {
             engine,
@@ -228,14 +229,15 @@
 
     /// Says what each engine is to serve now. One that wasn't read yet is only read.
     fn order_engines(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let Some(mission) = &self.mission else {
+        let Some(assignment) = &self.assignment else {
             return;
         };
-        let Some(target) = mission.target.clone() else {
+        let Some(target) = assignment.target.clone() else {
             return;
         };
-        let checks_fencing = mission.checks_fencing;
-        let most_out = self.instances.len() * self.settings.out_per_mille as usize / 1_000;
+        let checks_fencing = assignment.checks_fencing;
+        let most_out =
+            self.instances.len() * self.settings.max_unavailable_per_mille as usize / 1_000;
         let planned: BTreeMap<SmolStr, order::Target> =
             self.rollout.plan(&target, most_out).into_iter().collect();
         let engines: Vec<SmolStr> = self
@@ -264,37 +266,40 @@
 
     /// Plans the mix when it is time.
     fn plan(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let size = self.mission.as_ref().and_then(|mission| mission.size);
-        let Some(size) = size else {
+        let bounds = self
+            .assignment
+            .as_ref()
+            .and_then(|assignment| assignment.bounds);
+        let Some(bounds) = bounds else {
             return;
         };
         if now < self.next_plan || !self.leads(now) || self.offers.is_empty() {
             return;
         }
-        self.next_plan = now + self.settings.plan;
+        self.next_plan = now + self.settings.plan_interval;
         self.wishes.retain(|_, (_, until)| now < *until);
         let offers: Vec<Offer> = self
             .offers
             .iter()
             .map(|offer| Offer {
-                capacity: size.capacity,
+                capacity: bounds.capacity,
                 ..offer.clone()
             })
             .collect();
-        let demand = self.demand_of(now, size);
+        let demand = self.demand_of(now, bounds);
         let plan = self.mix.plan(now, demand, &offers, &self.existing());
         for order in plan.orders {
             match order {
-                Order::Start(kind, count) => self.wish(now, kind, count, size, effects),
-                Order::Stop(id) => self.stop(&id, size, effects),
+                Order::Start(kind, count) => self.wish(now, kind, count, bounds, effects),
+                Order::Stop(id) => self.stop(&id, bounds, effects),
             }
         }
     }
 
     /// Demand within the pool's bounds, in requests.
-    fn demand_of(&mut self, now: Time, size: Size) -> u32 {
-        let least = size.least.saturating_mul(size.capacity);
-        let most = size.most.saturating_mul(size.capacity);
+    fn demand_of(&mut self, now: Time, bounds: Bounds) -> u32 {
+        let least = bounds.least.saturating_mul(bounds.capacity);
+        let most = bounds.most.saturating_mul(bounds.capacity);
         self.demand.peak(now).clamp(least.min(most), most)
     }
 
@@ -314,14 +319,21 @@
     }
 
     /// Asks the cloud for instances, within the pool's bounds.
-    fn wish(&mut self, now: Time, kind: Kind, count: u32, size: Size, effects: &mut Vec<Effect>) {
+    fn wish(
+        &mut self,
+        now: Time,
+        kind: Kind,
+        count: u32,
+        bounds: Bounds,
+        effects: &mut Vec<Effect>,
+    ) {
         let there = self.instances.len() + self.wishes.len();
-        let room = (size.most as usize).saturating_sub(there);
+        let room = (bounds.most as usize).saturating_sub(there);
         for _ in 0..room.min(count as usize) {
             let fence = self.fence.unwrap_or_default();
             let token = format_smolstr!("{}-{fence}-{}", self.name, self.next_wish);
             self.next_wish += 1;
-            let until = now + self.settings.start_time;
+            let until = now + self.settings.start_timeout;
             self.wishes.insert(token.clone(), (kind.clone(), until));
             effects.push(Effect::Start {
                 token,
@@ -332,8 +344,8 @@
     }
 
     /// Gives an instance back, unless the pool is at its smallest.
-    fn stop(&mut self, id: &str, size: Size, effects: &mut Vec<Effect>) {
-        if self.instances.len() <= size.least as usize {
+    fn stop(&mut self, id: &str, bounds: Bounds, effects: &mut Vec<Effect>) {
+        if self.instances.len() <= bounds.least as usize {
             return;
         }
         let Some(at) = self.instances.iter().position(|one| one.id == id) else {
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -11,10 +11,10 @@
 use smol_str::SmolStr;
 
 /// Role of an engine that takes requests.
-pub const SERVE: &str = "serve";
+pub const SERVE_ROLE: &str = "serve";
 
 /// Role of an engine that takes no new requests.
-pub const DRAIN: &str = "drain";
+pub const DRAIN_ROLE: &str = "drain";
 
 /// Which engines are where in a change.
 #[derive(Clone, Debug, Default)]
@@ -27,12 +27,12 @@
 
 impl Rollout {
     /// Notes what an engine serves.
-    pub fn read(&mut self, engine: SmolStr, target: Target, running: u32) {
+    pub fn record_engine(&mut self, engine: SmolStr, target: Target, running: u32) {
         self.seen.insert(engine, (target, running));
     }
 
     /// Forgets engines that are no longer listed.
-    pub fn keep(&mut self, listed: impl Fn(&str) -> bool) {
+    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
         self.seen.retain(|engine, _| listed(engine));
         self.out.retain(|engine| listed(engine));
     }
@@ -69,11 +69,11 @@
         if !self.out.contains(engine) {
             return target.clone();
         }
-        if target.role == DRAIN && running == 0 {
+        if target.role == DRAIN_ROLE && running == 0 {
             return wanted.clone();
         }
         Target {
-            role: SmolStr::new_static(DRAIN),
+            role: SmolStr::new_static(DRAIN_ROLE),
             ..target.clone()
         }
     }
@@ -81,5 +81,5 @@
 
 /// Whether the engine serves something else, so that a change takes away what it has.
 fn is_in_the_way(target: &Target, wanted: &Target) -> bool {
-    !target.model.is_empty() && !target.holds_same(wanted)
+    !target.model.is_empty() && !target.has_same_model(wanted)
 }
--- a/crates/fleet/tests/lead.rs
+++ b/crates/fleet/tests/leader.rs
@@ -4,13 +4,13 @@
 
 use clock::Span;
 use clock::Time;
-use fleet::configs::lead::Settings;
+use fleet::configs::leader::Settings;
+use fleet::event::Assignment;
+use fleet::event::Bounds;
 use fleet::event::Effect;
 use fleet::event::Event;
 use fleet::event::Instance;
-use fleet::event::Mission;
-use fleet::event::Size;
-use fleet::lead::Lead;
+use fleet::leader::Leader;
 use lease::holder;
 use lease::order::Target;
 use policy::mix::Kind;
@@ -60,11 +60,11 @@
     }
 }
 
-fn mission(version: &str, size: Option<Size>) -> Mission {
-    Mission {
+fn assignment(version: &str, bounds: Option<Bounds>) -> Assignment {
+    Assignment {
         target: Some(target(version)),
         checks_fencing: true,
-        size,
+        bounds,
     }
 }
 
@@ -72,7 +72,7 @@
 struct Scene {
     now: Time,
     table: Table,
-    leads: Vec<Lead>,
+    leads: Vec<Leader>,
     said: Vec<(usize, Effect)>,
 }
 
@@ -80,7 +80,7 @@
     fn new(leaders: u64) -> Scene {
         let lead = |id| {
             let settings = Settings::default();
-            Lead::new(holder::Id(id + 1), "thesis".into(), settings, id)
+            Leader::new(holder::Id(id + 1), "thesis".into(), settings, id)
         };
         Scene {
             now: Time::ZERO,
@@ -139,7 +139,7 @@
             match &effect {
                 Effect::Order { engine, target, .. } => {
                     let held = self.at.get_mut(engine).expect("a known engine");
-                    let takes_away = !held.0.model.is_empty() && !held.0.holds_same(target);
+                    let takes_away = !held.0.model.is_empty() && !held.0.has_same_model(target);
                     assert!(!takes_away || held.1 == 0, "{engine} lost what it ran");
                     held.0 = target.clone();
                 }
@@ -164,14 +164,14 @@
 #[test]
 fn only_the_holder_acts() {
     let mut scene = Scene::new(2);
-    let size = Size {
+    let size = Bounds {
         capacity: 1,
         least: 3,
         most: 9,
     };
     for at in 0..2 {
         scene.feed(at, Event::Priced(offers()));
-        scene.feed(at, Event::Assigned(Some(mission("v1", Some(size)))));
+        scene.feed(at, Event::Assigned(Some(assignment("v1", Some(size)))));
     }
     scene.pass(Span::from_seconds(5), &[0, 1]);
     let starts = |at| {
@@ -188,7 +188,7 @@
 fn a_paused_leader_says_nothing_after_its_lease() {
     let mut scene = Scene::new(2);
     for at in 0..2 {
-        scene.feed(at, Event::Assigned(Some(mission("v1", None))));
+        scene.feed(at, Event::Assigned(Some(assignment("v1", None))));
     }
     scene.pass(Span::from_seconds(2), &[0, 1]);
     assert!(scene.leads[0].leads(scene.now));
@@ -214,13 +214,13 @@
 #[test]
 fn a_refused_kind_is_replaced_by_the_next_cheapest() {
     let mut scene = Scene::new(1);
-    let size = Size {
+    let size = Bounds {
         capacity: 1,
         least: 2,
         most: 9,
     };
     scene.feed(0, Event::Priced(offers()));
-    scene.feed(0, Event::Assigned(Some(mission("v1", Some(size)))));
+    scene.feed(0, Event::Assigned(Some(assignment("v1", Some(size)))));
     scene.pass(Span::from_millis(500), &[0]);
     for _ in 0..4 {
         let said = std::mem::take(&mut scene.said);
@@ -258,7 +258,7 @@
             .at
             .insert(one.incarnation.clone(), (target("v1"), 2));
     }
-    scene.feed(0, Event::Assigned(Some(mission("v2", None))));
+    scene.feed(0, Event::Assigned(Some(assignment("v2", None))));
     scene.feed(0, Event::Listed(instances));
     for _ in 0..1_200 {
         scene.pass(Span::from_millis(100), &[0]);
--- a/crates/gateway/src/configs/gateway.rs
+++ b/crates/gateway/src/configs/gateway.rs
@@ -135,10 +135,10 @@
 fn lease_settings() -> lease::configs::claim::Settings {
     lease::configs::claim::Settings {
         term: Span::from_millis(4_000),
-        renewal: Span::from_millis(1_300),
-        poll: Span::from_millis(1_500),
+        renewal_interval: Span::from_millis(1_300),
+        poll_interval: Span::from_millis(1_500),
         margin: Span::from_millis(500),
-        longest_gap: Span::from_millis(2_000),
+        max_step_gap: Span::from_millis(2_000),
         ..lease::configs::claim::Settings::default()
     }
 }
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -179,7 +179,7 @@
     /// Handles the holder's announcement that it released the lease.
     pub(crate) fn handle_resignation(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
         if item.key == LEASE {
-            self.claim_step(now, claim::Event::Ended(item.version), effects);
+            self.claim_step(now, claim::Event::Relinquished(item.version), effects);
         }
     }
 
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -28,7 +28,7 @@
 
 use crate::configs::claim::Settings;
 use crate::holder;
-use crate::pulse::Pulse;
+use crate::stall::Detector;
 use crate::watch::Watch;
 
 /// The table of leases.
@@ -73,7 +73,7 @@
     Renewed(call::Row),
     /// The holder under this fencing number gave up, by its own word in [`Effect::Lost`]: neither it nor one before it
     /// acts any more.
-    Ended(u64),
+    Relinquished(u64),
 }
 
 /// What the embedder is to do.
@@ -124,7 +124,7 @@
     attempts: u64,
     next_call: u64,
     next: Time,
-    pulse: Pulse,
+    stalls: Detector,
     backoff: Backoff,
 }
 
@@ -158,15 +158,15 @@
             attempts: 0,
             next_call: 0,
             next: Time::ZERO,
-            pulse: Pulse::new(settings.longest_gap),
-            backoff: Backoff::new(settings.retry, settings.retry_limit, seed),
+            stalls: Detector::new(settings.max_step_gap),
+            backoff: Backoff::new(settings.retry_delay, settings.max_retry_delay, seed),
             settings,
         }
     }
 
     /// The fencing number if the lease is valid; to be asked again where an effect leaves.
     pub fn fence(&self, now: Time) -> Option<u64> {
-        if !self.wanted || now >= self.valid_until || self.pulse.slept(now) {
+        if !self.wanted || now >= self.valid_until || self.stalls.has_stalled(now) {
             return None;
         }
         (self.held > self.ended).then_some(self.held)
@@ -179,7 +179,7 @@
 
     /// Takes one event and appends what is to be done.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
-        if self.pulse.beat(now) {
+        if self.stalls.record_step(now) {
             self.valid_until = Time::ZERO;
             self.next = self.next.min(now);
         }
@@ -195,11 +195,11 @@
                 self.next = now;
             }
             Event::Renewed(row) => self.was_renewed(now, row),
-            Event::Ended(fence) if fence > self.ended => {
+            Event::Relinquished(fence) if fence > self.ended => {
                 self.ended = fence;
                 self.next = now;
             }
-            Event::Ended(_) => {}
+            Event::Relinquished(_) => {}
         }
         // A lease that has run out is given up before the next write, which is then under a new number.
         self.report(now, effects);
@@ -209,7 +209,7 @@
 
     /// When [`Event::Wake`] is wanted next.
     pub fn next_wake(&self, now: Time) -> Time {
-        let half_gap = now + self.settings.longest_gap.scaled(0.5);
+        let half_gap = now + self.settings.max_step_gap.scaled(0.5);
         let due = if self.sent.is_some() {
             half_gap
         } else {
@@ -270,7 +270,7 @@
             Some((_, watch)) if watch.revision() > row.revision => return,
             Some((old, watch)) => {
                 let restored = Revision::is_of_older_era(watch.revision(), row.revision);
-                watch.see(row.revision, asked, now);
+                watch.observe(row.revision, asked, now);
                 *old = value;
                 if restored {
                     return self.recover(now);
@@ -302,7 +302,9 @@
         }
         self.known |= self.sent.is_none();
         self.see(now, now, Some(row));
-        self.next = self.next.max(now + self.settings.poll.times(QUIET_POLLS));
+        self.next = self
+            .next
+            .max(now + self.settings.poll_interval.times(QUIET_POLLS));
     }
 
     fn written(&mut self, now: Time, sent: Time, row: Row, revision: u64) {
@@ -330,8 +332,8 @@
         self.next = now
             + self
                 .backoff
-                .spread(self.settings.renewal)
-                .min(self.settings.renewal);
+                .spread(self.settings.renewal_interval)
+                .min(self.settings.renewal_interval);
     }
 
     /// Whether the lease is ours or may be taken.
@@ -347,7 +349,7 @@
     fn is_free(&self, row: &Row, watch: &Watch) -> bool {
         let term = Span::from_millis(row.term_ms);
         let holder = row.holder.is_none_or(|holder| self.gone.contains(&holder));
-        holder || row.fence <= self.ended || watch.lapsed(term, self.settings.margin)
+        holder || row.fence <= self.ended || watch.has_lapsed(term, self.settings.margin)
     }
 
     fn is_ours(&self) -> bool {
@@ -371,7 +373,7 @@
                 let fence = row.fence;
                 self.write(now, None, fence, effects);
             }
-            _ if !self.wanted => self.next = now + self.settings.poll,
+            _ if !self.wanted => self.next = now + self.settings.poll_interval,
             _ if self.holds(now) => self.write(now, Some(self.me), self.held, effects),
             _ if now < self.recovering => self.read(now, effects),
             Some((row, _)) if ours && row.fence > self.floor() => {
@@ -399,7 +401,7 @@
 
     /// When to look at the row again: in time to see that the lease has lapsed.
     fn next_look(&mut self, now: Time) -> Time {
-        let poll = now + self.backoff.spread(self.settings.poll);
+        let poll = now + self.backoff.spread(self.settings.poll_interval);
         let lapse = self.seen.as_ref().map(|(row, watch)| {
             let term = Span::from_millis(row.term_ms);
             let lapse = watch.lapses_at(term, self.settings.margin);
--- a/crates/lease/src/order.rs
+++ b/crates/lease/src/order.rs
@@ -32,7 +32,7 @@
 
 impl Target {
     /// Whether both hold the same model, adapter and version, whatever their role.
-    pub fn holds_same(&self, other: &Target) -> bool {
+    pub fn has_same_model(&self, other: &Target) -> bool {
         self.model == other.model && self.adapter == other.adapter && self.version == other.version
     }
 }
@@ -201,7 +201,7 @@
         let idle_before = engine
             .seen
             .as_ref()
-            .filter(|seen| now.since(seen.at) <= self.settings.longest_gap())
+            .filter(|seen| now.since(seen.at) <= self.settings.max_read_gap())
             .and_then(|seen| seen.idle_since);
         let idle_since = (running == 0).then(|| idle_before.unwrap_or(now));
         engine.seen = Some(Seen {
@@ -226,10 +226,10 @@
             return;
         };
         for (name, engine) in &mut self.engines {
-            let foreign = !engine.checks_fencing && now < gained + self.settings.flight;
+            let foreign = !engine.checks_fencing && now < gained + self.settings.max_delivery_time;
             if !foreign && engine.may_order(now, &self.settings) {
                 engine.ordered = Some(now);
-                engine.next_read = now + self.settings.read;
+                engine.next_read = now + self.settings.read_interval;
                 effects.push(Effect::Order {
                     engine: name.clone(),
                     fence,
@@ -239,9 +239,9 @@
             if now >= engine.next_read {
                 let settled = engine.is_as_wanted() && !foreign;
                 let wait = if settled {
-                    self.settings.idle_read
+                    self.settings.settled_read_interval
                 } else {
-                    self.settings.read
+                    self.settings.read_interval
                 };
                 engine.next_read = now + wait;
                 effects.push(Effect::Read(name.clone()));
@@ -266,15 +266,19 @@
         if seen.target == self.wanted {
             return false;
         }
-        if self.ordered.is_some_and(|at| now < at + settings.flight) {
+        if self
+            .ordered
+            .is_some_and(|at| now < at + settings.max_delivery_time)
+        {
             return false;
         }
         // A change of role alone takes nothing away: what runs goes on.
-        let destructive = !seen.target.model.is_empty() && !seen.target.holds_same(&self.wanted);
-        let fresh = now.since(seen.at) <= settings.longest_gap();
+        let destructive =
+            !seen.target.model.is_empty() && !seen.target.has_same_model(&self.wanted);
+        let fresh = now.since(seen.at) <= settings.max_read_gap();
         let quiet = seen
             .idle_since
-            .is_some_and(|since| now >= since + settings.quiet);
+            .is_some_and(|since| now >= since + settings.min_idle_time);
         !destructive || (fresh && quiet)
     }
 }
--- a/crates/lease/src/pulse.rs
+++ b/crates/lease/src/stall.rs
@@ -10,29 +10,29 @@
 
 /// Remembers the last step.
 #[derive(Clone, Copy, Debug)]
-pub struct Pulse {
+pub struct Detector {
     last: Option<Time>,
     longest: Span,
 }
 
-impl Pulse {
+impl Detector {
     /// Gaps longer than `longest` count as sleep; steps must be due more often than that.
-    pub fn new(longest: Span) -> Pulse {
-        Pulse {
+    pub fn new(longest: Span) -> Detector {
+        Detector {
             last: None,
             longest,
         }
     }
 
     /// Notes a step; says whether the loop slept before it.
-    pub fn beat(&mut self, now: Time) -> bool {
-        let slept = self.slept(now);
+    pub fn record_step(&mut self, now: Time) -> bool {
+        let slept = self.has_stalled(now);
         self.last = Some(now);
         slept
     }
 
     /// Whether the loop slept since the last step.
-    pub fn slept(&self, now: Time) -> bool {
+    pub fn has_stalled(&self, now: Time) -> bool {
         self.last.is_some_and(|last| now.since(last) > self.longest)
     }
 }
--- a/crates/lease/src/view.rs
+++ b/crates/lease/src/view.rs
@@ -8,16 +8,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
     /// When the read was sent: it shows every row written before.
-    pub asked: Time,
+    pub requested_at: Time,
     /// Every row, of live and of lapsed members.
-    pub members: Vec<Seen>,
+    pub members: Vec<Member>,
 }
 
 /// One member's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Member {
     /// Which member.
-    pub member: holder::Id,
+    pub id: holder::Id,
     /// The configuration version it said it had applied.
     pub applied: u64,
     /// Whether its lease has lapsed for certain, see [`crate::watch`].
--- a/crates/lease/src/watch.rs
+++ b/crates/lease/src/watch.rs
@@ -30,7 +30,7 @@
     }
 
     /// The row was seen again, by a read sent at `asked` and answered at `received`.
-    pub fn see(&mut self, revision: u64, asked: Time, received: Time) {
+    pub fn observe(&mut self, revision: u64, asked: Time, received: Time) {
         if revision > self.revision {
             *self = Watch::new(revision, received);
         } else if revision == self.revision {
@@ -44,7 +44,7 @@
     }
 
     /// Whether the holder's lease has lapsed for certain.
-    pub fn lapsed(&self, term: Span, margin: Span) -> bool {
+    pub fn has_lapsed(&self, term: Span, margin: Span) -> bool {
         self.confirmed >= self.lapses_at(term, margin)
     }
 
--- a/crates/lease/tests/claim.rs
+++ b/crates/lease/tests/claim.rs
@@ -127,7 +127,7 @@
         .run_until(SECOND.times(20), |world| world.holder().is_none())
         .expect("held for ever");
     world.rivals[second].store_cut = false;
-    let ended = Event::Claim(claim::Event::Ended(world.resigned));
+    let ended = Event::Claim(claim::Event::Relinquished(world.resigned));
     world.feed(second, ended);
     let took = world
         .run_until(SECOND.times(20), |world| world.holder() == Some(second))
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -40,7 +40,7 @@
     /// The highest number that a holder said it gave up.
     pub resigned: u64,
     /// Whether a holder tells its rivals of renewals, and that it gave up.
-    pub tells_rivals: bool,
+    pub notifies_rivals: bool,
     /// How long the next orders are under way.
     pub order_delays: Vec<Span>,
     /// The holder of each fencing number.
@@ -223,13 +223,13 @@
             claim::Effect::Lost(fence) => {
                 self.feed(index, Event::Orders(order::Event::Lost));
                 self.resigned = self.resigned.max(fence);
-                self.tell(index, claim::Event::Ended(fence));
+                self.tell(index, claim::Event::Relinquished(fence));
             }
         }
     }
 
     fn tell(&mut self, from: usize, event: claim::Event) {
-        if !self.tells_rivals {
+        if !self.notifies_rivals {
             return;
         }
         for other in (0..self.rivals.len()).filter(|other| *other != from) {
--- a/crates/lease/tests/histories.rs
+++ b/crates/lease/tests/histories.rs
@@ -55,9 +55,9 @@
         ..Config::default()
     };
     let steps = (any::<bool>(), proptest::collection::vec(step(), 1..60));
-    let run = TestRunner::new(config).run(&steps, |(tells_rivals, steps)| {
+    let run = TestRunner::new(config).run(&steps, |(notifies_rivals, steps)| {
         let mut world = rivals(RIVALS);
-        world.tells_rivals = tells_rivals;
+        world.notifies_rivals = notifies_rivals;
         for step in steps {
             match step {
                 Step::Freeze(at, frozen) => world.set_frozen(at, frozen),
--- a/crates/lease/tests/watch.rs
+++ b/crates/lease/tests/watch.rs
@@ -15,10 +15,10 @@
     let start = Time::from_millis(1_000);
     let late = start + TERM + MARGIN;
     let mut watch = Watch::new(4, start);
-    watch.see(4, start + Span::from_millis(10), late);
-    assert!(!watch.lapsed(TERM, MARGIN));
-    watch.see(4, late, late);
-    assert!(watch.lapsed(TERM, MARGIN));
+    watch.observe(4, start + Span::from_millis(10), late);
+    assert!(!watch.has_lapsed(TERM, MARGIN));
+    watch.observe(4, late, late);
+    assert!(watch.has_lapsed(TERM, MARGIN));
 }
 
 /// Answers overtake each other; an older one must not make the row look older than it is.
@@ -26,7 +26,7 @@
 fn an_older_revision_changes_nothing() {
     let start = Time::from_millis(1_000);
     let mut watch = Watch::new(5, start);
-    watch.see(4, start + TERM + MARGIN, start + TERM + MARGIN);
+    watch.observe(4, start + TERM + MARGIN, start + TERM + MARGIN);
     assert_eq!(watch.revision(), 5);
-    assert!(!watch.lapsed(TERM, MARGIN));
+    assert!(!watch.has_lapsed(TERM, MARGIN));
 }
--- a/crates/matrix/src/world/callers.rs
+++ b/crates/matrix/src/world/callers.rs
@@ -264,7 +264,7 @@
             return;
         };
         let ticket = answer.tickets.first();
-        let sealed = ticket.map(|ticket| SmolStr::from(self.seals.ticket.close(ticket)));
+        let sealed = ticket.map(|ticket| SmolStr::from(self.seals.ticket.sign(ticket)));
         // Some use the ticket where they got it, others elsewhere.
         let here = self.draw(2) == 0;
         let caller = &mut self.callers[number];
--- a/crates/matrix/src/world/flight.rs
+++ b/crates/matrix/src/world/flight.rs
@@ -10,8 +10,8 @@
 use policy::job::End;
 use request::id::Id;
 use request::id::Stream;
-use request::relay::Relay;
 use request::resume::Resume;
+use request::sequencer::Sequencer;
 use smol_str::SmolStr;
 use verdict::Reason;
 use verdict::Refusal;
@@ -42,7 +42,7 @@
     pub left: bool,
     /// Number of the plain attempt that runs.
     pub plain_attempt: u32,
-    pub(super) relay: Relay,
+    pub(super) relay: Sequencer,
     pub(super) running: Option<Running>,
     /// Names the connection whose words count; 0 for none.
     pub(super) link: u64,
@@ -91,7 +91,7 @@
             plain: matches!(arrival.work, Work::Plain { .. }),
             left: false,
             plain_attempt: 0,
-            relay: Relay::starting_at(arrival.offset),
+            relay: Sequencer::starting_at(arrival.offset),
             running: None,
             link: 0,
             unreported: 0,
@@ -202,7 +202,7 @@
             return self.whole(node, serial, stream);
         }
         let base = flight.relay.next();
-        flight.relay.begin(stream.attempt, base);
+        flight.relay.begin_attempt(stream.attempt, base);
         flight.link = link;
         flight.running = Some(Running {
             attempt: stream.attempt,
@@ -242,7 +242,7 @@
         let Some(flight) = self.flight(node, serial) else {
             return;
         };
-        flight.relay.begin(running.attempt, running.base);
+        flight.relay.begin_attempt(running.attempt, running.base);
         flight.link = link;
         let offset = flight.relay.next().saturating_sub(running.base);
         let (stream, endpoint) = (running.stream, running.endpoint.clone());
@@ -272,7 +272,7 @@
             return;
         };
         let offset = flight.relay.next().saturating_sub(old.base);
-        flight.relay.begin(stream.attempt, old.base);
+        flight.relay.begin_attempt(stream.attempt, old.base);
         flight.link = link;
         flight.running = Some(Running {
             attempt: stream.attempt,
@@ -307,7 +307,7 @@
             incarnation: running.endpoint.incarnation.clone(),
             base: running.base,
         };
-        Some(SmolStr::from(self.seals.resume.close(&word)))
+        Some(SmolStr::from(self.seals.resume.sign(&word)))
     }
 
     /// Stops the engine's work on a call that nobody waits for.
--- a/crates/matrix/src/world/mod.rs
+++ b/crates/matrix/src/world/mod.rs
@@ -24,9 +24,9 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use request::seal::RESUME_PURPOSE;
-use request::seal::Seal;
-use request::seal::TICKET_PURPOSE;
+use request::signer::RESUME_PURPOSE;
+use request::signer::Signer;
+use request::signer::TICKET_PURPOSE;
 
 use crate::fault::Fault;
 use crate::history::Fact;
@@ -180,8 +180,8 @@
 
 /// Seals as the shells use them.
 struct Seals {
-    resume: Seal,
-    ticket: Seal,
+    resume: Signer,
+    ticket: Signer,
 }
 
 impl World {
@@ -207,8 +207,8 @@
             tries: Vec::new(),
             operators: Operators::default(),
             seals: Seals {
-                resume: Seal::new(SHARED_KEY, RESUME_PURPOSE),
-                ticket: Seal::new(SHARED_KEY, TICKET_PURPOSE),
+                resume: Signer::new(SHARED_KEY, RESUME_PURPOSE),
+                ticket: Signer::new(SHARED_KEY, TICKET_PURPOSE),
             },
             probing: true,
             calm_from: Time::ZERO,
--- a/crates/matrix/src/world/stream.rs
+++ b/crates/matrix/src/world/stream.rs
@@ -4,7 +4,7 @@
 use entry::attempt::Report;
 use policy::decision::Transfer;
 use policy::job::End;
-use request::relay::Pass;
+use request::sequencer::Decision;
 
 use crate::history::Ask;
 use crate::world::Bug;
@@ -135,10 +135,10 @@
             return;
         };
         let offset = flight.relay.next();
-        match flight.relay.chunk(running.attempt, engine) {
-            Pass::Drop => {}
-            Pass::Gap => self.broken(node, serial, End::Crashed),
-            Pass::Emit => {
+        match flight.relay.accept(running.attempt, engine) {
+            Decision::Drop => {}
+            Decision::Gap => self.broken(node, serial, End::Crashed),
+            Decision::Emit => {
                 running.how = Asked::Fresh;
                 flight.unreported += 1;
                 flight.passed += 1;
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -13,8 +13,8 @@
 use clock::Time;
 use lease::holder;
 use lease::holding::Holding;
-use lease::pulse::Pulse;
-use lease::view::Seen;
+use lease::stall::Detector;
+use lease::view;
 use lease::view::View;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -61,7 +61,7 @@
     directory: Directory,
     items: Items,
     rumors: Rumors,
-    pulse: Pulse,
+    stalls: Detector,
     beat: Beat,
     calls: BTreeMap<call::Id, Purpose>,
     next_call: u64,
@@ -104,7 +104,7 @@
             directory: Directory::default(),
             items: Items::default(),
             rumors: Rumors::default(),
-            pulse: Pulse::new(settings.max_step_gap),
+            stalls: Detector::new(settings.max_step_gap),
             beat: Beat {
                 id: row.id,
                 ..Beat::default()
@@ -133,7 +133,7 @@
     /// Handles an event and appends the effects to execute.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         let before = self.directory.present_count();
-        if self.pulse.beat(now) {
+        if self.stalls.record_step(now) {
             self.registration.invalidate(now);
         }
         match event {
@@ -310,13 +310,13 @@
             self.merge_record(now, record);
         }
         if finished.is_full {
-            let members = self.roster.members().map(|(row, lapsed)| Seen {
-                member: row.id,
+            let members = self.roster.members().map(|(row, lapsed)| view::Member {
+                id: row.id,
                 applied: row.applied,
                 lapsed,
             });
             let view = View {
-                asked: finished.requested_at,
+                requested_at: finished.requested_at,
                 members: members.collect(),
             };
             effects.push(Effect::View(view));
--- a/crates/member/src/roster.rs
+++ b/crates/member/src/roster.rs
@@ -194,7 +194,7 @@
                 changed_at: now,
             });
         let had_lapsed = item.has_lapsed(self.margin);
-        item.watch.see(row.revision, requested_at, now);
+        item.watch.observe(row.revision, requested_at, now);
         if item.row != value {
             item.row = value;
             item.changed_at = now;
@@ -210,7 +210,7 @@
 
 impl Watched {
     fn has_lapsed(&self, margin: Span) -> bool {
-        self.watch.lapsed(self.row.term(), margin)
+        self.watch.has_lapsed(self.row.term(), margin)
     }
 }
 
--- a/crates/member/tests/histories.rs
+++ b/crates/member/tests/histories.rs
@@ -85,13 +85,13 @@
                 continue;
             };
             for seen in view.members.iter().filter(|seen| seen.lapsed) {
-                let other = &fleet.nodes[seen.member.0 as usize - 1];
+                let other = &fleet.nodes[seen.id.0 as usize - 1];
                 let holding = other.membership.holding();
                 let renewed_since = holding.valid_until >= at + Span::from_millis(5_900);
                 prop_assert!(
                     !holding.is_valid(now) || renewed_since,
                     "{index} takes {} for lapsed at {at}, valid until {}",
-                    seen.member,
+                    seen.id,
                     holding.valid_until
                 );
             }
--- a/crates/model/tests/claim.rs
+++ b/crates/model/tests/claim.rs
@@ -70,11 +70,11 @@
         let settings = Settings {
             term: TICK.times(2),
             margin: TICK,
-            renewal: MOMENT.scaled(0.5),
-            poll: MOMENT.scaled(0.5),
-            retry: Span::ZERO,
-            retry_limit: Span::ZERO,
-            longest_gap: Span::from_seconds(1_000_000),
+            renewal_interval: MOMENT.scaled(0.5),
+            poll_interval: MOMENT.scaled(0.5),
+            retry_delay: Span::ZERO,
+            max_retry_delay: Span::ZERO,
+            max_step_gap: Span::from_seconds(1_000_000),
         };
         let claims = (0..RIVALS as u64)
             .map(|index| Claim::new(holder::Id(index + 1), "fleet", settings, index))
--- a/crates/model/tests/ticket.rs
+++ b/crates/model/tests/ticket.rs
@@ -84,7 +84,7 @@
                 self.estates[entry] = None;
             }
             Action::HandOn { from, to } => {
-                let estates = self.ledgers[from].as_mut()?.hand_on(Time::ZERO);
+                let estates = self.ledgers[from].as_mut()?.hand_over(Time::ZERO);
                 self.estates[to] = Some(estates);
             }
             Action::Deliver(entry) => self.deliver(entry),
--- a/crates/request/src/ledger.rs
+++ b/crates/request/src/ledger.rs
@@ -23,7 +23,7 @@
 ///
 /// Bounds the ledger: at 43 non-idempotent requests a second (36,000 over 840 nodes, were all of them
 /// so) it holds 26,000 serials.
-pub const TICKET_LIFE: Span = Span::from_seconds(600);
+pub const TICKET_LIFETIME: Span = Span::from_seconds(600);
 
 /// What the ledger says to a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -130,7 +130,7 @@
     ///
     /// A book is given once: were it given again to a second successor, because the first one's word
     /// was lost, both would grant its tickets.
-    pub fn hand_on(&mut self, now: Time) -> Vec<Estate> {
+    pub fn hand_over(&mut self, now: Time) -> Vec<Estate> {
         self.expire(now);
         let mut estates = Vec::new();
         for (minter, book) in &mut self.books {
@@ -158,7 +158,7 @@
             next: estate.next,
             spent: estate.spent.into_iter().collect(),
             frozen: false,
-            until: Some(now + TICKET_LIFE),
+            until: Some(now + TICKET_LIFETIME),
         });
     }
 
@@ -170,7 +170,7 @@
             .map(|(minter, _)| *minter)
     }
 
-    /// Forgets what is older than [`TICKET_LIFE`].
+    /// Forgets what is older than [`TICKET_LIFETIME`].
     fn expire(&mut self, now: Time) {
         for book in self.books.values_mut() {
             if book.until.is_some_and(|until| until <= now) {
@@ -181,7 +181,7 @@
         let old = self
             .batches
             .iter()
-            .take_while(|(time, _)| now.since(*time) > TICKET_LIFE)
+            .take_while(|(time, _)| now.since(*time) > TICKET_LIFETIME)
             .count();
         if old == 0 {
             return;
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod id;
 pub mod ledger;
-pub mod relay;
 pub mod resume;
-pub mod seal;
+pub mod sequencer;
+pub mod signer;
 pub mod ticket;
--- a/crates/request/src/relay.rs
+++ b/crates/request/src/sequencer.rs
@@ -7,7 +7,7 @@
 
 /// What to do with a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pass {
+pub enum Decision {
     /// Give it to the caller.
     Emit,
     /// It was given before, or belongs to an older attempt.
@@ -18,7 +18,7 @@
 
 /// The position of one caller's stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Relay {
+pub struct Sequencer {
     /// The offset that the caller gets next; only rises.
     next: u64,
     /// The attempt whose words count; only rises.
@@ -27,10 +27,10 @@
     base: u64,
 }
 
-impl Relay {
+impl Sequencer {
     /// A caller that wants `next` first.
-    pub fn starting_at(next: u64) -> Relay {
-        Relay {
+    pub fn starting_at(next: u64) -> Sequencer {
+        Sequencer {
             next,
             attempt: 0,
             base: 0,
@@ -43,7 +43,7 @@
     }
 
     /// Words of `attempt` count from now on; its first token has the caller's offset `base`.
-    pub fn begin(&mut self, attempt: u32, base: u64) {
+    pub fn begin_attempt(&mut self, attempt: u32, base: u64) {
         if attempt >= self.attempt {
             self.attempt = attempt;
             self.base = base;
@@ -51,18 +51,18 @@
     }
 
     /// Judges a chunk by its attempt and its offset within the engine's stream.
-    pub fn chunk(&mut self, attempt: u32, engine_offset: u64) -> Pass {
+    pub fn accept(&mut self, attempt: u32, engine_offset: u64) -> Decision {
         if attempt != self.attempt {
-            return Pass::Drop;
+            return Decision::Drop;
         }
         let offset = self.base + engine_offset;
         if offset < self.next {
-            return Pass::Drop;
+            return Decision::Drop;
         }
         if offset > self.next {
-            return Pass::Gap;
+            return Decision::Gap;
         }
         self.next += 1;
-        Pass::Emit
+        Decision::Emit
     }
 }
--- a/crates/request/src/seal.rs
+++ b/crates/request/src/signer.rs
@@ -20,22 +20,22 @@
 
 /// Seals and opens words under a key that all entries share.
 #[derive(Clone)]
-pub struct Seal {
+pub struct Signer {
     key: Vec<u8>,
 }
 
-impl Seal {
+impl Signer {
     /// A seal under the entries' shared key, for one purpose.
     ///
     /// Words sealed for one purpose don't open for another.
-    pub fn new(shared_key: &str, purpose: &str) -> Seal {
-        Seal {
+    pub fn new(shared_key: &str, purpose: &str) -> Signer {
+        Signer {
             key: [purpose.as_bytes(), b"\0", shared_key.as_bytes()].concat(),
         }
     }
 
     /// The sealed form of a word: hexadecimal, safe in a header.
-    pub fn close<T: Serialize>(&self, word: &T) -> String {
+    pub fn sign<T: Serialize>(&self, word: &T) -> String {
         let body = serde_json::to_vec(word).unwrap_or_default();
         let mut text = encode_hex(&self.code(&body));
         text.push_str(&encode_hex(&body));
@@ -43,7 +43,7 @@
     }
 
     /// The word, if the seal is whole and of the same key and purpose.
-    pub fn open<T: DeserializeOwned>(&self, text: &str) -> Option<T> {
+    pub fn verify<T: DeserializeOwned>(&self, text: &str) -> Option<T> {
         let bytes = decode_hex(text)?;
         if bytes.len() < CODE_BYTES {
             return None;
--- a/crates/request/tests/ledger.rs
+++ b/crates/request/tests/ledger.rs
@@ -7,7 +7,7 @@
 use request::ledger::Answer;
 use request::ledger::Estate;
 use request::ledger::Ledger;
-use request::ledger::TICKET_LIFE;
+use request::ledger::TICKET_LIFETIME;
 use request::ticket::Ticket;
 use smol_str::SmolStr;
 
@@ -38,7 +38,7 @@
     let mut minter = Ledger::new(Incarnation(1));
     let tickets = minter.mint(at(0), &account(), 1);
     let mut heir = Ledger::new(Incarnation(2));
-    for estate in minter.hand_on(at(5)) {
+    for estate in minter.hand_over(at(5)) {
         heir.inherit(at(5), estate);
     }
     assert_eq!(heir.spend(at(6), &tickets[0]), Answer::Granted);
@@ -53,7 +53,7 @@
     let mut minter = Ledger::new(Incarnation(1));
     let tickets = minter.mint(at(0), &account(), 1);
     let mut heir = Ledger::new(Incarnation(2));
-    let estates = minter.hand_on(at(5));
+    let estates = minter.hand_over(at(5));
     for estate in estates.clone() {
         heir.inherit(at(5), estate);
     }
@@ -70,7 +70,7 @@
     let mut ledger = Ledger::new(Incarnation(1));
     let old = ledger.mint(at(0), &account(), 1);
     assert_eq!(ledger.spend(at(1), &old[0]), Answer::Granted);
-    let later = at(1) + TICKET_LIFE + Span::from_seconds(1);
+    let later = at(1) + TICKET_LIFETIME + Span::from_seconds(1);
     let new = ledger.mint(later, &account(), 1);
     assert_eq!(ledger.spend(later, &old[0]), Answer::Unknown);
     assert_eq!(ledger.spend(later, &new[0]), Answer::Granted);
@@ -124,7 +124,7 @@
                     }
                 }
                 Step::HandOn { from } => {
-                    let handed = ledgers[from].hand_on(now);
+                    let handed = ledgers[from].hand_over(now);
                     estates.extend(handed.into_iter().map(|estate| (estate, None)));
                 }
                 Step::Deliver { estate, to } => {
--- a/crates/request/tests/relay.rs
+++ b/crates/request/tests/sequencer.rs
@@ -1,8 +1,8 @@
 //! A caller's stream holds each offset once and in order, whatever arrives.
 
 use proptest::prelude::*;
-use request::relay::Pass;
-use request::relay::Relay;
+use request::sequencer::Decision;
+use request::sequencer::Sequencer;
 
 const SEED: u64 = 7;
 
@@ -31,14 +31,14 @@
     /// late, or the resumed stream begins before or behind what was passed on.
     #[test]
     fn offsets_are_emitted_once_and_in_order(words in proptest::collection::vec(word(), 0..80)) {
-        let mut relay = Relay::starting_at(0);
+        let mut relay = Sequencer::starting_at(0);
         let mut emitted = Vec::new();
         for word in words {
             match word {
-                Word::Begin { attempt } => relay.begin(attempt, relay.next()),
+                Word::Begin { attempt } => relay.begin_attempt(attempt, relay.next()),
                 Word::Chunk { attempt, offset } => {
                     let next = relay.next();
-                    if relay.chunk(attempt, offset) == Pass::Emit {
+                    if relay.accept(attempt, offset) == Decision::Emit {
                         emitted.push(next);
                     }
                 }
@@ -51,20 +51,20 @@
 
 #[test]
 fn words_of_an_older_attempt_are_dropped() {
-    let mut relay = Relay::starting_at(0);
-    relay.begin(1, 0);
-    assert_eq!(relay.chunk(1, 0), Pass::Emit);
-    relay.begin(2, 1);
-    assert_eq!(relay.chunk(1, 1), Pass::Drop);
-    assert_eq!(relay.chunk(2, 0), Pass::Emit);
+    let mut relay = Sequencer::starting_at(0);
+    relay.begin_attempt(1, 0);
+    assert_eq!(relay.accept(1, 0), Decision::Emit);
+    relay.begin_attempt(2, 1);
+    assert_eq!(relay.accept(1, 1), Decision::Drop);
+    assert_eq!(relay.accept(2, 0), Decision::Emit);
     assert_eq!(relay.next(), 2);
 }
 
 #[test]
 fn a_gap_is_told_from_a_repeat() {
-    let mut relay = Relay::starting_at(3);
-    relay.begin(1, 3);
-    assert_eq!(relay.chunk(1, 1), Pass::Gap);
-    assert_eq!(relay.chunk(1, 0), Pass::Emit);
-    assert_eq!(relay.chunk(1, 0), Pass::Drop);
+    let mut relay = Sequencer::starting_at(3);
+    relay.begin_attempt(1, 3);
+    assert_eq!(relay.accept(1, 1), Decision::Gap);
+    assert_eq!(relay.accept(1, 0), Decision::Emit);
+    assert_eq!(relay.accept(1, 0), Decision::Drop);
 }
--- a/crates/request/tests/seal.rs
+++ b/crates/request/tests/signer.rs
@@ -4,7 +4,7 @@
 use request::id::Incarnation;
 use request::id::Stream;
 use request::resume::Resume;
-use request::seal::Seal;
+use request::signer::Signer;
 use smol_str::SmolStr;
 
 const KEY: &str = "a common key of all entries";
@@ -30,29 +30,32 @@
 
 #[test]
 fn a_word_comes_back_as_it_was() {
-    let seal = Seal::new(KEY, "resume");
-    assert_eq!(seal.open::<Resume>(&seal.close(&word())), Some(word()));
+    let seal = Signer::new(KEY, "resume");
+    assert_eq!(seal.verify::<Resume>(&seal.sign(&word())), Some(word()));
 }
 
 /// A caller would read another account's answer: it changes the account in its own word.
 #[test]
 fn a_changed_word_does_not_open() {
-    let seal = Seal::new(KEY, "resume");
-    let text = seal.close(&word());
+    let seal = Signer::new(KEY, "resume");
+    let text = seal.sign(&word());
     for at in 0..text.len() {
         let mut bytes = text.clone().into_bytes();
         bytes[at] = if bytes[at] == b'0' { b'1' } else { b'0' };
         let changed = String::from_utf8(bytes).unwrap();
-        assert_eq!(seal.open::<Resume>(&changed), None, "changed at {at}");
+        assert_eq!(seal.verify::<Resume>(&changed), None, "changed at {at}");
     }
 }
 
 #[test]
 fn neither_another_key_nor_another_purpose_opens_it() {
-    let text = Seal::new(KEY, "resume").close(&word());
-    assert_eq!(Seal::new("another", "resume").open::<Resume>(&text), None);
-    assert_eq!(Seal::new(KEY, "ticket").open::<Resume>(&text), None);
+    let text = Signer::new(KEY, "resume").sign(&word());
+    assert_eq!(
+        Signer::new("another", "resume").verify::<Resume>(&text),
+        None
+    );
+    assert_eq!(Signer::new(KEY, "ticket").verify::<Resume>(&text), None);
     for garbage in ["", "0", "zz", "äö", "00ff"] {
-        assert_eq!(Seal::new(KEY, "resume").open::<Resume>(garbage), None);
+        assert_eq!(Signer::new(KEY, "resume").verify::<Resume>(garbage), None);
     }
 }
