--- a/crates/lease/examples/rivals.rs
+++ b/crates/lease/examples/rivals.rs
@@ -1,4 +1,4 @@
-//! Three processes want one lease; its holder is paused and another takes over.
+//! Three processes compete for one lease; its holder is paused and another takes over.
 //!
 //! `cargo run -p lease --example rivals`
 
@@ -13,7 +13,7 @@
 
 const STEP: Span = Span::from_millis(250);
 const STEPS: u64 = 120;
-/// The first process gets no steps in this time.
+/// Steps during which the first process is paused.
 const PAUSED: std::ops::Range<u64> = 20..80;
 
 fn main() {
@@ -29,8 +29,8 @@
         })
         .collect();
     for (index, claim) in claims.iter_mut().enumerate() {
-        for told in feed(claim, Time::ZERO, Event::Want(true), &mut table) {
-            println!("at=0 process={} {told}", index + 1);
+        for report in feed(claim, Time::ZERO, Event::Want(true), &mut table) {
+            println!("at=0 process={} {report}", index + 1);
         }
     }
     for step in 0..STEPS {
@@ -38,29 +38,29 @@
         for (index, claim) in claims.iter_mut().enumerate() {
             let paused = index == 0 && PAUSED.contains(&step);
             if !paused {
-                for told in feed(claim, now, Event::Wake, &mut table) {
-                    println!("at={now} process={} {told}", index + 1);
+                for report in feed(claim, now, Event::Wake, &mut table) {
+                    println!("at={now} process={} {report}", index + 1);
                 }
             }
         }
     }
 }
 
-/// Feeds one event, makes the store calls that follow, and returns what the process was told.
+/// Feeds one event, makes the resulting store calls, and returns what was reported to the process.
 fn feed(claim: &mut Claim, now: Time, event: Event, table: &mut Table) -> Vec<String> {
     let mut effects = Vec::new();
     claim.step(now, event, &mut effects);
-    let mut told = Vec::new();
+    let mut reports = Vec::new();
     for effect in effects {
         match effect {
             Effect::Store { id, call } => {
                 let outcome = table.apply(&call);
-                told.extend(feed(claim, now, Event::Store { id, outcome }, table));
+                reports.extend(feed(claim, now, Event::Store { id, outcome }, table));
             }
-            Effect::Gained(fence) => told.push(format!("gained fence={fence}")),
+            Effect::Gained(fence) => reports.push(format!("gained fence={fence}")),
             Effect::Renewed(_) => {}
-            Effect::Lost(_) => told.push(String::from("lost")),
+            Effect::Lost(_) => reports.push(String::from("lost")),
         }
     }
-    told
+    reports
 }
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -1,11 +1,13 @@
-//! One lease that only one process may hold at a time.
+//! State machine of a process that competes for one exclusive lease.
 //!
-//! Failures guarded against, with what they look like: a holder that is paused past its lease goes on
-//! giving orders beside its successor (two holders); a write whose answer was lost makes a holder of
-//! one who doesn't know it (nobody acts), or an older write lands late (the fence falls back). Every
-//! write checks the row's revision, so writes take effect in one order and none comes late; the
-//! fencing number rises with each change of holder; the holder counts from before it sent, and those
-//! who wait from after they saw.
+//! Guards against three faults:
+//! - Two holders: a holder that is paused past its lease continues to send orders beside its successor.
+//! - No holder: the answer to a write is lost, and the writer doesn't know that it holds the lease.
+//! - A falling fencing number: a delayed write takes effect after a newer one.
+//!
+//! Every write is a compare-and-set on the row's revision, so writes are totally ordered and a delayed
+//! one fails. The fencing number rises with each change of holder. The holder counts the term from
+//! before it sent its write; rivals count it from when they first saw the row.
 
 use std::collections::BTreeSet;
 
@@ -31,352 +33,360 @@
 use crate::stall::Detector;
 use crate::watch::Watch;
 
-/// The table of leases.
+/// Name of the table that holds the leases.
 pub const TABLE: &str = "leases";
 
-/// Fencing numbers of one era, as bits.
-const ERA_FENCES: u32 = 24;
-/// A rival that heard of a renewal looks at the row itself only after so many times the usual pause.
-const QUIET_POLLS: u64 = 2;
+/// Bits of a fencing number that count within one era of the table service.
+const ERA_FENCE_BITS: u32 = 24;
+/// Poll intervals that a rival waits after it was notified of a renewal.
+const POLLS_AFTER_RENEWAL: u64 = 2;
 
-/// The lease's row. It is never deleted, so that its fencing number never falls.
+/// Row of a lease. It is never deleted, so its fencing number never falls.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Who holds it; none after it was released.
+    /// Process that holds the lease; `None` after a release.
     pub holder: Option<holder::Id>,
-    /// Rises by one with each change of holder.
+    /// Fencing number; rises by one with each change of holder.
     pub fence: u64,
-    /// How long it runs from each renewal, milliseconds.
+    /// Time that the lease lasts from each renewal, in milliseconds.
     pub term_ms: u64,
-    /// Names the attempt that wrote the row, so that a lost answer can be read back.
+    /// Identifies the write attempt, so that a writer whose answer was lost recognizes its own row.
     pub token: SmolStr,
 }
 
-/// What happens to the state machine.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Wake,
-    /// A store call has ended.
+    /// A store call has completed.
     Store {
-        /// Which.
+        /// Identifier of the call.
         id: call::Id,
-        /// How.
+        /// Outcome of the call.
         outcome: Outcome,
     },
-    /// Whether this process wants the lease; a holder that doesn't any more releases it.
+    /// Sets whether this process wants the lease. A holder that no longer wants it releases it.
     Want(bool),
-    /// A holder is gone for certain: its lease needn't be waited for. The embedder must know that no
-    /// instruction of it runs any more, as of a process whose own port it has bound since.
+    /// A holder is known to be dead, so nobody need wait for its lease to lapse. The embedder must be sure
+    /// that no instruction of it runs any more, for example because it has since bound the process's port.
     Gone(holder::Id),
-    /// The holder's own word of its last renewal, from [`Effect::Renewed`].
+    /// The holder published a renewal, taken from its [`Effect::Renewed`].
     Renewed(call::Row),
-    /// The holder under this fencing number gave up, by its own word in [`Effect::Lost`]: neither it nor one before it
-    /// acts any more.
+    /// The holder with this fencing number announced by [`Effect::Lost`] that it gave up the lease. Neither
+    /// it nor any earlier holder acts any more.
     Relinquished(u64),
 }
 
-/// What the embedder is to do.
+/// Action that the embedder must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Make a store call.
     Store {
-        /// Given back with its outcome.
+        /// Identifier to return with the outcome.
         id: call::Id,
-        /// The call.
+        /// The call to make.
         call: Call,
     },
-    /// The lease is held from now on, under this fencing number.
+    /// This process now holds the lease under this fencing number.
     Gained(u64),
-    /// The lease under this fencing number is held no longer, and never will be again.
+    /// This process no longer holds the lease under this fencing number, and never will again.
     Lost(u64),
-    /// The lease was gained or renewed, and its row is now this. Rivals that know it need not look for themselves.
+    /// The lease was gained or renewed and this is its row. Rivals that receive it need not poll the row.
     Renewed(call::Row),
 }
 
-/// The state machine.
+/// Competes for one lease and holds it.
 #[derive(Clone, Debug)]
 pub struct Claim {
     me: holder::Id,
-    at: Address,
+    address: Address,
     settings: Settings,
     wanted: bool,
-    /// Holders that are gone for certain; as many as were told of.
-    gone: BTreeSet<holder::Id>,
-    /// No lease under a number up to this one is in force.
-    ended: u64,
-    /// The highest number that a row has shown.
-    highest: u64,
-    /// The number under which the lease is held until `valid_until`.
-    held: u64,
-    /// The service has lost what it had acknowledged: until then another may hold a lease that no row shows.
-    recovering: Time,
-    /// The row as last seen; the watch follows its revision.
-    seen: Option<(Row, Watch)>,
-    /// Whether a read was answered since the last uncertain write.
-    known: bool,
+    /// Holders that the embedder reported dead.
+    gone_holders: BTreeSet<holder::Id>,
+    /// Highest fencing number that is known to be no longer in force.
+    relinquished_fence: u64,
+    /// Highest fencing number seen in any row.
+    highest_fence: u64,
+    /// Fencing number under which the lease is held until `valid_until`.
+    held_fence: u64,
+    /// The store lost acknowledged writes; until this time a lease may be in force that no row shows.
+    recovering_until: Time,
+    /// Row as last seen, with the watch that tracks its revision.
+    last_row: Option<(Row, Watch)>,
+    /// Whether a read was answered since the last write whose outcome is unknown.
+    is_row_known: bool,
     valid_until: Time,
-    /// The row as we wrote it, until the embedder is told.
-    renewed: Option<call::Row>,
-    /// The number under which the embedder was told that we hold it.
-    told: Option<u64>,
-    sent: Option<Sent>,
-    attempts: u64,
-    next_call: u64,
-    next: Time,
+    /// Row of a renewal that is not yet reported to the embedder.
+    unreported_renewal: Option<call::Row>,
+    /// Fencing number under which the lease was reported as held.
+    reported_fence: Option<u64>,
+    in_flight: Option<InFlight>,
+    write_attempts: u64,
+    next_call_id: u64,
+    next_action: Time,
     stalls: Detector,
     backoff: Backoff,
 }
 
-/// The call on its way.
+/// Store call that awaits its outcome.
 #[derive(Clone, Debug)]
-struct Sent {
+struct InFlight {
     id: call::Id,
-    at: Time,
-    /// What is written; none for a read.
+    sent_at: Time,
+    /// Row being written; `None` for a read.
     row: Option<Row>,
 }
 
 impl Claim {
-    /// A claim on the lease of this name, not wanted yet.
+    /// Creates a claim on the lease `name`, not wanted yet.
     pub fn new(me: holder::Id, name: &str, settings: Settings, seed: u64) -> Claim {
         Claim {
             me,
-            at: Address::new(TABLE, name),
+            address: Address::new(TABLE, name),
             wanted: false,
-            gone: BTreeSet::new(),
-            ended: 0,
-            highest: 0,
-            held: 0,
-            recovering: Time::ZERO,
-            seen: None,
-            known: false,
+            gone_holders: BTreeSet::new(),
+            relinquished_fence: 0,
+            highest_fence: 0,
+            held_fence: 0,
+            recovering_until: Time::ZERO,
+            last_row: None,
+            is_row_known: false,
             valid_until: Time::ZERO,
-            renewed: None,
-            told: None,
-            sent: None,
-            attempts: 0,
-            next_call: 0,
-            next: Time::ZERO,
+            unreported_renewal: None,
+            reported_fence: None,
+            in_flight: None,
+            write_attempts: 0,
+            next_call_id: 0,
+            next_action: Time::ZERO,
             stalls: Detector::new(settings.max_step_gap),
             backoff: Backoff::new(settings.retry_delay, settings.max_retry_delay, seed),
             settings,
         }
     }
 
-    /// The fencing number if the lease is valid; to be asked again where an effect leaves.
+    /// Returns the fencing number while the lease is valid. Check again where an effect leaves the process.
     pub fn fence(&self, now: Time) -> Option<u64> {
         if !self.wanted || now >= self.valid_until || self.stalls.has_stalled(now) {
             return None;
         }
-        (self.held > self.ended).then_some(self.held)
+        (self.held_fence > self.relinquished_fence).then_some(self.held_fence)
     }
 
-    /// When the lease ends by our clock, unless it is renewed before.
+    /// Returns when the lease expires by the local clock unless it is renewed.
     pub fn valid_until(&self) -> Time {
         self.valid_until
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting effects.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         if self.stalls.record_step(now) {
             self.valid_until = Time::ZERO;
-            self.next = self.next.min(now);
+            self.next_action = self.next_action.min(now);
         }
         match event {
             Event::Wake => {}
-            Event::Store { id, outcome } => self.answered(now, id, outcome),
+            Event::Store { id, outcome } => self.handle_outcome(now, id, outcome),
             Event::Want(wanted) => {
-                self.next = now;
+                self.next_action = now;
                 self.wanted = wanted;
             }
             Event::Gone(id) => {
-                self.gone.insert(id);
-                self.next = now;
+                self.gone_holders.insert(id);
+                self.next_action = now;
             }
-            Event::Renewed(row) => self.was_renewed(now, row),
-            Event::Relinquished(fence) if fence > self.ended => {
-                self.ended = fence;
-                self.next = now;
+            Event::Renewed(row) => self.handle_renewal(now, row),
+            Event::Relinquished(fence) if fence > self.relinquished_fence => {
+                self.relinquished_fence = fence;
+                self.next_action = now;
             }
             Event::Relinquished(_) => {}
         }
-        // A lease that has run out is given up before the next write, which is then under a new number.
-        self.report(now, effects);
-        self.act(now, effects);
-        self.report(now, effects);
+        // Report an expired lease as lost before the next write, so that the write takes a new number.
+        self.report_changes(now, effects);
+        self.send_due_call(now, effects);
+        self.report_changes(now, effects);
     }
 
-    /// When [`Event::Wake`] is wanted next.
+    /// Returns when [`Event::Wake`] is due.
     pub fn next_wake(&self, now: Time) -> Time {
         let half_gap = now + self.settings.max_step_gap.scaled(0.5);
-        let due = if self.sent.is_some() {
+        let due = if self.in_flight.is_some() {
             half_gap
         } else {
-            self.next.min(half_gap)
+            self.next_action.min(half_gap)
         };
-        match self.told {
+        match self.reported_fence {
             Some(_) => due.min(self.valid_until),
             None => due,
         }
     }
 
-    fn answered(&mut self, now: Time, id: call::Id, outcome: Outcome) {
-        let Some(sent) = self.sent.take_if(|sent| sent.id == id) else {
+    /// Handles the outcome of the call in flight; outcomes of other calls are ignored.
+    fn handle_outcome(&mut self, now: Time, id: call::Id, outcome: Outcome) {
+        let Some(call) = self.in_flight.take_if(|call| call.id == id) else {
             return;
         };
-        match (outcome, sent.row) {
+        match (outcome, call.row) {
             (Outcome::Row(row), None) => {
                 self.backoff.reset();
-                self.known = true;
-                self.see(sent.at, now, row);
+                self.is_row_known = true;
+                self.observe_row(call.sent_at, now, row);
                 if self.may_write(now) {
-                    self.next = now;
+                    self.next_action = now;
                 }
             }
             (Outcome::Committed(revision), Some(row)) => {
                 self.backoff.reset();
-                self.written(now, sent.at, row, revision);
+                self.handle_commit(now, call.sent_at, row, revision);
             }
             (Outcome::Conflict(failed), Some(_)) => {
                 self.backoff.reset();
                 let row = failed.into_iter().next().and_then(|(_, row)| row);
-                self.known = true;
-                self.see(sent.at, now, row);
-                self.next = now;
+                self.is_row_known = true;
+                self.observe_row(call.sent_at, now, row);
+                self.next_action = now;
             }
             (Outcome::Unknown, Some(_)) => {
-                self.known = false;
-                self.next = now + self.backoff.fail();
+                self.is_row_known = false;
+                self.next_action = now + self.backoff.fail();
             }
-            _ => self.next = now + self.backoff.fail(),
+            _ => self.next_action = now + self.backoff.fail(),
         }
     }
 
-    /// Notes the row as a read or a conflict showed it.
-    fn see(&mut self, asked: Time, now: Time, row: Option<call::Row>) {
+    /// Records the row that a read or a conflict returned.
+    fn observe_row(&mut self, requested_at: Time, now: Time, row: Option<call::Row>) {
         let Some(row) = row else {
-            // Rows are never deleted.
-            if self.seen.take().is_some() {
-                self.recover(now);
+            // Rows are never deleted, so a missing row means that the store was restored from a backup.
+            if self.last_row.take().is_some() {
+                self.begin_recovery(now);
             }
             return;
         };
         let Ok(value) = serde_json::from_value::<Row>(row.value) else {
             return;
         };
-        self.highest = self.highest.max(value.fence);
-        match &mut self.seen {
+        self.highest_fence = self.highest_fence.max(value.fence);
+        match &mut self.last_row {
             Some((_, watch)) if watch.revision() > row.revision => return,
             Some((old, watch)) => {
-                let restored = Revision::is_of_older_era(watch.revision(), row.revision);
-                watch.observe(row.revision, asked, now);
+                let is_restored = Revision::is_of_older_era(watch.revision(), row.revision);
+                watch.observe(row.revision, requested_at, now);
                 *old = value;
-                if restored {
-                    return self.recover(now);
+                if is_restored {
+                    return self.begin_recovery(now);
                 }
             }
-            None => self.seen = Some((value, Watch::new(row.revision, now))),
+            None => self.last_row = Some((value, Watch::new(row.revision, now))),
         }
-        if !self.is_ours() && now >= self.recovering {
+        if !self.is_own() && now >= self.recovering_until {
             self.valid_until = Time::ZERO;
         }
     }
 
-    /// The row shows less than was acknowledged. A lease that was granted before runs on: its holder writes the row
-    /// again, and nobody else takes it until it has lapsed for certain.
-    fn recover(&mut self, now: Time) {
-        self.recovering = now + self.settings.term + self.settings.margin;
+    /// Handles a row that shows less than was acknowledged, after a restore of the store. A lease granted
+    /// before the restore stays in force: its holder writes the row again, and nobody else takes the lease
+    /// until it has certainly lapsed.
+    fn begin_recovery(&mut self, now: Time) {
+        self.recovering_until = now + self.settings.term + self.settings.margin;
     }
 
-    /// Whether we hold the lease by our own clock, whatever the row shows.
-    fn holds(&self, now: Time) -> bool {
-        self.told.is_some_and(|told| self.fence(now) == Some(told))
+    /// Returns whether this process holds the lease by its own clock, whatever the row shows.
+    fn is_holding(&self, now: Time) -> bool {
+        self.reported_fence
+            .is_some_and(|fence| self.fence(now) == Some(fence))
     }
 
-    /// Notes a renewal by its holder's word, and waits so much longer before the next look.
-    fn was_renewed(&mut self, now: Time, row: call::Row) {
-        let revision = self.seen.as_ref().map(|(_, watch)| watch.revision());
+    /// Records a renewal that the holder published, and postpones the next poll.
+    fn handle_renewal(&mut self, now: Time, row: call::Row) {
+        let revision = self.last_row.as_ref().map(|(_, watch)| watch.revision());
         if revision.is_some_and(|known| known >= row.revision) {
             return;
         }
-        self.known |= self.sent.is_none();
-        self.see(now, now, Some(row));
-        self.next = self
-            .next
-            .max(now + self.settings.poll_interval.times(QUIET_POLLS));
+        self.is_row_known |= self.in_flight.is_none();
+        self.observe_row(now, now, Some(row));
+        self.next_action = self
+            .next_action
+            .max(now + self.settings.poll_interval.times(POLLS_AFTER_RENEWAL));
     }
 
-    fn written(&mut self, now: Time, sent: Time, row: Row, revision: u64) {
-        self.known = true;
-        let continued = self.holds(now);
-        self.held = row.fence;
-        self.highest = self.highest.max(row.fence);
-        self.renewed = row.holder.map(|_| call::Row {
-            key: self.at.key.clone(),
+    /// Records a committed write of this process.
+    fn handle_commit(&mut self, now: Time, sent_at: Time, row: Row, revision: u64) {
+        self.is_row_known = true;
+        let was_holding = self.is_holding(now);
+        self.held_fence = row.fence;
+        self.highest_fence = self.highest_fence.max(row.fence);
+        self.unreported_renewal = row.holder.map(|_| call::Row {
+            key: self.address.key.clone(),
             value: serde_json::to_value(&row).unwrap_or(Value::Null),
             revision,
         });
         self.valid_until = match row.holder {
-            Some(_) => sent + self.settings.term,
+            Some(_) => sent_at + self.settings.term,
             None => Time::ZERO,
         };
         let fence = row.fence;
-        self.seen = Some((row, Watch::new(revision, now)));
-        // No row was there, of an era in which one may have been lost.
-        if !continued && fence <= self.floor() {
+        self.last_row = Some((row, Watch::new(revision, now)));
+        // The row was missing in an era in which it may have been lost, so an unseen lease may be in force.
+        if !was_holding && fence <= self.fence_floor() {
             self.valid_until = Time::ZERO;
-            self.renewed = None;
-            self.recover(now);
+            self.unreported_renewal = None;
+            self.begin_recovery(now);
         }
-        self.next = now
+        self.next_action = now
             + self
                 .backoff
                 .spread(self.settings.renewal_interval)
                 .min(self.settings.renewal_interval);
     }
 
-    /// Whether the lease is ours or may be taken.
+    /// Returns whether the lease belongs to this process or may be taken.
     fn may_write(&self, now: Time) -> bool {
-        if now < self.recovering {
-            return self.holds(now);
+        if now < self.recovering_until {
+            return self.is_holding(now);
         }
-        let seen = self.seen.as_ref();
-        self.is_ours() || seen.is_none_or(|(row, watch)| self.is_free(row, watch))
+        let seen = self.last_row.as_ref();
+        self.is_own() || seen.is_none_or(|(row, watch)| self.is_free(row, watch))
     }
 
-    /// Whether the lease may be taken: released, given up, its holder gone, or lapsed for certain.
+    /// Returns whether the lease may be taken: released, relinquished, held by a dead process, or lapsed.
     fn is_free(&self, row: &Row, watch: &Watch) -> bool {
         let term = Span::from_millis(row.term_ms);
-        let holder = row.holder.is_none_or(|holder| self.gone.contains(&holder));
-        holder || row.fence <= self.ended || watch.has_lapsed(term, self.settings.margin)
+        let has_no_holder = row
+            .holder
+            .is_none_or(|holder| self.gone_holders.contains(&holder));
+        has_no_holder
+            || row.fence <= self.relinquished_fence
+            || watch.has_lapsed(term, self.settings.margin)
     }
 
-    fn is_ours(&self) -> bool {
-        self.seen
+    fn is_own(&self) -> bool {
+        self.last_row
             .as_ref()
             .is_some_and(|(row, _)| row.holder == Some(self.me))
     }
 
-    /// Makes the call that is due, if any.
-    fn act(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if now < self.next || self.sent.is_some() {
+    /// Sends the call that is due, if any.
+    fn send_due_call(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        if now < self.next_action || self.in_flight.is_some() {
             return;
         }
-        self.next = self.next_look(now);
-        if !self.known {
+        self.next_action = self.next_read_time(now);
+        if !self.is_row_known {
             return self.read(now, effects);
         }
-        let ours = self.is_ours();
-        match &self.seen {
-            Some((row, _)) if ours && !self.wanted => {
+        let is_own = self.is_own();
+        match &self.last_row {
+            Some((row, _)) if is_own && !self.wanted => {
                 let fence = row.fence;
                 self.write(now, None, fence, effects);
             }
-            _ if !self.wanted => self.next = now + self.settings.poll_interval,
-            _ if self.holds(now) => self.write(now, Some(self.me), self.held, effects),
-            _ if now < self.recovering => self.read(now, effects),
-            Some((row, _)) if ours && row.fence > self.floor() => {
+            _ if !self.wanted => self.next_action = now + self.settings.poll_interval,
+            _ if self.is_holding(now) => self.write(now, Some(self.me), self.held_fence, effects),
+            _ if now < self.recovering_until => self.read(now, effects),
+            Some((row, _)) if is_own && row.fence > self.fence_floor() => {
                 let fence = row.fence;
                 self.write(now, Some(self.me), fence, effects);
             }
@@ -387,25 +397,29 @@
         }
     }
 
-    /// A number above all that were ever in use, also by holders that no row shows any more.
+    /// Returns a number above all that were ever in use, including those of holders that no row shows.
     fn next_fence(&self) -> u64 {
-        self.highest.max(self.floor()) + 1
+        self.highest_fence.max(self.fence_floor()) + 1
     }
 
-    /// Nobody gains the lease under a number up to this one: it ended, or may be that of an older era's holder.
-    fn floor(&self) -> u64 {
-        let revision = self.seen.as_ref().map_or(0, |(_, watch)| watch.revision());
+    /// Returns the number up to which no lease can be gained: it was relinquished, or may belong to a
+    /// holder of an earlier era.
+    fn fence_floor(&self) -> u64 {
+        let revision = self
+            .last_row
+            .as_ref()
+            .map_or(0, |(_, watch)| watch.revision());
         let era = Revision::unpacked(revision).era;
-        self.ended.max(era << ERA_FENCES)
+        self.relinquished_fence.max(era << ERA_FENCE_BITS)
     }
 
-    /// When to look at the row again: in time to see that the lease has lapsed.
-    fn next_look(&mut self, now: Time) -> Time {
+    /// Returns when to read the row again, in time to detect that the lease has lapsed.
+    fn next_read_time(&mut self, now: Time) -> Time {
         let poll = now + self.backoff.spread(self.settings.poll_interval);
-        let lapse = self.seen.as_ref().map(|(row, watch)| {
+        let lapse = self.last_row.as_ref().map(|(row, watch)| {
             let term = Span::from_millis(row.term_ms);
             let lapse = watch.lapses_at(term, self.settings.margin);
-            lapse.max(self.recovering)
+            lapse.max(self.recovering_until)
         });
         lapse
             .filter(|lapse| *lapse > now)
@@ -413,7 +427,7 @@
     }
 
     fn read(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let at = self.at.clone();
+        let at = self.address.clone();
         self.call(now, Call::Get { at }, None, effects);
     }
 
@@ -424,21 +438,21 @@
         fence: u64,
         effects: &mut Vec<Effect>,
     ) {
-        self.attempts += 1;
+        self.write_attempts += 1;
         let row = Row {
             holder,
             fence,
             term_ms: self.settings.term.as_millis(),
-            token: format_smolstr!("{}/{}", self.me, self.attempts),
+            token: format_smolstr!("{}/{}", self.me, self.write_attempts),
         };
         let transaction = Transaction {
             token: row.token.clone(),
             checks: vec![Check {
-                at: self.at.clone(),
-                revision: self.seen.as_ref().map(|(_, watch)| watch.revision()),
+                at: self.address.clone(),
+                revision: self.last_row.as_ref().map(|(_, watch)| watch.revision()),
             }],
             writes: vec![Write {
-                at: self.at.clone(),
+                at: self.address.clone(),
                 value: serde_json::to_value(&row).unwrap_or(Value::Null),
             }],
         };
@@ -446,23 +460,27 @@
     }
 
     fn call(&mut self, now: Time, call: Call, row: Option<Row>, effects: &mut Vec<Effect>) {
-        let id = call::Id(self.next_call);
-        self.next_call += 1;
-        self.sent = Some(Sent { id, at: now, row });
+        let id = call::Id(self.next_call_id);
+        self.next_call_id += 1;
+        self.in_flight = Some(InFlight {
+            id,
+            sent_at: now,
+            row,
+        });
         effects.push(Effect::Store { id, call });
     }
 
-    /// Tells the embedder of a change.
-    fn report(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    /// Reports changes of the held lease to the embedder.
+    fn report_changes(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let fence = self.fence(now);
-        if let Some(row) = self.renewed.take_if(|_| fence.is_some()) {
+        if let Some(row) = self.unreported_renewal.take_if(|_| fence.is_some()) {
             effects.push(Effect::Renewed(row));
         }
-        if fence == self.told {
+        if fence == self.reported_fence {
             return;
         }
-        if let Some(lost) = std::mem::replace(&mut self.told, fence) {
-            self.ended = self.ended.max(lost);
+        if let Some(lost) = std::mem::replace(&mut self.reported_fence, fence) {
+            self.relinquished_fence = self.relinquished_fence.max(lost);
             effects.push(Effect::Lost(lost));
         }
         if let Some(fence) = fence {
--- a/crates/lease/src/configs/claim.rs
+++ b/crates/lease/src/configs/claim.rs
@@ -2,22 +2,22 @@
 
 use clock::Span;
 
-/// Times of one lease.
+/// Intervals and timeouts of one lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long the lease runs from each renewal.
+    /// Time that the lease lasts from each renewal.
     pub term: Span,
     /// Time between renewals.
     pub renewal_interval: Span,
-    /// Time between reads of those who wait.
+    /// Time between polls of a process that waits for the lease.
     pub poll_interval: Span,
-    /// Added to the term before others take the lease, for clocks that run unevenly.
+    /// Time added to the term before rivals take the lease, for clocks that run at different rates.
     pub margin: Span,
-    /// A step that follows the last after a longer gap means that the loop slept.
+    /// Longest gap between two steps; a longer one means that the event loop was stalled.
     pub max_step_gap: Span,
-    /// First wait after a failed call.
+    /// Delay before the first retry of a failed call.
     pub retry_delay: Span,
-    /// Longest wait after failed calls.
+    /// Longest delay between retries.
     pub max_retry_delay: Span,
 }
 
--- a/crates/lease/src/configs/mod.rs
+++ b/crates/lease/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of this crate's parts and their defaults.
+//! Settings of claims and orders.
 
 pub mod claim;
 pub mod order;
--- a/crates/lease/src/configs/order.rs
+++ b/crates/lease/src/configs/order.rs
@@ -2,16 +2,16 @@
 
 use clock::Span;
 
-/// Times of orders.
+/// Intervals and timeouts of orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Longest time from the moment an order leaves its sender until it takes effect or is lost.
+    /// Longest time from when an order leaves its sender until it takes effect or is lost.
     pub max_delivery_time: Span,
-    /// How long an engine must be seen idle before an order may take away what it serves.
+    /// Time that an engine must be idle before an order may unload what it serves.
     pub min_idle_time: Span,
-    /// Time between reads of an engine that is not as wanted, or may still change.
+    /// Time between reads of an engine that has not reached its target or may still change.
     pub read_interval: Span,
-    /// Time between reads of an engine that is as wanted.
+    /// Time between reads of an engine that has reached its target.
     pub settled_read_interval: Span,
 }
 
@@ -26,11 +26,11 @@
     }
 }
 
-/// Reads that may lie between two looks at one state of an engine.
+/// Read intervals that may pass between two reads that count as continuous observation.
 const READS_APART: u64 = 2;
 
 impl Settings {
-    /// Longest time between two reads that count as one look.
+    /// Returns the longest time between two reads that count as continuous observation.
     pub fn max_read_gap(&self) -> Span {
         self.read_interval.times(READS_APART)
     }
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -1,18 +1,18 @@
-//! Names of those who may hold leases.
+//! Identifiers of lease holders.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One life of a process, drawn at random when it starts and never used again.
+/// Incarnation of a process, drawn at random at its start and never reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Id(pub u64);
 
 impl Id {
-    /// Reads the form that `Display` gives.
+    /// Parses the form that `Display` writes.
     pub fn parse(text: &str) -> Option<Id> {
         Some(Id(u64::from_str_radix(text, 16).ok()?))
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,8 +1,8 @@
 //! Leases with fencing numbers over the table service.
 //!
-//! [`claim::Claim`] holds or waits for one lease that only one holder may have at a time;
-//! [`order::Orders`] uses its fencing number to give orders to engines. [`watch`] and [`stall`] are
-//! the two halves of every lease, that of those who wait and that of the holder.
+//! [`claim::Claim`] competes for one exclusive lease and holds it; [`order::Orders`] sends orders to
+//! engines under its fencing number. [`watch`] detects that another holder's lease has lapsed, and
+//! [`stall`] that this process may have slept past its own.
 
 pub mod claim;
 pub mod configs;
--- a/crates/lease/src/order.rs
+++ b/crates/lease/src/order.rs
@@ -1,12 +1,12 @@
 //! Orders from a leaseholder to engines: what to load and serve.
 //!
-//! Failure guarded against: an order of a former holder, paused or held up in the network, takes
-//! effect after its successor's. It shows as an engine that serves the wrong model or is emptied in
-//! the middle of its work. Engines that check fencing refuse it by its number. For engines that
-//! ignore the number, orders name a whole target state and are read back; a new holder only reads
-//! until every order of an old one has landed or is lost, so its own comes last; and an order that
-//! takes away what an engine serves waits until the engine has been seen idle for a while. Whoever
-//! wants that first stops sending it work, else it is never idle.
+//! Guards against an order of a former holder, paused or delayed in the network, that takes effect after
+//! its successor's. The engine then serves the wrong model or is unloaded while it works. Engines that
+//! check fencing numbers refuse such an order. For engines that don't, three rules apply. An order names a
+//! complete target state and is verified by reading it back. A new holder only reads until every order of a
+//! former holder has arrived or is lost, so its own order comes last. An order that unloads a model waits
+//! until the engine has been idle for a while; the caller must first stop sending it requests, else it
+//! never becomes idle.
 
 use std::collections::BTreeMap;
 
@@ -17,115 +17,115 @@
 
 use crate::configs::order::Settings;
 
-/// What an engine is to serve, as a whole.
+/// Complete state that an engine is to reach.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Base model; empty for nothing.
+    /// Base model; empty for none.
     pub model: SmolStr,
     /// Adapter; empty for none.
     pub adapter: SmolStr,
-    /// Version of both together.
+    /// Version of the model and adapter together.
     pub version: SmolStr,
-    /// What it does with them.
+    /// Role in which the engine serves them.
     pub role: SmolStr,
 }
 
 impl Target {
-    /// Whether both hold the same model, adapter and version, whatever their role.
+    /// Returns whether both name the same model, adapter and version, whatever their roles.
     pub fn has_same_model(&self, other: &Target) -> bool {
         self.model == other.model && self.adapter == other.adapter && self.version == other.version
     }
 }
 
-/// What happens to the state machine.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Wake,
-    /// Our lease was gained under this fencing number.
+    /// This process gained the lease under this fencing number.
     Gained(u64),
-    /// Our lease is lost: no more orders.
+    /// This process lost the lease and sends no more orders.
     Lost,
-    /// An engine is to serve this.
+    /// Sets the target of an engine.
     Want {
-        /// Its incarnation.
+        /// Incarnation of the engine.
         engine: SmolStr,
         /// Whether it refuses orders with an old fencing number.
         checks_fencing: bool,
-        /// What it is to serve.
+        /// State that it is to reach.
         target: Target,
     },
-    /// An engine is gone.
+    /// An engine no longer exists.
     Gone(SmolStr),
-    /// An engine was read.
+    /// The state of an engine was read.
     Read {
-        /// Its incarnation.
+        /// Incarnation of the engine.
         engine: SmolStr,
-        /// What it serves.
+        /// State that it reports.
         target: Target,
-        /// Requests running on it.
+        /// Number of requests running on it.
         running: u32,
     },
     /// An engine refused an order because it has seen a higher fencing number.
     Refused {
-        /// Its incarnation.
+        /// Incarnation of the engine.
         engine: SmolStr,
-        /// The number it has seen.
+        /// Fencing number that the engine has seen.
         fence: u64,
     },
 }
 
-/// What the embedder is to do.
+/// Action that the embedder must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send an order, if the lease is still valid as it leaves.
+    /// Send an order if the lease is still valid when it leaves.
     Order {
-        /// The engine's incarnation.
+        /// Incarnation of the engine.
         engine: SmolStr,
-        /// Our fencing number.
+        /// Fencing number of the order.
         fence: u64,
-        /// What it is to serve.
+        /// State that it is to reach.
         target: Target,
     },
-    /// Read what an engine serves.
+    /// Read the state of an engine.
     Read(SmolStr),
-    /// An engine has seen a higher number: our lease is not what we believe.
+    /// An engine has seen this higher fencing number, so another process holds the lease.
     Deposed(u64),
 }
 
-/// The state machine of one holder.
+/// Brings engines to their targets while the lease is held.
 #[derive(Clone, Debug)]
 pub struct Orders {
     settings: Settings,
-    /// Our number and when we gained it.
+    /// Fencing number of the held lease and the time at which it was gained.
     lease: Option<(u64, Time)>,
     engines: BTreeMap<SmolStr, Engine>,
 }
 
-/// One engine.
+/// Target and last known state of one engine.
 #[derive(Clone, Debug)]
 struct Engine {
     checks_fencing: bool,
     wanted: Target,
-    seen: Option<Seen>,
+    last_reading: Option<Reading>,
     next_read: Time,
-    /// When an order was sent that was not yet read back.
-    ordered: Option<Time>,
+    /// Time at which an order was sent that no read has confirmed yet.
+    ordered_at: Option<Time>,
 }
 
-/// An engine as it was last read.
+/// State of an engine at its last read.
 #[derive(Clone, Debug)]
-struct Seen {
+struct Reading {
     target: Target,
-    /// When that was.
-    at: Time,
-    /// Since when every read showed it idle, none of them long after the one before; none while it
-    /// works. Between reads that lie far apart it may have worked.
+    /// Time of the read.
+    read_at: Time,
+    /// Start of an unbroken series of reads that showed it idle; `None` while requests run. Reads that are
+    /// far apart break the series, because the engine may have worked in between.
     idle_since: Option<Time>,
 }
 
 impl Orders {
-    /// No lease and no engines.
+    /// Creates a state machine without a lease and without engines.
     pub fn new(settings: Settings) -> Orders {
         Orders {
             settings,
@@ -134,11 +134,11 @@
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting effects.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Wake => {}
-            Event::Gained(fence) => self.gained(now, fence),
+            Event::Gained(fence) => self.handle_gain(now, fence),
             Event::Lost => self.lease = None,
             Event::Want {
                 engine,
@@ -152,29 +152,29 @@
                 engine,
                 target,
                 running,
-            } => self.was_read(now, &engine, target, running),
-            Event::Refused { fence, .. } => self.refused(fence, effects),
+            } => self.record_read(now, &engine, target, running),
+            Event::Refused { fence, .. } => self.handle_refusal(fence, effects),
         }
-        self.act(now, effects);
+        self.send_due(now, effects);
     }
 
-    /// When [`Event::Wake`] is wanted next.
+    /// Returns when [`Event::Wake`] is due.
     pub fn next_wake(&self) -> Option<Time> {
         self.lease?;
         self.engines.values().map(|engine| engine.next_read).min()
     }
 
-    /// Whether an engine was read back as wanted.
+    /// Returns whether a read has confirmed that the engine reached its target.
     pub fn is_settled(&self, engine: &str) -> bool {
-        self.engines.get(engine).is_some_and(Engine::is_as_wanted)
+        self.engines.get(engine).is_some_and(Engine::is_settled)
     }
 
-    /// What was seen under an earlier lease may have been changed since: all engines are read anew.
-    fn gained(&mut self, now: Time, fence: u64) {
+    /// Discards what was read under an earlier lease, since it may have changed, and reads all engines again.
+    fn handle_gain(&mut self, now: Time, fence: u64) {
         self.lease = Some((fence, now));
         for engine in self.engines.values_mut() {
-            engine.seen = None;
-            engine.ordered = None;
+            engine.last_reading = None;
+            engine.ordered_at = None;
             engine.next_read = now;
         }
     }
@@ -183,9 +183,9 @@
         let engine = self.engines.entry(engine).or_insert(Engine {
             checks_fencing,
             wanted: Target::default(),
-            seen: None,
+            last_reading: None,
             next_read: now,
-            ordered: None,
+            ordered_at: None,
         });
         engine.checks_fencing = checks_fencing;
         if engine.wanted != target {
@@ -194,41 +194,43 @@
         }
     }
 
-    fn was_read(&mut self, now: Time, engine: &str, target: Target, running: u32) {
+    fn record_read(&mut self, now: Time, engine: &str, target: Target, running: u32) {
         let Some(engine) = self.engines.get_mut(engine) else {
             return;
         };
         let idle_before = engine
-            .seen
+            .last_reading
             .as_ref()
-            .filter(|seen| now.since(seen.at) <= self.settings.max_read_gap())
-            .and_then(|seen| seen.idle_since);
+            .filter(|reading| now.since(reading.read_at) <= self.settings.max_read_gap())
+            .and_then(|reading| reading.idle_since);
         let idle_since = (running == 0).then(|| idle_before.unwrap_or(now));
-        engine.seen = Some(Seen {
+        engine.last_reading = Some(Reading {
             target,
-            at: now,
+            read_at: now,
             idle_since,
         });
-        if engine.is_as_wanted() {
-            engine.ordered = None;
+        if engine.is_settled() {
+            engine.ordered_at = None;
         }
     }
 
-    fn refused(&mut self, fence: u64, effects: &mut Vec<Effect>) {
-        if self.lease.is_some_and(|(ours, _)| ours < fence) {
+    fn handle_refusal(&mut self, fence: u64, effects: &mut Vec<Effect>) {
+        if self.lease.is_some_and(|(own, _)| own < fence) {
             self.lease = None;
             effects.push(Effect::Deposed(fence));
         }
     }
 
-    fn act(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let Some((fence, gained)) = self.lease else {
+    /// Sends the orders and reads that are due.
+    fn send_due(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        let Some((fence, gained_at)) = self.lease else {
             return;
         };
         for (name, engine) in &mut self.engines {
-            let foreign = !engine.checks_fencing && now < gained + self.settings.max_delivery_time;
-            if !foreign && engine.may_order(now, &self.settings) {
-                engine.ordered = Some(now);
+            let may_be_overwritten =
+                !engine.checks_fencing && now < gained_at + self.settings.max_delivery_time;
+            if !may_be_overwritten && engine.is_order_due(now, &self.settings) {
+                engine.ordered_at = Some(now);
                 engine.next_read = now + self.settings.read_interval;
                 effects.push(Effect::Order {
                     engine: name.clone(),
@@ -237,8 +239,8 @@
                 });
             }
             if now >= engine.next_read {
-                let settled = engine.is_as_wanted() && !foreign;
-                let wait = if settled {
+                let is_settled = engine.is_settled() && !may_be_overwritten;
+                let wait = if is_settled {
                     self.settings.settled_read_interval
                 } else {
                     self.settings.read_interval
@@ -251,34 +253,34 @@
 }
 
 impl Engine {
-    fn is_as_wanted(&self) -> bool {
-        self.seen
+    fn is_settled(&self) -> bool {
+        self.last_reading
             .as_ref()
-            .is_some_and(|seen| seen.target == self.wanted)
+            .is_some_and(|reading| reading.target == self.wanted)
     }
 
-    /// Whether an order is due: the engine is not as wanted, no order is on its way, and nothing in
-    /// progress would be taken away.
-    fn may_order(&self, now: Time, settings: &Settings) -> bool {
-        let Some(seen) = &self.seen else {
+    /// Returns whether an order is due: the engine has not reached its target, no order is in flight, and no
+    /// running request would be interrupted.
+    fn is_order_due(&self, now: Time, settings: &Settings) -> bool {
+        let Some(reading) = &self.last_reading else {
             return false;
         };
-        if seen.target == self.wanted {
+        if reading.target == self.wanted {
             return false;
         }
         if self
-            .ordered
-            .is_some_and(|at| now < at + settings.max_delivery_time)
+            .ordered_at
+            .is_some_and(|sent| now < sent + settings.max_delivery_time)
         {
             return false;
         }
-        // A change of role alone takes nothing away: what runs goes on.
-        let destructive =
-            !seen.target.model.is_empty() && !seen.target.has_same_model(&self.wanted);
-        let fresh = now.since(seen.at) <= settings.max_read_gap();
-        let quiet = seen
+        // A change of role alone unloads nothing, so running requests continue.
+        let is_destructive =
+            !reading.target.model.is_empty() && !reading.target.has_same_model(&self.wanted);
+        let is_recent = now.since(reading.read_at) <= settings.max_read_gap();
+        let is_idle = reading
             .idle_since
             .is_some_and(|since| now >= since + settings.min_idle_time);
-        !destructive || (fresh && quiet)
+        !is_destructive || (is_recent && is_idle)
     }
 }
--- a/crates/lease/src/view.rs
+++ b/crates/lease/src/view.rs
@@ -1,4 +1,4 @@
-//! What a process concludes from having read all members' rows.
+//! The membership as one read of all member rows shows it.
 
 use clock::Time;
 
@@ -7,19 +7,19 @@
 /// All members, as read from the table service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// When the read was sent: it shows every row written before.
+    /// Time at which the read was sent; it shows every row written before.
     pub requested_at: Time,
-    /// Every row, of live and of lapsed members.
+    /// Rows of live and of lapsed members.
     pub members: Vec<Member>,
 }
 
 /// One member's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Which member.
+    /// Incarnation of the member.
     pub id: holder::Id,
-    /// The configuration version it said it had applied.
+    /// Configuration version that the member announced as applied.
     pub applied: u64,
-    /// Whether its lease has lapsed for certain, see [`crate::watch`].
+    /// Whether its lease has certainly lapsed, see [`crate::watch`].
     pub lapsed: bool,
 }
--- a/crates/lease/src/watch.rs
+++ b/crates/lease/src/watch.rs
@@ -1,55 +1,55 @@
-//! Watches a leased row of another process by our own clock.
+//! Detects by the local clock that another process's leased row has lapsed.
 //!
-//! The holder counts its deadline from before it sent the write that made the row as it is; we count
-//! from when we first saw it so, which is later. So when a read that we sent the whole term and a
-//! margin afterwards still shows the same revision, the holder's deadline has passed, whatever the
-//! two clocks show. The margin covers clocks that run at uneven rates. Without such a later read
-//! nothing is concluded: while the service is down, no lease of another lapses for us.
+//! The holder counts its deadline from before it sent the write that produced the row; observers count from
+//! when they first saw that row, which is later. So a read sent a full term plus a margin afterwards that
+//! still shows the same revision proves that the holder's deadline has passed, whatever the two clocks
+//! show. The margin covers clocks that run at different rates. Without such a later read nothing is
+//! concluded: while the store is unavailable, no lease lapses for its observers.
 
 use clock::Span;
 use clock::Time;
 
-/// What we saw of one row.
+/// Observations of one row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Watch {
     revision: u64,
-    /// When an answer first showed this revision.
-    since: Time,
-    /// When the newest read that showed it was sent.
-    confirmed: Time,
+    /// Time at which an answer first showed this revision.
+    first_seen_at: Time,
+    /// Time at which the newest read that showed this revision was sent.
+    last_confirmed_at: Time,
 }
 
 impl Watch {
-    /// A row seen for the first time, in an answer that came at `received`.
-    pub fn new(revision: u64, received: Time) -> Watch {
+    /// Starts watching a row that was first seen in an answer received at `received_at`.
+    pub fn new(revision: u64, received_at: Time) -> Watch {
         Watch {
             revision,
-            since: received,
-            confirmed: received,
+            first_seen_at: received_at,
+            last_confirmed_at: received_at,
         }
     }
 
-    /// The row was seen again, by a read sent at `asked` and answered at `received`.
-    pub fn observe(&mut self, revision: u64, asked: Time, received: Time) {
+    /// Records that a read sent at `requested_at` and answered at `received_at` showed `revision`.
+    pub fn observe(&mut self, revision: u64, requested_at: Time, received_at: Time) {
         if revision > self.revision {
-            *self = Watch::new(revision, received);
+            *self = Watch::new(revision, received_at);
         } else if revision == self.revision {
-            self.confirmed = self.confirmed.max(asked);
+            self.last_confirmed_at = self.last_confirmed_at.max(requested_at);
         }
     }
 
-    /// The revision last seen.
+    /// Returns the revision last seen.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether the holder's lease has lapsed for certain.
+    /// Returns whether the holder's lease has certainly lapsed.
     pub fn has_lapsed(&self, term: Span, margin: Span) -> bool {
-        self.confirmed >= self.lapses_at(term, margin)
+        self.last_confirmed_at >= self.lapses_at(term, margin)
     }
 
-    /// A read that is sent from then on and shows the same revision tells that the lease has lapsed.
+    /// Returns the time from which a read that shows the same revision proves that the lease has lapsed.
     pub fn lapses_at(&self, term: Span, margin: Span) -> Time {
-        self.since + term + margin
+        self.first_seen_at + term + margin
     }
 }
--- a/crates/lease/tests/claim.rs
+++ b/crates/lease/tests/claim.rs
@@ -1,4 +1,4 @@
-//! One lease and its rivals while processes and store fail.
+//! One lease and its rivals under failures of processes and of the store.
 
 mod common;
 
@@ -22,23 +22,23 @@
     assert_eq!(world.fence(holder), Some(1));
 }
 
-/// The holder is stopped by a signal in the middle of its work and continued after another has taken
-/// over. The moment it goes on it must know that it holds nothing: no order leaves it.
+/// A holder is paused by a signal and continues after another process has taken over. It must know at
+/// once that it holds nothing and send no order.
 #[test]
 fn a_holder_paused_past_its_lease_gives_no_orders() {
     let mut world = rivals(3);
     world.run(SECOND.times(5));
     let first = world.holder().expect("no holder");
-    world.want(first, "e1", false, serving("old"));
+    world.set_target(first, "e1", false, serving("old"));
     world.set_frozen(first, true);
-    let took = world
+    let elapsed = world
         .run_until(SECOND.times(20), |world| {
             world.holder().is_some_and(|holder| holder != first)
         })
         .expect("nobody took over");
-    assert!(took >= SECOND.times(3), "{took}");
+    assert!(elapsed >= SECOND.times(3), "{elapsed}");
     let second = world.holder().expect("no holder");
-    world.want(second, "e1", false, serving("new"));
+    world.set_target(second, "e1", false, serving("new"));
     world.run(SECOND.times(15));
     world.set_frozen(first, false);
     world.run(SECOND.times(15));
@@ -47,22 +47,22 @@
     assert_eq!(world.engines["e1"].target, serving("new"));
 }
 
-/// The answer to the write that gains the lease is lost. The writer finds its own token in the row
-/// and holds the lease, rather than waiting with the others for itself to lapse.
+/// The answer to the write that gains the lease is lost. The writer must recognize its token in the row
+/// instead of waiting for its own lease to lapse.
 #[test]
 fn a_lost_answer_to_the_gaining_write_is_read_back() {
     let mut world = rivals(1);
     world.table.push_fault(Fault::None);
     world.table.push_fault(Fault::LostAnswer);
-    let took = world
+    let elapsed = world
         .run_until(SECOND.times(20), |world| world.holder().is_some())
         .expect("not gained");
-    assert!(took < SECOND.times(3), "{took}");
+    assert!(elapsed < SECOND.times(3), "{elapsed}");
     assert_eq!(world.fence(0), Some(1));
 }
 
-/// The service is down for an hour. The holder's lease lapses and it stops; nobody else takes it,
-/// since nobody can. Afterwards one of them holds it, and no two ever did.
+/// The store is unavailable for an hour. The holder's lease lapses and nobody can take it; afterwards one
+/// process gains it, and no two ever held it.
 #[test]
 fn an_outage_of_an_hour_leaves_no_holder_and_never_two() {
     let mut world = rivals(3);
@@ -78,8 +78,7 @@
         .expect("no holder after the outage");
 }
 
-/// A holder that stops in good order gives the lease back, and the next one needs not wait out the
-/// term.
+/// A holder that stops gracefully releases the lease, so its successor need not wait for the term to end.
 #[test]
 fn a_released_lease_is_taken_at_once() {
     let mut world = rivals(2);
@@ -87,16 +86,15 @@
     let first = world.holder().expect("no holder");
     world.feed(first, Event::Claim(claim::Event::Want(false)));
     assert_eq!(world.fence(first), None);
-    let took = world
+    let elapsed = world
         .run_until(SECOND.times(20), |world| world.holder().is_some())
         .expect("not taken");
-    assert!(took < SECOND.times(4), "{took}");
+    assert!(elapsed < SECOND.times(4), "{elapsed}");
     assert_eq!(world.fence(1 - first), Some(2));
 }
 
-/// The holder's process is killed and starts again on its instance. Nobody acts until its lease has lapsed,
-/// though the new process knows that the old one is gone: it is told so and takes over at once, under a
-/// higher fencing number.
+/// The holder's process is killed and restarted on its instance. The new process knows that the old one
+/// is dead, so it takes over at once under a higher fencing number instead of waiting for the term.
 #[test]
 fn the_successor_of_a_killed_process_need_not_wait_for_its_lease() {
     let mut world = rivals(2);
@@ -106,17 +104,17 @@
     world.rivals[first].dead = true;
     let gone = lease::holder::Id(first as u64 + 1);
     world.feed(second, Event::Claim(claim::Event::Gone(gone)));
-    let took = world
+    let elapsed = world
         .run_until(SECOND.times(20), |world| world.holder() == Some(second))
         .expect("nobody took over");
-    assert!(took < SECOND, "{took}");
+    assert!(elapsed < SECOND, "{elapsed}");
     assert_eq!(world.fence(second), Some(2));
 }
 
-/// The holder was cut off from the table service and gave up when its lease had run out by its own clock; nobody acted
-/// until the others had waited out the whole term after their last look.
+/// A holder loses its connection to the store and its lease expires by its own clock. Its notification must
+/// let a rival take over at once instead of a full term after the rival's last read.
 #[test]
-fn a_holder_that_gives_up_and_says_so_is_succeeded_at_once() {
+fn a_holder_that_announces_its_loss_is_succeeded_at_once() {
     let mut world = rivals(2);
     world.run(SECOND.times(5));
     let first = world.holder().expect("no holder");
@@ -127,18 +125,18 @@
         .run_until(SECOND.times(20), |world| world.holder().is_none())
         .expect("held for ever");
     world.rivals[second].store_cut = false;
-    let ended = Event::Claim(claim::Event::Relinquished(world.resigned));
+    let ended = Event::Claim(claim::Event::Relinquished(world.relinquished));
     world.feed(second, ended);
-    let took = world
+    let elapsed = world
         .run_until(SECOND.times(20), |world| world.holder() == Some(second))
         .expect("nobody took over");
-    assert!(took < SECOND.times(3), "{took}");
+    assert!(elapsed < SECOND.times(3), "{elapsed}");
 }
 
-/// A holder gave up and said so, and its last renewal took effect just then: were it to act under the old number again,
-/// there would be two holders.
+/// A holder announces that it lost the lease just as its last renewal takes effect. Acting under the old
+/// fencing number again would make two holders, so it must gain a new one.
 #[test]
-fn a_number_that_was_given_up_is_never_held_again() {
+fn a_relinquished_fencing_number_is_never_held_again() {
     let mut world = rivals(2);
     world.run(SECOND.times(5));
     let first = world.holder().expect("no holder");
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Rivals for one lease that give orders to engines, in virtual time.
+//! Simulates rivals for one lease that send orders to engines, in virtual time.
 //!
-//! After every event the world checks that at most one process holds the lease, and that fencing
-//! numbers rise from holder to holder.
+//! Asserts after every event that at most one process holds the lease and that fencing numbers rise from
+//! holder to holder.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -22,10 +22,10 @@
 use store::fake::Table;
 use store::queue::Queue;
 
-const HOP: Span = Span::from_millis(3);
-const TIMEOUT: Span = Span::from_seconds(2);
-/// Time between two copies of the table.
-const COPY_TIME: Span = Span::from_millis(200);
+const NETWORK_DELAY: Span = Span::from_millis(3);
+const CALL_TIMEOUT: Span = Span::from_seconds(2);
+/// Time between two snapshots of the table.
+const SNAPSHOT_INTERVAL: Span = Span::from_millis(200);
 
 #[derive(Default)]
 pub struct World {
@@ -33,17 +33,17 @@
     pub rivals: Vec<Rival>,
     pub engines: BTreeMap<SmolStr, Engine>,
     pub now: Time,
-    /// Transactions that take effect only after their sender has given up: how long after.
-    pub late: Vec<Span>,
-    /// Copies of the table, the newest last, and when they were made.
-    copies: Vec<(Time, Table)>,
-    /// The highest number that a holder said it gave up.
-    pub resigned: u64,
-    /// Whether a holder tells its rivals of renewals, and that it gave up.
+    /// Delays after the sender's timeout at which the next transactions take effect, last first.
+    pub late_writes: Vec<Span>,
+    /// Snapshots of the table with the time of each, oldest first.
+    snapshots: Vec<(Time, Table)>,
+    /// Highest fencing number that a holder reported as lost.
+    pub relinquished: u64,
+    /// Whether a holder notifies its rivals of renewals and of losing the lease.
     pub notifies_rivals: bool,
-    /// How long the next orders are under way.
+    /// Delivery delays of the next orders, last first.
     pub order_delays: Vec<Span>,
-    /// The holder of each fencing number.
+    /// Index of the holder of each fencing number.
     holders: BTreeMap<u64, usize>,
     queue: Queue<Delivery>,
 }
@@ -54,7 +54,7 @@
     pub frozen: bool,
     pub dead: bool,
     pub store_cut: bool,
-    held: Vec<Event>,
+    queued_events: Vec<Event>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -63,9 +63,9 @@
     pub fence: u64,
     pub target: Target,
     pub running: u32,
-    /// Whether an order took away what it served while it was at work.
+    /// Whether an order replaced its model while requests were running.
     pub disturbed: bool,
-    /// Whether an old holder's order took effect after a newer one's.
+    /// Whether a former holder's order took effect after a newer holder's.
     pub reverted: bool,
 }
 
@@ -79,12 +79,12 @@
     Wake(usize),
     Event(usize, Event),
     Call(usize, call::Id, Call),
-    Ghost(Call),
+    LateWrite(Call),
     Order(usize, SmolStr, u64, Target),
     Read(usize, SmolStr),
 }
 
-/// Serves this model.
+/// Returns a target that serves a model.
 pub fn serving(model: &str) -> Target {
     Target {
         model: model.into(),
@@ -93,7 +93,7 @@
     }
 }
 
-/// `count` processes that all want the lease.
+/// Creates a world with `count` processes that all want the lease.
 pub fn rivals(count: usize) -> World {
     let mut world = World::default();
     for index in 0..count {
@@ -105,7 +105,7 @@
             frozen: false,
             dead: false,
             store_cut: false,
-            held: Vec::new(),
+            queued_events: Vec::new(),
         });
         world.feed(index, Event::Claim(claim::Event::Want(true)));
         world.queue.push(world.now, Delivery::Wake(index));
@@ -114,19 +114,19 @@
 }
 
 impl World {
-    /// Index of the rival that holds the lease.
+    /// Returns the index of the rival that holds the lease.
     pub fn holder(&self) -> Option<usize> {
         (0..self.rivals.len()).find(|index| self.fence(*index).is_some())
     }
 
-    /// The fencing number under which a rival may act now.
+    /// Returns the fencing number under which a rival may act now.
     pub fn fence(&self, index: usize) -> Option<u64> {
         let rival = &self.rivals[index];
         rival.claim.fence(self.now).filter(|_| !rival.dead)
     }
 
-    /// Adds an engine and tells a rival what it is to serve.
-    pub fn want(&mut self, index: usize, engine: &str, checks_fencing: bool, target: Target) {
+    /// Adds an engine and sets its target at a rival.
+    pub fn set_target(&mut self, index: usize, engine: &str, checks_fencing: bool, target: Target) {
         let name = SmolStr::from(engine);
         self.engines.entry(name.clone()).or_default().checks_fencing = checks_fencing;
         let event = order::Event::Want {
@@ -137,25 +137,25 @@
         self.feed(index, Event::Orders(event));
     }
 
-    /// The service comes back from a copy that is so old, or the oldest one.
+    /// Restores the table from the newest snapshot of at least this age, or from the oldest one.
     pub fn restore(&mut self, age: Span) {
-        let young = self.copies.iter();
-        let old = young
-            .take_while(|(at, _)| self.now.since(*at) >= age)
+        let snapshots = self.snapshots.iter();
+        let old = snapshots
+            .take_while(|(made_at, _)| self.now.since(*made_at) >= age)
             .count();
-        let Some((_, copy)) = self.copies.get(old.saturating_sub(1)) else {
+        let Some((_, snapshot)) = self.snapshots.get(old.saturating_sub(1)) else {
             return;
         };
-        let copy = copy.clone();
-        self.table.restore(&copy);
-        self.copies.clear();
+        let snapshot = snapshot.clone();
+        self.table.restore(&snapshot);
+        self.snapshots.clear();
     }
 
     pub fn set_frozen(&mut self, index: usize, frozen: bool) {
         self.rivals[index].frozen = frozen;
         if !frozen {
-            self.check();
-            for event in std::mem::take(&mut self.rivals[index].held) {
+            self.check_single_holder();
+            for event in std::mem::take(&mut self.rivals[index].queued_events) {
                 self.feed(index, event);
             }
         }
@@ -165,19 +165,19 @@
         let until = self.now + span;
         while let Some((at, delivery)) = self.queue.pop(until) {
             self.now = at;
-            let last = self.copies.last();
-            if last.is_none_or(|(made, _)| at.since(*made) >= COPY_TIME) {
-                self.copies.push((at, self.table.clone()));
+            let last = self.snapshots.last();
+            if last.is_none_or(|(made_at, _)| at.since(*made_at) >= SNAPSHOT_INTERVAL) {
+                self.snapshots.push((at, self.table.clone()));
             }
             self.deliver(delivery);
-            self.check();
+            self.check_single_holder();
         }
         self.now = until;
     }
 
-    pub fn run_until(&mut self, limit: Span, holds: impl Fn(&World) -> bool) -> Option<Span> {
+    pub fn run_until(&mut self, limit: Span, condition: impl Fn(&World) -> bool) -> Option<Span> {
         let start = self.now;
-        while !holds(self) {
+        while !condition(self) {
             if self.now.since(start) >= limit {
                 return None;
             }
@@ -192,7 +192,7 @@
             return;
         }
         if rival.frozen {
-            rival.held.push(event);
+            rival.queued_events.push(event);
             return;
         }
         match event {
@@ -200,46 +200,46 @@
                 let mut effects = Vec::new();
                 rival.claim.step(self.now, event, &mut effects);
                 for effect in effects {
-                    self.claim_effect(index, effect);
+                    self.handle_claim_effect(index, effect);
                 }
             }
             Event::Orders(event) => {
                 let mut effects = Vec::new();
                 rival.orders.step(self.now, event, &mut effects);
                 for effect in effects {
-                    self.order_effect(index, effect);
+                    self.handle_order_effect(index, effect);
                 }
             }
         }
     }
 
-    fn claim_effect(&mut self, index: usize, effect: claim::Effect) {
+    fn handle_claim_effect(&mut self, index: usize, effect: claim::Effect) {
         match effect {
-            claim::Effect::Store { id, call } => self.call(index, id, call),
+            claim::Effect::Store { id, call } => self.send_call(index, id, call),
             claim::Effect::Gained(fence) => {
                 self.feed(index, Event::Orders(order::Event::Gained(fence)));
             }
-            claim::Effect::Renewed(row) => self.tell(index, claim::Event::Renewed(row)),
+            claim::Effect::Renewed(row) => self.notify_rivals(index, claim::Event::Renewed(row)),
             claim::Effect::Lost(fence) => {
                 self.feed(index, Event::Orders(order::Event::Lost));
-                self.resigned = self.resigned.max(fence);
-                self.tell(index, claim::Event::Relinquished(fence));
+                self.relinquished = self.relinquished.max(fence);
+                self.notify_rivals(index, claim::Event::Relinquished(fence));
             }
         }
     }
 
-    fn tell(&mut self, from: usize, event: claim::Event) {
+    fn notify_rivals(&mut self, from: usize, event: claim::Event) {
         if !self.notifies_rivals {
             return;
         }
         for other in (0..self.rivals.len()).filter(|other| *other != from) {
             let event = Event::Claim(event.clone());
             self.queue
-                .push(self.now + HOP, Delivery::Event(other, event));
+                .push(self.now + NETWORK_DELAY, Delivery::Event(other, event));
         }
     }
 
-    fn order_effect(&mut self, index: usize, effect: order::Effect) {
+    fn handle_order_effect(&mut self, index: usize, effect: order::Effect) {
         match effect {
             order::Effect::Order {
                 engine,
@@ -248,31 +248,31 @@
             } => {
                 // The lease is checked again where the order leaves.
                 if self.fence(index) == Some(fence) {
-                    let delay = self.order_delays.pop().unwrap_or(HOP);
+                    let delay = self.order_delays.pop().unwrap_or(NETWORK_DELAY);
                     let delivery = Delivery::Order(index, engine, fence, target);
                     self.queue.push(self.now + delay, delivery);
                 }
             }
             order::Effect::Read(engine) => self
                 .queue
-                .push(self.now + HOP, Delivery::Read(index, engine)),
+                .push(self.now + NETWORK_DELAY, Delivery::Read(index, engine)),
             order::Effect::Deposed(_) => {}
         }
     }
 
-    fn call(&mut self, index: usize, id: call::Id, call: Call) {
-        if let (Call::Transact(_), Some(delay)) = (&call, self.late.last().copied()) {
-            self.late.pop();
+    fn send_call(&mut self, index: usize, id: call::Id, call: Call) {
+        if let (Call::Transact(_), Some(delay)) = (&call, self.late_writes.last().copied()) {
+            self.late_writes.pop();
             self.queue
-                .push(self.now + TIMEOUT + delay, Delivery::Ghost(call));
+                .push(self.now + CALL_TIMEOUT + delay, Delivery::LateWrite(call));
             let outcome = Outcome::Unknown;
             let event = Event::Claim(claim::Event::Store { id, outcome });
             self.queue
-                .push(self.now + TIMEOUT, Delivery::Event(index, event));
+                .push(self.now + CALL_TIMEOUT, Delivery::Event(index, event));
             return;
         }
         self.queue
-            .push(self.now + HOP, Delivery::Call(index, id, call));
+            .push(self.now + NETWORK_DELAY, Delivery::Call(index, id, call));
     }
 
     fn deliver(&mut self, delivery: Delivery) {
@@ -287,13 +287,13 @@
                 };
                 let event = Event::Claim(claim::Event::Store { id, outcome });
                 self.queue
-                    .push(self.now + HOP, Delivery::Event(index, event));
+                    .push(self.now + NETWORK_DELAY, Delivery::Event(index, event));
             }
-            Delivery::Ghost(call) => {
+            Delivery::LateWrite(call) => {
                 self.table.apply(&call);
             }
             Delivery::Order(index, engine, fence, target) => {
-                self.order(index, engine, fence, target);
+                self.apply_order(index, engine, fence, target);
             }
             Delivery::Read(index, engine) => {
                 let Some(state) = self.engines.get(&engine) else {
@@ -309,7 +309,7 @@
         }
     }
 
-    fn order(&mut self, index: usize, engine: SmolStr, fence: u64, target: Target) {
+    fn apply_order(&mut self, index: usize, engine: SmolStr, fence: u64, target: Target) {
         let Some(state) = self.engines.get_mut(&engine) else {
             return;
         };
@@ -338,7 +338,7 @@
         }
     }
 
-    fn check(&mut self) {
+    fn check_single_holder(&mut self) {
         let holding: Vec<(usize, u64)> = (0..self.rivals.len())
             .filter_map(|index| Some((index, self.fence(index)?)))
             .collect();
--- a/crates/lease/tests/histories.rs
+++ b/crates/lease/tests/histories.rs
@@ -17,7 +17,7 @@
 const RIVALS: usize = 3;
 const CASES: u32 = 512;
 
-/// One thing that happens.
+/// One fault, action or wait.
 #[derive(Clone, Debug)]
 enum Step {
     Freeze(usize, bool),
@@ -25,27 +25,27 @@
     Want(usize, bool),
     Outage(bool),
     Fault(u8),
-    Late(u16),
+    DelayWrite(u16),
     Restore(u16),
     Wait(u16),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let at = 0..RIVALS;
+    let rival = 0..RIVALS;
     prop_oneof![
-        3 => (at.clone(), any::<bool>()).prop_map(|(at, frozen)| Step::Freeze(at, frozen)),
-        2 => (at.clone(), any::<bool>()).prop_map(|(at, cut)| Step::CutStore(at, cut)),
-        1 => (at, any::<bool>()).prop_map(|(at, wanted)| Step::Want(at, wanted)),
+        3 => (rival.clone(), any::<bool>()).prop_map(|(rival, frozen)| Step::Freeze(rival, frozen)),
+        2 => (rival.clone(), any::<bool>()).prop_map(|(rival, cut)| Step::CutStore(rival, cut)),
+        1 => (rival, any::<bool>()).prop_map(|(rival, wanted)| Step::Want(rival, wanted)),
         1 => any::<bool>().prop_map(Step::Outage),
         3 => (0..3_u8).prop_map(Step::Fault),
-        3 => (0..15_000_u16).prop_map(Step::Late),
+        3 => (0..15_000_u16).prop_map(Step::DelayWrite),
         2 => (0..10_000_u16).prop_map(Step::Restore),
         8 => (0..9_000_u16).prop_map(Step::Wait),
     ]
 }
 
-/// The world checks after every event that there is one holder at most; here, that there is one
-/// again soon after all faults have ended.
+/// Checks that one process holds the lease soon after all faults have ended. The world asserts after every
+/// event that there is at most one holder.
 #[test]
 fn no_history_makes_two_holders() {
     let config = Config {
@@ -60,26 +60,28 @@
         world.notifies_rivals = notifies_rivals;
         for step in steps {
             match step {
-                Step::Freeze(at, frozen) => world.set_frozen(at, frozen),
-                Step::CutStore(at, cut) => world.rivals[at].store_cut = cut,
-                Step::Want(at, wanted) => {
-                    world.feed(at, Event::Claim(claim::Event::Want(wanted)));
+                Step::Freeze(rival, frozen) => world.set_frozen(rival, frozen),
+                Step::CutStore(rival, cut) => world.rivals[rival].store_cut = cut,
+                Step::Want(rival, wanted) => {
+                    world.feed(rival, Event::Claim(claim::Event::Want(wanted)));
                 }
                 Step::Outage(down) => world.table.set_down(down),
                 Step::Fault(kind) => {
                     let faults = [Fault::Down, Fault::LostCall, Fault::LostAnswer];
                     world.table.push_fault(faults[usize::from(kind)]);
                 }
-                Step::Late(millis) => world.late.push(Span::from_millis(millis.into())),
+                Step::DelayWrite(millis) => {
+                    world.late_writes.push(Span::from_millis(millis.into()))
+                }
                 Step::Restore(millis) => world.restore(Span::from_millis(millis.into())),
                 Step::Wait(millis) => world.run(Span::from_millis(millis.into())),
             }
         }
         world.table.set_down(false);
-        for at in 0..RIVALS {
-            world.rivals[at].store_cut = false;
-            world.set_frozen(at, false);
-            world.feed(at, Event::Claim(claim::Event::Want(true)));
+        for rival in 0..RIVALS {
+            world.rivals[rival].store_cut = false;
+            world.set_frozen(rival, false);
+            world.feed(rival, Event::Claim(claim::Event::Want(true)));
         }
         world.run(Span::from_seconds(60));
         proptest::prop_assert!(world.holder().is_some(), "no holder at the end");
--- a/crates/lease/tests/watch.rs
+++ b/crates/lease/tests/watch.rs
@@ -1,4 +1,4 @@
-//! When a lease of another counts as lapsed.
+//! Conditions under which another process's lease counts as lapsed.
 
 use clock::Span;
 use clock::Time;
@@ -7,9 +7,8 @@
 const TERM: Span = Span::from_seconds(6);
 const MARGIN: Span = Span::from_seconds(1);
 
-/// The answer to a read is held up for longer than a lease runs. It shows the row as it was when the
-/// service was asked; the holder has renewed since. Counting from the answer would take the lease of a
-/// holder that is well.
+/// The answer to a read is delayed for longer than a term, and the holder has renewed since. The read
+/// shows the row as of when it was sent; counting from its arrival would take the lease from a live holder.
 #[test]
 fn a_read_counts_from_when_it_was_asked() {
     let start = Time::from_millis(1_000);
@@ -21,7 +20,7 @@
     assert!(watch.has_lapsed(TERM, MARGIN));
 }
 
-/// Answers overtake each other; an older one must not make the row look older than it is.
+/// Answers arrive out of order. An older revision must not replace a newer one.
 #[test]
 fn an_older_revision_changes_nothing() {
     let start = Time::from_millis(1_000);
