--- a/crates/config/examples/in_force.rs
+++ b/crates/config/examples/in_force.rs
@@ -1,4 +1,4 @@
-//! How long a change takes to be in force everywhere and to be called accepted, in virtual time.
+//! Measures in virtual time how long a change takes to be in force everywhere and to be accepted.
 //!
 //! `cargo run --release -p config --example in_force`
 
@@ -10,12 +10,12 @@
 use common::entries;
 use config::change::Answer;
 
-/// Changes made one after another in each case.
+/// Number of independent changes in each case.
 const CHANGES: u32 = 20;
-/// Time between them.
-const BETWEEN: Span = Span::from_seconds(10);
-/// Longest wait for one.
-const LIMIT: Span = Span::from_seconds(60);
+/// Virtual time run after each change.
+const CHANGE_INTERVAL: Span = Span::from_seconds(10);
+/// Time limit of one change.
+const TIME_LIMIT: Span = Span::from_seconds(60);
 
 fn main() {
     println!(
@@ -36,33 +36,33 @@
     }
 }
 
-fn measure(count: usize, case: &str, fail: impl Fn(&mut World)) {
-    let mut forces = Vec::new();
-    let mut accepted = Vec::new();
+fn measure(count: usize, case: &str, inject_fault: impl Fn(&mut World)) {
+    let mut in_force_times = Vec::new();
+    let mut acceptance_times = Vec::new();
     for number in 0..CHANGES {
         let mut world = entries(count);
         world.run(Span::from_millis(u64::from(number) * 137));
-        fail(&mut world);
+        inject_fault(&mut world);
         let start = world.now;
         let operation = world.set_weight(0, &format!("c{number}"), "harrow", number);
-        let in_force = world.run_until(LIMIT, |world| {
+        let in_force = world.run_until(TIME_LIMIT, |world| {
             (0..count).all(|index| world.nodes[index].frozen || world.version(index) == 1)
         });
-        forces.extend(in_force.map(Span::as_millis));
+        in_force_times.extend(in_force.map(Span::as_millis));
         let answer = world.answer(operation);
         if answer == (Answer::Accepted { version: 1 }) {
-            accepted.push(world.now.since(start).as_millis());
+            acceptance_times.push(world.now.since(start).as_millis());
         }
-        world.run(BETWEEN);
+        world.run(CHANGE_INTERVAL);
     }
     println!(
         "{count:7}  {case:24} {:>19} {:>19}",
-        summary(forces),
-        summary(accepted)
+        summary(in_force_times),
+        summary(acceptance_times)
     );
 }
 
-/// Median and most, or how many of the changes did not get there.
+/// Formats the median and the maximum, and the number of changes that did not complete.
 fn summary(mut values: Vec<u64>) -> String {
     values.sort_unstable();
     let missing = CHANGES as usize - values.len();
--- a/crates/config/examples/operators.rs
+++ b/crates/config/examples/operators.rs
@@ -1,4 +1,4 @@
-//! Two operators change the configuration at two entries; the second is told what the first did.
+//! Two operators change the configuration at two entries; the second one's answer shows the conflict.
 //!
 //! `cargo run -p config --example operators`
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// Feeds one event, makes the store calls that follow and prints answers to operators.
+/// Feeds one event, makes the resulting store calls and prints answers to operators.
 fn feed(entry: &mut Agreement, now: Time, event: Event, table: &mut Table) {
     let mut effects = Vec::new();
     entry.step(now, event, &mut effects);
--- a/crates/config/src/admission.rs
+++ b/crates/config/src/admission.rs
@@ -1,16 +1,15 @@
-//! Whether this entry may admit requests under the version it holds.
+//! Decides whether this entry may admit requests under the version it holds.
 //!
-//! Failure guarded against: an entry that was frozen, or cut off from the table service, serves
-//! under a version that was replaced while nobody waited for it any more.
+//! Guards against an entry that was paused, or cut off from the table service, and serves under a version
+//! that has been replaced while nobody waited for this entry any more.
 //!
-//! There are two grounds to admit. Either this entry's lease is valid, and it has read the head
-//! since it gained the lease: then every acceptance waits for it. Or a majority of all members has
-//! said, in answer to questions sent lately, that they hold nothing newer: then no acceptance can
-//! have found a majority (see [`crate::acceptance`]). The second ground keeps the
-//! entries serving while the table service is down, and lets an entry start in that time with the
-//! newest version that a majority knows, which an accepted one can't exceed. A question carries the
-//! asker's own time and its answer gives it back, so an answer that a frozen peer or network holds
-//! back is worth nothing when it comes.
+//! An entry may admit on either of two grounds. The first is a valid lease, if the entry has read the head
+//! since it gained the lease: every acceptance then waits for it. The second is a majority vote: a majority
+//! of all members has answered recent queries that it holds nothing newer, so no acceptance can have found
+//! a majority (see [`crate::acceptance`]). The second ground keeps entries serving while the table service
+//! is unavailable. It also lets an entry start in that time with the newest version that a majority knows,
+//! which is at least as new as any accepted version. A query carries the sender's own time and the answer
+//! returns it, so an answer that a paused peer or the network delayed has expired when it arrives.
 
 use std::collections::BTreeMap;
 
@@ -21,124 +20,127 @@
 
 use crate::configs::agreement::Settings;
 
-/// The grounds that this entry has.
+/// Lease and votes of this entry.
 #[derive(Clone, Debug)]
 pub struct Admission {
     me: holder::Id,
     lease: Holding,
-    /// The lease during which the head was read, sent after the lease was gained, and applied.
-    confirmed: Option<u64>,
+    /// Epoch of the lease in which the head was read and its version applied.
+    confirmed_epoch: Option<u64>,
     voters: Vec<holder::Id>,
-    word: BTreeMap<holder::Id, Word>,
+    votes: BTreeMap<holder::Id, Vote>,
     /// Whether the last read of the head failed.
-    failing: bool,
+    store_failing: bool,
     settings: Settings,
 }
 
-/// What a member said of its version.
+/// Newest version that a member reported.
 #[derive(Clone, Copy, Debug)]
-struct Word {
-    /// When we asked.
-    asked: Time,
-    /// What it holds.
+struct Vote {
+    /// Time at which the query was sent.
+    asked_at: Time,
+    /// Version that the member held.
     version: u64,
 }
 
 impl Admission {
-    /// No grounds yet.
+    /// Creates a state with neither a lease nor votes.
     pub fn new(me: holder::Id, settings: Settings) -> Admission {
         Admission {
             me,
             lease: Holding::default(),
-            confirmed: None,
+            confirmed_epoch: None,
             voters: Vec::new(),
-            word: BTreeMap::new(),
-            failing: false,
+            votes: BTreeMap::new(),
+            store_failing: false,
             settings,
         }
     }
 
-    /// Whether requests may be admitted under version `applied` now.
+    /// Returns whether requests may be admitted under version `applied` now.
     pub fn admits(&self, now: Time, applied: u64) -> bool {
-        self.leased(now) || self.majority(now, applied)
+        self.is_leased(now) || self.has_majority(now, applied)
     }
 
-    /// Whether the lease is valid and the head was read since it was gained.
-    pub fn leased(&self, now: Time) -> bool {
-        self.lease.is_valid(now) && self.confirmed == Some(self.lease.epoch)
+    /// Returns whether the lease is valid and the head was read since it was gained.
+    pub fn is_leased(&self, now: Time) -> bool {
+        self.lease.is_valid(now) && self.confirmed_epoch == Some(self.lease.epoch)
     }
 
-    /// Whether members should be asked: the service fails us, and the lease is near its end or over.
+    /// Returns whether votes should be requested: the store fails, and the lease has expired or soon will.
     ///
-    /// Who asks makes the others slower to say that they have applied a version; so nobody does only
-    /// because it has just started or was paused.
-    pub fn wants_word(&self, now: Time) -> bool {
-        if !self.failing {
+    /// A request delays the announcements of the members that answer it, so an entry that only started or was
+    /// paused sends none.
+    pub fn needs_votes(&self, now: Time) -> bool {
+        if !self.store_failing {
             return false;
         }
-        !self.leased(now) || self.lease.valid_until < now + self.word_counts()
+        !self.is_leased(now) || self.lease.valid_until < now + self.vote_validity()
     }
 
-    /// When members are to be asked, given when the next round is due.
-    pub fn next_wake(&self, now: Time, next_round: Time) -> Option<Time> {
-        if self.wants_word(now) {
-            return Some(next_round);
+    /// Returns when votes should be requested, given the time of the next round.
+    pub fn next_wake(&self, now: Time, next_vote_round: Time) -> Option<Time> {
+        if self.needs_votes(now) {
+            return Some(next_vote_round);
         }
-        let until_reserve = self
+        let votes_needed_at = self
             .lease
             .valid_until
-            .since(Time::ZERO + self.word_counts());
-        self.failing.then_some(Time::ZERO + until_reserve)
+            .since(Time::ZERO + self.vote_validity());
+        self.store_failing.then_some(Time::ZERO + votes_needed_at)
     }
 
-    /// Whether the last read of the head failed.
-    pub fn set_failing(&mut self, failing: bool) {
-        self.failing = failing;
+    /// Sets whether the last read of the head failed.
+    pub fn set_store_failing(&mut self, store_failing: bool) {
+        self.store_failing = store_failing;
     }
 
-    /// The lease as it stands.
+    /// Returns the current lease.
     pub fn lease(&self) -> Holding {
         self.lease
     }
 
-    /// Notes a gained or renewed lease.
+    /// Sets the lease after it was gained or renewed.
     pub fn set_lease(&mut self, lease: Holding) {
         self.lease = lease;
     }
 
-    /// The head was read, by a call sent in this epoch, and what it names was applied.
+    /// Records that the version of a head read in this epoch has been applied.
     pub fn confirm(&mut self, epoch: u64) {
-        self.confirmed = self.confirmed.max(Some(epoch));
+        self.confirmed_epoch = self.confirmed_epoch.max(Some(epoch));
     }
 
-    /// All members, as this entry read them from the table service.
+    /// Sets all members, as read from the table service, and drops the votes of others.
     pub fn set_voters(&mut self, voters: Vec<holder::Id>) {
-        self.word.retain(|member, _| voters.contains(member));
+        self.votes.retain(|member, _| voters.contains(member));
         self.voters = voters;
     }
 
-    /// All members that count.
+    /// Returns all members whose votes count.
     pub fn voters(&self) -> &[holder::Id] {
         &self.voters
     }
 
-    /// A member answered the question that was sent at `asked`.
-    pub fn hear(&mut self, member: holder::Id, asked: Time, version: u64) {
+    /// Records a member's answer to a query sent at `asked_at`.
+    pub fn record_vote(&mut self, member: holder::Id, asked_at: Time, version: u64) {
         if !self.voters.contains(&member) {
             return;
         }
-        let word = self.word.entry(member).or_insert(Word { asked, version });
-        word.asked = word.asked.max(asked);
-        word.version = word.version.max(version);
+        let vote = self
+            .votes
+            .entry(member)
+            .or_insert(Vote { asked_at, version });
+        vote.asked_at = vote.asked_at.max(asked_at);
+        vote.version = vote.version.max(version);
     }
 
-    /// How long a member's word counts.
-    pub fn word_counts(&self) -> Span {
-        self.settings.word_among(self.voters.len())
+    /// Returns how long a vote stays valid after its query was sent.
+    pub fn vote_validity(&self) -> Span {
+        self.settings.vote_validity_among(self.voters.len())
     }
 
-    /// Whether a majority of members held nothing newer than `applied` in a word that still counts.
-    fn majority(&self, now: Time, applied: u64) -> bool {
+    /// Returns whether valid votes of a majority hold nothing newer than `applied`.
+    fn has_majority(&self, now: Time, applied: u64) -> bool {
         let agreeing = self
             .voters
             .iter()
@@ -148,8 +150,8 @@
     }
 
     fn agrees(&self, member: holder::Id, now: Time, applied: u64) -> bool {
-        self.word
-            .get(&member)
-            .is_some_and(|word| now < word.asked + self.word_counts() && word.version <= applied)
+        self.votes.get(&member).is_some_and(|vote| {
+            now < vote.asked_at + self.vote_validity() && vote.version <= applied
+        })
     }
 }
--- a/crates/config/src/agreement.rs
+++ b/crates/config/src/agreement.rs
@@ -1,7 +1,8 @@
-//! One entry's part in agreeing on the configuration: commit, follow, accept, admit.
+//! State machine of one entry that agrees with the others on the configuration: it commits changes, follows
+//! newer versions, and decides acceptance and admission.
 //!
-//! Pure: the embedder feeds [`Event`]s to [`Agreement::step`], carries out the [`Effect`]s and calls
-//! again with [`Event::Wake`] at the time that [`Agreement::next_wake`] names.
+//! It does no I/O: the embedder feeds [`Event`]s to [`Agreement::step`], carries out the [`Effect`]s and
+//! calls again with [`Event::Wake`] at the time that [`Agreement::next_wake`] returns.
 
 mod commits;
 mod peers;
@@ -32,14 +33,14 @@
 use crate::row::Head;
 use crate::snapshot::Snapshot;
 use crate::submission::Commit;
-use crate::submission::Known;
+use crate::submission::KnownHead;
 use crate::submission::Submissions;
 use crate::submission::Validate;
 
-/// Time between two requests for a newer view while a version waits.
-const VIEW_INTERVAL: Span = Span::from_millis(500);
+/// Time between two requests to read the members while a version awaits acceptance.
+const MEMBERS_READ_INTERVAL: Span = Span::from_millis(500);
 
-/// The state machine.
+/// Agrees on the configuration with the other entries.
 #[derive(Clone, Debug)]
 pub struct Agreement {
     me: holder::Id,
@@ -51,98 +52,102 @@
     acceptance: Acceptance,
     submissions: Submissions,
     promise: Promise,
-    /// The head as last read; none if it may have moved since by our own doing.
-    known: Option<Known>,
-    /// A head read by a call sent in this epoch, to be confirmed once this version is applied.
-    unconfirmed: Option<(u64, u64)>,
+    /// Head as last read; `None` if a commit of this entry may have moved it since.
+    known_head: Option<KnownHead>,
+    /// Epoch in which a head was read, and its version, which confirms the epoch once it is applied.
+    unconfirmed_head: Option<(u64, u64)>,
     calls: BTreeMap<call::Id, Purpose>,
-    next_call: u64,
+    next_call_id: u64,
     next_poll: Time,
-    next_ask: Time,
-    next_view: Time,
+    next_vote_round: Time,
+    next_members_read: Time,
     peers: Vec<holder::Id>,
     backoff: Backoff,
 }
 
-/// Why a store call was made.
+/// Reason for a store call.
 #[derive(Clone, Debug)]
 enum Purpose {
-    /// To read the head, during this epoch of our lease.
-    Head(u64),
-    /// To fetch the snapshot or versions.
-    Follow,
-    /// To commit a version.
+    /// Reads the head during this epoch of the lease.
+    ReadHead(u64),
+    /// Fetches the snapshot or versions.
+    Fetch,
+    /// Commits a version.
     Commit(Box<Commit>),
 }
 
 impl Agreement {
-    /// A state machine that knows no configuration yet. `me` is this entry's incarnation.
+    /// Creates a state machine that knows no configuration. `me` is this entry's incarnation.
     pub fn new(me: holder::Id, settings: Settings, validate: Validate, seed: u64) -> Agreement {
         Agreement {
-            history: History::new(settings.kept),
+            history: History::new(settings.retained_versions),
             follower: Follower::new(settings),
             admission: Admission::new(me, settings),
             acceptance: Acceptance::default(),
             submissions: Submissions::default(),
             promise: Promise::default(),
-            known: None,
-            unconfirmed: None,
+            known_head: None,
+            unconfirmed_head: None,
             calls: BTreeMap::new(),
-            next_call: 0,
+            next_call_id: 0,
             next_poll: Time::ZERO,
-            next_ask: Time::ZERO,
-            next_view: Time::ZERO,
+            next_vote_round: Time::ZERO,
+            next_members_read: Time::ZERO,
             peers: Vec::new(),
-            backoff: Backoff::new(settings.retry, settings.retry_limit, seed),
+            backoff: Backoff::new(settings.retry_delay, settings.max_retry_delay, seed),
             me,
             settings,
             validate,
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting effects.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
-        let before = self.history.version();
+        let previous = self.history.version();
         match event {
             Event::Wake => {}
-            Event::Store { id, outcome } => self.answered(now, id, outcome),
+            Event::Store { id, outcome } => self.handle_outcome(now, id, outcome),
             Event::Submit {
                 operation,
                 change,
                 deadline,
             } => self.submit(now, operation, change, deadline, effects),
-            Event::View(view) => self.viewed(view),
+            Event::View(view) => self.handle_view(view),
             Event::Peers(peers) => self.peers = peers,
-            Event::Lease(lease) => self.leased(now, lease),
-            Event::Applied { member, version } => self.heard(now, member, version, effects),
-            Event::Peer { from, message } => self.told(now, from, message, effects),
+            Event::Lease(lease) => self.handle_lease(now, lease),
+            Event::Applied { member, version } => {
+                self.handle_applied(now, member, version, effects)
+            }
+            Event::Peer { from, message } => self.handle_message(now, from, message, effects),
         }
-        self.settle(now, before, effects);
-        self.drive(now, effects);
+        self.publish_new_version(now, previous, effects);
+        self.run_due(now, effects);
     }
 
-    /// Whether requests may be admitted now; to be asked again where the effect leaves.
+    /// Returns whether requests may be admitted now. Check again where an effect leaves the process.
     pub fn admits(&self, now: Time) -> bool {
         self.admission.admits(now, self.history.version())
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force at this entry.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         self.history.snapshot()
     }
 
-    /// Whether a change of this id is part of the history kept here.
+    /// Returns whether the retained history contains a change with this id.
     pub fn contains_change(&self, change: &str) -> bool {
-        self.history.find(change).is_some()
+        self.history.find_change(change).is_some()
     }
 
-    /// The versions that are kept here, in rising order.
+    /// Returns the retained versions in ascending order.
     pub fn retained_versions(&self) -> Vec<row::Version> {
-        let floor = self.history.floor();
-        self.history.after(floor, usize::MAX).unwrap_or_default()
+        let base = self.history.base_version();
+        self.history
+            .versions_after(base, usize::MAX)
+            .unwrap_or_default()
     }
 
-    /// How far a version has come, as this entry sees it.
+    /// Returns the progress of a version as this entry sees it.
     pub fn progress(&mut self, now: Time, version: u64) -> Progress {
         if version > self.history.version() {
             return Progress::Unknown;
@@ -151,12 +156,12 @@
         self.acceptance.progress(version)
     }
 
-    /// When [`Event::Wake`] is wanted next.
+    /// Returns when [`Event::Wake`] is due.
     pub fn next_wake(&self, now: Time) -> Option<Time> {
         let mut wakes = vec![self.next_poll];
-        wakes.extend(self.admission.next_wake(now, self.next_ask));
-        if self.acceptance.wants_view() {
-            wakes.push(self.next_view);
+        wakes.extend(self.admission.next_wake(now, self.next_vote_round));
+        if self.acceptance.needs_view() {
+            wakes.push(self.next_members_read);
         }
         wakes.extend(self.submissions.next_wake(now));
         wakes.extend(self.promise.next_wake());
@@ -165,29 +170,29 @@
         Some(soonest.max(now + Span::from_millis(1)))
     }
 
-    /// Takes the outcome of a store call.
-    fn answered(&mut self, now: Time, id: call::Id, outcome: Outcome) {
+    /// Handles the outcome of a store call.
+    fn handle_outcome(&mut self, now: Time, id: call::Id, outcome: Outcome) {
         match self.calls.remove(&id) {
-            Some(Purpose::Head(epoch)) => self.head_read(now, epoch, outcome),
-            Some(Purpose::Follow) => {
+            Some(Purpose::ReadHead(epoch)) => self.handle_head(now, epoch, outcome),
+            Some(Purpose::Fetch) => {
                 let wait = self.backoff.fail();
                 if self
                     .follower
-                    .answered(now, outcome, wait, &mut self.history)
+                    .handle_outcome(now, outcome, wait, &mut self.history)
                 {
                     self.backoff.reset();
                 }
             }
-            Some(Purpose::Commit(commit)) => self.commit_ended(now, *commit, outcome),
+            Some(Purpose::Commit(commit)) => self.handle_commit(now, *commit, outcome),
             None => {}
         }
     }
 
-    fn head_read(&mut self, now: Time, epoch: u64, outcome: Outcome) {
+    fn handle_head(&mut self, now: Time, epoch: u64, outcome: Outcome) {
         let known = match outcome {
-            Outcome::Row(None) => Known::default(),
+            Outcome::Row(None) => KnownHead::default(),
             Outcome::Row(Some(row)) => match row::read::<Head>(&row) {
-                Some(head) => Known {
+                Some(head) => KnownHead {
                     head,
                     revision: Some(row.revision),
                 },
@@ -195,70 +200,77 @@
             },
             _ => {
                 self.next_poll = now + self.backoff.fail();
-                self.admission.set_failing(true);
+                self.admission.set_store_failing(true);
                 return;
             }
         };
         self.backoff.reset();
-        self.admission.set_failing(false);
-        // Reads may overtake each other; an older answer must not hide a newer head.
-        if self.known.is_none_or(|old| old.revision <= known.revision) {
-            self.known = Some(known);
+        self.admission.set_store_failing(false);
+        // Reads may complete out of order; an older answer must not hide a newer head.
+        if self
+            .known_head
+            .is_none_or(|old| old.revision <= known.revision)
+        {
+            self.known_head = Some(known);
         }
         self.follower.expect(known.head.version, None);
-        if self.unconfirmed.is_none_or(|(older, _)| older <= epoch) {
-            self.unconfirmed = Some((epoch, known.head.version));
+        if self
+            .unconfirmed_head
+            .is_none_or(|(older, _)| older <= epoch)
+        {
+            self.unconfirmed_head = Some((epoch, known.head.version));
         }
     }
 
-    /// The head has moved or may have: it is read before the next commit.
-    fn reread(&mut self, now: Time) {
-        self.known = None;
+    /// Discards the known head, which has moved or may have, so that it is read before the next commit.
+    fn invalidate_head(&mut self, now: Time) {
+        self.known_head = None;
         self.next_poll = now;
     }
 
-    fn viewed(&mut self, view: View) {
-        let voters = view.members.iter().map(|seen| seen.id);
+    fn handle_view(&mut self, view: View) {
+        let voters = view.members.iter().map(|member| member.id);
         self.admission.set_voters(voters.collect());
         self.acceptance.set_view(view);
-        self.acceptance.set_applied(self.me, self.promise.said());
+        self.acceptance
+            .set_applied(self.me, self.promise.announced());
     }
 
-    fn leased(&mut self, now: Time, lease: Holding) {
+    fn handle_lease(&mut self, now: Time, lease: Holding) {
         if lease.epoch != self.admission.lease().epoch {
             self.next_poll = now;
         }
         self.admission.set_lease(lease);
     }
 
-    /// Draws the conclusions of a risen version.
-    fn settle(&mut self, now: Time, before: u64, effects: &mut Vec<Effect>) {
+    /// Applies a newly received version, announces it when due, and confirms the lease's epoch.
+    fn publish_new_version(&mut self, now: Time, previous: u64, effects: &mut Vec<Effect>) {
         let version = self.history.version();
-        if version > before {
-            self.follower.progressed(now);
-            self.promise.apply(version);
+        if version > previous {
+            self.follower.extend_peer_timeout(now);
+            self.promise.defer_announcement(version);
             effects.push(Effect::Apply(self.history.snapshot().clone()));
         }
-        self.announce(now, version > before, effects);
-        if let Some((epoch, wanted)) = self.unconfirmed
+        self.announce(now, version > previous, effects);
+        if let Some((epoch, wanted)) = self.unconfirmed_head
             && version >= wanted
         {
             self.admission.confirm(epoch);
-            self.unconfirmed = None;
+            self.unconfirmed_head = None;
         }
     }
 
-    /// Does whatever is due.
-    fn drive(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    /// Makes all calls, answers and requests that are due.
+    fn run_due(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.poll(now, effects);
         if let Some(call) = self.follower.next_call(now, &self.history) {
-            self.call(Purpose::Follow, call, effects);
+            self.send_call(Purpose::Fetch, call, effects);
         }
-        while self.attempt(now, effects) {}
-        self.answer(now, effects);
-        self.ask(now, effects);
-        if self.acceptance.wants_view() && now >= self.next_view {
-            self.next_view = now + VIEW_INTERVAL;
+        while self.attempt_next(now, effects) {}
+        self.answer_operators(now, effects);
+        self.request_votes(now, effects);
+        if self.acceptance.needs_view() && now >= self.next_members_read {
+            self.next_members_read = now + MEMBERS_READ_INTERVAL;
             effects.push(Effect::ReadMembers);
         }
     }
@@ -268,16 +280,20 @@
             return;
         }
         let members = self.admission.voters().len() as u64;
-        let shared = Span::from_millis(members * 1_000 / self.settings.polls_per_second);
-        let interval = self.settings.poll.max(shared);
+        let fair_interval = Span::from_millis(members * 1_000 / self.settings.max_polls_per_second);
+        let interval = self.settings.poll_interval.max(fair_interval);
         self.next_poll = now + self.backoff.spread(interval);
         let epoch = self.admission.lease().epoch;
-        self.call(Purpose::Head(epoch), Call::Get { at: row::head() }, effects);
+        self.send_call(
+            Purpose::ReadHead(epoch),
+            Call::Get { at: row::head() },
+            effects,
+        );
     }
 
-    fn call(&mut self, purpose: Purpose, call: Call, effects: &mut Vec<Effect>) {
-        let id = call::Id(self.next_call);
-        self.next_call += 1;
+    fn send_call(&mut self, purpose: Purpose, call: Call, effects: &mut Vec<Effect>) {
+        let id = call::Id(self.next_call_id);
+        self.next_call_id += 1;
         self.calls.insert(id, purpose);
         effects.push(Effect::Store { id, call });
     }
--- a/crates/config/src/agreement/commits.rs
+++ b/crates/config/src/agreement/commits.rs
@@ -1,4 +1,4 @@
-//! How operators' changes are attempted, settled and answered.
+//! Commits of operators' changes and the answers to operators.
 
 use clock::Time;
 use store::call::Call;
@@ -13,7 +13,7 @@
 use crate::event::Effect;
 use crate::submission::Attempt;
 use crate::submission::Commit;
-use crate::submission::Known;
+use crate::submission::KnownHead;
 
 impl Agreement {
     pub(super) fn submit(
@@ -24,7 +24,7 @@
         deadline: Time,
         effects: &mut Vec<Effect>,
     ) {
-        if self.submissions.len() >= self.settings.queue {
+        if self.submissions.len() >= self.settings.max_pending_changes {
             let answer = Answer::Busy;
             effects.push(Effect::Answer { operation, answer });
             return;
@@ -32,9 +32,9 @@
         self.submissions.insert(operation, change, now, deadline);
     }
 
-    /// Attempts one waiting change; returns whether another may be attempted at once.
-    pub(super) fn attempt(&mut self, now: Time, effects: &mut Vec<Effect>) -> bool {
-        let Some(known) = self.known else {
+    /// Attempts one pending change; returns whether another may be attempted at once.
+    pub(super) fn attempt_next(&mut self, now: Time, effects: &mut Vec<Effect>) -> bool {
+        let Some(known) = self.known_head else {
             return false;
         };
         if known.head.version != self.history.version() {
@@ -51,12 +51,12 @@
             self.validate,
         );
         match attempt {
-            Some(Attempt::Send(transaction, commit)) => {
+            Some(Attempt::Commit(transaction, commit)) => {
                 let call = Call::Transact(transaction);
-                self.call(Purpose::Commit(commit), call, effects);
+                self.send_call(Purpose::Commit(commit), call, effects);
                 false
             }
-            Some(Attempt::Done(version)) => {
+            Some(Attempt::AlreadyCommitted(version)) => {
                 self.acceptance.track(now, version);
                 true
             }
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Answers operators whose change is accepted or whose time is up.
-    pub(super) fn answer(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    /// Answers operators whose change is accepted or whose deadline has passed.
+    pub(super) fn answer_operators(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let overdue = self.submissions.overdue(now);
         for (operation, version) in self.submissions.committed() {
             let answer = match self.acceptance.progress(version) {
@@ -84,41 +84,44 @@
             effects.push(Effect::Answer { operation, answer });
         }
         for operation in self.submissions.overdue(now) {
-            let answer = self.submissions.give_up(operation);
+            let answer = self.submissions.abandon(operation);
             effects.push(Effect::Answer { operation, answer });
         }
     }
 
-    pub(super) fn commit_ended(&mut self, now: Time, commit: Commit, outcome: Outcome) {
+    pub(super) fn handle_commit(&mut self, now: Time, commit: Commit, outcome: Outcome) {
         let version = commit.version;
         match outcome {
             Outcome::Committed(revision) => {
                 self.backoff.reset();
-                self.submissions.sent_committed(version.version);
+                self.submissions.record_commit(version.version);
                 self.acceptance.track(now, version.version);
-                let known = Known {
+                let known = KnownHead {
                     head: commit.head,
                     revision: Some(revision),
                 };
-                if self.known.is_none_or(|old| old.revision < known.revision) {
-                    self.known = Some(known);
+                if self
+                    .known_head
+                    .is_none_or(|old| old.revision < known.revision)
+                {
+                    self.known_head = Some(known);
                 }
                 self.follower.expect(version.version, None);
                 self.history.push(version);
             }
             Outcome::Conflict(_) => {
-                self.submissions.sent_failed(now, None);
-                self.reread(now);
+                self.submissions.record_failure(now, None);
+                self.invalidate_head(now);
             }
             Outcome::Unavailable => {
                 let wait = self.backoff.fail();
-                self.submissions.sent_failed(now + wait, None);
+                self.submissions.record_failure(now + wait, None);
             }
             _ => {
                 let wait = self.backoff.fail();
                 self.submissions
-                    .sent_failed(now + wait, Some(commit.checked));
-                self.reread(now);
+                    .record_failure(now + wait, Some(commit.expected_revision));
+                self.invalidate_head(now);
             }
         }
     }
--- a/crates/config/src/agreement/peers.rs
+++ b/crates/config/src/agreement/peers.rs
@@ -1,4 +1,4 @@
-//! What is said between entries, and what follows from it.
+//! Handling of messages between entries.
 
 use clock::Time;
 use lease::holder;
@@ -8,16 +8,16 @@
 use crate::message::Message;
 use crate::snapshot::Snapshot;
 
-/// Versions sent in one message.
-const LOG_LIMIT: usize = 64;
-/// Members that are handed a version that can't be announced yet.
-const PUSHES: usize = 3;
-/// Rounds of questions to the members while a word counts.
-const ASKS_PER_WORD: f64 = 4.0;
+/// Maximum number of versions sent in one message.
+const MAX_LOG_VERSIONS: usize = 64;
+/// Number of members that receive a version whose announcement is deferred.
+const PUSH_FANOUT: usize = 3;
+/// Rounds of vote requests in the time that a vote stays valid.
+const VOTE_ROUNDS_PER_VALIDITY: f64 = 4.0;
 
 impl Agreement {
-    /// A peer holds a version: newer than ours, it is fetched from there.
-    pub(super) fn heard(
+    /// Records that a peer has applied a version, and fetches the version if it is newer than the local one.
+    pub(super) fn handle_applied(
         &mut self,
         now: Time,
         member: holder::Id,
@@ -25,11 +25,17 @@
         effects: &mut Vec<Effect>,
     ) {
         self.acceptance.set_applied(member, version);
-        self.expect(now, member, version, effects);
+        self.fetch_from_peer(now, member, version, effects);
     }
 
-    /// Fetches a newer version from the peer that holds it.
-    fn expect(&mut self, now: Time, member: holder::Id, version: u64, effects: &mut Vec<Effect>) {
+    /// Requests a newer version from the peer that holds it.
+    fn fetch_from_peer(
+        &mut self,
+        now: Time,
+        member: holder::Id,
+        version: u64,
+        effects: &mut Vec<Effect>,
+    ) {
         let after = self.history.version();
         if version <= after || !self.follower.expect(version, Some(now)) {
             return;
@@ -41,7 +47,7 @@
         });
     }
 
-    pub(super) fn told(
+    pub(super) fn handle_message(
         &mut self,
         now: Time,
         from: holder::Id,
@@ -64,8 +70,8 @@
             }
             Message::Ask { asker, asked } => {
                 let members = self.admission.voters().len();
-                let counts = self.settings.promise_among(members);
-                self.promise.give(now, counts);
+                let span = self.settings.promise_span_among(members);
+                self.promise.extend(now, span);
                 let message = Message::Word {
                     asker,
                     asked,
@@ -85,27 +91,30 @@
                     self.admission.set_voters(voters);
                 }
                 let asked = Time::from_millis(asked);
-                self.admission.hear(from, asked, version);
-                self.expect(now, from, version, effects);
+                self.admission.record_vote(from, asked, version);
+                self.fetch_from_peer(now, from, version, effects);
             }
         }
     }
 
-    /// Says that a version has been applied, or, while that must wait, hands it to a few members, so
-    /// that it spreads meanwhile all the same.
-    pub(super) fn announce(&mut self, now: Time, rose: bool, effects: &mut Vec<Effect>) {
-        if let Some(version) = self.promise.due(now) {
+    /// Announces the newest version as applied when it is due. While the announcement is deferred, sends a
+    /// new version to a few random members, so that it still propagates.
+    pub(super) fn announce(&mut self, now: Time, has_new_version: bool, effects: &mut Vec<Effect>) {
+        if let Some(version) = self.promise.take_due(now) {
             self.acceptance.set_applied(self.me, version);
             effects.push(Effect::Announce(version));
         }
         let voters = self.admission.voters().len();
-        if !rose || self.promise.next_wake().is_none() || voters == 0 {
+        if !has_new_version || self.promise.next_wake().is_none() || voters == 0 {
             return;
         }
         let newest = self.history.version();
-        for _ in 0..PUSHES {
+        for _ in 0..PUSH_FANOUT {
             let to = self.admission.voters()[self.backoff.pick(voters)];
-            let versions = self.history.after(newest - 1, 1).unwrap_or_default();
+            let versions = self
+                .history
+                .versions_after(newest - 1, 1)
+                .unwrap_or_default();
             if to != self.me {
                 let message = Message::Log { versions };
                 effects.push(Effect::Send { to, message });
@@ -117,21 +126,27 @@
         if after >= self.history.version() {
             return None;
         }
-        match self.history.after(after, LOG_LIMIT) {
+        match self.history.versions_after(after, MAX_LOG_VERSIONS) {
             Some(versions) => Some(Message::Log { versions }),
             None => Some(Message::Whole {
                 snapshot: Snapshot::clone(self.history.snapshot()),
-                before: self.history.after(self.history.floor(), usize::MAX)?,
+                before: self
+                    .history
+                    .versions_after(self.history.base_version(), usize::MAX)?,
             }),
         }
     }
 
-    /// Asks the members which version they hold while the lease is not to be relied on.
-    pub(super) fn ask(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if now < self.next_ask || !self.admission.wants_word(now) {
+    /// Requests votes from the members while the lease is not reliable.
+    pub(super) fn request_votes(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        if now < self.next_vote_round || !self.admission.needs_votes(now) {
             return;
         }
-        self.next_ask = now + self.admission.word_counts().scaled(1.0 / ASKS_PER_WORD);
+        self.next_vote_round = now
+            + self
+                .admission
+                .vote_validity()
+                .scaled(1.0 / VOTE_ROUNDS_PER_VALIDITY);
         let asked = now.as_millis();
         let members = match self.admission.voters() {
             [] => &self.peers,
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for and is answered.
+//! Changes that operators submit and the answers to them.
 
 use lease::holder;
 use serde::Deserialize;
@@ -10,66 +10,66 @@
 /// A change of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Chosen by the operator, unique for ever: a repeated change with an equal id is done once.
+    /// Unique identifier, chosen by the operator; a repeated change with the same id is applied once.
     pub id: SmolStr,
-    /// The version the operator saw when it wrote the change.
+    /// Version that the operator saw when it wrote the change.
     pub base: u64,
-    /// What to do, in order.
+    /// Edits to apply, in order.
     pub edits: Vec<Edit>,
 }
 
-/// Names one operator call that waits here; chosen by the embedder.
+/// Identifier of a pending operator call, chosen by the embedder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Operation(pub u64);
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// In force at every entry that admits requests.
+    /// The change is in force at every entry that admits requests.
     Accepted {
-        /// The version that holds it.
+        /// Version that contains the change.
         version: u64,
     },
-    /// Committed for good, not yet in force everywhere when the caller's time was up.
+    /// The change is committed durably, but was not in force everywhere by the caller's deadline.
     Committed {
-        /// The version that holds it.
+        /// Version that contains the change.
         version: u64,
-        /// The members that were still waited for.
+        /// Members that had not applied it yet.
         waiting: Vec<holder::Id>,
     },
-    /// Others changed the same items since `base`; nothing was done.
+    /// Another change touched the same items since `base`; nothing was done.
     Conflict {
-        /// The newest version.
+        /// Newest version.
         version: u64,
-        /// What was done since `base`. None if `base` is older than the history kept; then it is
-        /// not known either whether a change with this id was done in that time.
+        /// Edits since `base`; `None` if `base` is older than the retained history. In that case it is also
+        /// unknown whether a change with this id was committed in that time.
         difference: Option<Vec<Edit>>,
     },
-    /// The configuration that would result is not valid; nothing was done.
+    /// The resulting configuration would be invalid; nothing was done.
     Invalid {
-        /// Why.
+        /// Reason.
         message: SmolStr,
     },
-    /// The id was used before for another change; nothing was done.
+    /// The id belongs to a different change; nothing was done.
     Reused {
-        /// The version that holds the other change.
+        /// Version that contains the other change.
         version: u64,
     },
-    /// The table service can't be reached; nothing was done.
+    /// The table service is unavailable; nothing was done.
     Unavailable,
-    /// Too many changes wait here; nothing was done.
+    /// Too many changes are pending at this entry; nothing was done.
     Busy,
-    /// The change may have been committed: ask again with the same id.
+    /// The change may have been committed; retry with the same id.
     Unknown,
 }
 
-/// How far a version has come.
+/// Progress of a version towards acceptance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// In force at every entry that admits requests.
+    /// The version is in force at every entry that admits requests.
     Accepted,
-    /// Committed; these members are waited for. Empty while they are being read.
+    /// The version is committed; these members have not applied it. Empty while the members are being read.
     Waiting(Vec<holder::Id>),
-    /// This entry does not know of such a version.
+    /// This entry knows no such version.
     Unknown,
 }
--- a/crates/config/src/configs/agreement.rs
+++ b/crates/config/src/configs/agreement.rs
@@ -2,63 +2,67 @@
 
 use clock::Span;
 
-/// Times and bounds.
+/// Intervals, timeouts and limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Time between two reads of the head while few members share the service.
-    pub poll: Span,
-    /// Reads of the head a second that all members together may make.
-    pub polls_per_second: u64,
-    /// First wait after a failed call.
-    pub retry: Span,
-    /// Longest wait after failed calls.
-    pub retry_limit: Span,
-    /// How long a peer is given to hand over missing versions before the service is read.
-    pub peer_patience: Span,
-    /// How long a member's word on its version counts, from when it was asked, among few members.
-    pub word: Span,
-    /// The same for each member, so that many members are asked less often. A row must be seen to lapse
-    /// later than its member's words do, so it stays below what a lease's term grows by.
-    pub word_per_member: Span,
-    /// Added to waits for others' clocks, which may run unevenly.
+    /// Time between two reads of the head while few members share the table service.
+    pub poll_interval: Span,
+    /// Head reads per second that all members together may make.
+    pub max_polls_per_second: u64,
+    /// Delay before the first retry of a failed call.
+    pub retry_delay: Span,
+    /// Longest delay between retries.
+    pub max_retry_delay: Span,
+    /// Time that a peer has to send missing versions before the table service is read.
+    pub peer_timeout: Span,
+    /// Time that a vote stays valid after its request was sent, among few members.
+    pub vote_validity: Span,
+    /// Time by which the validity grows with each member, so that many members are queried less often. It
+    /// must stay below the growth of a lease's term per member, because a row must be seen to lapse after
+    /// its member's votes expire.
+    pub vote_validity_per_member: Span,
+    /// Time added for other members' clocks, which may run at different rates.
     pub margin: Span,
-    /// Versions kept in the service and in memory.
-    pub kept: u64,
-    /// A whole snapshot is written with every so-many-th version; less than `kept`.
-    pub checkpoint_every: u64,
-    /// Changes that may wait here at once.
-    pub queue: usize,
+    /// Number of versions retained in the table service and in memory.
+    pub retained_versions: u64,
+    /// Number of versions between two snapshots; must be less than `retained_versions`.
+    pub checkpoint_interval: u64,
+    /// Number of changes that may be pending at this entry.
+    pub max_pending_changes: usize,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            poll: Span::from_seconds(2),
-            polls_per_second: 200,
-            retry: Span::from_millis(200),
-            retry_limit: Span::from_seconds(5),
-            peer_patience: Span::from_millis(500),
-            word: Span::from_seconds(3),
-            word_per_member: Span::from_millis(20),
+            poll_interval: Span::from_seconds(2),
+            max_polls_per_second: 200,
+            retry_delay: Span::from_millis(200),
+            max_retry_delay: Span::from_seconds(5),
+            peer_timeout: Span::from_millis(500),
+            vote_validity: Span::from_seconds(3),
+            vote_validity_per_member: Span::from_millis(20),
             margin: Span::from_seconds(1),
-            kept: 512,
-            checkpoint_every: 64,
-            queue: 256,
+            retained_versions: 512,
+            checkpoint_interval: 64,
+            max_pending_changes: 256,
         }
     }
 }
 
-/// Others may count a quarter more members than we do, and so trust a word for longer.
-const COUNT_SLACK: f64 = 1.25;
+/// Factor by which another member's count of members, and so its validity of a vote, may exceed ours.
+const MEMBER_COUNT_TOLERANCE: f64 = 1.25;
 
 impl Settings {
-    /// How long a member's word counts among `members`.
-    pub fn word_among(&self, members: usize) -> Span {
-        self.word.max(self.word_per_member.times(members as u64))
+    /// Returns how long a vote stays valid among `members`.
+    pub fn vote_validity_among(&self, members: usize) -> Span {
+        self.vote_validity
+            .max(self.vote_validity_per_member.times(members as u64))
     }
 
-    /// How long a word that we give now may count for others.
-    pub fn promise_among(&self, members: usize) -> Span {
-        self.word_among(members).scaled(COUNT_SLACK) + self.margin
+    /// Returns how long a vote given now may be valid for its receiver.
+    pub fn promise_span_among(&self, members: usize) -> Span {
+        self.vote_validity_among(members)
+            .scaled(MEMBER_COUNT_TOLERANCE)
+            + self.margin
     }
 }
--- a/crates/config/src/configs/mod.rs
+++ b/crates/config/src/configs/mod.rs
@@ -1,3 +1,3 @@
-//! Settings of this crate's parts and their defaults.
+//! Settings of the agreement.
 
 pub mod agreement;
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,9 +1,10 @@
-//! The difference between two snapshots, as the edits that lead from one to the other.
+//! Difference between two snapshots as a list of edits.
 
 use crate::edit::Edit;
 use crate::snapshot::Snapshot;
 
-/// The edits that turn `old` into `new`; removals come last, so that grants go before accounts.
+/// Returns the edits that turn `old` into `new`. Removals come last, deployments with their grants before
+/// accounts.
 pub fn between(old: &Snapshot, new: &Snapshot) -> Vec<Edit> {
     let mut edits = Vec::new();
     for account in &new.accounts {
--- a/crates/config/src/edit.rs
+++ b/crates/config/src/edit.rs
@@ -1,4 +1,4 @@
-//! One step of a change: an account or deployment set or removed.
+//! Edits that add, replace or remove an account or a deployment.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -9,21 +9,21 @@
 use crate::deployment::Deployment;
 use crate::snapshot::Snapshot;
 
-/// What is done to one item.
+/// One edit of one item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Edit {
-    /// Adds an account or replaces the one of that name.
+    /// Adds an account or replaces the one with the same name.
     PutAccount(Account),
-    /// Removes an account.
+    /// Removes an account by name.
     RemoveAccount(SmolStr),
-    /// Adds a deployment or replaces the one of that name.
+    /// Adds a deployment or replaces the one with the same name.
     PutDeployment(Deployment),
-    /// Removes a deployment.
+    /// Removes a deployment by name.
     RemoveDeployment(SmolStr),
 }
 
-/// Names what an edit touches; two changes conflict if they touch the same item.
+/// Item that an edit touches; two changes conflict if they touch the same item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Item {
     /// An account, by name.
@@ -33,7 +33,7 @@
 }
 
 impl Edit {
-    /// The item it touches.
+    /// Returns the item that the edit touches.
     pub fn item(&self) -> Item {
         match self {
             Edit::PutAccount(account) => Item::Account(account.name.clone()),
@@ -43,22 +43,22 @@
         }
     }
 
-    /// Does it to `snapshot`, whose items stay ordered by name.
+    /// Applies the edit to `snapshot`, keeping its items sorted by name.
     pub fn apply(&self, snapshot: &mut Snapshot) {
         match self {
             Edit::PutAccount(account) => {
                 let accounts = &mut snapshot.accounts;
                 match accounts.binary_search_by(|other| other.name.cmp(&account.name)) {
-                    Ok(place) => accounts[place] = account.clone(),
-                    Err(place) => accounts.insert(place, account.clone()),
+                    Ok(index) => accounts[index] = account.clone(),
+                    Err(index) => accounts.insert(index, account.clone()),
                 }
             }
             Edit::RemoveAccount(name) => snapshot.accounts.retain(|item| item.name != *name),
             Edit::PutDeployment(deployment) => {
                 let deployments = &mut snapshot.deployments;
                 match deployments.binary_search_by(|other| other.name.cmp(&deployment.name)) {
-                    Ok(place) => deployments[place] = deployment.clone(),
-                    Err(place) => deployments.insert(place, deployment.clone()),
+                    Ok(index) => deployments[index] = deployment.clone(),
+                    Err(index) => deployments.insert(index, deployment.clone()),
                 }
             }
             Edit::RemoveDeployment(name) => snapshot.deployments.retain(|item| item.name != *name),
--- a/crates/config/src/event.rs
+++ b/crates/config/src/event.rs
@@ -1,4 +1,4 @@
-//! What [`crate::agreement::Agreement`] is told and what it asks for.
+//! Inputs and outputs of [`crate::agreement::Agreement`].
 
 use std::sync::Arc;
 
@@ -16,78 +16,78 @@
 use crate::message::Message;
 use crate::snapshot::Snapshot;
 
-/// What happens to the state machine.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Wake,
-    /// A store call has ended.
+    /// A store call has completed.
     Store {
-        /// Which.
+        /// Identifier of the call.
         id: call::Id,
-        /// How.
+        /// Outcome of the call.
         outcome: Outcome,
     },
-    /// An operator asks for a change.
+    /// An operator submits a change.
     Submit {
-        /// Names the answer.
+        /// Identifier to return with the answer.
         operation: Operation,
-        /// The change.
+        /// Change to commit.
         change: Change,
-        /// When it wants to be answered at the latest.
+        /// Latest time of the answer.
         deadline: Time,
     },
     /// The members were read from the table service.
     View(View),
-    /// Peers that can be reached; used while no members are known.
+    /// Reachable peers, used while no members are known.
     Peers(Vec<holder::Id>),
     /// This entry's own lease was gained or renewed.
     Lease(Holding),
-    /// A peer is heard to have applied a version.
+    /// A peer is reported to have applied a version.
     Applied {
-        /// Which peer, by incarnation.
+        /// Incarnation of the peer.
         member: holder::Id,
-        /// The version.
+        /// Version that it applied.
         version: u64,
     },
     /// A peer sent a message.
     Peer {
-        /// Which peer, by incarnation.
+        /// Incarnation of the peer.
         from: holder::Id,
-        /// What it said.
+        /// Message received.
         message: Message,
     },
 }
 
-/// What the embedder is to do.
+/// Action that the embedder must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Make a store call.
     Store {
-        /// Given back with its outcome.
+        /// Identifier to return with the outcome.
         id: call::Id,
-        /// The call.
+        /// Call to make.
         call: Call,
     },
-    /// Send a message to a peer; it may get lost.
+    /// Send a message to a peer; it may be lost.
     Send {
-        /// Which peer, by incarnation.
+        /// Incarnation of the peer.
         to: holder::Id,
-        /// The message.
+        /// Message to send.
         message: Message,
     },
     /// Read the members again and report them as [`Event::View`].
     ReadMembers,
-    /// From now on this configuration is in force here.
+    /// Put this configuration in force at this entry.
     Apply(Arc<Snapshot>),
-    /// Tell the members that this version has been applied here. Comes at once or, after words to
-    /// others, some time after [`Effect::Apply`].
+    /// Announce to the members that this version has been applied here. It follows [`Effect::Apply`] at
+    /// once, or later if votes given before must expire first.
     Announce(u64),
     /// Answer an operator.
     Answer {
-        /// Which call.
+        /// Identifier of the call.
         operation: Operation,
-        /// The answer.
+        /// Answer to send.
         answer: Answer,
     },
 }
--- a/crates/config/src/follower.rs
+++ b/crates/config/src/follower.rs
@@ -1,4 +1,4 @@
-//! Fetches the versions that this entry lacks, from a peer or else from the table service.
+//! Fetches missing versions from a peer, or from the table service if the peer doesn't answer in time.
 
 use clock::Span;
 use clock::Time;
@@ -14,93 +14,93 @@
 use crate::snapshot::Snapshot;
 
 /// Versions read with one call.
-const PAGE: u32 = 128;
+const PAGE_SIZE: u32 = 128;
 
-/// What is fetched, and from where.
+/// State of the fetch.
 #[derive(Clone, Debug)]
 pub struct Follower {
-    /// The newest version heard of.
-    newest: u64,
-    /// A peer was asked; the service is not read before this time.
-    peer_until: Option<Time>,
-    /// A call failed; none is made before this time.
-    not_before: Time,
+    /// Newest version known to exist.
+    newest_known: u64,
+    /// Time until which a peer may answer before the table service is read.
+    peer_deadline: Option<Time>,
+    /// Earliest time of the next call after a failed one.
+    retry_at: Time,
     stage: Stage,
-    /// Ours is older than the oldest version kept in the service.
-    gap: bool,
+    /// Whether the local version is older than the oldest one retained in the table service.
+    is_behind_retained: bool,
     settings: Settings,
 }
 
-/// Where a fetch from the service stands.
+/// Progress of a fetch from the table service.
 #[derive(Clone, Debug, Default)]
 enum Stage {
-    /// No call is on its way.
+    /// No call is in flight.
     #[default]
     Idle,
-    /// The versions after ours are being read.
+    /// Versions after the local one are being read.
     Versions,
     /// The snapshot is being read.
     Snapshot,
-    /// The kept versions up to and after the snapshot are to be read.
-    Rest(Box<Rest>),
+    /// The retained versions up to and after the snapshot are to be read.
+    Tail(Box<Tail>),
 }
 
 /// A snapshot and the versions read so far.
 #[derive(Clone, Debug)]
-struct Rest {
+struct Tail {
     snapshot: Snapshot,
     versions: Vec<Version>,
-    after: SmolStr,
-    called: bool,
+    after_key: SmolStr,
+    is_requested: bool,
 }
 
 impl Follower {
-    /// Nothing to fetch yet.
+    /// Creates a follower with nothing to fetch.
     pub fn new(settings: Settings) -> Follower {
         Follower {
-            newest: 0,
-            peer_until: None,
-            not_before: Time::ZERO,
+            newest_known: 0,
+            peer_deadline: None,
+            retry_at: Time::ZERO,
             stage: Stage::Idle,
-            gap: false,
+            is_behind_retained: false,
             settings,
         }
     }
 
-    /// Notes that a version exists. With `peer_at`, says whether a peer should be asked for it now.
-    pub fn expect(&mut self, version: u64, peer_at: Option<Time>) -> bool {
-        let news = version > self.newest;
-        self.newest = self.newest.max(version);
-        let Some(now) = peer_at else {
+    /// Records that a version exists. With `ask_peer_at`, returns whether to request it from a peer now.
+    pub fn expect(&mut self, version: u64, ask_peer_at: Option<Time>) -> bool {
+        let is_newer = version > self.newest_known;
+        self.newest_known = self.newest_known.max(version);
+        let Some(now) = ask_peer_at else {
             return false;
         };
-        let asked = self.peer_until.is_some_and(|until| now < until);
-        if asked && !news {
+        let is_peer_asked = self.peer_deadline.is_some_and(|deadline| now < deadline);
+        if is_peer_asked && !is_newer {
             return false;
         }
-        self.peer_until = Some(now + self.settings.peer_patience);
+        self.peer_deadline = Some(now + self.settings.peer_timeout);
         true
     }
 
-    /// Versions came in: a peer that was asked is given more time for the rest.
-    pub fn progressed(&mut self, now: Time) {
-        if self.peer_until.is_some() {
-            self.peer_until = Some(now + self.settings.peer_patience);
+    /// Extends the deadline of a peer that has sent some of the requested versions.
+    pub fn extend_peer_timeout(&mut self, now: Time) {
+        if self.peer_deadline.is_some() {
+            self.peer_deadline = Some(now + self.settings.peer_timeout);
         }
     }
 
-    /// The call to make now, if any.
+    /// Returns the store call to make now, if any.
     pub fn next_call(&mut self, now: Time, history: &History) -> Option<Call> {
-        if self.newest <= history.version() {
-            self.peer_until = None;
+        if self.newest_known <= history.version() {
+            self.peer_deadline = None;
             return None;
         }
-        if now < self.not_before || self.peer_until.is_some_and(|until| now < until) {
+        if now < self.retry_at || self.peer_deadline.is_some_and(|deadline| now < deadline) {
             return None;
         }
         match &mut self.stage {
-            Stage::Idle if self.gap || history.version() == 0 => {
-                self.gap = false;
+            Stage::Idle if self.is_behind_retained || history.version() == 0 => {
+                self.is_behind_retained = false;
                 self.stage = Stage::Snapshot;
                 Some(Call::Get {
                     at: row::checkpoint(),
@@ -108,62 +108,62 @@
             }
             Stage::Idle => {
                 self.stage = Stage::Versions;
-                Some(scan(row::version(history.version()).key))
+                Some(scan_versions_after(row::version(history.version()).key))
             }
-            Stage::Rest(rest) if !rest.called => {
-                rest.called = true;
-                Some(scan(rest.after.clone()))
+            Stage::Tail(tail) if !tail.is_requested => {
+                tail.is_requested = true;
+                Some(scan_versions_after(tail.after_key.clone()))
             }
             _ => None,
         }
     }
 
-    /// When the next call is due; none while nothing is missing or a call is on its way.
+    /// Returns when the next store call is due; `None` while nothing is missing or a call is in flight.
     pub fn next_wake(&self, history: &History) -> Option<Time> {
-        let on_its_way = match &self.stage {
+        let is_in_flight = match &self.stage {
             Stage::Idle => false,
             Stage::Versions | Stage::Snapshot => true,
-            Stage::Rest(rest) => rest.called,
+            Stage::Tail(tail) => tail.is_requested,
         };
-        if on_its_way || self.newest <= history.version() {
+        if is_in_flight || self.newest_known <= history.version() {
             return None;
         }
-        Some(self.peer_until.unwrap_or_default().max(self.not_before))
+        Some(self.peer_deadline.unwrap_or_default().max(self.retry_at))
     }
 
-    /// Takes the outcome of the call that was made; false if it failed, and is made again later.
-    pub fn answered(
+    /// Handles the outcome of the call in flight; returns false if the call failed and will be retried.
+    pub fn handle_outcome(
         &mut self,
         now: Time,
         outcome: Outcome,
         wait: Span,
         history: &mut History,
     ) -> bool {
-        self.not_before = Time::ZERO;
+        self.retry_at = Time::ZERO;
         match (std::mem::take(&mut self.stage), outcome) {
             (Stage::Versions, Outcome::Rows { rows, .. }) => self.take_versions(rows, history),
             (Stage::Snapshot, Outcome::Row(row)) => self.take_snapshot(row),
-            (Stage::Rest(rest), Outcome::Rows { rows, more }) => {
-                self.take_rest(*rest, rows, more, history);
+            (Stage::Tail(tail), Outcome::Rows { rows, more }) => {
+                self.take_tail(*tail, rows, more, history);
             }
-            (Stage::Rest(mut rest), _) => {
-                rest.called = false;
-                self.stage = Stage::Rest(rest);
-                self.not_before = now + wait;
+            (Stage::Tail(mut tail), _) => {
+                tail.is_requested = false;
+                self.stage = Stage::Tail(tail);
+                self.retry_at = now + wait;
                 return false;
             }
             _ => {
-                self.not_before = now + wait;
+                self.retry_at = now + wait;
                 return false;
             }
         }
         true
     }
 
-    /// Applies consecutive versions; a gap means that ours is older than what is kept.
+    /// Applies consecutive versions; a gap means that the local version is older than the retained ones.
     fn take_versions(&mut self, rows: Vec<Row>, history: &mut History) {
         let versions: Vec<Version> = rows.iter().filter_map(row::read).collect();
-        self.gap = versions
+        self.is_behind_retained = versions
             .first()
             .is_some_and(|first| first.version > history.version() + 1);
         for version in versions {
@@ -173,46 +173,48 @@
 
     fn take_snapshot(&mut self, row: Option<Row>) {
         let snapshot = row.as_ref().and_then(row::read).unwrap_or_default();
-        self.stage = Stage::Rest(Box::new(self.rest(snapshot)));
+        self.stage = Stage::Tail(Box::new(self.begin_tail(snapshot)));
     }
 
-    /// Reads the kept versions as well, so that repeated changes are known here too.
-    fn rest(&self, snapshot: Snapshot) -> Rest {
-        let oldest = snapshot.version.saturating_sub(self.settings.kept);
-        Rest {
-            after: row::version(oldest).key,
+    /// Starts reading the retained versions too, so that repeated changes are recognized here.
+    fn begin_tail(&self, snapshot: Snapshot) -> Tail {
+        let oldest = snapshot
+            .version
+            .saturating_sub(self.settings.retained_versions);
+        Tail {
+            after_key: row::version(oldest).key,
             snapshot,
             versions: Vec::new(),
-            called: false,
+            is_requested: false,
         }
     }
 
-    fn take_rest(&mut self, mut rest: Rest, rows: Vec<Row>, more: bool, history: &mut History) {
-        rest.versions.extend(rows.iter().filter_map(row::read));
+    fn take_tail(&mut self, mut tail: Tail, rows: Vec<Row>, more: bool, history: &mut History) {
+        tail.versions.extend(rows.iter().filter_map(row::read));
         if let (true, Some(last)) = (more, rows.last()) {
-            rest.after = last.key.clone();
-            rest.called = false;
-            self.stage = Stage::Rest(Box::new(rest));
+            tail.after_key = last.key.clone();
+            tail.is_requested = false;
+            self.stage = Stage::Tail(Box::new(tail));
             return;
         }
-        let at = rest.snapshot.version;
-        let (before, after) = rest
+        let newest = tail.snapshot.version;
+        let (previous, next) = tail
             .versions
             .into_iter()
-            .partition(|version| version.version <= at);
-        history.replace(rest.snapshot, before);
-        for version in after {
+            .partition(|version| version.version <= newest);
+        history.replace(tail.snapshot, previous);
+        for version in next {
             history.push(version);
         }
     }
 }
 
-/// Reads versions after a key.
-fn scan(after: SmolStr) -> Call {
+/// Returns a scan of versions after a key.
+fn scan_versions_after(key: SmolStr) -> Call {
     Call::Scan {
         table: SmolStr::from(row::TABLE),
-        prefix: SmolStr::from(row::VERSIONS),
-        after,
-        limit: PAGE,
+        prefix: SmolStr::from(row::VERSION_PREFIX),
+        after: key,
+        limit: PAGE_SIZE,
     }
 }
--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -1,4 +1,4 @@
-//! The newest snapshot and the versions that led to it, as far as they are kept.
+//! The newest snapshot and the retained versions that led to it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,55 +10,55 @@
 use crate::row::Version;
 use crate::snapshot::Snapshot;
 
-/// Committed versions only; the newest never falls.
+/// Committed versions in a bounded buffer; the newest version never falls.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// The configuration this entry holds.
+    /// Snapshot of the newest version.
     snapshot: Arc<Snapshot>,
-    /// Consecutive versions, the last one being the snapshot's.
+    /// Consecutive versions, ending with the snapshot's.
     versions: VecDeque<Version>,
-    /// Most versions kept.
-    kept: usize,
+    /// Maximum number of retained versions.
+    max_versions: usize,
 }
 
 impl History {
-    /// The empty configuration; keeps `kept` versions.
-    pub fn new(kept: u64) -> History {
+    /// Creates an empty configuration that retains up to `max_versions` versions.
+    pub fn new(max_versions: u64) -> History {
         History {
-            kept: kept as usize,
+            max_versions: max_versions as usize,
             ..History::default()
         }
     }
 
-    /// The newest snapshot.
+    /// Returns the newest snapshot.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
-    /// The newest version's number.
+    /// Returns the newest version's number.
     pub fn version(&self) -> u64 {
         self.snapshot.version
     }
 
-    /// The base of the oldest version kept: the history from here on is complete.
-    pub fn floor(&self) -> u64 {
+    /// Returns the version before the oldest retained one; all later versions are retained.
+    pub fn base_version(&self) -> u64 {
         self.version() - self.versions.len() as u64
     }
 
-    /// Takes the next version; returns false for any other.
+    /// Appends the next version; returns false for any other version.
     pub fn push(&mut self, version: Version) -> bool {
         if version.version != self.version() + 1 {
             return false;
         }
         self.snapshot = Arc::new(self.preview(&version));
         self.versions.push_back(version);
-        if self.versions.len() > self.kept {
+        if self.versions.len() > self.max_versions {
             self.versions.pop_front();
         }
         true
     }
 
-    /// The snapshot that a version would make of the present one.
+    /// Returns the snapshot that results from applying a version to the newest one.
     pub fn preview(&self, version: &Version) -> Snapshot {
         let mut next = Snapshot::clone(&self.snapshot);
         next.version = version.version;
@@ -68,14 +68,15 @@
         next
     }
 
-    /// Takes a whole newer snapshot with the versions known before it; returns false if not newer.
-    pub fn replace(&mut self, snapshot: Snapshot, before: Vec<Version>) -> bool {
+    /// Replaces the snapshot by a newer one with the versions that led to it; returns false if it isn't
+    /// newer.
+    pub fn replace(&mut self, snapshot: Snapshot, previous: Vec<Version>) -> bool {
         if snapshot.version <= self.version() {
             return false;
         }
         self.versions.clear();
         let mut expected = snapshot.version;
-        for version in before.into_iter().rev() {
+        for version in previous.into_iter().rev() {
             if version.version == expected {
                 expected -= 1;
                 self.versions.push_front(version);
@@ -85,17 +86,17 @@
         true
     }
 
-    /// The version that carries a change, if it is kept.
-    pub fn find(&self, change: &str) -> Option<&Version> {
+    /// Returns the version that carries a change, if it is retained.
+    pub fn find_change(&self, change: &str) -> Option<&Version> {
         self.versions.iter().find(|item| item.change == change)
     }
 
-    /// Up to `limit` versions after `after`, or none if they are not all kept.
-    pub fn after(&self, after: u64, limit: usize) -> Option<Vec<Version>> {
-        if after < self.floor() {
+    /// Returns up to `limit` versions after `after`; `None` if they are not all retained.
+    pub fn versions_after(&self, after: u64, limit: usize) -> Option<Vec<Version>> {
+        if after < self.base_version() {
             return None;
         }
-        let skip = (after - self.floor()) as usize;
+        let skip = (after - self.base_version()) as usize;
         Some(
             self.versions
                 .iter()
@@ -106,20 +107,22 @@
         )
     }
 
-    /// What was done after `base`, the last edit of each item; none if that is not kept.
-    pub fn since(&self, base: u64) -> Option<Vec<Edit>> {
-        let versions = self.after(base, usize::MAX)?;
-        let mut last: BTreeMap<Item, Edit> = BTreeMap::new();
+    /// Returns the last edit of each item changed after `base`; `None` if those versions are not all
+    /// retained.
+    pub fn edits_since(&self, base: u64) -> Option<Vec<Edit>> {
+        let versions = self.versions_after(base, usize::MAX)?;
+        let mut last_edits: BTreeMap<Item, Edit> = BTreeMap::new();
         for edit in versions.into_iter().flat_map(|version| version.edits) {
-            last.insert(edit.item(), edit);
+            last_edits.insert(edit.item(), edit);
         }
-        Some(last.into_values().collect())
+        Some(last_edits.into_values().collect())
     }
 
-    /// Whether `edits` touch an item that was changed after `base`; none if that is not kept.
-    pub fn clashes(&self, base: u64, edits: &[Edit]) -> Option<bool> {
+    /// Returns whether `edits` touch an item changed after `base`; `None` if those versions are not all
+    /// retained.
+    pub fn has_conflict(&self, base: u64, edits: &[Edit]) -> Option<bool> {
         let touched: BTreeSet<Item> = edits.iter().map(Edit::item).collect();
-        let since = self.since(base)?;
-        Some(since.iter().any(|edit| touched.contains(&edit.item())))
+        let changed = self.edits_since(base)?;
+        Some(changed.iter().any(|edit| touched.contains(&edit.item())))
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Deployments, accounts and how a change of them is agreed.
+//! Deployments and accounts, and the agreement of all entries on their configuration.
 //!
 //! [`agreement::Agreement`] is the state machine that an entry embeds: it commits operators' changes
-//! through the table service, follows the newest version, says when a version is accepted and
-//! whether this entry may admit requests under the version it holds.
+//! through the table service, follows the newest version, and decides when a version is accepted and
+//! whether this entry may admit requests under its version.
 
 pub mod acceptance;
 pub mod admission;
--- a/crates/config/src/message.rs
+++ b/crates/config/src/message.rs
@@ -1,4 +1,4 @@
-//! What entries say to each other about the configuration.
+//! Messages that entries exchange about the configuration.
 
 use lease::holder;
 use serde::Deserialize;
@@ -7,43 +7,43 @@
 use crate::row::Version;
 use crate::snapshot::Snapshot;
 
-/// One message to one peer; loss, repetition and delay do no harm.
+/// A message to one peer; loss, duplication and delay do no harm.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// Asks for the versions after this one.
+    /// Requests the versions after a given one.
     Fetch {
-        /// The newest version the asker has applied.
+        /// Newest version that the sender has applied.
         after: u64,
     },
-    /// Committed versions in rising order.
+    /// Committed versions in ascending order.
     Log {
-        /// The versions, as many as fit.
+        /// As many versions as fit.
         versions: Vec<Version>,
     },
-    /// A whole committed snapshot, for an asker that is too far behind for versions.
+    /// A whole committed snapshot, for a peer that lags behind the retained versions.
     Whole {
         /// The snapshot.
         snapshot: Snapshot,
-        /// The versions that led to it, as far as they are kept.
+        /// Retained versions that led to it.
         before: Vec<Version>,
     },
-    /// Asks which version the peer has applied.
+    /// Requests a vote: the version that the peer has applied.
     Ask {
-        /// The asker, given back in the answer: clocks of two lives of a process don't compare.
+        /// Incarnation of the sender, returned in the answer; clocks of two incarnations are not comparable.
         asker: holder::Id,
-        /// The asker's clock, given back in the answer so that late answers show their age.
+        /// Sender's clock, returned in the answer to show its age.
         asked: u64,
     },
-    /// The answer to `Ask`.
+    /// Vote that answers `Ask`.
     Word {
-        /// As in the question.
+        /// As in the request.
         asker: holder::Id,
-        /// As in the question.
+        /// As in the request.
         asked: u64,
-        /// The newest version the answerer has applied.
+        /// Newest version that the voter has applied.
         version: u64,
-        /// All members the answerer last read from the table service.
+        /// All members that the voter last read from the table service.
         voters: Vec<holder::Id>,
     },
 }
--- a/crates/config/src/promise.rs
+++ b/crates/config/src/promise.rs
@@ -1,58 +1,58 @@
-//! Keeps silent on a new version while older words of ours still count.
+//! Defers the announcement of a new version until this entry's earlier votes have expired.
 //!
-//! Failure guarded against: this entry tells another that it holds nothing newer than version 4,
-//! applies 5 a moment later and says so; 5 is accepted, and the other goes on admitting under 4 on
-//! our word. So a version is applied at once, but said to be applied only when every word from before
-//! has expired, whatever its receiver's clock shows.
+//! Guards against this sequence: this entry votes that it holds nothing newer than version 4, applies
+//! version 5 a moment later and announces it. Version 5 is then accepted while the receiver of the vote
+//! still admits requests under 4. So a version is applied at once, but announced only when every earlier
+//! vote has expired, whatever the receivers' clocks show.
 
 use std::collections::VecDeque;
 
 use clock::Span;
 use clock::Time;
 
-/// Versions that are applied and not yet said to be.
+/// Versions that are applied and not yet announced.
 #[derive(Clone, Debug, Default)]
 pub struct Promise {
-    /// Until when our words may count.
-    until: Time,
-    /// Versions and when they may be said, both rising.
-    waiting: VecDeque<(Time, u64)>,
-    /// The newest version that was said to be applied.
-    said: u64,
+    /// Time until which a vote of this entry may be valid.
+    promised_until: Time,
+    /// Versions with the time at which each may be announced; both ascend.
+    deferred: VecDeque<(Time, u64)>,
+    /// Newest version that was announced as applied.
+    announced: u64,
 }
 
 impl Promise {
-    /// A word was given that may count for `span` from now.
-    pub fn give(&mut self, now: Time, span: Span) {
-        self.until = self.until.max(now + span);
+    /// Records a vote that may be valid for `span` from now.
+    pub fn extend(&mut self, now: Time, span: Span) {
+        self.promised_until = self.promised_until.max(now + span);
     }
 
-    /// A version was applied.
-    pub fn apply(&mut self, version: u64) {
-        self.waiting.push_back((self.until, version));
+    /// Records an applied version and defers its announcement.
+    pub fn defer_announcement(&mut self, version: u64) {
+        self.deferred.push_back((self.promised_until, version));
     }
 
-    /// The newest version that may be said now, if it was not said before.
-    pub fn due(&mut self, now: Time) -> Option<u64> {
+    /// Returns the newest version that may be announced now and was not announced before.
+    pub fn take_due(&mut self, now: Time) -> Option<u64> {
         let mut newest = None;
-        while let Some((at, version)) = self.waiting.front().copied() {
-            if at > now {
+        while let Some((due_at, version)) = self.deferred.front().copied() {
+            if due_at > now {
                 break;
             }
-            self.waiting.pop_front();
-            self.said = version;
+            self.deferred.pop_front();
+            self.announced = version;
             newest = Some(version);
         }
         newest
     }
 
-    /// The newest version that was said to be applied.
-    pub fn said(&self) -> u64 {
-        self.said
+    /// Returns the newest version that was announced as applied.
+    pub fn announced(&self) -> u64 {
+        self.announced
     }
 
-    /// When a version may be said.
+    /// Returns when the next announcement is due.
     pub fn next_wake(&self) -> Option<Time> {
-        self.waiting.front().map(|(at, _)| *at)
+        self.deferred.front().map(|(due_at, _)| *due_at)
     }
 }
--- a/crates/config/src/row.rs
+++ b/crates/config/src/row.rs
@@ -1,8 +1,8 @@
-//! The rows that hold the configuration in the table service.
+//! Rows that store the configuration in the table service.
 //!
-//! One head row names the newest version and is changed by compare-and-set alone. Each version has
-//! an immutable row that holds its edits; a snapshot row is rewritten now and then, so that a
-//! starting entry reads one snapshot and the few versions after it.
+//! A head row names the newest version and changes only by compare-and-set. Each version has an
+//! immutable row with its edits. A snapshot row is rewritten periodically, so that a starting entry reads
+//! one snapshot and the few versions after it.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,53 +16,53 @@
 
 use crate::edit::Edit;
 
-/// The table that holds all of it.
+/// Name of the table that holds all configuration rows.
 pub const TABLE: &str = "config";
 /// Key prefix of the version rows.
-pub const VERSIONS: &str = "version/";
+pub const VERSION_PREFIX: &str = "version/";
 
-/// Names the newest version.
+/// Row that names the newest version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The newest committed version.
+    /// Newest committed version.
     pub version: u64,
-    /// The version of the snapshot row; 0 if there is none yet.
+    /// Version of the snapshot row; 0 if there is none yet.
     pub checkpoint: u64,
 }
 
 /// One committed change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// Its number.
+    /// Version number.
     pub version: u64,
-    /// The operator's id of the change.
+    /// Identifier of the change, chosen by the operator.
     pub change: SmolStr,
-    /// What it did to the version before.
+    /// Edits to the previous version.
     pub edits: Vec<Edit>,
 }
 
-/// Where the head is.
+/// Returns the address of the head row.
 pub fn head() -> Address {
     Address::new(TABLE, "head")
 }
 
-/// Where the snapshot is.
+/// Returns the address of the snapshot row.
 pub fn checkpoint() -> Address {
     Address::new(TABLE, "checkpoint")
 }
 
-/// Where a version is; keys order as numbers do.
+/// Returns the address of a version row; keys sort in numeric order.
 pub fn version(version: u64) -> Address {
-    Address::new(TABLE, format_smolstr!("{VERSIONS}{version:016}"))
+    Address::new(TABLE, format_smolstr!("{VERSION_PREFIX}{version:016}"))
 }
 
-/// Writes a value as JSON.
-pub fn write(at: Address, value: &impl Serialize) -> Write {
+/// Returns a write of a value as JSON.
+pub fn write(address: Address, value: &impl Serialize) -> Write {
     let value = serde_json::to_value(value).unwrap_or(Value::Null);
-    Write { at, value }
+    Write { at: address, value }
 }
 
-/// Reads a row's value; unknown fields of newer releases are ignored.
+/// Parses a row's value; unknown fields of newer releases are ignored.
 pub fn read<T: DeserializeOwned>(row: &Row) -> Option<T> {
     serde_json::from_value(row.value.clone()).ok()
 }
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -13,27 +13,27 @@
 /// The configuration at one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Snapshot {
-    /// Rises by one with each accepted change; 0 is the empty configuration.
+    /// Rises by one with each committed change; 0 is the empty configuration.
     pub version: u64,
-    /// All client accounts, by name.
+    /// All client accounts, sorted by name.
     pub accounts: Vec<Account>,
-    /// All deployments, by name.
+    /// All deployments, sorted by name.
     pub deployments: Vec<Deployment>,
 }
 
 impl Snapshot {
-    /// The account of that name.
+    /// Returns the account with this name.
     pub fn account(&self, name: &str) -> Option<&Account> {
         self.accounts.iter().find(|account| account.name == name)
     }
 
-    /// The deployment of that name.
+    /// Returns the deployment with this name.
     pub fn deployment(&self, name: &str) -> Option<&Deployment> {
         self.deployments.iter().find(|item| item.name == name)
     }
 }
 
-/// SHA-256 of a key as lower-case hexadecimal: the only form in which a key is kept.
+/// Returns the SHA-256 of a key as lower-case hexadecimal, the only form in which keys are stored.
 pub fn hash_key(key: &str) -> SmolStr {
     let digest = Sha256::digest(key.as_bytes());
     let mut text = String::with_capacity(64);
--- a/crates/config/src/submission.rs
+++ b/crates/config/src/submission.rs
@@ -1,10 +1,10 @@
-//! Operators' changes that wait at this entry.
+//! Operators' changes that are pending at this entry.
 //!
-//! Failure guarded against: the answer to a commit is lost, and a repeat does the change twice or an
-//! operator is told "nothing was done" of a change that was. Each commit checks the head's revision,
-//! and no revision comes twice, so of all attempts of one change at most one takes effect. An
-//! attempt whose answer was lost is settled by the versions themselves: once the head has moved on
-//! and no version carries the change's id, the attempt can't take effect any more.
+//! Guards against a commit whose answer is lost: a retry would apply the change twice, or the operator
+//! would be told that nothing was done although it was. Each commit checks the head's revision, and
+//! revisions never repeat, so at most one attempt of a change takes effect. An attempt whose answer was
+//! lost is resolved by reading the versions: once the head has moved on and no version carries the change's
+//! id, the attempt can no longer take effect.
 
 use std::collections::BTreeMap;
 
@@ -23,194 +23,208 @@
 use crate::row::Version;
 use crate::snapshot::Snapshot;
 
-/// Says why a snapshot is not valid, if it isn't.
+/// Validates a snapshot; returns the reason if it is invalid.
 pub type Validate = fn(&Snapshot) -> Result<(), SmolStr>;
 
-/// The head as it was last read.
+/// Head row as last read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Known {
-    /// What it names.
+pub struct KnownHead {
+    /// Value of the row.
     pub head: Head,
-    /// The row's revision; none if there is no row.
+    /// Revision of the row; `None` if there is no row.
     pub revision: Option<u64>,
 }
 
-/// All changes that wait.
+/// All pending changes.
 #[derive(Clone, Debug, Default)]
 pub struct Submissions {
-    waiting: BTreeMap<Operation, Waiting>,
-    /// The operation whose commit is on its way.
-    sent: Option<Operation>,
+    pending: BTreeMap<Operation, Pending>,
+    /// Operation whose commit is in flight.
+    in_flight: Option<Operation>,
 }
 
-/// One change that waits.
+/// One pending change.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct Pending {
     change: Change,
     deadline: Time,
-    not_before: Time,
-    /// The version it was committed as.
-    committed: Option<u64>,
-    /// Whether an attempt may have taken effect, and the head's revision it checked.
-    uncertain: Option<Option<u64>>,
+    retry_at: Time,
+    /// Version as which it was committed.
+    committed_as: Option<u64>,
+    /// Head revision checked by an attempt that may still take effect.
+    uncertain_revision: Option<Option<u64>>,
 }
 
 /// One attempt to commit a change.
 #[derive(Clone, Debug)]
 pub struct Commit {
-    /// The version it makes.
+    /// Version that it creates.
     pub version: Version,
-    /// The head it writes.
+    /// Head that it writes.
     pub head: Head,
-    /// The head's revision that it checks.
-    pub checked: Option<u64>,
+    /// Head revision that it checks; `None` if there must be no head row.
+    pub expected_revision: Option<u64>,
 }
 
-/// What the next attempt of a change comes to.
+/// Next step of a pending change.
 pub enum Attempt {
     /// Send this transaction.
-    Send(Transaction, Box<Commit>),
-    /// The change is in this version already.
-    Done(u64),
-    /// Final answer.
+    Commit(Transaction, Box<Commit>),
+    /// The change is already committed as this version.
+    AlreadyCommitted(u64),
+    /// The change is refused with this answer.
     Answer(Answer),
 }
 
 impl Submissions {
-    /// How many wait.
+    /// Returns the number of pending changes.
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.pending.len()
     }
 
-    /// Adds a change.
+    /// Adds a change that may be attempted at once.
     pub fn insert(&mut self, operation: Operation, change: Change, now: Time, deadline: Time) {
-        let waiting = Waiting {
+        let pending = Pending {
             change,
             deadline,
-            not_before: now,
-            committed: None,
-            uncertain: None,
+            retry_at: now,
+            committed_as: None,
+            uncertain_revision: None,
         };
-        self.waiting.insert(operation, waiting);
+        self.pending.insert(operation, pending);
     }
 
-    /// The change to attempt now, if none is on its way.
+    /// Returns the operation to attempt now, if no commit is in flight.
     pub fn ready(&self, now: Time) -> Option<Operation> {
-        if self.sent.is_some() {
+        if self.in_flight.is_some() {
             return None;
         }
-        self.waiting
+        self.pending
             .iter()
-            .find(|(_, item)| item.committed.is_none() && item.not_before <= now)
+            .find(|(_, item)| item.committed_as.is_none() && item.retry_at <= now)
             .map(|(operation, _)| *operation)
     }
 
-    /// Changes that are committed and not yet answered.
+    /// Returns operations that are committed and not yet answered, with their versions.
     pub fn committed(&self) -> Vec<(Operation, u64)> {
-        self.waiting
+        self.pending
             .iter()
-            .filter_map(|(operation, item)| Some((*operation, item.committed?)))
+            .filter_map(|(operation, item)| Some((*operation, item.committed_as?)))
             .collect()
     }
 
-    /// Changes whose caller's time is up.
+    /// Returns operations whose deadline has passed.
     pub fn overdue(&self, now: Time) -> Vec<Operation> {
-        self.waiting
+        self.pending
             .iter()
             .filter(|(_, item)| item.deadline <= now)
             .map(|(operation, _)| *operation)
             .collect()
     }
 
-    /// What to tell the caller of a change that was not committed in time.
-    pub fn give_up(&mut self, operation: Operation) -> Answer {
-        let sent = self.sent == Some(operation);
-        match self.waiting.remove(&operation) {
-            Some(item) if sent || item.uncertain.is_some() || item.committed.is_some() => {
+    /// Removes a change that was not accepted in time and returns its answer.
+    pub fn abandon(&mut self, operation: Operation) -> Answer {
+        let is_in_flight = self.in_flight == Some(operation);
+        match self.pending.remove(&operation) {
+            Some(item)
+                if is_in_flight
+                    || item.uncertain_revision.is_some()
+                    || item.committed_as.is_some() =>
+            {
                 Answer::Unknown
             }
             _ => Answer::Unavailable,
         }
     }
 
-    /// Forgets an answered change.
+    /// Removes an answered change.
     pub fn remove(&mut self, operation: Operation) {
-        self.waiting.remove(&operation);
+        self.pending.remove(&operation);
     }
 
-    /// Prepares the next attempt; the history reaches up to the known head.
+    /// Prepares the next attempt of a change. The history must reach up to the known head.
     pub fn attempt(
         &mut self,
         operation: Operation,
-        known: Known,
+        known: KnownHead,
         history: &History,
         settings: &Settings,
         validate: Validate,
     ) -> Option<Attempt> {
-        let item = self.waiting.get_mut(&operation)?;
-        if let Some(version) = history.find(&item.change.id) {
+        let item = self.pending.get_mut(&operation)?;
+        if let Some(version) = history.find_change(&item.change.id) {
             if version.edits != item.change.edits {
                 let version = version.version;
                 return Some(Attempt::Answer(Answer::Reused { version }));
             }
-            item.committed = Some(version.version);
-            return Some(Attempt::Done(version.version));
+            item.committed_as = Some(version.version);
+            return Some(Attempt::AlreadyCommitted(version.version));
         }
-        if item.uncertain.is_some_and(|at| at != known.revision) {
-            item.uncertain = None;
+        if item
+            .uncertain_revision
+            .is_some_and(|revision| revision != known.revision)
+        {
+            item.uncertain_revision = None;
         }
-        let version = match prepare(&item.change, history, validate) {
+        let version = match next_version(&item.change, history, validate) {
             Ok(version) => version,
             Err(answer) => return Some(Attempt::Answer(answer)),
         };
-        self.sent = Some(operation);
+        self.in_flight = Some(operation);
         let commit = Commit {
             head: head_after(known, version.version, settings),
-            checked: known.revision,
+            expected_revision: known.revision,
             version,
         };
-        let transaction = transaction(&commit, history, settings);
-        Some(Attempt::Send(transaction, Box::new(commit)))
+        let transaction = commit_transaction(&commit, history, settings);
+        Some(Attempt::Commit(transaction, Box::new(commit)))
     }
 
-    /// The attempt took effect.
-    pub fn sent_committed(&mut self, version: u64) {
-        let item = self.sent.take().and_then(|id| self.waiting.get_mut(&id));
+    /// Records that the commit in flight took effect.
+    pub fn record_commit(&mut self, version: u64) {
+        let item = self
+            .in_flight
+            .take()
+            .and_then(|id| self.pending.get_mut(&id));
         if let Some(item) = item {
-            item.committed = Some(version);
+            item.committed_as = Some(version);
         }
     }
 
-    /// The attempt did not take effect, or (`uncertain`) may have, having checked this revision.
-    pub fn sent_failed(&mut self, retry_at: Time, uncertain: Option<Option<u64>>) {
-        let item = self.sent.take().and_then(|id| self.waiting.get_mut(&id));
+    /// Records that the commit in flight failed. `uncertain_revision` is the revision it checked if it may
+    /// still take effect.
+    pub fn record_failure(&mut self, retry_at: Time, uncertain_revision: Option<Option<u64>>) {
+        let item = self
+            .in_flight
+            .take()
+            .and_then(|id| self.pending.get_mut(&id));
         if let Some(item) = item {
-            item.not_before = retry_at;
-            item.uncertain = uncertain.or(item.uncertain);
+            item.retry_at = retry_at;
+            item.uncertain_revision = uncertain_revision.or(item.uncertain_revision);
         }
     }
 
-    /// When something is due here.
+    /// Returns when a deadline or a retry is due.
     pub fn next_wake(&self, now: Time) -> Option<Time> {
-        let deadlines = self.waiting.values().map(|item| item.deadline);
+        let deadlines = self.pending.values().map(|item| item.deadline);
         let retries = self
-            .waiting
+            .pending
             .values()
-            .filter(|item| item.committed.is_none() && item.not_before > now)
-            .map(|item| item.not_before);
+            .filter(|item| item.committed_as.is_none() && item.retry_at > now)
+            .map(|item| item.retry_at);
         deadlines.chain(retries).min()
     }
 }
 
-/// The version that a change would make, or why it can't.
-fn prepare(change: &Change, history: &History, validate: Validate) -> Result<Version, Answer> {
+/// Returns the version that a change would create, or the answer that refuses it.
+fn next_version(change: &Change, history: &History, validate: Validate) -> Result<Version, Answer> {
     let version = history.version();
     if change.edits.is_empty() || change.base > version {
         let message = SmolStr::from("no edits, or a base that does not exist yet");
         return Err(Answer::Invalid { message });
     }
-    if history.clashes(change.base, &change.edits) != Some(false) {
-        let difference = history.since(change.base);
+    if history.has_conflict(change.base, &change.edits) != Some(false) {
+        let difference = history.edits_since(change.base);
         return Err(Answer::Conflict {
             version,
             difference,
@@ -227,9 +241,9 @@
     }
 }
 
-/// The head that names `version`.
-fn head_after(known: Known, version: u64, settings: &Settings) -> Head {
-    let checkpoint = if version.is_multiple_of(settings.checkpoint_every) {
+/// Returns the head that names `version`.
+fn head_after(known: KnownHead, version: u64, settings: &Settings) -> Head {
+    let checkpoint = if version.is_multiple_of(settings.checkpoint_interval) {
         version
     } else {
         known.head.checkpoint
@@ -240,8 +254,8 @@
     }
 }
 
-/// Writes head and version together, now and then the snapshot, and deletes what is too old.
-fn transaction(commit: &Commit, history: &History, settings: &Settings) -> Transaction {
+/// Writes head and version, a snapshot at each checkpoint, and clears the version that is no longer retained.
+fn commit_transaction(commit: &Commit, history: &History, settings: &Settings) -> Transaction {
     let next = &commit.version;
     let mut writes = vec![
         row::write(row::head(), &commit.head),
@@ -250,14 +264,17 @@
     if commit.head.checkpoint == next.version {
         writes.push(row::write(row::checkpoint(), &history.preview(next)));
     }
-    if next.version > settings.kept {
-        writes.push(row::write(row::version(next.version - settings.kept), &()));
+    if next.version > settings.retained_versions {
+        writes.push(row::write(
+            row::version(next.version - settings.retained_versions),
+            &(),
+        ));
     }
     Transaction {
         token: next.change.clone(),
         checks: vec![Check {
             at: row::head(),
-            revision: commit.checked,
+            revision: commit.expected_revision,
         }],
         writes,
     }
--- a/crates/config/tests/agreement.rs
+++ b/crates/config/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! One entry alone before a table service that works.
+//! Single entries on a table service without faults.
 
 use clock::Span;
 use clock::Time;
@@ -17,7 +17,7 @@
 use lease::view::View;
 use store::fake::Table;
 
-/// The account `name` with this weight.
+/// Returns the account `name` with this weight.
 fn account(name: &str, weight: u32) -> Account {
     Account {
         name: name.into(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Feeds an event and carries out all store calls that follow from it.
+    /// Feeds an event and makes all resulting store calls.
     fn feed(&mut self, now: Time, event: Event, table: &mut Table) {
         let mut effects = Vec::new();
         self.agreement.step(now, event, &mut effects);
@@ -98,24 +98,24 @@
     assert_eq!(entry.agreement.snapshot().version, 1);
     assert_eq!(entry.answers, []);
 
-    let seen = Member {
+    let member = Member {
         id: holder::Id(1),
         applied: 0,
         lapsed: false,
     };
     let view = View {
         requested_at: start,
-        members: vec![seen],
+        members: vec![member],
     };
     entry.feed(start, Event::View(view), &mut table);
     entry.feed(start, Event::Wake, &mut table);
     assert_eq!(entry.answers, [Answer::Accepted { version: 1 }]);
 }
 
-/// Two operators look at version 1 and each changes the account's weight. One of them wins; the
-/// other is given the newest version and what was changed, and nothing of its own is done.
+/// Two operators see the same version and change the weight of one account. One change is committed; the
+/// other is refused with the newest version and the difference.
 #[test]
-fn the_second_of_two_conflicting_changes_is_told_the_difference() {
+fn the_second_of_two_conflicting_changes_gets_the_difference() {
     let mut table = Table::new();
     let mut first = Entry::start(1);
     let mut second = Entry::start(2);
@@ -142,7 +142,7 @@
     );
 }
 
-/// A change touches other items than the one that was committed in between: both are kept.
+/// A change touches other items than one that was committed since its base. Both must be applied.
 #[test]
 fn changes_of_different_items_do_not_conflict() {
     let mut table = Table::new();
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Entries with membership and agreement before one table service, in virtual time.
+//! Simulates entries with membership and agreement on one table service, in virtual time.
 //!
-//! After every event the world checks what must always hold: versions never fall, a version has one
-//! content everywhere, and once a version was called accepted nobody admits under an older one.
+//! Asserts after every event that versions never fall, that each version has the same content
+//! everywhere, and that no entry admits under a version older than an accepted one.
 
 #![allow(dead_code, clippy::unwrap_used)] // each test file uses a part
 
@@ -33,29 +33,29 @@
 use store::fake::Table;
 use store::queue::Queue;
 
-const HOP: Span = Span::from_millis(1);
-const STORE_HOP: Span = Span::from_millis(3);
-const TIMEOUT: Span = Span::from_seconds(2);
+const PEER_DELAY: Span = Span::from_millis(1);
+const STORE_DELAY: Span = Span::from_millis(3);
+const CALL_TIMEOUT: Span = Span::from_seconds(2);
 
-/// All entries.
+/// Entries, table service and network.
 #[derive(Default)]
 pub struct World {
     pub table: Table,
     pub nodes: Vec<Node>,
     pub now: Time,
-    /// The answers to each operation.
+    /// Answer to each operation.
     pub answers: BTreeMap<u64, Answer>,
-    /// The change of each operation.
+    /// Change of each operation.
     pub changes: BTreeMap<u64, Change>,
-    /// Transactions that take effect only after their sender has given up: how long after.
-    pub late: Vec<Span>,
-    /// Messages between peers that are held back: how long.
-    pub slow: Vec<Span>,
-    accepted: u64,
+    /// Delays after the sender's timeout at which the next transactions take effect, last first.
+    pub late_writes: Vec<Span>,
+    /// Delivery delays of the next messages between peers, last first.
+    pub slow_messages: Vec<Span>,
+    accepted_version: u64,
     contents: BTreeMap<u64, Arc<Snapshot>>,
     queue: Queue<Delivery>,
     operations: u64,
-    /// Wakes so far, over all entries.
+    /// Number of wakes so far, over all entries.
     pub wakes: u64,
 }
 
@@ -65,12 +65,12 @@
     pub agreement: Agreement,
     pub dead: bool,
     pub frozen: bool,
-    pub part: u32,
+    pub partition: u32,
     pub store_cut: bool,
-    /// How long messages to it are held back.
-    pub inbound: Span,
+    /// Delivery delay of messages to this entry.
+    pub inbound_delay: Span,
     version: u64,
-    held: Vec<Event>,
+    queued_events: Vec<Event>,
 }
 
 #[derive(Clone, Debug)]
@@ -90,11 +90,11 @@
     Event(usize, Event),
     Peer(usize, usize, Event),
     Call(usize, Machine, call::Id, Call),
-    /// A transaction that nobody waits for any more.
-    Ghost(Call),
+    /// A transaction that takes effect after its sender's timeout.
+    LateWrite(Call),
 }
 
-/// The account `name` with this weight.
+/// Returns the account `name` with this weight.
 pub fn account(name: &str, weight: u32) -> Account {
     Account {
         name: name.into(),
@@ -106,7 +106,7 @@
     }
 }
 
-/// `count` entries over three zones that hold leases and the empty configuration.
+/// Creates `count` entries over three zones that hold leases and the empty configuration.
 pub fn entries(count: usize) -> World {
     let mut world = World::default();
     for _ in 0..count {
@@ -123,7 +123,7 @@
 }
 
 impl World {
-    /// Starts an entry that knows the peer addresses of the first few.
+    /// Starts an entry that knows the peer addresses of the first eight.
     pub fn start(&mut self) -> usize {
         let index = self.nodes.len();
         let id = holder::Id(index as u64 + 1);
@@ -143,32 +143,32 @@
             agreement: Agreement::new(id, settings, |_| Ok(()), index as u64),
             dead: false,
             frozen: false,
-            part: 0,
+            partition: 0,
             store_cut: false,
-            inbound: HOP,
+            inbound_delay: PEER_DELAY,
             version: 0,
-            held: Vec::new(),
+            queued_events: Vec::new(),
         };
         self.nodes.push(node);
         self.queue.push(self.now, Delivery::Wake(index));
         index
     }
 
-    /// An operator asks an entry for a change; names the operation.
-    pub fn submit(&mut self, index: usize, change: Change, patience: Span) -> u64 {
+    /// Submits a change at an entry and returns the operation's number.
+    pub fn submit(&mut self, index: usize, change: Change, timeout: Span) -> u64 {
         self.operations += 1;
         let operation = self.operations;
         self.changes.insert(operation, change.clone());
         let event = event::Event::Submit {
             operation: Operation(operation),
             change,
-            deadline: self.now + patience,
+            deadline: self.now + timeout,
         };
         self.feed(index, Event::Agreement(event));
         operation
     }
 
-    /// A change of an account's weight, on the version that the entry holds.
+    /// Submits a change of an account's weight, based on the version that the entry holds.
     pub fn set_weight(&mut self, index: usize, id: &str, name: &str, weight: u32) -> u64 {
         let change = Change {
             id: id.into(),
@@ -178,44 +178,44 @@
         self.submit(index, change, Span::from_seconds(30))
     }
 
-    /// The version that an entry holds.
+    /// Returns the version that an entry holds.
     pub fn version(&self, index: usize) -> u64 {
         self.nodes[index].agreement.snapshot().version
     }
 
-    /// Whether an entry would admit a request now.
+    /// Returns whether an entry would admit a request now.
     pub fn admits(&self, index: usize) -> bool {
         let node = &self.nodes[index];
         !node.dead && node.agreement.admits(self.now)
     }
 
-    /// Stops and continues an entry as a signal does.
+    /// Pauses or continues an entry, as a signal would.
     pub fn set_frozen(&mut self, index: usize, frozen: bool) {
         self.nodes[index].frozen = frozen;
         if !frozen {
-            self.check();
-            for event in std::mem::take(&mut self.nodes[index].held) {
+            self.check_no_stale_admission();
+            for event in std::mem::take(&mut self.nodes[index].queued_events) {
                 self.feed(index, event);
             }
         }
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time by `span`.
     pub fn run(&mut self, span: Span) {
         let until = self.now + span;
         while let Some((at, delivery)) = self.queue.pop(until) {
             self.now = at;
             self.deliver(delivery);
-            self.check();
+            self.check_no_stale_admission();
         }
         self.now = until;
-        self.check();
+        self.check_no_stale_admission();
     }
 
-    /// Lets time pass until something holds, at most `limit`; how long it took.
-    pub fn run_until(&mut self, limit: Span, holds: impl Fn(&World) -> bool) -> Option<Span> {
+    /// Advances the virtual time until a condition holds and returns the time it took; `None` after `limit`.
+    pub fn run_until(&mut self, limit: Span, condition: impl Fn(&World) -> bool) -> Option<Span> {
         let start = self.now;
-        while !holds(self) {
+        while !condition(self) {
             if self.now.since(start) >= limit {
                 return None;
             }
@@ -224,14 +224,14 @@
         Some(self.now.since(start))
     }
 
-    /// The answer to an operation, waited for.
+    /// Waits for the answer to an operation.
     pub fn answer(&mut self, operation: u64) -> Answer {
         let limit = Span::from_seconds(120);
         self.run_until(limit, |world| world.answers.contains_key(&operation));
         self.answers.get(&operation).cloned().expect("no answer")
     }
 
-    /// Every version in the service that carries this change.
+    /// Returns all stored versions that carry this change.
     pub fn versions_with(&self, change: &str) -> Vec<u64> {
         (1..=self.head())
             .filter_map(|version| {
@@ -243,14 +243,14 @@
             .collect()
     }
 
-    /// The newest version in the service.
+    /// Returns the newest stored version.
     pub fn head(&self) -> u64 {
         let row = self.table.row(row::TABLE, &row::head().key);
         row.and_then(row::read::<row::Head>)
             .map_or(0, |head| head.version)
     }
 
-    /// Checks that every answer given is true of what the service holds now.
+    /// Asserts that every answer agrees with the stored versions.
     pub fn check_answers(&self) {
         for (operation, answer) in &self.answers {
             let change = &self.changes[operation];
@@ -279,7 +279,7 @@
             return;
         }
         if node.frozen {
-            node.held.push(event);
+            node.queued_events.push(event);
             return;
         }
         match event {
@@ -287,14 +287,14 @@
                 let mut effects = Vec::new();
                 node.membership.step(self.now, event, &mut effects);
                 for effect in effects {
-                    self.membership_effect(index, effect);
+                    self.handle_membership_effect(index, effect);
                 }
             }
             Event::Agreement(event) => {
                 let mut effects = Vec::new();
                 node.agreement.step(self.now, event, &mut effects);
                 for effect in effects {
-                    self.agreement_effect(index, effect);
+                    self.handle_agreement_effect(index, effect);
                 }
             }
         }
@@ -315,13 +315,17 @@
         }
     }
 
-    fn membership_effect(&mut self, index: usize, effect: membership::Effect) {
+    fn handle_membership_effect(&mut self, index: usize, effect: membership::Effect) {
         use membership::Effect;
         let event = match effect {
-            Effect::Store { id, call } => return self.call(index, Machine::Membership, id, call),
-            Effect::Send { to, digest } => return self.digest(index, to.0 as usize - 1, digest),
+            Effect::Store { id, call } => {
+                return self.send_call(index, Machine::Membership, id, call);
+            }
+            Effect::Send { to, digest } => {
+                return self.send_digest(index, to.0 as usize - 1, digest);
+            }
             Effect::Greet { address, digest } => {
-                return self.digest(index, address.parse().unwrap(), digest);
+                return self.send_digest(index, address.parse().unwrap(), digest);
             }
             Effect::Lease(holding) => event::Event::Lease(holding),
             Effect::View(view) => event::Event::View(view),
@@ -332,19 +336,21 @@
         self.feed(index, Event::Agreement(event));
     }
 
-    fn agreement_effect(&mut self, index: usize, effect: event::Effect) {
+    fn handle_agreement_effect(&mut self, index: usize, effect: event::Effect) {
         use event::Effect;
         let event = match effect {
-            Effect::Store { id, call } => return self.call(index, Machine::Agreement, id, call),
+            Effect::Store { id, call } => {
+                return self.send_call(index, Machine::Agreement, id, call);
+            }
             Effect::Send { to, message } => {
-                return self.message(index, to.0 as usize - 1, message);
+                return self.send_message(index, to.0 as usize - 1, message);
             }
             Effect::Answer { operation, answer } => {
                 if let Answer::Accepted { version } = answer {
-                    self.accepted = self.accepted.max(version);
+                    self.accepted_version = self.accepted_version.max(version);
                 }
-                let before = self.answers.insert(operation.0, answer);
-                assert_eq!(before, None, "answered twice");
+                let previous = self.answers.insert(operation.0, answer);
+                assert_eq!(previous, None, "answered twice");
                 return;
             }
             Effect::Apply(snapshot) => {
@@ -361,36 +367,39 @@
         self.feed(index, Event::Membership(event));
     }
 
-    fn call(&mut self, index: usize, machine: Machine, id: call::Id, call: Call) {
-        if let (Call::Transact(_), Some(delay)) = (&call, self.late.last().copied()) {
-            self.late.pop();
+    fn send_call(&mut self, index: usize, machine: Machine, id: call::Id, call: Call) {
+        if let (Call::Transact(_), Some(delay)) = (&call, self.late_writes.last().copied()) {
+            self.late_writes.pop();
             self.queue
-                .push(self.now + TIMEOUT + delay, Delivery::Ghost(call));
+                .push(self.now + CALL_TIMEOUT + delay, Delivery::LateWrite(call));
             let event = outcome_event(machine, id, Outcome::Unknown);
             self.queue
-                .push(self.now + TIMEOUT, Delivery::Event(index, event));
+                .push(self.now + CALL_TIMEOUT, Delivery::Event(index, event));
             return;
         }
         let delivery = Delivery::Call(index, machine, id, call);
-        self.queue.push(self.now + STORE_HOP, delivery);
+        self.queue.push(self.now + STORE_DELAY, delivery);
     }
 
-    fn digest(&mut self, from: usize, to: usize, digest: Digest) {
+    fn send_digest(&mut self, from: usize, to: usize, digest: Digest) {
         let event = Event::Membership(membership::Event::Digest(digest));
-        self.peer(from, to, event);
+        self.send_to_peer(from, to, event);
     }
 
-    fn message(&mut self, from: usize, to: usize, message: Message) {
+    fn send_message(&mut self, from: usize, to: usize, message: Message) {
         let from_id = holder::Id(from as u64 + 1);
         let event = Event::Agreement(event::Event::Peer {
             from: from_id,
             message,
         });
-        self.peer(from, to, event);
+        self.send_to_peer(from, to, event);
     }
 
-    fn peer(&mut self, from: usize, to: usize, event: Event) {
-        let delay = self.slow.pop().unwrap_or(self.nodes[to].inbound);
+    fn send_to_peer(&mut self, from: usize, to: usize, event: Event) {
+        let delay = self
+            .slow_messages
+            .pop()
+            .unwrap_or(self.nodes[to].inbound_delay);
         self.queue
             .push(self.now + delay, Delivery::Peer(from, to, event));
     }
@@ -400,7 +409,7 @@
             Delivery::Wake(index) => self.wake(index),
             Delivery::Event(index, event) => self.feed(index, event),
             Delivery::Peer(from, to, event) => {
-                if self.nodes[from].part == self.nodes[to].part {
+                if self.nodes[from].partition == self.nodes[to].partition {
                     self.feed(to, event);
                 }
             }
@@ -415,23 +424,23 @@
                 };
                 let event = outcome_event(machine, id, outcome);
                 self.queue
-                    .push(self.now + STORE_HOP, Delivery::Event(index, event));
+                    .push(self.now + STORE_DELAY, Delivery::Event(index, event));
             }
-            Delivery::Ghost(call) => {
+            Delivery::LateWrite(call) => {
                 self.table.apply(&call);
             }
         }
     }
 
-    fn check(&self) {
+    fn check_no_stale_admission(&self) {
         for (index, node) in self.nodes.iter().enumerate() {
-            let stale = node.version < self.accepted;
+            let stale = node.version < self.accepted_version;
             assert!(
                 !stale || !self.admits(index),
                 "entry {index} admits under version {} at {} after {} was accepted",
                 node.version,
                 self.now,
-                self.accepted
+                self.accepted_version
             );
         }
     }
--- a/crates/config/tests/failures.rs
+++ b/crates/config/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration while entries, store and network fail.
+//! Changes of the configuration under failures of entries, store and network.
 
 mod common;
 
@@ -16,19 +16,19 @@
 fn a_change_is_in_force_everywhere_within_seconds() {
     let mut world = entries(8);
     let operation = world.set_weight(2, "c1", "harrow", 3);
-    let took = world
+    let elapsed = world
         .run_until(SECOND.times(5), |world| {
             (0..8).all(|index| world.version(index) == 1)
         })
         .unwrap();
-    assert!(took <= SECOND.times(2), "{took}");
+    assert!(elapsed <= SECOND.times(2), "{elapsed}");
     assert_eq!(world.answer(operation), Answer::Accepted { version: 1 });
 }
 
-/// Two operators change the same account at two entries at the same moment. One is told accepted;
-/// the other is told what the first did, and nothing of its own is done.
+/// Two operators change the same account at two entries at once. One change is accepted; the other is
+/// refused with the first one's edits.
 #[test]
-fn of_two_racing_operators_one_wins_and_one_is_told_why() {
+fn of_two_racing_operators_one_wins_and_one_gets_the_conflict() {
     let mut world = entries(8);
     let first = world.set_weight(0, "c1", "harrow", 1);
     let second = world.set_weight(5, "c2", "harrow", 2);
@@ -49,8 +49,8 @@
     world.check_answers();
 }
 
-/// The service commits a change and its answer is lost; the operator's client repeats the call at
-/// another entry. The change is done once, and both calls are told the same version.
+/// The answer to a commit is lost, and the operator's client repeats the change at another entry. The
+/// change must be applied once, and both calls must return its version.
 #[test]
 fn a_lost_answer_and_a_repeated_change_make_one_version() {
     let mut world = entries(8);
@@ -64,12 +64,12 @@
     assert_eq!(world.versions_with("c1"), [1]);
 }
 
-/// A commit is held up in the network, its sender gives up and tries again, and the first one lands
-/// afterwards. The change must not be in two versions.
+/// A commit is delayed in the network until after its sender has timed out and retried. The change must
+/// not appear in two versions.
 #[test]
-fn a_commit_that_lands_late_is_not_done_twice() {
+fn a_delayed_commit_is_not_applied_twice() {
     let mut world = entries(8);
-    world.late.push(SECOND);
+    world.late_writes.push(SECOND);
     let operation = world.set_weight(0, "c1", "harrow", 1);
     assert_eq!(world.answer(operation), Answer::Accepted { version: 1 });
     world.run(SECOND.times(10));
@@ -77,9 +77,8 @@
     assert_eq!(world.head(), 1);
 }
 
-/// An entry is frozen while a key is revoked. The operator is told "accepted" only when the frozen
-/// entry can't serve under the old version any more; continued much later, it admits nothing until
-/// it holds the new one.
+/// An entry is paused while a key is revoked. The change must not be accepted while the entry could
+/// still serve under the old version, and the entry must admit nothing until it holds the new one.
 #[test]
 fn an_entry_frozen_through_a_change_admits_nothing_old() {
     let mut world = entries(8);
@@ -97,9 +96,8 @@
     assert_eq!(world.version(3), 1);
 }
 
-/// The table service is down for an hour. Entries go on admitting under the newest version; a change
-/// is refused as not done; an entry that starts in the outage takes the version from its peers and
-/// admits too; afterwards changes go through again.
+/// The table service is unavailable for an hour. Entries continue to admit and refuse changes; an entry that
+/// starts in that time gets the configuration from its peers. Afterwards changes succeed again.
 #[test]
 fn an_outage_of_an_hour_stops_changes_and_nothing_else() {
     let mut world = entries(8);
@@ -126,10 +124,10 @@
     world.check_answers();
 }
 
-/// One entry alone can't reach the table service. Its peers' word keeps it admitting under their
-/// version, so a change is still accepted and it holds it too.
+/// One entry can't reach the table service. Votes of its peers let it admit under their version, so it
+/// also follows a change that is accepted meanwhile.
 #[test]
-fn an_entry_cut_off_from_the_service_lives_by_its_peers() {
+fn an_entry_cut_off_from_the_service_admits_by_votes_of_its_peers() {
     let mut world = entries(8);
     world.nodes[6].store_cut = true;
     world.run(SECOND.times(60));
@@ -141,27 +139,27 @@
     assert_eq!(world.version(6), 1);
 }
 
-/// An entry is cut off from service and peers while a change is made, and callers still reach it.
-/// It must stop admitting before the operator is told "accepted".
+/// An entry is cut off from the table service and its peers during a change, but callers still reach
+/// it. It must stop admitting before the change is accepted.
 #[test]
 fn an_isolated_entry_stops_before_a_change_is_accepted() {
     let mut world = entries(8);
     world.nodes[6].store_cut = true;
-    world.nodes[6].part = 1;
+    world.nodes[6].partition = 1;
     let operation = world.set_weight(0, "c1", "harrow", 1);
     assert_eq!(world.answer(operation), Answer::Accepted { version: 1 });
     assert!(!world.admits(6));
     assert_eq!(world.version(6), 0);
 }
 
-/// Most entries lose the table service and the others for an hour, together. They go on under the
-/// version they know, and the few that reach the service can commit but not accept a change.
+/// A majority of entries loses the table service and the other entries, and continues under its
+/// version. The minority that reaches the service can commit a change, but must not accept it.
 #[test]
 fn a_minority_with_the_service_cannot_accept_over_the_majority() {
     let mut world = entries(8);
     for index in 0..5 {
         world.nodes[index].store_cut = true;
-        world.nodes[index].part = 1;
+        world.nodes[index].partition = 1;
     }
     world.run(SECOND.times(30));
     let operation = world.set_weight(7, "c1", "harrow", 1);
@@ -173,7 +171,7 @@
     assert!((0..5).all(|index| world.admits(index)));
     for index in 0..5 {
         world.nodes[index].store_cut = false;
-        world.nodes[index].part = 0;
+        world.nodes[index].partition = 0;
     }
     let repeat = Change {
         ..world.changes[&operation].clone()
@@ -182,10 +180,10 @@
     assert_eq!(world.answer(operation), Answer::Accepted { version: 1 });
 }
 
-/// The entries of a zone die at once during a change and as many new ones start. The change is
-/// accepted, and the new entries hold it before they admit.
+/// The entries of a zone crash during a change and are replaced. The change must be accepted, and the
+/// new entries must hold it before they admit.
 #[test]
-fn a_zone_is_replaced_in_the_middle_of_a_change() {
+fn a_zone_is_replaced_during_a_change() {
     let mut world = entries(9);
     let operation = world.set_weight(1, "c1", "harrow", 1);
     for index in [0, 3, 6] {
@@ -199,15 +197,15 @@
     assert!((9..12).all(|index| world.admits(index) && world.version(index) == 1));
 }
 
-/// Far more changes are made than versions are kept, while one entry is frozen. The service's rows
-/// stay bounded and the entry catches up from the snapshot.
+/// More changes are made than versions are retained, while one entry is paused. The number of rows must
+/// stay bounded, and the entry catches up from the snapshot.
 #[test]
 fn old_versions_are_compacted_and_a_late_entry_catches_up() {
     let mut world = entries(3);
     world.set_frozen(2, true);
     for number in 0..700 {
         world.set_weight(0, &format!("c{number}"), "harrow", number);
-        // Changes that wait for the frozen entry's lease must fit the queue.
+        // Limits the changes that wait for the paused entry's lease to the queue's capacity.
         world.run(Span::from_millis(50));
         assert_eq!(world.head(), u64::from(number) + 1);
     }
@@ -227,13 +225,12 @@
         .unwrap();
 }
 
-/// An entry is frozen through a change and hears nothing of its peers when it is continued. It renews
-/// its lease at once; a caller served in the moment before it has read the head would be served
-/// under the old version.
+/// An entry is paused during a change and receives no peer messages when it continues. It renews its lease
+/// at once, but must not admit under the old version before it has read the head.
 #[test]
 fn a_regained_lease_alone_does_not_let_an_entry_admit() {
     let mut world = entries(5);
-    world.nodes[3].part = 1;
+    world.nodes[3].partition = 1;
     world.run(SECOND);
     world.set_frozen(3, true);
     let operation = world.set_weight(0, "c1", "harrow", 1);
@@ -244,16 +241,15 @@
     assert_eq!(world.version(3), 1);
 }
 
-/// An entry starts and admits under the newest version, hearing no peer, just before a change. The
-/// entry that commits the change has read the members a moment earlier and doesn't know of it. The
-/// change must not be called accepted before the new entry holds it too.
+/// An entry starts just before a change, after the committing entry has read the members, and receives no
+/// peer messages. The change must not be accepted before the new entry holds it.
 #[test]
 fn an_entry_that_started_since_the_last_read_is_waited_for() {
     for offset in 0..10 {
         let mut world = entries(3);
         world.run(Span::from_millis(offset * 400));
         let late = world.start();
-        world.nodes[late].part = 1;
+        world.nodes[late].partition = 1;
         world
             .run_until(SECOND.times(5), |world| world.admits(late))
             .unwrap();
@@ -263,17 +259,17 @@
     }
 }
 
-/// An entry starts that can't reach the table service and hears its peers a second late. It admits on
-/// what they said they hold; they apply a change right after they said so, and nobody waits for the
-/// new entry, which has no row. The operator must not be told "accepted" while those words count.
+/// An entry without a table service admits by votes that arrive a second late, while its peers apply a
+/// change just after they voted. Nobody waits for this entry, which has no row, so the change must not be
+/// accepted while those votes are valid.
 #[test]
-fn words_from_before_a_change_do_not_outlive_its_acceptance() {
+fn votes_from_before_a_change_do_not_outlive_its_acceptance() {
     let mut world = entries(5);
     let late = world.start();
     world.nodes[late].store_cut = true;
     world.run(SECOND.times(10));
     assert!(world.admits(late));
-    world.nodes[late].inbound = SECOND;
+    world.nodes[late].inbound_delay = SECOND;
     world.run(SECOND.times(10));
     assert!(world.admits(late));
     let operation = world.set_weight(0, "c1", "harrow", 1);
@@ -282,22 +278,21 @@
     assert_eq!(world.version(late), 1);
 }
 
-/// An entry that has nothing to do sleeps, whether it holds a lease, lost the service, or lacks a
-/// version that nobody hands over. A state machine that asks to be woken for something that isn't due
-/// shows as a process that takes a whole core.
+/// An idle entry must sleep whether it holds a lease, lost the table service, or lacks a version that no
+/// peer sends. Waking for work that isn't due would use a whole core.
 #[test]
 fn entries_sleep_while_nothing_is_due() {
     let mut world = entries(8);
-    let most = 8 * 60 * 20;
+    let max_wakes = 8 * 60 * 20;
     for (down, cut) in [(false, false), (true, false), (false, true)] {
         world.table.set_down(down);
         world.nodes[3].store_cut = cut;
-        world.nodes[3].part = u32::from(cut);
+        world.nodes[3].partition = u32::from(cut);
         world.wakes = 0;
         if !down {
             world.set_weight(0, &format!("c{cut}"), "harrow", 1);
         }
         world.run(SECOND.times(60));
-        assert!(world.wakes < most, "{} wakes", world.wakes);
+        assert!(world.wakes < max_wakes, "{} wakes", world.wakes);
     }
 }
--- a/crates/config/tests/histories.rs
+++ b/crates/config/tests/histories.rs
@@ -1,8 +1,8 @@
 //! Random histories of changes, crashes, pauses, cuts and store faults, with fixed seeds.
 //!
-//! The world checks after every event that no version falls, differs or is admitted under after a
-//! newer one was accepted; at the end every answer must be true of what the service holds.
-//! `HISTORIES=2000 cargo test --release -p config --test histories` runs more of them.
+//! The world asserts after every event that no version falls, differs, or is admitted under after a newer
+//! one was accepted. At the end every answer must agree with the stored versions.
+//! `HISTORIES=2000 cargo test --release -p config --test histories` runs more cases.
 
 mod common;
 
@@ -18,15 +18,15 @@
 use proptest::test_runner::TestRunner;
 use store::fake::Fault;
 
-const START: usize = 5;
-const MOST: usize = 9;
+const INITIAL_ENTRIES: usize = 5;
+const MAX_ENTRIES: usize = 9;
 const CASES: u32 = 96;
 
-/// One thing that happens.
+/// One change, fault or wait.
 #[derive(Clone, Debug)]
 enum Step {
-    Change { at: usize, account: u8 },
-    Repeat { at: usize, of: usize },
+    Change { entry: usize, account: u8 },
+    Repeat { entry: usize, operation: usize },
     Freeze(usize),
     Thaw(usize),
     Kill(usize),
@@ -35,81 +35,82 @@
     CutPeers(usize, u32),
     Outage(bool),
     Fault(u8),
-    Late(u16),
-    Slow(u16),
+    DelayWrite(u16),
+    DelayMessage(u16),
     Wait(u16),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let at = 0..MOST;
+    let entry = 0..MAX_ENTRIES;
     prop_oneof![
-        6 => (at.clone(), 0..3_u8).prop_map(|(at, account)| Step::Change { at, account }),
-        2 => (at.clone(), 0..8_usize).prop_map(|(at, of)| Step::Repeat { at, of }),
-        2 => at.clone().prop_map(Step::Freeze),
-        3 => at.clone().prop_map(Step::Thaw),
-        1 => at.clone().prop_map(Step::Kill),
+        6 => (entry.clone(), 0..3_u8).prop_map(|(entry, account)| Step::Change { entry, account }),
+        2 => (entry.clone(), 0..8_usize)
+            .prop_map(|(entry, operation)| Step::Repeat { entry, operation }),
+        2 => entry.clone().prop_map(Step::Freeze),
+        3 => entry.clone().prop_map(Step::Thaw),
+        1 => entry.clone().prop_map(Step::Kill),
         1 => (0..1_u8).prop_map(|_| Step::Start),
-        3 => (at.clone(), any::<bool>()).prop_map(|(at, cut)| Step::CutStore(at, cut)),
-        3 => (at, 0..3_u32).prop_map(|(at, part)| Step::CutPeers(at, part)),
+        3 => (entry.clone(), any::<bool>()).prop_map(|(entry, cut)| Step::CutStore(entry, cut)),
+        3 => (entry, 0..3_u32).prop_map(|(entry, partition)| Step::CutPeers(entry, partition)),
         2 => any::<bool>().prop_map(Step::Outage),
         3 => (0..3_u8).prop_map(Step::Fault),
-        2 => (0..9_000_u16).prop_map(Step::Late),
-        2 => (0..9_000_u16).prop_map(Step::Slow),
+        2 => (0..9_000_u16).prop_map(Step::DelayWrite),
+        2 => (0..9_000_u16).prop_map(Step::DelayMessage),
         8 => (0..12_000_u16).prop_map(Step::Wait),
     ]
 }
 
-fn take(world: &mut World, step: &Step, count: &mut u32) {
-    let known = |world: &World, at: usize| at % world.nodes.len();
+fn apply_step(world: &mut World, step: &Step, changes: &mut u32) {
+    let started = |world: &World, entry: usize| entry % world.nodes.len();
     match *step {
-        Step::Change { at, account } => {
-            *count += 1;
-            let at = known(world, at);
+        Step::Change { entry, account } => {
+            *changes += 1;
+            let entry = started(world, entry);
             let name = format!("account-{account}");
-            world.set_weight(at, &format!("c{count}"), &name, *count);
+            world.set_weight(entry, &format!("c{changes}"), &name, *changes);
         }
-        Step::Repeat { at, of } => {
-            let at = known(world, at);
-            let change = world.changes.values().nth(of).cloned();
+        Step::Repeat { entry, operation } => {
+            let entry = started(world, entry);
+            let change = world.changes.values().nth(operation).cloned();
             if let Some(change) = change {
-                world.submit(at, change, Span::from_seconds(10));
+                world.submit(entry, change, Span::from_seconds(10));
             }
         }
-        Step::Freeze(at) => world.set_frozen(known(world, at), true),
-        Step::Thaw(at) => world.set_frozen(known(world, at), false),
-        Step::Kill(at) => {
-            let at = known(world, at);
-            world.nodes[at].dead = true;
+        Step::Freeze(entry) => world.set_frozen(started(world, entry), true),
+        Step::Thaw(entry) => world.set_frozen(started(world, entry), false),
+        Step::Kill(entry) => {
+            let entry = started(world, entry);
+            world.nodes[entry].dead = true;
         }
-        Step::Start if world.nodes.len() < MOST => {
+        Step::Start if world.nodes.len() < MAX_ENTRIES => {
             world.start();
         }
         Step::Start => {}
-        Step::CutStore(at, cut) => {
-            let at = known(world, at);
-            world.nodes[at].store_cut = cut;
+        Step::CutStore(entry, cut) => {
+            let entry = started(world, entry);
+            world.nodes[entry].store_cut = cut;
         }
-        Step::CutPeers(at, part) => {
-            let at = known(world, at);
-            world.nodes[at].part = part;
+        Step::CutPeers(entry, partition) => {
+            let entry = started(world, entry);
+            world.nodes[entry].partition = partition;
         }
         Step::Outage(down) => world.table.set_down(down),
         Step::Fault(kind) => {
             let faults = [Fault::Down, Fault::LostCall, Fault::LostAnswer];
             world.table.push_fault(faults[usize::from(kind)]);
         }
-        Step::Late(millis) => world.late.push(Span::from_millis(millis.into())),
-        Step::Slow(millis) => world.slow.push(Span::from_millis(millis.into())),
+        Step::DelayWrite(millis) => world.late_writes.push(Span::from_millis(millis.into())),
+        Step::DelayMessage(millis) => world.slow_messages.push(Span::from_millis(millis.into())),
         Step::Wait(millis) => world.run(Span::from_millis(millis.into())),
     }
 }
 
-/// Ends all faults; everyone alive must then hold the newest version and admit.
-fn heal(world: &mut World) -> Result<(), TestCaseError> {
+/// Ends all faults and checks that every live entry soon admits under the newest version.
+fn check_recovery(world: &mut World) -> Result<(), TestCaseError> {
     world.table.set_down(false);
     for index in 0..world.nodes.len() {
         world.nodes[index].store_cut = false;
-        world.nodes[index].part = 0;
+        world.nodes[index].partition = 0;
         world.set_frozen(index, false);
     }
     world.run(Span::from_seconds(60));
@@ -135,12 +136,12 @@
     };
     let steps = proptest::collection::vec(step(), 1..60);
     let run = TestRunner::new(config).run(&steps, |steps| {
-        let mut world = entries(START);
-        let mut count = 0;
+        let mut world = entries(INITIAL_ENTRIES);
+        let mut changes = 0;
         for step in &steps {
-            take(&mut world, step, &mut count);
+            apply_step(&mut world, step, &mut changes);
         }
-        heal(&mut world)
+        check_recovery(&mut world)
     });
     if let Err(error) = run {
         panic!("{error}");
