--- a/crates/fleet/src/configs/leader.rs
+++ b/crates/fleet/src/configs/leader.rs
@@ -2,24 +2,24 @@
 
 use clock::Span;
 
-/// Times and shares of one leader.
+/// Intervals, timeouts and limits of a leader.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Its lease.
+    /// Settings of the lease.
     pub claim: lease::configs::claim::Settings,
-    /// Its orders.
+    /// Settings of orders to engines.
     pub order: lease::configs::order::Settings,
-    /// Its choice of instances.
+    /// Settings of the choice of instances.
     pub mix: policy::configs::mix::Config,
-    /// Time between two plans of the mix.
+    /// Time between two plans of the instance mix.
     pub plan_interval: Span,
-    /// How long an instance that was asked for is waited for before it counts as never started.
+    /// Time after which a requested instance that hasn't appeared counts as failed.
     pub start_timeout: Span,
-    /// How long a peak of demand is remembered: longer than an instance takes to load a model, so that
-    /// a dip doesn't stop what the next minute needs again.
+    /// Time over which the peak of demand is taken. It exceeds the time that an instance takes to load a
+    /// model, so that a short dip doesn't stop instances that are needed again soon.
     pub peak_window: Span,
-    /// Part of the engines, in thousandths, that a change of model takes out of use at once. A third
-    /// is what the loss of one of three zones takes, which the mix carries anyway.
+    /// Share of the engines, in thousandths, that a rollout may take out of service at once. The loss of
+    /// one of three zones takes as many, and the mix has capacity for that.
     pub max_unavailable_per_mille: u32,
 }
 
--- a/crates/fleet/src/configs/mod.rs
+++ b/crates/fleet/src/configs/mod.rs
@@ -1,3 +1,3 @@
-//! Settings of this crate.
+//! Settings of the leader.
 
 pub mod leader;
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -1,9 +1,8 @@
-//! How many requests a pool has to carry, from its engines' lagging reports.
+//! Estimates the demand on a pool from its engines' load reports.
 //!
-//! *Pattern*: demand swings within minutes, while an instance takes minutes to load a model. *Without
-//! it*: instances follow each dip and are missing at the next peak. *How*: the peak within a memory
-//! that is longer than loading takes. Reports lag and some are missing; a missing one counts as the
-//! last one of that engine.
+//! Demand swings within minutes, and an instance takes minutes to load a model. Following each dip would stop
+//! instances that are missing at the next peak, so demand is the peak within a window that is longer than the
+//! loading time. Reports may be late or missing; the last report of an engine counts until the next.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -12,52 +11,54 @@
 use clock::Time;
 use smol_str::SmolStr;
 
-/// Slices that the memory is cut into: the peak is forgotten with an error of a tenth.
-const SLICES: u64 = 10;
+/// Number of slices in the window; a peak expires with an error of one slice.
+const WINDOW_SLICES: u64 = 10;
 
-/// The demand on one pool.
+/// Demand on one pool.
 #[derive(Clone, Debug)]
 pub struct Demand {
     window: Span,
     /// Requests at each engine, by its last report.
-    engines: BTreeMap<SmolStr, u32>,
-    /// The highest sum of each slice, oldest first.
+    requests: BTreeMap<SmolStr, u32>,
+    /// Start of each slice and the highest sum within it, oldest first.
     peaks: VecDeque<(Time, u32)>,
 }
 
 impl Demand {
-    /// Nothing known yet.
+    /// Creates an estimate without reports.
     pub fn new(window: Span) -> Demand {
         Demand {
             window,
-            engines: BTreeMap::new(),
+            requests: BTreeMap::new(),
             peaks: VecDeque::new(),
         }
     }
 
-    /// Takes an engine's report.
+    /// Records an engine's load report.
     pub fn record(&mut self, now: Time, engine: SmolStr, requests: u32) {
-        self.engines.insert(engine, requests);
-        let sum: u32 = self.engines.values().sum();
-        let slice = self.window.as_millis() / SLICES;
+        self.requests.insert(engine, requests);
+        let sum: u32 = self.requests.values().sum();
+        let slice = self.window.as_millis() / WINDOW_SLICES;
         match self.peaks.back_mut() {
-            Some((since, peak)) if now.since(*since).as_millis() < slice => *peak = sum.max(*peak),
+            Some((started_at, peak)) if now.since(*started_at).as_millis() < slice => {
+                *peak = sum.max(*peak)
+            }
             _ => self.peaks.push_back((now, sum)),
         }
     }
 
-    /// Forgets engines that are no longer listed.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
-        self.engines.retain(|engine, _| listed(engine));
+    /// Removes engines that are no longer listed.
+    pub fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
+        self.requests.retain(|engine, _| is_listed(engine));
     }
 
-    /// The peak that is remembered.
+    /// Returns the highest sum within the window.
     pub fn peak(&mut self, now: Time) -> u32 {
         let window = self.window;
         while self
             .peaks
             .front()
-            .is_some_and(|(since, _)| now.since(*since) > window)
+            .is_some_and(|(started_at, _)| now.since(*started_at) > window)
         {
             self.peaks.pop_front();
         }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,4 +1,4 @@
-//! What a leader is told and what it asks for.
+//! Inputs and outputs of a leader.
 
 use clock::Time;
 use lease::order::Target;
@@ -9,135 +9,135 @@
 use store::call::Call;
 use store::call::Outcome;
 
-/// What happens to a leader.
+/// Input of a leader.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Wake,
-    /// A store call has ended.
+    /// A store call has completed.
     Store {
-        /// Which.
+        /// Identifier of the call.
         id: call::Id,
-        /// How.
+        /// Outcome of the call.
         outcome: Outcome,
     },
-    /// Whether this entry should lead, and what.
+    /// Assigns the deployment to this entry, or withdraws it.
     Assigned(Option<Assignment>),
-    /// The instance list was read; leaving instances are left out.
+    /// The instance list was read; leaving instances are omitted.
     Listed(Vec<Instance>),
     /// Prices were read.
     Priced(Vec<Offer>),
-    /// An engine was read.
+    /// The state of an engine was read.
     EngineRead {
-        /// Its incarnation.
+        /// Incarnation of the engine.
         engine: SmolStr,
-        /// What it serves.
+        /// What the engine serves.
         target: Target,
-        /// Requests running on it.
+        /// Number of requests running on it.
         running: u32,
     },
-    /// An engine refused an order for its fencing number.
+    /// An engine refused an order because of its fencing number.
     EngineRefused {
-        /// Its incarnation.
+        /// Incarnation of the engine.
         engine: SmolStr,
-        /// The higher number that it has seen.
+        /// Higher fencing number that the engine has seen.
         fence: u64,
     },
-    /// An engine's own report: what it has to do.
+    /// An engine reported its load.
     LoadReported {
-        /// Its incarnation.
+        /// Incarnation of the engine.
         engine: SmolStr,
-        /// Requests running and waiting there.
+        /// Number of requests running and queued there.
         requests: u32,
     },
     /// The cloud granted an instance.
     Granted {
-        /// The token of the wish.
+        /// Token of the request.
         token: SmolStr,
     },
-    /// The cloud has none of that kind now.
+    /// The cloud has no instance of the requested kind.
     Refused {
-        /// The token of the wish.
+        /// Token of the request.
         token: SmolStr,
     },
 }
 
-/// What a leader has to see to.
+/// Duties of the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
-    /// What engines shall serve; none for plain services.
+    /// Target of the engines; `None` for plain services.
     pub target: Option<Target>,
     /// Whether engines refuse orders with an old fencing number.
     pub checks_fencing: bool,
-    /// How many instances there may be; none where others look after that.
+    /// Limits on the number of instances; `None` if the pool is managed elsewhere.
     pub bounds: Option<Bounds>,
 }
 
-/// Bounds of a pool.
+/// Limits on the number of instances in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Requests that one instance runs at once within the targets.
+    /// Requests that one instance can run at once within the targets.
     pub capacity: u32,
-    /// Fewest instances.
+    /// Minimum number of instances.
     pub least: u32,
-    /// Most instances.
+    /// Maximum number of instances.
     pub most: u32,
 }
 
-/// One instance of the pool.
+/// An instance of the pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Name of the machine, for the cloud.
+    /// Name by which the cloud knows the instance.
     pub id: SmolStr,
-    /// This life of it.
+    /// Incarnation of the instance.
     pub incarnation: SmolStr,
-    /// Where and as what it is had.
+    /// Zone, class and market of the instance.
     pub kind: Kind,
 }
 
-/// What the embedder is to do.
+/// Action that the embedder must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Make a store call.
     Store {
-        /// Given back with its outcome.
+        /// Identifier to return with the outcome.
         id: call::Id,
-        /// The call.
+        /// Call to make.
         call: Call,
     },
-    /// Send an order to an engine, if it is not `until` yet when it leaves.
+    /// Send an order to an engine unless `until` has passed when it leaves.
     Order {
-        /// The engine's incarnation.
+        /// Incarnation of the engine.
         engine: SmolStr,
-        /// Our fencing number.
+        /// Fencing number of the order.
         fence: u64,
-        /// What it is to serve.
+        /// What the engine is to serve.
         target: Target,
-        /// When our lease ends.
+        /// Expiry of the lease.
         until: Time,
     },
-    /// Read what an engine serves.
+    /// Read the state of an engine.
     Read(SmolStr),
-    /// Ask the cloud for an instance, if it is not `until` yet when the wish leaves.
+    /// Request an instance from the cloud unless `until` has passed when the request leaves.
     Start {
-        /// Names the wish: a repeat starts nothing more.
+        /// Idempotency token: a repeated request starts no second instance.
         token: SmolStr,
-        /// Where and as what.
+        /// Zone, class and market of the instance.
         kind: Kind,
-        /// When our lease ends.
+        /// Expiry of the lease.
         until: Time,
     },
-    /// Give an instance back, gracefully: entries are told that it leaves, then the cloud.
+    /// Stop an instance gracefully: notify the entries that it leaves, then release it to the cloud.
     Stop {
-        /// Name of the machine.
+        /// Name by which the cloud knows the instance.
         id: SmolStr,
-        /// This life of it.
+        /// Incarnation of the instance.
         incarnation: SmolStr,
-        /// When our lease ends.
+        /// Expiry of the lease.
         until: Time,
     },
-    /// This entry leads from now on, under this fencing number.
+    /// This entry now leads under this fencing number.
     Elected(u64),
-    /// This entry leads no longer.
+    /// This entry no longer leads.
     Deposed,
 }
--- a/crates/fleet/src/leader.rs
+++ b/crates/fleet/src/leader.rs
@@ -1,7 +1,7 @@
-//! The leader of one deployment.
+//! State machine of the leader of one deployment.
 //!
-//! Pure: the embedder feeds [`Event`]s to [`Leader::step`], carries out the [`Effect`]s and calls again
-//! with [`Event::Wake`] at the time that [`Leader::next_wake`] names.
+//! It does no I/O: the embedder feeds [`Event`]s to [`Leader::step`], carries out the [`Effect`]s and calls
+//! again with [`Event::Wake`] at the time that [`Leader::next_wake`] returns.
 
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
 use crate::event::Instance;
 use crate::rollout::Rollout;
 
-/// The state machine.
+/// Competes for the lease of one deployment and leads it while the lease is held.
 #[derive(Debug)]
 pub struct Leader {
     settings: Settings,
@@ -41,16 +41,16 @@
     rollout: Rollout,
     instances: Vec<Instance>,
     offers: Vec<Offer>,
-    /// Wishes sent to the cloud: what for, and until when they count as starting.
-    wishes: BTreeMap<SmolStr, (Kind, Time)>,
-    /// Under which number we lead; none while we don't.
+    /// Instances requested from the cloud, by token, with the time at which each request expires.
+    pending_starts: BTreeMap<SmolStr, (Kind, Time)>,
+    /// Fencing number under which this entry leads; `None` while it doesn't.
     fence: Option<u64>,
     next_plan: Time,
-    next_wish: u64,
+    next_start_number: u64,
 }
 
 impl Leader {
-    /// A leader of the deployment of that name that isn't assigned yet.
+    /// Creates a leader of the deployment `name` that is not assigned yet.
     pub fn new(me: holder::Id, name: SmolStr, settings: Settings, seed: u64) -> Leader {
         let lease_name = format!("fleet/{name}");
         Leader {
@@ -61,54 +61,54 @@
             rollout: Rollout::default(),
             instances: Vec::new(),
             offers: Vec::new(),
-            wishes: BTreeMap::new(),
+            pending_starts: BTreeMap::new(),
             fence: None,
             next_plan: Time::ZERO,
-            next_wish: 0,
+            next_start_number: 0,
             assignment: None,
             name,
             settings,
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting effects.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
-            Event::Wake => self.claim_step(now, claim::Event::Wake, effects),
+            Event::Wake => self.step_claim(now, claim::Event::Wake, effects),
             Event::Store { id, outcome } => {
-                self.claim_step(now, claim::Event::Store { id, outcome }, effects);
+                self.step_claim(now, claim::Event::Store { id, outcome }, effects);
             }
             Event::Assigned(assignment) => {
                 let wanted = assignment.is_some();
                 self.assignment = assignment;
-                self.claim_step(now, claim::Event::Want(wanted), effects);
+                self.step_claim(now, claim::Event::Want(wanted), effects);
             }
-            Event::Listed(instances) => self.listed(now, instances, effects),
+            Event::Listed(instances) => self.handle_list(now, instances, effects),
             Event::Priced(offers) => self.offers = offers,
             Event::EngineRead {
                 engine,
                 target,
                 running,
-            } => self.engine_read(now, engine, target, running, effects),
+            } => self.handle_engine_read(now, engine, target, running, effects),
             Event::EngineRefused { engine, fence } => {
-                self.order_step(now, order::Event::Refused { engine, fence }, effects);
+                self.step_orders(now, order::Event::Refused { engine, fence }, effects);
             }
             Event::LoadReported { engine, requests } => self.demand.record(now, engine, requests),
             Event::Granted { .. } => {}
-            Event::Refused { token } => self.refused(now, &token),
+            Event::Refused { token } => self.handle_refusal(now, &token),
         }
         if self.fence.is_some() {
-            self.order_step(now, order::Event::Wake, effects);
-            self.plan(now, effects);
+            self.step_orders(now, order::Event::Wake, effects);
+            self.plan_instances(now, effects);
         }
     }
 
-    /// Whether this entry leads now.
-    pub fn leads(&self, now: Time) -> bool {
+    /// Returns whether this entry leads now.
+    pub fn is_leading(&self, now: Time) -> bool {
         self.claim.fence(now).is_some()
     }
 
-    /// When [`Event::Wake`] is wanted next.
+    /// Returns when [`Event::Wake`] is due.
     pub fn next_wake(&self, now: Time) -> Option<Time> {
         let claim = Some(self.claim.next_wake(now));
         let plan = self.fence.map(|_| self.next_plan);
@@ -116,45 +116,45 @@
         [claim, plan, orders].into_iter().flatten().min()
     }
 
-    /// Steps the lease.
-    fn claim_step(&mut self, now: Time, event: claim::Event, effects: &mut Vec<Effect>) {
-        let mut asked = Vec::new();
-        self.claim.step(now, event, &mut asked);
-        for effect in asked {
+    /// Steps the lease and handles its effects.
+    fn step_claim(&mut self, now: Time, event: claim::Event, effects: &mut Vec<Effect>) {
+        let mut produced = Vec::new();
+        self.claim.step(now, event, &mut produced);
+        for effect in produced {
             match effect {
                 claim::Effect::Store { id, call } => effects.push(Effect::Store { id, call }),
                 claim::Effect::Gained(fence) => {
                     self.fence = Some(fence);
                     self.next_plan = now;
                     effects.push(Effect::Elected(fence));
-                    self.order_step(now, order::Event::Gained(fence), effects);
+                    self.step_orders(now, order::Event::Gained(fence), effects);
                 }
                 claim::Effect::Renewed(_) => {}
-                claim::Effect::Lost(_) => self.lost(now, effects),
+                claim::Effect::Lost(_) => self.handle_loss(now, effects),
             }
         }
     }
 
-    /// The lease is gone: no more orders, no more wishes.
-    fn lost(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    /// Stops leading after the lease was lost.
+    fn handle_loss(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.fence = None;
-        self.order_step(now, order::Event::Lost, effects);
+        self.step_orders(now, order::Event::Lost, effects);
         effects.push(Effect::Deposed);
     }
 
-    /// Steps the orders; each leaves with the end of our lease, to be checked where it leaves.
-    fn order_step(&mut self, now: Time, event: order::Event, effects: &mut Vec<Effect>) {
-        let mut asked = Vec::new();
-        self.orders.step(now, event, &mut asked);
+    /// Steps the orders. Each carries the expiry of the lease, to be checked where it leaves the process.
+    fn step_orders(&mut self, now: Time, event: order::Event, effects: &mut Vec<Effect>) {
+        let mut produced = Vec::new();
+        self.orders.step(now, event, &mut produced);
         let until = self.claim.valid_until();
-        for effect in asked {
+        for effect in produced {
             match effect {
                 order::Effect::Order {
                     engine,
                     fence,
                     target,
                 } => {
-                    if self.leads(now) {
+                    if self.is_leading(now) {
                         effects.push(Effect::Order {
                             engine,
                             fence,
@@ -169,46 +169,52 @@
         }
     }
 
-    /// Takes the instance list.
-    fn listed(&mut self, now: Time, instances: Vec<Instance>, effects: &mut Vec<Effect>) {
+    /// Replaces the instance list and forgets instances that are gone.
+    fn handle_list(&mut self, now: Time, instances: Vec<Instance>, effects: &mut Vec<Effect>) {
         let gone: Vec<SmolStr> = self
             .instances
             .iter()
-            .map(|old| old.incarnation.clone())
-            .filter(|old| !instances.iter().any(|one| one.incarnation == *old))
+            .map(|instance| instance.incarnation.clone())
+            .filter(|old| {
+                !instances
+                    .iter()
+                    .any(|instance| instance.incarnation == *old)
+            })
             .collect();
         for engine in gone {
-            self.order_step(now, order::Event::Gone(engine), effects);
+            self.step_orders(now, order::Event::Gone(engine), effects);
         }
-        self.count_arrivals(&instances);
+        self.match_arrivals(&instances);
         self.instances = instances;
         let listed = &self.instances;
-        let is_listed = |engine: &str| listed.iter().any(|one| one.incarnation == engine);
+        let is_listed = |engine: &str| listed.iter().any(|instance| instance.incarnation == engine);
         self.demand.retain(is_listed);
         self.rollout.retain(is_listed);
-        self.order_engines(now, effects);
+        self.set_engine_targets(now, effects);
     }
 
-    /// An instance that shows up fulfils the oldest wish of its kind.
-    fn count_arrivals(&mut self, instances: &[Instance]) {
+    /// Removes one pending start of the same kind for each instance that appears.
+    fn match_arrivals(&mut self, instances: &[Instance]) {
         let known = &self.instances;
-        let new = instances
-            .iter()
-            .filter(|one| !known.iter().any(|old| old.incarnation == one.incarnation));
+        let new = instances.iter().filter(|instance| {
+            !known
+                .iter()
+                .any(|old| old.incarnation == instance.incarnation)
+        });
         for instance in new {
-            let fulfilled = self
-                .wishes
+            let matching_token = self
+                .pending_starts
                 .iter()
                 .find(|(_, (kind, _))| *kind == instance.kind)
                 .map(|(token, _)| token.clone());
-            if let Some(token) = fulfilled {
-                self.wishes.remove(&token);
+            if let Some(token) = matching_token {
+                self.pending_starts.remove(&token);
             }
         }
     }
 
-    /// Takes what an engine serves.
-    fn engine_read(
+    /// Records the state of an engine.
+    fn handle_engine_read(
         &mut self,
         now: Time,
         engine: SmolStr,
@@ -218,17 +224,17 @@
     ) {
         self.rollout
             .record_engine(engine.clone(), target.clone(), running);
-        self.order_engines(now, effects);
-        let read = order::Event::Read {
+        self.set_engine_targets(now, effects);
+        let event = order::Event::Read {
             engine,
             target,
             running,
         };
-        self.order_step(now, read, effects);
+        self.step_orders(now, event, effects);
     }
 
-    /// Says what each engine is to serve now. One that wasn't read yet is only read.
-    fn order_engines(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    /// Sets the current target of each engine. An engine that was not read yet is only read.
+    fn set_engine_targets(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let Some(assignment) = &self.assignment else {
             return;
         };
@@ -236,10 +242,13 @@
             return;
         };
         let checks_fencing = assignment.checks_fencing;
-        let most_out =
+        let max_unavailable =
             self.instances.len() * self.settings.max_unavailable_per_mille as usize / 1_000;
-        let planned: BTreeMap<SmolStr, order::Target> =
-            self.rollout.plan(&target, most_out).into_iter().collect();
+        let planned: BTreeMap<SmolStr, order::Target> = self
+            .rollout
+            .plan(&target, max_unavailable)
+            .into_iter()
+            .collect();
         let engines: Vec<SmolStr> = self
             .instances
             .iter()
@@ -247,25 +256,25 @@
             .collect();
         for engine in engines {
             let target = planned.get(&engine).unwrap_or(&target).clone();
-            let want = order::Event::Want {
+            let event = order::Event::Want {
                 engine,
                 checks_fencing,
                 target,
             };
-            self.order_step(now, want, effects);
+            self.step_orders(now, event, effects);
         }
     }
 
-    /// The cloud has none of that kind: the next plan does without.
-    fn refused(&mut self, now: Time, token: &str) {
-        if let Some((kind, _)) = self.wishes.remove(token) {
+    /// Excludes a kind that the cloud refused and plans again at once.
+    fn handle_refusal(&mut self, now: Time, token: &str) {
+        if let Some((kind, _)) = self.pending_starts.remove(token) {
             self.mix.refused(now, kind);
             self.next_plan = now;
         }
     }
 
-    /// Plans the mix when it is time.
-    fn plan(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    /// Plans the instance mix when a plan is due.
+    fn plan_instances(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let bounds = self
             .assignment
             .as_ref()
@@ -273,11 +282,11 @@
         let Some(bounds) = bounds else {
             return;
         };
-        if now < self.next_plan || !self.leads(now) || self.offers.is_empty() {
+        if now < self.next_plan || !self.is_leading(now) || self.offers.is_empty() {
             return;
         }
         self.next_plan = now + self.settings.plan_interval;
-        self.wishes.retain(|_, (_, until)| now < *until);
+        self.pending_starts.retain(|_, (_, until)| now < *until);
         let offers: Vec<Offer> = self
             .offers
             .iter()
@@ -286,40 +295,45 @@
                 ..offer.clone()
             })
             .collect();
-        let demand = self.demand_of(now, bounds);
+        let demand = self.bounded_demand(now, bounds);
         let plan = self.mix.plan(now, demand, &offers, &self.existing());
         for order in plan.orders {
             match order {
-                Order::Start(kind, count) => self.wish(now, kind, count, bounds, effects),
-                Order::Stop(id) => self.stop(&id, bounds, effects),
+                Order::Start(kind, count) => {
+                    self.start_instances(now, kind, count, bounds, effects)
+                }
+                Order::Stop(id) => self.stop_instance(&id, bounds, effects),
             }
         }
     }
 
-    /// Demand within the pool's bounds, in requests.
-    fn demand_of(&mut self, now: Time, bounds: Bounds) -> u32 {
+    /// Returns the demand in requests, limited by the bounds of the pool.
+    fn bounded_demand(&mut self, now: Time, bounds: Bounds) -> u32 {
         let least = bounds.least.saturating_mul(bounds.capacity);
         let most = bounds.most.saturating_mul(bounds.capacity);
         self.demand.peak(now).clamp(least.min(most), most)
     }
 
-    /// Instances that are there or under way, as the mix wants them.
+    /// Returns running and starting instances in the form that the mix expects.
     fn existing(&self) -> Vec<mix::Instance> {
-        let there = self.instances.iter().map(|instance| mix::Instance {
+        let running = self.instances.iter().map(|instance| mix::Instance {
             id: instance.id.clone(),
             kind: instance.kind.clone(),
             live: true,
         });
-        let starting = self.wishes.iter().map(|(token, (kind, _))| mix::Instance {
-            id: token.clone(),
-            kind: kind.clone(),
-            live: false,
-        });
-        there.chain(starting).collect()
+        let starting = self
+            .pending_starts
+            .iter()
+            .map(|(token, (kind, _))| mix::Instance {
+                id: token.clone(),
+                kind: kind.clone(),
+                live: false,
+            });
+        running.chain(starting).collect()
     }
 
-    /// Asks the cloud for instances, within the pool's bounds.
-    fn wish(
+    /// Requests instances from the cloud, up to the maximum of the pool.
+    fn start_instances(
         &mut self,
         now: Time,
         kind: Kind,
@@ -327,14 +341,15 @@
         bounds: Bounds,
         effects: &mut Vec<Effect>,
     ) {
-        let there = self.instances.len() + self.wishes.len();
-        let room = (bounds.most as usize).saturating_sub(there);
-        for _ in 0..room.min(count as usize) {
+        let total = self.instances.len() + self.pending_starts.len();
+        let available = (bounds.most as usize).saturating_sub(total);
+        for _ in 0..available.min(count as usize) {
             let fence = self.fence.unwrap_or_default();
-            let token = format_smolstr!("{}-{fence}-{}", self.name, self.next_wish);
-            self.next_wish += 1;
+            let token = format_smolstr!("{}-{fence}-{}", self.name, self.next_start_number);
+            self.next_start_number += 1;
             let until = now + self.settings.start_timeout;
-            self.wishes.insert(token.clone(), (kind.clone(), until));
+            self.pending_starts
+                .insert(token.clone(), (kind.clone(), until));
             effects.push(Effect::Start {
                 token,
                 kind: kind.clone(),
@@ -343,15 +358,15 @@
         }
     }
 
-    /// Gives an instance back, unless the pool is at its smallest.
-    fn stop(&mut self, id: &str, bounds: Bounds, effects: &mut Vec<Effect>) {
+    /// Stops an instance unless the pool is at its minimum.
+    fn stop_instance(&mut self, id: &str, bounds: Bounds, effects: &mut Vec<Effect>) {
         if self.instances.len() <= bounds.least as usize {
             return;
         }
-        let Some(at) = self.instances.iter().position(|one| one.id == id) else {
+        let Some(index) = self.instances.iter().position(|instance| instance.id == id) else {
             return;
         };
-        let instance = self.instances.remove(at);
+        let instance = self.instances.remove(index);
         effects.push(Effect::Stop {
             id: instance.id,
             incarnation: instance.incarnation,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! One leaseholder a deployment: what its engines serve, and how many instances there are.
+//! The leader of a deployment: rolls out models to engines and scales the number of instances.
 //!
-//! Every entry runs a [`leader::Leader`] for the deployments that it should lead; the lease in the table
-//! service decides which one acts. The holder gives orders under its fencing number, rolls a change
-//! of model over the engines without cutting a stream, and buys the cheapest mix of instances that
-//! carries the demand through the loss of any one zone.
+//! Every entry runs a [`leader::Leader`] for each deployment that it should lead; a lease in the table
+//! service decides which one acts. The holder sends orders under its fencing number, rolls out a change of
+//! model without cutting streams, and starts the cheapest mix of instances that carries the demand through
+//! the loss of any one zone.
 
 pub mod configs;
 pub mod demand;
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -1,8 +1,8 @@
-//! Takes a change of model over the engines, a part of them at a time.
+//! Rolls out a change of model over the engines, a limited number at a time.
 //!
-//! Guards against a change that cuts streams or takes the whole pool out at once. An engine first gets
-//! the role `drain`: it refuses new requests in its protocol, which entries take elsewhere, and goes
-//! on with its streams. Once it is seen idle it is ordered to load the new target and to serve.
+//! Guards against a change that cuts streams or takes the whole pool out of service. An engine first gets the
+//! role `drain`: it refuses new requests, which entries send elsewhere, and finishes its streams. Once it
+//! is idle it is ordered to load the new model and to serve.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,63 +10,69 @@
 use lease::order::Target;
 use smol_str::SmolStr;
 
-/// Role of an engine that takes requests.
+/// Role of an engine that accepts requests.
 pub const SERVE_ROLE: &str = "serve";
 
-/// Role of an engine that takes no new requests.
+/// Role of an engine that refuses new requests.
 pub const DRAIN_ROLE: &str = "drain";
 
-/// Which engines are where in a change.
+/// Progress of a rollout over the engines.
 #[derive(Clone, Debug, Default)]
 pub struct Rollout {
-    /// What each engine was last seen to serve, and what runs there.
-    seen: BTreeMap<SmolStr, (Target, u32)>,
-    /// Engines taken out of use for the change.
-    out: BTreeSet<SmolStr>,
+    /// Target and number of running requests of each engine at its last read.
+    last_readings: BTreeMap<SmolStr, (Target, u32)>,
+    /// Engines taken out of service by the rollout.
+    unavailable: BTreeSet<SmolStr>,
 }
 
 impl Rollout {
-    /// Notes what an engine serves.
+    /// Records what an engine serves.
     pub fn record_engine(&mut self, engine: SmolStr, target: Target, running: u32) {
-        self.seen.insert(engine, (target, running));
+        self.last_readings.insert(engine, (target, running));
     }
 
-    /// Forgets engines that are no longer listed.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
-        self.seen.retain(|engine, _| listed(engine));
-        self.out.retain(|engine| listed(engine));
+    /// Removes engines that are no longer listed.
+    pub fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
+        self.last_readings.retain(|engine, _| is_listed(engine));
+        self.unavailable.retain(|engine| is_listed(engine));
     }
 
-    /// What each engine is to be now on the way to `wanted`; at most `most_out` are out of use.
-    pub fn plan(&mut self, wanted: &Target, most_out: usize) -> Vec<(SmolStr, Target)> {
-        let seen = &self.seen;
-        self.out
-            .retain(|engine| seen.get(engine).is_some_and(|(target, _)| target != wanted));
+    /// Returns the next target of each engine towards `wanted`, with at most `max_unavailable` out of
+    /// service.
+    pub fn plan(&mut self, wanted: &Target, max_unavailable: usize) -> Vec<(SmolStr, Target)> {
+        let readings = &self.last_readings;
+        self.unavailable.retain(|engine| {
+            readings
+                .get(engine)
+                .is_some_and(|(target, _)| target != wanted)
+        });
         let waiting: Vec<SmolStr> = self
-            .seen
+            .last_readings
             .iter()
             .filter(|(engine, (target, _))| {
-                !self.out.contains(*engine) && is_in_the_way(target, wanted)
+                !self.unavailable.contains(*engine) && needs_unload(target, wanted)
             })
             .map(|(engine, _)| engine.clone())
             .collect();
-        let free = most_out.max(1).saturating_sub(self.out.len());
-        self.out.extend(waiting.into_iter().take(free));
-        self.seen
+        let available = max_unavailable
+            .max(1)
+            .saturating_sub(self.unavailable.len());
+        self.unavailable.extend(waiting.into_iter().take(available));
+        self.last_readings
             .iter()
             .map(|(engine, (target, running))| {
-                let step = self.step(engine, target, *running, wanted);
-                (engine.clone(), step)
+                let next = self.next_target(engine, target, *running, wanted);
+                (engine.clone(), next)
             })
             .collect()
     }
 
-    /// What one engine is to be next.
-    fn step(&self, engine: &str, target: &Target, running: u32, wanted: &Target) -> Target {
-        if target == wanted || !is_in_the_way(target, wanted) {
+    /// Returns the next target of one engine.
+    fn next_target(&self, engine: &str, target: &Target, running: u32, wanted: &Target) -> Target {
+        if target == wanted || !needs_unload(target, wanted) {
             return wanted.clone();
         }
-        if !self.out.contains(engine) {
+        if !self.unavailable.contains(engine) {
             return target.clone();
         }
         if target.role == DRAIN_ROLE && running == 0 {
@@ -79,7 +85,7 @@
     }
 }
 
-/// Whether the engine serves something else, so that a change takes away what it has.
-fn is_in_the_way(target: &Target, wanted: &Target) -> bool {
+/// Returns whether `wanted` requires the engine to unload the model that it serves.
+fn needs_unload(target: &Target, wanted: &Target) -> bool {
     !target.model.is_empty() && !target.has_same_model(wanted)
 }
--- a/crates/fleet/tests/leader.rs
+++ b/crates/fleet/tests/leader.rs
@@ -1,4 +1,4 @@
-//! One leader a deployment: who acts, what engines are told, how many instances there are.
+//! Leaders of one deployment: which one acts, its orders to engines, and the number of instances.
 
 use std::collections::BTreeMap;
 
@@ -68,86 +68,86 @@
     }
 }
 
-/// Some leaders before one table, in virtual time.
-struct Scene {
+/// Leaders on one table, in virtual time.
+struct World {
     now: Time,
     table: Table,
-    leads: Vec<Leader>,
-    said: Vec<(usize, Effect)>,
+    leaders: Vec<Leader>,
+    effects: Vec<(usize, Effect)>,
 }
 
-impl Scene {
-    fn new(leaders: u64) -> Scene {
-        let lead = |id| {
+impl World {
+    fn new(leaders: u64) -> World {
+        let leader = |id| {
             let settings = Settings::default();
             Leader::new(holder::Id(id + 1), "thesis".into(), settings, id)
         };
-        Scene {
+        World {
             now: Time::ZERO,
             table: Table::default(),
-            leads: (0..leaders).map(lead).collect(),
-            said: Vec::new(),
+            leaders: (0..leaders).map(leader).collect(),
+            effects: Vec::new(),
         }
     }
 
-    /// Feeds one event, and store answers until none is asked for.
-    fn feed(&mut self, at: usize, event: Event) {
+    /// Feeds one event and the outcomes of all resulting store calls.
+    fn feed(&mut self, index: usize, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let mut effects = Vec::new();
-            self.leads[at].step(self.now, event, &mut effects);
+            self.leaders[index].step(self.now, event, &mut effects);
             for effect in effects {
                 match effect {
                     Effect::Store { id, call } => {
                         let outcome = self.table.apply(&call);
                         events.push(Event::Store { id, outcome });
                     }
-                    effect => self.said.push((at, effect)),
+                    effect => self.effects.push((index, effect)),
                 }
             }
         }
     }
 
-    /// Lets time pass for those who are awake.
-    fn pass(&mut self, span: Span, awake: &[usize]) {
+    /// Advances the virtual time while only the leaders in `awake` run.
+    fn run(&mut self, span: Span, awake: &[usize]) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + Span::from_millis(100);
-            for at in awake {
-                self.feed(*at, Event::Wake);
+            for index in awake {
+                self.feed(*index, Event::Wake);
             }
         }
     }
 
-    fn said_by(&self, at: usize) -> Vec<&Effect> {
-        let said = self.said.iter().filter(|(by, _)| *by == at);
-        said.map(|(_, effect)| effect).collect()
+    fn effects_of(&self, index: usize) -> Vec<&Effect> {
+        let effects = self.effects.iter().filter(|(leader, _)| *leader == index);
+        effects.map(|(_, effect)| effect).collect()
     }
 }
 
-/// Engines that do what they are told at once.
+/// Engines that carry out orders at once.
 #[derive(Default)]
 struct Engines {
-    at: BTreeMap<SmolStr, (Target, u32)>,
+    states: BTreeMap<SmolStr, (Target, u32)>,
 }
 
 impl Engines {
-    /// Carries out what was said, and answers reads.
-    fn serve(&mut self, scene: &mut Scene, lead: usize) {
-        let said = std::mem::take(&mut scene.said);
-        for (by, effect) in said {
+    /// Carries out the orders of all leaders and answers the reads of one.
+    fn apply(&mut self, world: &mut World, leader: usize) {
+        let effects = std::mem::take(&mut world.effects);
+        for (sender, effect) in effects {
             match &effect {
                 Effect::Order { engine, target, .. } => {
-                    let held = self.at.get_mut(engine).expect("a known engine");
-                    let takes_away = !held.0.model.is_empty() && !held.0.has_same_model(target);
-                    assert!(!takes_away || held.1 == 0, "{engine} lost what it ran");
-                    held.0 = target.clone();
+                    let state = self.states.get_mut(engine).expect("a known engine");
+                    let is_unload = !state.0.model.is_empty() && !state.0.has_same_model(target);
+                    assert!(!is_unload || state.1 == 0, "{engine} lost what it ran");
+                    state.0 = target.clone();
                 }
-                Effect::Read(engine) if by == lead => {
-                    let (target, running) = self.at[engine].clone();
+                Effect::Read(engine) if sender == leader => {
+                    let (target, running) = self.states[engine].clone();
                     let engine = engine.clone();
-                    scene.feed(
-                        lead,
+                    world.feed(
+                        leader,
                         Event::EngineRead {
                             engine,
                             target,
@@ -163,40 +163,41 @@
 
 #[test]
 fn only_the_holder_acts() {
-    let mut scene = Scene::new(2);
-    let size = Bounds {
+    let mut world = World::new(2);
+    let bounds = Bounds {
         capacity: 1,
         least: 3,
         most: 9,
     };
-    for at in 0..2 {
-        scene.feed(at, Event::Priced(offers()));
-        scene.feed(at, Event::Assigned(Some(assignment("v1", Some(size)))));
+    for index in 0..2 {
+        world.feed(index, Event::Priced(offers()));
+        world.feed(index, Event::Assigned(Some(assignment("v1", Some(bounds)))));
     }
-    scene.pass(Span::from_seconds(5), &[0, 1]);
-    let starts = |at| {
-        let said = scene.said_by(at).into_iter();
-        said.filter(|effect| matches!(effect, Effect::Start { .. }))
+    world.run(Span::from_seconds(5), &[0, 1]);
+    let starts = |index| {
+        let effects = world.effects_of(index).into_iter();
+        effects
+            .filter(|effect| matches!(effect, Effect::Start { .. }))
             .count()
     };
     assert!(starts(0) >= 3, "{}", starts(0));
     assert_eq!(starts(1), 0);
 }
 
-/// An operator would see two leaders give orders: the first is paused past its lease and thaws.
+/// A leader is paused past its lease and continues. It must send no orders, because another one leads.
 #[test]
-fn a_paused_leader_says_nothing_after_its_lease() {
-    let mut scene = Scene::new(2);
-    for at in 0..2 {
-        scene.feed(at, Event::Assigned(Some(assignment("v1", None))));
+fn a_paused_leader_sends_no_orders_after_its_lease() {
+    let mut world = World::new(2);
+    for index in 0..2 {
+        world.feed(index, Event::Assigned(Some(assignment("v1", None))));
     }
-    scene.pass(Span::from_seconds(2), &[0, 1]);
-    assert!(scene.leads[0].leads(scene.now));
-    scene.pass(Span::from_seconds(20), &[1]);
-    assert!(scene.leads[1].leads(scene.now));
-    scene.said.clear();
-    scene.feed(0, Event::Listed(vec![instance(0)]));
-    scene.feed(
+    world.run(Span::from_seconds(2), &[0, 1]);
+    assert!(world.leaders[0].is_leading(world.now));
+    world.run(Span::from_seconds(20), &[1]);
+    assert!(world.leaders[1].is_leading(world.now));
+    world.effects.clear();
+    world.feed(0, Event::Listed(vec![instance(0)]));
+    world.feed(
         0,
         Event::EngineRead {
             engine: instance(0).incarnation,
@@ -204,31 +205,30 @@
             running: 0,
         },
     );
-    let orders = scene.said_by(0).into_iter();
+    let orders = world.effects_of(0).into_iter();
     let orders = orders.filter(|effect| matches!(effect, Effect::Order { .. }));
     assert_eq!(orders.count(), 0);
 }
 
-/// The cloud has no reclaimable instances left in the middle of a wave: on-demand ones are started in
-/// their place, at once.
+/// The cloud runs out of reclaimable instances. The leader must request on-demand instances at once.
 #[test]
 fn a_refused_kind_is_replaced_by_the_next_cheapest() {
-    let mut scene = Scene::new(1);
-    let size = Bounds {
+    let mut world = World::new(1);
+    let bounds = Bounds {
         capacity: 1,
         least: 2,
         most: 9,
     };
-    scene.feed(0, Event::Priced(offers()));
-    scene.feed(0, Event::Assigned(Some(assignment("v1", Some(size)))));
-    scene.pass(Span::from_millis(500), &[0]);
+    world.feed(0, Event::Priced(offers()));
+    world.feed(0, Event::Assigned(Some(assignment("v1", Some(bounds)))));
+    world.run(Span::from_millis(500), &[0]);
     for _ in 0..4 {
-        let said = std::mem::take(&mut scene.said);
-        for (_, effect) in &said {
+        let effects = std::mem::take(&mut world.effects);
+        for (_, effect) in &effects {
             if let Effect::Start { token, kind, .. } = effect
                 && kind.market == Market::Reclaimable
             {
-                scene.feed(
+                world.feed(
                     0,
                     Event::Refused {
                         token: token.clone(),
@@ -236,45 +236,45 @@
                 );
             }
         }
-        scene.said.extend(said.into_iter().filter(
+        world.effects.extend(effects.into_iter().filter(
             |(_, effect)| matches!(effect, Effect::Start { kind, .. } if kind.market == Market::OnDemand),
         ));
     }
-    let on_demand = scene.said.iter().filter(
+    let on_demand = world.effects.iter().filter(
         |(_, effect)| matches!(effect, Effect::Start { kind, .. } if kind.market == Market::OnDemand),
     );
     assert!(on_demand.count() >= 3);
 }
 
-/// A new version of the model is rolled out under load: no stream is cut, and never more than a third
-/// of the engines is out of use.
+/// A new version of the model is rolled out under load. No stream may be cut, and at most a third of the
+/// engines may be out of service.
 #[test]
-fn a_change_of_model_goes_over_the_engines_in_turn() {
-    let mut scene = Scene::new(1);
+fn a_change_of_model_is_rolled_out_in_turn() {
+    let mut world = World::new(1);
     let instances: Vec<Instance> = (0..9).map(instance).collect();
     let mut engines = Engines::default();
-    for one in &instances {
+    for instance in &instances {
         engines
-            .at
-            .insert(one.incarnation.clone(), (target("v1"), 2));
+            .states
+            .insert(instance.incarnation.clone(), (target("v1"), 2));
     }
-    scene.feed(0, Event::Assigned(Some(assignment("v2", None))));
-    scene.feed(0, Event::Listed(instances));
+    world.feed(0, Event::Assigned(Some(assignment("v2", None))));
+    world.feed(0, Event::Listed(instances));
     for _ in 0..1_200 {
-        scene.pass(Span::from_millis(100), &[0]);
-        engines.serve(&mut scene, 0);
-        let out = engines
-            .at
+        world.run(Span::from_millis(100), &[0]);
+        engines.apply(&mut world, 0);
+        let unavailable = engines
+            .states
             .values()
             .filter(|(target, _)| target.role != "serve");
-        assert!(out.count() <= 3);
-        for (target, running) in engines.at.values_mut() {
+        assert!(unavailable.count() <= 3);
+        for (target, running) in engines.states.values_mut() {
             if target.role == "drain" {
                 *running = running.saturating_sub(1);
             }
         }
     }
-    for (engine, (held, _)) in &engines.at {
-        assert_eq!(*held, target("v2"), "{engine}");
+    for (engine, (state, _)) in &engines.states {
+        assert_eq!(*state, target("v2"), "{engine}");
     }
 }
--- a/crates/request/src/id.rs
+++ b/crates/request/src/id.rs
@@ -1,11 +1,11 @@
-//! Names of requests and of the entry incarnations that gave them.
+//! Identifiers of requests and of the entry incarnations that assign them.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One life of an entry process, drawn at random when it starts.
+/// Incarnation of an entry process, drawn at random at its start.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,19 +17,19 @@
     }
 }
 
-/// Names one request over the whole system and for ever.
+/// Identifier of a request, unique across the system and never reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Id {
-    /// The entry incarnation that received the request.
+    /// Entry incarnation that received the request.
     pub incarnation: Incarnation,
     /// Rises by one with each request that incarnation receives.
     pub serial: u64,
 }
 
 impl Id {
-    /// Reads the form that `Display` gives.
+    /// Parses the form that `Display` writes.
     pub fn parse(text: &str) -> Option<Id> {
         let (incarnation, serial) = text.split_once('-')?;
         Some(Id {
@@ -45,10 +45,10 @@
     }
 }
 
-/// Names the engine's stream of one attempt.
+/// Identifier of the engine's stream of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stream {
-    /// The request.
+    /// Request that the stream belongs to.
     pub request: Id,
     /// Rises by one with each attempt to run it.
     pub attempt: u32,
--- a/crates/request/src/ledger.rs
+++ b/crates/request/src/ledger.rs
@@ -1,11 +1,11 @@
-//! Which tickets of one minter have been spent.
+//! Records which tickets of a minter have been spent.
 //!
-//! Guards against a non-idempotent request running twice. The fault shows as the same ticket arriving
-//! again: at the same entry after a cut, at another entry, or after the minter was paused or replaced.
-//! The guard holds because a ticket is spent in exactly one place, the minter's ledger, before any
-//! byte leaves for a backend server. A ledger that was handed on is frozen first and never grants
-//! again, so minter and heir can't both grant one. A ledger that is lost grants nothing: its tickets
-//! then end in "may have run" for ever. No clock and no lease takes part, so a pause can't break it.
+//! Guards against running a non-idempotent request twice. The same ticket may arrive again: at the same
+//! entry after a lost connection, at another entry, or after its minter was paused or replaced. A ticket is
+//! spent in exactly one place, its minter's ledger, before any byte is sent to a backend server. A ledger
+//! is frozen before it is handed over and never grants again, so minter and heir can't both grant a ticket.
+//! A lost ledger grants nothing: its tickets are answered with "may have run" for ever. The guard depends
+//! on no clock and no lease, so a pause can't break it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,43 +19,43 @@
 use crate::id::Incarnation;
 use crate::ticket::Ticket;
 
-/// How long a ticket can be spent after it was minted; the ledger forgets it afterwards.
+/// Time for which a ticket can be spent after it was minted; the ledger forgets it afterwards.
 ///
-/// Bounds the ledger: at 43 non-idempotent requests a second (36,000 over 840 nodes, were all of them
-/// so) it holds 26,000 serials.
+/// It bounds the ledger: 43 non-idempotent requests a second (36,000 over 840 nodes, if all requests are
+/// non-idempotent) take 26,000 serials.
 pub const TICKET_LIFETIME: Span = Span::from_seconds(600);
 
-/// What the ledger says to a ticket.
+/// Answer to an attempt to spend a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// It was unspent and is spent now: the asker, and nobody else, may run the request.
+    /// The ticket was unspent and is now spent; only this caller may run the request.
     Granted,
-    /// It was spent before: an earlier request under it may have run.
+    /// The ticket was spent before; an earlier request with it may have run.
     Spent,
-    /// It is too old, or of a ledger that isn't held here: an earlier request may have run.
+    /// The ticket is expired or belongs to a ledger not held here; an earlier request with it may have run.
     Unknown,
 }
 
-/// The part of a ledger that is handed to a successor.
+/// Part of a ledger that is handed over to a successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Estate {
-    /// Whose tickets these are.
+    /// Minter of the tickets.
     pub minter: Incarnation,
-    /// Serials below this one are too old.
+    /// Lowest serial that has not expired.
     pub oldest: u64,
-    /// The serial after the last one minted.
+    /// Serial of the next ticket to be minted.
     pub next: u64,
-    /// Serials from `oldest` on that are spent.
+    /// Spent serials from `oldest` on.
     pub spent: Vec<u64>,
 }
 
-/// The ledger of one entry: its own tickets and those it inherited.
+/// Ledger of one entry with its own tickets and those that it inherited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ledger {
-    own: Incarnation,
+    own_minter: Incarnation,
     books: BTreeMap<Incarnation, Book>,
-    /// When serials were minted: the first serial of each batch with its time, in order.
+    /// Time and first serial of each batch of minted tickets, in order.
     batches: Vec<(Time, u64)>,
 }
 
@@ -65,26 +65,26 @@
     oldest: u64,
     next: u64,
     spent: BTreeSet<u64>,
-    /// Once set, nothing is granted here any more; never unset.
+    /// Whether this ledger no longer grants these tickets; never reset.
     frozen: bool,
-    /// When an inherited book may be forgotten.
-    until: Option<Time>,
+    /// Time at which an inherited book expires.
+    expires_at: Option<Time>,
 }
 
 impl Ledger {
-    /// The empty ledger of a new incarnation.
+    /// Creates the empty ledger of a new incarnation.
     pub fn new(own: Incarnation) -> Ledger {
         Ledger {
-            own,
+            own_minter: own,
             books: BTreeMap::from([(own, Book::default())]),
             batches: Vec::new(),
         }
     }
 
-    /// Mints `count` tickets for an account; none once the ledger was handed on.
+    /// Mints `count` tickets for an account; none after the ledger was handed over.
     pub fn mint(&mut self, now: Time, account: &SmolStr, count: u64) -> Vec<Ticket> {
         self.expire(now);
-        let Some(book) = self.books.get_mut(&self.own) else {
+        let Some(book) = self.books.get_mut(&self.own_minter) else {
             return Vec::new();
         };
         if book.frozen {
@@ -92,26 +92,30 @@
         }
         let first = book.next;
         book.next += count;
-        if self.batches.last().is_none_or(|(time, _)| *time != now) {
+        if self
+            .batches
+            .last()
+            .is_none_or(|(minted_at, _)| *minted_at != now)
+        {
             self.batches.push((now, first));
         }
         (first..first + count)
             .map(|serial| Ticket {
-                minter: self.own,
+                minter: self.own_minter,
                 serial,
                 account: account.clone(),
             })
             .collect()
     }
 
-    /// Spends a ticket, if this ledger holds its book and it is unspent.
+    /// Spends a ticket if this ledger holds its book and the ticket is unspent.
     pub fn spend(&mut self, now: Time, ticket: &Ticket) -> Answer {
         self.expire(now);
         let Some(book) = self.books.get_mut(&ticket.minter) else {
             return Answer::Unknown;
         };
-        let minted = (book.oldest..book.next).contains(&ticket.serial);
-        if book.frozen || !minted {
+        let is_known = (book.oldest..book.next).contains(&ticket.serial);
+        if book.frozen || !is_known {
             return Answer::Unknown;
         }
         if book.spent.insert(ticket.serial) {
@@ -121,15 +125,15 @@
         }
     }
 
-    /// Whether tickets of this minter are to be spent here.
+    /// Returns whether this ledger spends the tickets of a minter.
     pub fn holds(&self, minter: Incarnation) -> bool {
         self.books.get(&minter).is_some_and(|book| !book.frozen)
     }
 
-    /// Freezes everything and gives what the one successor needs.
+    /// Freezes all books and returns those that the successor needs.
     ///
-    /// A book is given once: were it given again to a second successor, because the first one's word
-    /// was lost, both would grant its tickets.
+    /// Each book is handed over once. If the answer of a first successor is lost and a second one received
+    /// the same book, both would grant its tickets.
     pub fn hand_over(&mut self, now: Time) -> Vec<Estate> {
         self.expire(now);
         let mut estates = Vec::new();
@@ -148,21 +152,21 @@
         estates
     }
 
-    /// Takes over an estate. A second delivery of the same estate changes nothing.
+    /// Takes over a book; a repeated delivery has no effect.
     ///
-    /// An estate whose book was once held here is not taken again: a delayed copy would bring back
-    /// tickets as unspent that were spent since.
+    /// A book that was held here before is not taken again, because a delayed copy would restore tickets that
+    /// were spent since.
     pub fn inherit(&mut self, now: Time, estate: Estate) {
         self.books.entry(estate.minter).or_insert_with(|| Book {
             oldest: estate.oldest,
             next: estate.next,
             spent: estate.spent.into_iter().collect(),
             frozen: false,
-            until: Some(now + TICKET_LIFETIME),
+            expires_at: Some(now + TICKET_LIFETIME),
         });
     }
 
-    /// Minters whose tickets are spent here.
+    /// Returns the minters whose tickets this ledger spends.
     pub fn minters(&self) -> impl Iterator<Item = Incarnation> + '_ {
         self.books
             .iter()
@@ -170,24 +174,24 @@
             .map(|(minter, _)| *minter)
     }
 
-    /// Forgets what is older than [`TICKET_LIFETIME`].
+    /// Removes what is older than [`TICKET_LIFETIME`].
     fn expire(&mut self, now: Time) {
         for book in self.books.values_mut() {
-            if book.until.is_some_and(|until| until <= now) {
+            if book.expires_at.is_some_and(|expires_at| expires_at <= now) {
                 book.frozen = true;
                 book.spent.clear();
             }
         }
-        let old = self
+        let expired = self
             .batches
             .iter()
-            .take_while(|(time, _)| now.since(*time) > TICKET_LIFETIME)
+            .take_while(|(minted_at, _)| now.since(*minted_at) > TICKET_LIFETIME)
             .count();
-        if old == 0 {
+        if expired == 0 {
             return;
         }
-        self.batches.drain(..old);
-        let Some(book) = self.books.get_mut(&self.own) else {
+        self.batches.drain(..expired);
+        let Some(book) = self.books.get_mut(&self.own_minter) else {
             return;
         };
         book.oldest = self.batches.first().map_or(book.next, |(_, first)| *first);
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -1,4 +1,4 @@
-//! The life of one request: its name, its stream position, and the words that let a caller come back.
+//! The life of one request: its identifier, its stream position, and the tokens for retries and resumption.
 
 pub mod id;
 pub mod ledger;
--- a/crates/request/src/resume.rs
+++ b/crates/request/src/resume.rs
@@ -1,4 +1,4 @@
-//! The word with which a caller continues a stream at any entry.
+//! The token with which a caller resumes a stream at any entry.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,21 +7,21 @@
 use crate::id::Id;
 use crate::id::Stream;
 
-/// Where a request's stream is to be found. Sealed before it is given to the caller.
+/// Location of a request's stream. It is signed before it is given to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
-    /// The request, under its first name.
+    /// Identifier that the request got when it was first received.
     pub request: Id,
-    /// The account it belongs to: nobody else may continue it.
+    /// Account that owns the request; no other may resume it.
     pub account: SmolStr,
-    /// The deployment that serves it.
+    /// Deployment that serves the request.
     pub deployment: SmolStr,
-    /// The engine's stream.
+    /// Stream of the engine.
     pub stream: Stream,
     /// `host:port` of the replica that runs it.
     pub address: SmolStr,
     /// Incarnation of the replica that runs it.
     pub incarnation: SmolStr,
-    /// The caller's offset of the engine stream's first token.
+    /// Caller's offset of the engine stream's first token.
     pub base: u64,
 }
--- a/crates/request/src/sequencer.rs
+++ b/crates/request/src/sequencer.rs
@@ -1,68 +1,69 @@
-//! The caller's position in its stream: each offset is passed on once, in order, from one attempt.
+//! Position in a caller's stream: passes on each offset once and in order, from one attempt at a time.
 //!
-//! Guards against a doubled or reordered answer. Words of an older attempt can arrive after a move;
-//! they show as an old attempt number and are dropped. Words that a resumed stream repeats show as an
-//! offset below the next one and are dropped. A gap shows as an offset above the next one and ends the
-//! attempt, because passing it on would lose tokens. `next` only rises, so no offset passes twice.
+//! Guards against duplicated or reordered tokens. Chunks of an older attempt may arrive after a request
+//! moved; they are recognized by their attempt number and dropped. Chunks that a resumed stream repeats
+//! have an offset below the next one and are dropped. An offset above the next one is a gap and ends the
+//! attempt, because passing it on would lose tokens. The next offset only rises, so no offset is passed on
+//! twice.
 
-/// What to do with a chunk.
+/// Decision on a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Give it to the caller.
+    /// Pass the chunk on to the caller.
     Emit,
-    /// It was given before, or belongs to an older attempt.
+    /// Discard the chunk: it was passed on before or belongs to an older attempt.
     Drop,
-    /// Chunks before it are missing: end this attempt.
+    /// End the attempt: earlier chunks are missing.
     Gap,
 }
 
-/// The position of one caller's stream.
+/// Position in one caller's stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sequencer {
-    /// The offset that the caller gets next; only rises.
-    next: u64,
-    /// The attempt whose words count; only rises.
+    /// Offset that the caller gets next; it only rises.
+    next_offset: u64,
+    /// Attempt whose chunks are accepted; it only rises.
     attempt: u32,
-    /// The caller's offset of that attempt's first token.
-    base: u64,
+    /// Caller's offset of the attempt's first token.
+    base_offset: u64,
 }
 
 impl Sequencer {
-    /// A caller that wants `next` first.
+    /// Creates a sequencer for a caller that expects the offset `next`.
     pub fn starting_at(next: u64) -> Sequencer {
         Sequencer {
-            next,
+            next_offset: next,
             attempt: 0,
-            base: 0,
+            base_offset: 0,
         }
     }
 
-    /// The offset that the caller gets next.
+    /// Returns the offset that the caller gets next.
     pub fn next(&self) -> u64 {
-        self.next
+        self.next_offset
     }
 
-    /// Words of `attempt` count from now on; its first token has the caller's offset `base`.
+    /// Accepts chunks of `attempt` from now on; its first token has the caller's offset `base`.
     pub fn begin_attempt(&mut self, attempt: u32, base: u64) {
         if attempt >= self.attempt {
             self.attempt = attempt;
-            self.base = base;
+            self.base_offset = base;
         }
     }
 
-    /// Judges a chunk by its attempt and its offset within the engine's stream.
+    /// Decides on a chunk by its attempt and its offset within the engine's stream.
     pub fn accept(&mut self, attempt: u32, engine_offset: u64) -> Decision {
         if attempt != self.attempt {
             return Decision::Drop;
         }
-        let offset = self.base + engine_offset;
-        if offset < self.next {
+        let offset = self.base_offset + engine_offset;
+        if offset < self.next_offset {
             return Decision::Drop;
         }
-        if offset > self.next {
+        if offset > self.next_offset {
             return Decision::Gap;
         }
-        self.next += 1;
+        self.next_offset += 1;
         Decision::Emit
     }
 }
--- a/crates/request/src/ticket.rs
+++ b/crates/request/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets: leave to run one non-idempotent request, given out with the address answer.
+//! Tickets: permits to run one non-idempotent request, issued with an address.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,13 +6,13 @@
 
 use crate::id::Incarnation;
 
-/// One ticket. Sealed before it is given to a caller.
+/// A ticket. It is signed before it is given to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The entry incarnation that minted it: only its ledger may let it be spent.
+    /// Entry incarnation that minted the ticket; only its ledger may spend it.
     pub minter: Incarnation,
-    /// Rises by one with each ticket of that incarnation.
+    /// Serial number; rises by one with each ticket of the minter.
     pub serial: u64,
-    /// The account it was given to.
+    /// Account that the ticket was issued to.
     pub account: SmolStr,
 }
--- a/crates/request/tests/ledger.rs
+++ b/crates/request/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! A ticket is granted at most once, over handovers, lost answers and pauses.
+//! A ticket is granted at most once despite handovers, lost answers and pauses.
 
 use clock::Span;
 use clock::Time;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_repeat_is_told_that_the_first_may_have_run() {
+fn a_repeated_ticket_is_refused_as_spent() {
     let mut ledger = Ledger::new(Incarnation(1));
     let tickets = ledger.mint(at(0), &account(), 2);
     assert_eq!(ledger.spend(at(1), &tickets[0]), Answer::Granted);
@@ -31,10 +31,10 @@
     assert_eq!(ledger.spend(at(3), &tickets[1]), Answer::Granted);
 }
 
-/// A family's filing would go out twice: the entry hands its ledger on, is frozen before it exits,
-/// and thaws to find the same ticket at its own door while the heir has granted it already.
+/// An entry hands over its ledger, is paused before it exits, and continues when the heir has already
+/// granted a ticket. Granting it again would run a non-idempotent request twice.
 #[test]
-fn a_ledger_that_was_handed_on_grants_nothing() {
+fn a_ledger_that_was_handed_over_grants_nothing() {
     let mut minter = Ledger::new(Incarnation(1));
     let tickets = minter.mint(at(0), &account(), 1);
     let mut heir = Ledger::new(Incarnation(2));
@@ -46,10 +46,10 @@
     assert!(minter.mint(at(8), &account(), 1).is_empty());
 }
 
-/// The answer to a handover is lost and the estate is offered again, after the heir has granted one
-/// of its tickets: the second delivery must not bring that ticket back.
+/// The answer to a handover is lost and the estate is delivered again after the heir has granted one of
+/// its tickets. The second delivery must not restore that ticket.
 #[test]
-fn an_estate_that_comes_twice_brings_nothing_back() {
+fn an_estate_delivered_twice_restores_no_ticket() {
     let mut minter = Ledger::new(Incarnation(1));
     let tickets = minter.mint(at(0), &account(), 1);
     let mut heir = Ledger::new(Incarnation(2));
@@ -64,24 +64,24 @@
     assert_eq!(heir.spend(at(8), &tickets[0]), Answer::Spent);
 }
 
-/// An old ticket comes back long after it was spent and forgotten: it must not count as unspent.
+/// A spent ticket is used again long after the ledger forgot it. It must not count as unspent.
 #[test]
-fn a_forgotten_ticket_is_never_granted() {
+fn an_expired_ticket_is_never_granted() {
     let mut ledger = Ledger::new(Incarnation(1));
-    let old = ledger.mint(at(0), &account(), 1);
-    assert_eq!(ledger.spend(at(1), &old[0]), Answer::Granted);
+    let expired = ledger.mint(at(0), &account(), 1);
+    assert_eq!(ledger.spend(at(1), &expired[0]), Answer::Granted);
     let later = at(1) + TICKET_LIFETIME + Span::from_seconds(1);
-    let new = ledger.mint(later, &account(), 1);
-    assert_eq!(ledger.spend(later, &old[0]), Answer::Unknown);
-    assert_eq!(ledger.spend(later, &new[0]), Answer::Granted);
+    let fresh = ledger.mint(later, &account(), 1);
+    assert_eq!(ledger.spend(later, &expired[0]), Answer::Unknown);
+    assert_eq!(ledger.spend(later, &fresh[0]), Answer::Granted);
 }
 
-/// One thing that can happen among a few entries.
+/// One event among a few entries.
 #[derive(Clone, Debug)]
 enum Step {
     Mint { entry: usize },
     Spend { entry: usize, ticket: usize },
-    HandOn { from: usize },
+    HandOver { from: usize },
     Deliver { estate: usize, to: usize },
     Wait { millis: u64 },
 }
@@ -90,7 +90,7 @@
     prop_oneof![
         2 => (0..ENTRIES).prop_map(|entry| Step::Mint { entry }),
         6 => (0..ENTRIES, 0..40usize).prop_map(|(entry, ticket)| Step::Spend { entry, ticket }),
-        1 => (0..ENTRIES).prop_map(|from| Step::HandOn { from }),
+        1 => (0..ENTRIES).prop_map(|from| Step::HandOver { from }),
         2 => (0..20usize, 0..ENTRIES).prop_map(|(estate, to)| Step::Deliver { estate, to }),
         1 => (1..400_000u64).prop_map(|millis| Step::Wait { millis }),
     ]
@@ -104,11 +104,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Every estate is addressed to one heir, but may be delivered late and repeatedly.
+    /// Checks random histories in which each estate has one heir but may be delivered late and repeatedly.
     #[test]
     fn no_ticket_is_granted_twice(steps in proptest::collection::vec(step(), 0..120)) {
         let mut ledgers: Vec<Ledger> =
-            (0..ENTRIES).map(|at| Ledger::new(Incarnation(at as u64 + 1))).collect();
+            (0..ENTRIES).map(|index| Ledger::new(Incarnation(index as u64 + 1))).collect();
         let mut tickets: Vec<Ticket> = Vec::new();
         let mut estates: Vec<(Estate, Option<usize>)> = Vec::new();
         let mut granted = std::collections::BTreeSet::new();
@@ -123,9 +123,9 @@
                         prop_assert!(granted.insert(ticket.clone()), "granted twice: {:?}", ticket);
                     }
                 }
-                Step::HandOn { from } => {
-                    let handed = ledgers[from].hand_over(now);
-                    estates.extend(handed.into_iter().map(|estate| (estate, None)));
+                Step::HandOver { from } => {
+                    let handed_over = ledgers[from].hand_over(now);
+                    estates.extend(handed_over.into_iter().map(|estate| (estate, None)));
                 }
                 Step::Deliver { estate, to } => {
                     if let Some((estate, heir)) = estates.get_mut(estate)
--- a/crates/request/tests/sequencer.rs
+++ b/crates/request/tests/sequencer.rs
@@ -1,4 +1,4 @@
-//! A caller's stream holds each offset once and in order, whatever arrives.
+//! A caller's stream gets each offset once and in order, whatever chunks arrive.
 
 use proptest::prelude::*;
 use request::sequencer::Decision;
@@ -6,17 +6,17 @@
 
 const SEED: u64 = 7;
 
-/// One thing that can happen to a stream.
+/// One event of a stream.
 #[derive(Clone, Debug)]
-enum Word {
+enum Step {
     Begin { attempt: u32 },
     Chunk { attempt: u32, offset: u64 },
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        1 => (0..5u32).prop_map(|attempt| Word::Begin { attempt }),
-        6 => (0..5u32, 0..12u64).prop_map(|(attempt, offset)| Word::Chunk { attempt, offset }),
+        1 => (0..5u32).prop_map(|attempt| Step::Begin { attempt }),
+        6 => (0..5u32, 0..12u64).prop_map(|(attempt, offset)| Step::Chunk { attempt, offset }),
     ]
 }
 
@@ -27,18 +27,18 @@
         ..ProptestConfig::default()
     })]
 
-    /// A caller would see a token twice, or one missing, after a move: words of the old attempt come
-    /// late, or the resumed stream begins before or behind what was passed on.
+    /// After a move, chunks of the old attempt arrive late, or the resumed stream begins before or after the
+    /// caller's position. The caller must get no token twice and miss none.
     #[test]
-    fn offsets_are_emitted_once_and_in_order(words in proptest::collection::vec(word(), 0..80)) {
-        let mut relay = Sequencer::starting_at(0);
+    fn offsets_are_emitted_once_and_in_order(steps in proptest::collection::vec(step(), 0..80)) {
+        let mut sequencer = Sequencer::starting_at(0);
         let mut emitted = Vec::new();
-        for word in words {
-            match word {
-                Word::Begin { attempt } => relay.begin_attempt(attempt, relay.next()),
-                Word::Chunk { attempt, offset } => {
-                    let next = relay.next();
-                    if relay.accept(attempt, offset) == Decision::Emit {
+        for step in steps {
+            match step {
+                Step::Begin { attempt } => sequencer.begin_attempt(attempt, sequencer.next()),
+                Step::Chunk { attempt, offset } => {
+                    let next = sequencer.next();
+                    if sequencer.accept(attempt, offset) == Decision::Emit {
                         emitted.push(next);
                     }
                 }
@@ -50,21 +50,21 @@
 }
 
 #[test]
-fn words_of_an_older_attempt_are_dropped() {
-    let mut relay = Sequencer::starting_at(0);
-    relay.begin_attempt(1, 0);
-    assert_eq!(relay.accept(1, 0), Decision::Emit);
-    relay.begin_attempt(2, 1);
-    assert_eq!(relay.accept(1, 1), Decision::Drop);
-    assert_eq!(relay.accept(2, 0), Decision::Emit);
-    assert_eq!(relay.next(), 2);
+fn chunks_of_an_older_attempt_are_dropped() {
+    let mut sequencer = Sequencer::starting_at(0);
+    sequencer.begin_attempt(1, 0);
+    assert_eq!(sequencer.accept(1, 0), Decision::Emit);
+    sequencer.begin_attempt(2, 1);
+    assert_eq!(sequencer.accept(1, 1), Decision::Drop);
+    assert_eq!(sequencer.accept(2, 0), Decision::Emit);
+    assert_eq!(sequencer.next(), 2);
 }
 
 #[test]
-fn a_gap_is_told_from_a_repeat() {
-    let mut relay = Sequencer::starting_at(3);
-    relay.begin_attempt(1, 3);
-    assert_eq!(relay.accept(1, 1), Decision::Gap);
-    assert_eq!(relay.accept(1, 0), Decision::Emit);
-    assert_eq!(relay.accept(1, 0), Decision::Drop);
+fn a_gap_is_distinguished_from_a_repeat() {
+    let mut sequencer = Sequencer::starting_at(3);
+    sequencer.begin_attempt(1, 3);
+    assert_eq!(sequencer.accept(1, 1), Decision::Gap);
+    assert_eq!(sequencer.accept(1, 0), Decision::Emit);
+    assert_eq!(sequencer.accept(1, 0), Decision::Drop);
 }
--- a/crates/request/tests/signer.rs
+++ b/crates/request/tests/signer.rs
@@ -1,4 +1,4 @@
-//! Sealed words open only whole, under the same key and for the same purpose.
+//! Signed tokens verify only if intact, with the same key and for the same purpose.
 
 use request::id::Id;
 use request::id::Incarnation;
@@ -9,7 +9,7 @@
 
 const KEY: &str = "a common key of all entries";
 
-fn word() -> Resume {
+fn resume() -> Resume {
     let request = Id {
         incarnation: Incarnation(5),
         serial: 6,
@@ -29,27 +29,34 @@
 }
 
 #[test]
-fn a_word_comes_back_as_it_was() {
-    let seal = Signer::new(KEY, "resume");
-    assert_eq!(seal.verify::<Resume>(&seal.sign(&word())), Some(word()));
+fn a_signed_token_verifies() {
+    let signer = Signer::new(KEY, "resume");
+    assert_eq!(
+        signer.verify::<Resume>(&signer.sign(&resume())),
+        Some(resume())
+    );
 }
 
-/// A caller would read another account's answer: it changes the account in its own word.
+/// A caller changes the account in its own token to read another account's answer.
 #[test]
-fn a_changed_word_does_not_open() {
-    let seal = Signer::new(KEY, "resume");
-    let text = seal.sign(&word());
-    for at in 0..text.len() {
+fn a_changed_token_does_not_verify() {
+    let signer = Signer::new(KEY, "resume");
+    let text = signer.sign(&resume());
+    for index in 0..text.len() {
         let mut bytes = text.clone().into_bytes();
-        bytes[at] = if bytes[at] == b'0' { b'1' } else { b'0' };
+        bytes[index] = if bytes[index] == b'0' { b'1' } else { b'0' };
         let changed = String::from_utf8(bytes).unwrap();
-        assert_eq!(seal.verify::<Resume>(&changed), None, "changed at {at}");
+        assert_eq!(
+            signer.verify::<Resume>(&changed),
+            None,
+            "changed at {index}"
+        );
     }
 }
 
 #[test]
-fn neither_another_key_nor_another_purpose_opens_it() {
-    let text = Signer::new(KEY, "resume").sign(&word());
+fn a_token_of_another_key_or_purpose_does_not_verify() {
+    let text = Signer::new(KEY, "resume").sign(&resume());
     assert_eq!(
         Signer::new("another", "resume").verify::<Resume>(&text),
         None
