--- a/crates/config/examples/in_force.rs
+++ b/crates/config/examples/in_force.rs
@@ -22,7 +22,7 @@
         "entries  case                     in force ms: median most   accepted ms: median most"
     );
     for count in [8, 16, 32, 64] {
-        measure(count, "all well", |_| {});
+        measure(count, "no fault", |_| {});
         measure(count, "one frozen", |world| world.set_frozen(1, true));
         measure(count, "a third frozen", |world| {
             for index in (1..world.nodes.len()).step_by(3) {
--- a/crates/config/src/agreement.rs
+++ b/crates/config/src/agreement.rs
@@ -213,7 +213,7 @@
         {
             self.known_head = Some(known);
         }
-        self.follower.expect(known.head.version, None);
+        self.follower.record_version(known.head.version, None);
         if self
             .unconfirmed_head
             .is_none_or(|(older, _)| older <= epoch)
--- a/crates/config/src/agreement/commits.rs
+++ b/crates/config/src/agreement/commits.rs
@@ -32,7 +32,7 @@
         self.submissions.insert(operation, change, now, deadline);
     }
 
-    /// Attempts one pending change; returns whether another may be attempted at once.
+    /// Attempts one pending change; returns whether another may be attempted immediately.
     pub(super) fn attempt_next(&mut self, now: Time, effects: &mut Vec<Effect>) -> bool {
         let Some(known) = self.known_head else {
             return false;
@@ -43,7 +43,7 @@
         let Some(operation) = self.submissions.ready(now) else {
             return false;
         };
-        let attempt = self.submissions.attempt(
+        let attempt = self.submissions.prepare_attempt(
             operation,
             known,
             &self.history,
@@ -106,7 +106,7 @@
                 {
                     self.known_head = Some(known);
                 }
-                self.follower.expect(version.version, None);
+                self.follower.record_version(version.version, None);
                 self.history.push(version);
             }
             Outcome::Conflict(_) => {
--- a/crates/config/src/agreement/peers.rs
+++ b/crates/config/src/agreement/peers.rs
@@ -37,7 +37,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let after = self.history.version();
-        if version <= after || !self.follower.expect(version, Some(now)) {
+        if version <= after || !self.follower.record_version(version, Some(now)) {
             return;
         }
         let message = Message::Fetch { after };
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -19,7 +19,7 @@
 const MAX_TARGET_MS: u64 = 3_600_000;
 /// Maximum share of requests that a grant can promise; 1000 would leave no error budget.
 const MAX_SHARE_PER_MILLE: u32 = 999;
-/// Maximum number of requests that one instance may run at once.
+/// Maximum number of requests that one instance may run concurrently.
 const MAX_CAPACITY: u32 = 10_000;
 /// Maximum number of instances in a pool.
 const MAX_INSTANCES: u32 = 100_000;
--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Fleet {
-    /// Requests that one instance can run at once within the targets.
+    /// Requests that one instance can run concurrently within the targets.
     pub capacity: u32,
     /// Minimum number of instances.
     pub least: u32,
--- a/crates/config/src/follower.rs
+++ b/crates/config/src/follower.rs
@@ -68,7 +68,7 @@
     }
 
     /// Records that a version exists. With `ask_peer_at`, returns whether to request it from a peer now.
-    pub fn expect(&mut self, version: u64, ask_peer_at: Option<Time>) -> bool {
+    pub fn record_version(&mut self, version: u64, ask_peer_at: Option<Time>) -> bool {
         let is_newer = version > self.newest_known;
         self.newest_known = self.newest_known.max(version);
         let Some(now) = ask_peer_at else {
--- a/crates/config/src/promise.rs
+++ b/crates/config/src/promise.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against this sequence: this entry votes that it holds nothing newer than version 4, applies
 //! version 5 a moment later and announces it. Version 5 is then accepted while the receiver of the vote
-//! still admits requests under 4. So a version is applied at once, but announced only when every earlier
+//! still admits requests under 4. So a version is applied immediately, but announced only when every earlier
 //! vote has expired, whatever the receivers' clocks show.
 
 use std::collections::VecDeque;
--- a/crates/config/src/submission.rs
+++ b/crates/config/src/submission.rs
@@ -82,7 +82,7 @@
         self.pending.len()
     }
 
-    /// Adds a change that may be attempted at once.
+    /// Adds a change that may be attempted immediately.
     pub fn insert(&mut self, operation: Operation, change: Change, now: Time, deadline: Time) {
         let pending = Pending {
             change,
@@ -143,7 +143,7 @@
     }
 
     /// Prepares the next attempt of a change. The history must reach up to the known head.
-    pub fn attempt(
+    pub fn prepare_attempt(
         &mut self,
         operation: Operation,
         known: KnownHead,
--- a/crates/config/tests/failures.rs
+++ b/crates/config/tests/failures.rs
@@ -25,8 +25,8 @@
     assert_eq!(world.answer(operation), Answer::Accepted { version: 1 });
 }
 
-/// Two operators change the same account at two entries at once. One change is accepted; the other is
-/// refused with the first one's edits.
+/// Two operators change the same account at two entries at the same time. One change is accepted; the other
+/// is refused with the first one's edits.
 #[test]
 fn of_two_racing_operators_one_wins_and_one_gets_the_conflict() {
     let mut world = entries(8);
--- a/crates/fleet/src/configs/leader.rs
+++ b/crates/fleet/src/configs/leader.rs
@@ -18,7 +18,7 @@
     /// Time over which the peak of demand is taken. It exceeds the time that an instance takes to load a
     /// model, so that a short dip doesn't stop instances that are needed again soon.
     pub peak_window: Span,
-    /// Share of the engines, in thousandths, that a rollout may take out of service at once. The loss of
+    /// Share of the engines, in thousandths, that a rollout may take out of service at a time. The loss of
     /// one of three zones takes as many, and the mix has capacity for that.
     pub max_unavailable_per_mille: u32,
 }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -76,7 +76,7 @@
 /// Limits on the number of instances in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Requests that one instance can run at once within the targets.
+    /// Requests that one instance can run concurrently within the targets.
     pub capacity: u32,
     /// Minimum number of instances.
     pub least: u32,
--- a/crates/fleet/src/leader.rs
+++ b/crates/fleet/src/leader.rs
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Excludes a kind that the cloud refused and plans again at once.
+    /// Excludes a kind that the cloud refused and plans again immediately.
     fn handle_refusal(&mut self, now: Time, token: &str) {
         if let Some((kind, _)) = self.pending_starts.remove(token) {
             self.mix.refused(now, kind);
@@ -296,7 +296,7 @@
             })
             .collect();
         let demand = self.bounded_demand(now, bounds);
-        let plan = self.mix.plan(now, demand, &offers, &self.existing());
+        let plan = self.mix.plan(now, demand, &offers, &self.mix_instances());
         for order in plan.orders {
             match order {
                 Order::Start(kind, count) => {
@@ -315,7 +315,7 @@
     }
 
     /// Returns running and starting instances in the form that the mix expects.
-    fn existing(&self) -> Vec<mix::Instance> {
+    fn mix_instances(&self) -> Vec<mix::Instance> {
         let running = self.instances.iter().map(|instance| mix::Instance {
             id: instance.id.clone(),
             kind: instance.kind.clone(),
--- a/crates/fleet/tests/leader.rs
+++ b/crates/fleet/tests/leader.rs
@@ -125,7 +125,7 @@
     }
 }
 
-/// Engines that carry out orders at once.
+/// Engines that carry out orders immediately.
 #[derive(Default)]
 struct Engines {
     states: BTreeMap<SmolStr, (Target, u32)>,
@@ -210,7 +210,7 @@
     assert_eq!(orders.count(), 0);
 }
 
-/// The cloud runs out of reclaimable instances. The leader must request on-demand instances at once.
+/// The cloud runs out of reclaimable instances. The leader must request on-demand instances immediately.
 #[test]
 fn a_refused_kind_is_replaced_by_the_next_cheapest() {
     let mut world = World::new(1);
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -347,8 +347,8 @@
         if now < self.recovering_until {
             return self.is_holding(now);
         }
-        let seen = self.last_row.as_ref();
-        self.is_own() || seen.is_none_or(|(row, watch)| self.is_free(row, watch))
+        let last_row = self.last_row.as_ref();
+        self.is_own() || last_row.is_none_or(|(row, watch)| self.is_free(row, watch))
     }
 
     /// Returns whether the lease may be taken: released, relinquished, held by a dead process, or lapsed.
@@ -428,7 +428,7 @@
 
     fn read(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let at = self.address.clone();
-        self.call(now, Call::Get { at }, None, effects);
+        self.send_call(now, Call::Get { at }, None, effects);
     }
 
     fn write(
@@ -456,10 +456,10 @@
                 value: serde_json::to_value(&row).unwrap_or(Value::Null),
             }],
         };
-        self.call(now, Call::Transact(transaction), Some(row), effects);
+        self.send_call(now, Call::Transact(transaction), Some(row), effects);
     }
 
-    fn call(&mut self, now: Time, call: Call, row: Option<Row>, effects: &mut Vec<Effect>) {
+    fn send_call(&mut self, now: Time, call: Call, row: Option<Row>, effects: &mut Vec<Effect>) {
         let id = call::Id(self.next_call_id);
         self.next_call_id += 1;
         self.in_flight = Some(InFlight {
--- a/crates/lease/src/order.rs
+++ b/crates/lease/src/order.rs
@@ -144,7 +144,7 @@
                 engine,
                 checks_fencing,
                 target,
-            } => self.want(now, engine, checks_fencing, target),
+            } => self.set_target(now, engine, checks_fencing, target),
             Event::Gone(engine) => {
                 self.engines.remove(&engine);
             }
@@ -179,7 +179,7 @@
         }
     }
 
-    fn want(&mut self, now: Time, engine: SmolStr, checks_fencing: bool, target: Target) {
+    fn set_target(&mut self, now: Time, engine: SmolStr, checks_fencing: bool, target: Target) {
         let engine = self.engines.entry(engine).or_insert(Engine {
             checks_fencing,
             wanted: Target::default(),
--- a/crates/lease/tests/claim.rs
+++ b/crates/lease/tests/claim.rs
@@ -94,7 +94,7 @@
 }
 
 /// The holder's process is killed and restarted on its instance. The new process knows that the old one
-/// is dead, so it takes over at once under a higher fencing number instead of waiting for the term.
+/// is dead, so it takes over immediately under a higher fencing number instead of waiting for the term.
 #[test]
 fn the_successor_of_a_killed_process_need_not_wait_for_its_lease() {
     let mut world = rivals(2);
@@ -112,7 +112,7 @@
 }
 
 /// A holder loses its connection to the store and its lease expires by its own clock. Its notification must
-/// let a rival take over at once instead of a full term after the rival's last read.
+/// let a rival take over immediately instead of a full term after the rival's last read.
 #[test]
 fn a_holder_that_announces_its_loss_is_succeeded_at_once() {
     let mut world = rivals(2);
