--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -68,8 +68,7 @@
         next
     }
 
-    /// Replaces the snapshot by a newer one with the versions that led to it; returns false if it isn't
-    /// newer.
+    /// Replaces the snapshot and the versions that led to it; returns false if the new one isn't newer.
     pub fn replace(&mut self, snapshot: Snapshot, previous: Vec<Version>) -> bool {
         if snapshot.version <= self.version() {
             return false;
@@ -107,8 +106,7 @@
         )
     }
 
-    /// Returns the last edit of each item changed after `base`; `None` if those versions are not all
-    /// retained.
+    /// Returns the last edit of each item changed after `base`; `None` if `base` is not retained.
     pub fn edits_since(&self, base: u64) -> Option<Vec<Edit>> {
         let versions = self.versions_after(base, usize::MAX)?;
         let mut last_edits: BTreeMap<Item, Edit> = BTreeMap::new();
@@ -118,8 +116,7 @@
         Some(last_edits.into_values().collect())
     }
 
-    /// Returns whether `edits` touch an item changed after `base`; `None` if those versions are not all
-    /// retained.
+    /// Returns whether `edits` touch an item changed after `base`; `None` if `base` is not retained.
     pub fn has_conflict(&self, base: u64, edits: &[Edit]) -> Option<bool> {
         let touched: BTreeSet<Item> = edits.iter().map(Edit::item).collect();
         let changed = self.edits_since(base)?;
--- a/crates/config/src/submission.rs
+++ b/crates/config/src/submission.rs
@@ -191,8 +191,7 @@
         }
     }
 
-    /// Records that the commit in flight failed. `uncertain_revision` is the revision it checked if it may
-    /// still take effect.
+    /// Records that the commit in flight failed, with the revision it checked if it may still take effect.
     pub fn record_failure(&mut self, retry_at: Time, uncertain_revision: Option<Option<u64>>) {
         let item = self
             .in_flight
@@ -254,7 +253,7 @@
     }
 }
 
-/// Writes head and version, a snapshot at each checkpoint, and clears the version that is no longer retained.
+/// Writes the head, the version and at checkpoints a snapshot, and deletes the version that expires.
 fn commit_transaction(commit: &Commit, history: &History, settings: &Settings) -> Transaction {
     let next = &commit.version;
     let mut writes = vec![
