--- a/crates/config/tests/failures.rs
+++ b/crates/config/tests/failures.rs
@@ -28,7 +28,7 @@
 /// Two operators change the same account at two entries at the same time. One change is accepted; the other
 /// is refused with the first one's edits.
 #[test]
-fn of_two_racing_operators_one_wins_and_one_gets_the_conflict() {
+fn of_two_racing_operators_one_wins_and_one_is_told_why() {
     let mut world = entries(8);
     let first = world.set_weight(0, "c1", "harrow", 1);
     let second = world.set_weight(5, "c2", "harrow", 2);
--- a/crates/request/tests/ledger.rs
+++ b/crates/request/tests/ledger.rs
@@ -34,7 +34,7 @@
 /// An entry hands over its ledger, is paused before it exits, and continues when the heir has already
 /// granted a ticket. Granting it again would run a non-idempotent request twice.
 #[test]
-fn a_ledger_that_was_handed_over_grants_nothing() {
+fn a_ledger_that_was_handed_on_grants_nothing() {
     let mut minter = Ledger::new(Incarnation(1));
     let tickets = minter.mint(at(0), &account(), 1);
     let mut heir = Ledger::new(Incarnation(2));
