--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -104,35 +104,29 @@
                 .build()
         };
         Ok(Metrics {
-            done: count("dogwoodspur_requests_done", "Complete answers, by service"),
+            done: count("dogwoodspur_requests_done", "Whole answers, by service"),
             refused: count(
                 "dogwoodspur_requests_refused",
-                "Requests refused by the gateway, by reason and verdict",
+                "Final answers of our own, by reason and verdict",
             ),
             attempts: count(
                 "dogwoodspur_attempts",
-                "Attempts on replicas, by service and whether it was the first",
+                "Requests handed to replicas, by service and whether it was the first time",
             ),
             failed_attempts: count(
                 "dogwoodspur_attempts_failed",
                 "Attempts that failed, by end",
             ),
             store_calls: count("dogwoodspur_store_calls", "Table service calls, by outcome"),
-            cloud_calls: count(
-                "dogwoodspur_duty_calls",
-                "Calls made as holder of a duty, by outcome",
-            ),
+            cloud_calls: count("dogwoodspur_duty_calls", "Calls of the duties' holder"),
             digests: count(
                 "dogwoodspur_digests",
                 "Digests to other entries, by outcome",
             ),
-            digest_bytes: count(
-                "dogwoodspur_digest_bytes",
-                "Bytes of digests to other entries, lost ones included",
-            ),
+            digest_bytes: count("dogwoodspur_digest_bytes", "Their size, lost ones included"),
             reducer_busy: meter
                 .f64_counter("dogwoodspur_reducer_busy")
-                .with_description("Time spent in the reducer")
+                .with_description("Time spent in decisions")
                 .with_unit("s")
                 .build(),
             first_token: latency("dogwoodspur_first_token", "Arrival to first event"),
@@ -142,40 +136,31 @@
             gauges: Gauges {
                 open: gauge("dogwoodspur_open_requests", "Requests open here"),
                 waiting: gauge("dogwoodspur_waiting_requests", "Requests in the queues"),
-                version: gauge(
-                    "dogwoodspur_configuration_version",
-                    "Configuration version in effect",
-                ),
-                version_age: gauge(
-                    "dogwoodspur_configuration_age_ms",
-                    "Milliseconds since the version took effect",
-                ),
+                version: gauge("dogwoodspur_configuration_version", "Version in force"),
+                version_age: gauge("dogwoodspur_configuration_age_ms", "Since it came in force"),
                 members: gauge("dogwoodspur_members", "Entries known here"),
                 servers: gauge("dogwoodspur_servers", "Backend servers, by state"),
-                ready: gauge(
-                    "dogwoodspur_ready",
-                    "1 while the entry is ready for callers",
-                ),
-                repeats: gauge("dogwoodspur_repeats_left", "Remaining retry budget"),
+                ready: gauge("dogwoodspur_ready", "1 while callers may be sent here"),
+                repeats: gauge("dogwoodspur_repeats_left", "Repeats that may still be made"),
                 fence: gauge(
                     "dogwoodspur_duty_fence",
-                    "Fencing token while duties are held",
+                    "Fencing number while duties are held",
                 ),
                 feed_age: gauge(
                     "dogwoodspur_feed_age_ms",
-                    "Milliseconds since a feed was last current, by feed",
+                    "Since a feed was current, by feed",
                 ),
                 lag: gauge(
                     "dogwoodspur_loop_lag_ms",
-                    "Maximum delay of the loop in the last seconds, milliseconds",
+                    "Greatest delay of the loop in the last seconds",
                 ),
                 counts_bytes: gauge(
                     "dogwoodspur_counts_under_way_bytes",
-                    "Bytes of counts in flight to other entries",
+                    "Counts that were sent to other entries and not answered yet",
                 ),
                 counts_age: gauge(
                     "dogwoodspur_counts_waiting_ms",
-                    "Longest time that counts have waited to be sent, milliseconds",
+                    "How long another entry's counts have waited at most",
                 ),
                 lines: gauge(
                     "dogwoodspur_log_lines_dropped",
