--- a/crates/burn/examples/page.rs
+++ b/crates/burn/examples/page.rs
@@ -29,7 +29,7 @@
         share_per_mille: 950,
     };
     let pairs = ["branches", "students"].map(|name| ("thesis".into(), name.into()));
-    ledger.promise(Time::ZERO, pairs.map(|pair| (pair, target)));
+    ledger.set_targets(Time::ZERO, pairs.map(|pair| (pair, target)));
     for hour in 0..24 {
         for request in 0..REQUESTS {
             let now = Time::from_millis(hour * HOUR_MS + request * 1_000);
@@ -41,7 +41,7 @@
     }
     let end = Time::from_millis(24 * HOUR_MS - 1);
     let summary = ledger.summary(end, false);
-    let report = Report::at(ledger.unix_ms(end), vec![summary]);
+    let report = Report::from_summaries(ledger.unix_ms(end), vec![summary]);
     print!("{}", report.to_text());
     fs::write(&file, report.to_html())?;
     println!("written to {file}");
--- a/crates/burn/src/builder.rs
+++ b/crates/burn/src/builder.rs
@@ -31,8 +31,8 @@
     ///
     /// Of several summaries of one incarnation the newest counts. The order of the list is of no
     /// matter.
-    pub fn at(unix_ms: u64, summaries: Vec<Summary>) -> Report {
-        let summaries = summary::newest(summaries);
+    pub fn from_summaries(unix_ms: u64, summaries: Vec<Summary>) -> Report {
+        let summaries = summary::latest_by_incarnation(summaries);
         let mut merged: BTreeMap<(SmolStr, SmolStr), Series> = BTreeMap::new();
         for series in summaries.iter().flat_map(|summary| &summary.series) {
             let pair = (series.deployment.clone(), series.account.clone());
@@ -54,7 +54,7 @@
     }
 
     /// The report on one deployment.
-    pub fn only(mut self, deployment: &str) -> Report {
+    pub fn for_deployment(mut self, deployment: &str) -> Report {
         self.rows.retain(|row| row.deployment == deployment);
         self
     }
@@ -64,13 +64,13 @@
 fn row(unix_ms: u64, series: &Series) -> Row {
     let period = series
         .long
-        .since(first_slice(unix_ms, PERIOD_MS, LONG_SLICE_MS));
+        .sum_since(first_slice(unix_ms, PERIOD_MS, LONG_SLICE_MS));
     let short = series
         .short
-        .since(first_slice(unix_ms, SHORT_WINDOW_MS, SHORT_SLICE_MS));
+        .sum_since(first_slice(unix_ms, SHORT_WINDOW_MS, SHORT_SLICE_MS));
     let long = series
         .short
-        .since(first_slice(unix_ms, LONG_WINDOW_MS, SHORT_SLICE_MS));
+        .sum_since(first_slice(unix_ms, LONG_WINDOW_MS, SHORT_SLICE_MS));
     let latency_from = first_slice(unix_ms, 2 * LONG_SLICE_MS, LONG_SLICE_MS);
     Row {
         deployment: series.deployment.clone(),
--- a/crates/burn/src/collector.rs
+++ b/crates/burn/src/collector.rs
@@ -28,9 +28,9 @@
         outcome: Outcome,
     },
     /// An operator wants a report.
-    Asked {
+    ReportRequested {
         /// Names the operator's call; chosen by the embedder.
-        asker: u64,
+        requester: u64,
         /// Only this deployment.
         deployment: Option<SmolStr>,
     },
@@ -51,7 +51,7 @@
     /// Answer an operator.
     Report {
         /// Whom.
-        asker: u64,
+        requester: u64,
         /// The report.
         report: Report,
     },
@@ -65,7 +65,7 @@
     writer: Writer,
     /// At most one reading at a time; whoever asks meanwhile waits for the same.
     reader: Option<Reader>,
-    askers: Vec<(u64, Option<SmolStr>)>,
+    requesters: Vec<(u64, Option<SmolStr>)>,
     calls: BTreeMap<call::Id, Purpose>,
     next_call: u64,
 }
@@ -88,7 +88,7 @@
             writer: Writer::new(now, ledger.incarnation()),
             ledger,
             reader: None,
-            askers: Vec::new(),
+            requesters: Vec::new(),
             calls: BTreeMap::new(),
             next_call: 0,
         }
@@ -99,7 +99,10 @@
         match event {
             Event::Wake => {}
             Event::Store { id, outcome } => self.answered(now, id, outcome, effects),
-            Event::Asked { asker, deployment } => self.asked(asker, deployment, effects),
+            Event::ReportRequested {
+                requester,
+                deployment,
+            } => self.request_report(requester, deployment, effects),
             Event::Stopped => self.writer.stop(now),
         }
         if let Some(call) = self.writer.due(now, &mut self.ledger) {
@@ -119,8 +122,13 @@
     }
 
     /// An operator asks: one reading serves all who ask meanwhile.
-    fn asked(&mut self, asker: u64, deployment: Option<SmolStr>, effects: &mut Vec<Effect>) {
-        self.askers.push((asker, deployment));
+    fn request_report(
+        &mut self,
+        requester: u64,
+        deployment: Option<SmolStr>,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.requesters.push((requester, deployment));
         if self.reader.is_some() {
             return;
         }
@@ -159,14 +167,14 @@
         let found = reader.finish();
         let mut summaries = found.summaries;
         summaries.push(self.ledger.summary(now, false));
-        let mut report = Report::at(self.ledger.unix_ms(now), summaries);
+        let mut report = Report::from_summaries(self.ledger.unix_ms(now), summaries);
         report.gaps.extend(found.gaps);
-        for (asker, deployment) in std::mem::take(&mut self.askers) {
+        for (requester, deployment) in std::mem::take(&mut self.requesters) {
             let report = match deployment {
-                Some(deployment) => report.clone().only(&deployment),
+                Some(deployment) => report.clone().for_deployment(&deployment),
                 None => report.clone(),
             };
-            effects.push(Effect::Report { asker, report });
+            effects.push(Effect::Report { requester, report });
         }
         if let Some(call) = found.removal {
             self.call(Purpose::Remove, call, effects);
--- a/crates/burn/src/count.rs
+++ b/crates/burn/src/count.rs
@@ -35,7 +35,7 @@
     }
 
     /// Counts one miss.
-    pub fn miss(&mut self, cause: Cause) {
+    pub fn count_miss(&mut self, cause: Cause) {
         let misses = &mut self.misses;
         let counter = match cause {
             Cause::Waiting => &mut misses.waiting,
--- a/crates/burn/src/html.rs
+++ b/crates/burn/src/html.rs
@@ -2,13 +2,13 @@
 
 use std::fmt::Write;
 
+use crate::format::facts;
+use crate::format::gap_line;
+use crate::format::span;
 use crate::plot;
 use crate::report::Report;
 use crate::report::Row;
 use crate::report::Urgency;
-use crate::words::facts;
-use crate::words::gap_line;
-use crate::words::span;
 
 /// The page up to its body.
 const HEAD: &str = "<!doctype html>
--- a/crates/burn/src/ledger.rs
+++ b/crates/burn/src/ledger.rs
@@ -11,13 +11,13 @@
 use crate::summary::Summary;
 
 /// Most pairs of deployment and account that are kept apart. A further account's requests count
-/// under [`REST`], so that memory and summaries stay bounded when accounts are many.
+/// under [`OVERFLOW_ACCOUNT`], so that memory and summaries stay bounded when accounts are many.
 ///
 /// The figure keeps the ledger within a sixth of the 128 MB that an entry has for control, at the
 /// bytes a pair that the example `size` measures.
-pub const SERIES_MAX: usize = 1_000;
+pub const MAX_SERIES: usize = 1_000;
 /// The account under which requests count that have no place of their own.
-pub const REST: &str = "(rest)";
+pub const OVERFLOW_ACCOUNT: &str = "(rest)";
 
 /// A pair of deployment and account.
 type Pair = (SmolStr, SmolStr);
@@ -30,7 +30,7 @@
     /// Wall clock at the process's time zero.
     zero_unix_ms: u64,
     targets: BTreeMap<Pair, Target>,
-    /// At most `SERIES_MAX`, and one more for each deployment.
+    /// At most `MAX_SERIES`, and one more for each deployment.
     series: BTreeMap<Pair, Series>,
 }
 
@@ -47,12 +47,12 @@
     }
 
     /// Takes over all promises of a configuration that is in force now.
-    pub fn promise(&mut self, now: Time, targets: impl IntoIterator<Item = (Pair, Target)>) {
+    pub fn set_targets(&mut self, now: Time, targets: impl IntoIterator<Item = (Pair, Target)>) {
         self.targets = targets.into_iter().collect();
         let unix_ms = self.unix_ms(now);
         for (pair, series) in &mut self.series {
             if let Some(target) = self.targets.get(pair) {
-                series.promise(unix_ms, *target);
+                series.set_target(unix_ms, *target);
             }
         }
     }
@@ -68,7 +68,7 @@
             .entry(pair.clone())
             .or_insert_with(|| Series::new(pair.0, pair.1));
         if let Some(target) = target {
-            series.promise(unix_ms, target);
+            series.set_target(unix_ms, target);
         }
         series.record(unix_ms, sample);
     }
@@ -95,7 +95,7 @@
         for series in self.series.values_mut() {
             series.trim(unix_ms);
         }
-        self.series.retain(|_, series| !series.is_idle());
+        self.series.retain(|_, series| !series.is_empty());
     }
 
     /// Its entry's incarnation.
@@ -111,9 +111,9 @@
     /// Under which pair a request counts.
     fn place(&self, sample: &Sample) -> Pair {
         let pair = (sample.deployment.clone(), sample.account.clone());
-        if self.series.len() < SERIES_MAX || self.series.contains_key(&pair) {
+        if self.series.len() < MAX_SERIES || self.series.contains_key(&pair) {
             return pair;
         }
-        (pair.0, SmolStr::new_static(REST))
+        (pair.0, SmolStr::new_static(OVERFLOW_ACCOUNT))
     }
 }
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod builder;
 pub mod collector;
 pub mod count;
+pub mod format;
 pub mod html;
 pub mod latency;
 pub mod ledger;
@@ -23,7 +24,6 @@
 pub mod slices;
 pub mod summary;
 pub mod text;
-pub mod words;
 pub mod writer;
 
 pub use crate::collector::Collector;
--- a/crates/burn/src/plot.rs
+++ b/crates/burn/src/plot.rs
@@ -2,9 +2,9 @@
 
 use std::fmt::Write;
 
+use crate::format::causes;
 use crate::report::Misses;
 use crate::report::Row;
-use crate::words::causes;
 
 /// Width of a plot, pixels.
 const WIDTH: f64 = 480.0;
--- a/crates/burn/src/reader.rs
+++ b/crates/burn/src/reader.rs
@@ -91,7 +91,7 @@
     /// Reads one row. One that a release wrote which this one can't read is a gap.
     fn read(&mut self, unix_ms: u64, row: Row) {
         match serde_json::from_value::<Summary>(row.value) {
-            Ok(summary) if summary.is_spent(unix_ms) => self.spent.push((row.key, row.revision)),
+            Ok(summary) if summary.is_expired(unix_ms) => self.spent.push((row.key, row.revision)),
             Ok(summary) => self.summaries.push(summary),
             Err(_) => self.gaps.push(Gap {
                 entry: row.key,
--- a/crates/burn/src/sample.rs
+++ b/crates/burn/src/sample.rs
@@ -32,7 +32,7 @@
     /// It was refused or failed.
     Failed,
     /// The caller took it back or sent it malformed: no promise was broken, only its cost counts.
-    Caller,
+    EndedByCaller,
 }
 
 /// Why a request missed its targets.
--- a/crates/burn/src/series.rs
+++ b/crates/burn/src/series.rs
@@ -54,7 +54,7 @@
     }
 
     /// Notes the promise.
-    pub fn promise(&mut self, unix_ms: u64, target: Target) {
+    pub fn set_target(&mut self, unix_ms: u64, target: Target) {
         self.target = target;
         self.target_unix_ms = unix_ms;
     }
@@ -77,7 +77,7 @@
     /// Adds what another entry, or another incarnation, kept of the same account and deployment.
     pub fn merge(&mut self, other: &Series) {
         if other.target_unix_ms > self.target_unix_ms {
-            self.promise(other.target_unix_ms, other.target);
+            self.set_target(other.target_unix_ms, other.target);
         }
         self.short.merge(&other.short);
         self.long.merge(&other.long);
@@ -97,7 +97,7 @@
     }
 
     /// Whether nothing is left in any window.
-    pub fn is_idle(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.short.is_empty() && self.long.is_empty()
     }
 
@@ -108,14 +108,14 @@
             recomputed: sample.recomputed,
             ..Count::default()
         };
-        if sample.outcome == Outcome::Caller {
+        if sample.outcome == Outcome::EndedByCaller {
             return count;
         }
         count.requests = 1;
         if self.is_within(sample) {
             count.within = 1;
         } else {
-            count.miss(sample.cause);
+            count.count_miss(sample.cause);
         }
         count
     }
--- a/crates/burn/src/slices.rs
+++ b/crates/burn/src/slices.rs
@@ -41,7 +41,7 @@
     }
 
     /// The sum from a slice on.
-    pub fn since(&self, first: u64) -> Count {
+    pub fn sum_since(&self, first: u64) -> Count {
         let mut sum = Count::default();
         for (_, count) in self.iter_since(first) {
             sum.add(count);
--- a/crates/burn/src/summary.rs
+++ b/crates/burn/src/summary.rs
@@ -9,7 +9,7 @@
 use crate::series::Series;
 
 /// Age from which a summary adds nothing: the period of a day and the slice that it ended in.
-const SPENT_MS: u64 = 25 * 60 * 60 * 1_000;
+const EXPIRY_MS: u64 = 25 * 60 * 60 * 1_000;
 
 /// All that one incarnation of an entry counted within the windows, as of one moment.
 ///
@@ -35,8 +35,8 @@
 
 impl Summary {
     /// Whether it adds nothing to any report from this moment on, so that the store may forget it.
-    pub fn is_spent(&self, unix_ms: u64) -> bool {
-        unix_ms.saturating_sub(self.made_unix_ms) > SPENT_MS
+    pub fn is_expired(&self, unix_ms: u64) -> bool {
+        unix_ms.saturating_sub(self.made_unix_ms) > EXPIRY_MS
     }
 
     /// The same summary in parts of at most `most` series each; at least one part.
@@ -69,7 +69,7 @@
 ///
 /// A list that was read while an entry wrote may hold parts of two writes: the older ones are left
 /// out, so that nothing counts twice.
-pub fn newest(summaries: Vec<Summary>) -> Vec<Summary> {
+pub fn latest_by_incarnation(summaries: Vec<Summary>) -> Vec<Summary> {
     let mut by_incarnation: BTreeMap<SmolStr, Summary> = BTreeMap::new();
     for summary in summaries {
         match by_incarnation.get_mut(&summary.incarnation) {
--- a/crates/burn/src/text.rs
+++ b/crates/burn/src/text.rs
@@ -2,13 +2,13 @@
 
 use std::fmt::Write;
 
+use crate::format::facts;
+use crate::format::gap_line;
+use crate::format::span;
 use crate::report::Gap;
 use crate::report::Report;
 use crate::report::Row;
 use crate::report::Urgency;
-use crate::words::facts;
-use crate::words::gap_line;
-use crate::words::span;
 
 /// Gaps named one by one; the rest are counted.
 const GAPS_SHOWN: usize = 10;
--- a/crates/burn/tests/collector.rs
+++ b/crates/burn/tests/collector.rs
@@ -65,8 +65,8 @@
 
 /// The report that an entry gives.
 fn ask(entry: &mut (u64, Collector), at: u64, table: &mut Table) -> Report {
-    let event = Event::Asked {
-        asker: 1,
+    let event = Event::ReportRequested {
+        requester: 1,
         deployment: None,
     };
     step(entry, at, event, table).pop().expect("a report")
--- a/crates/burn/tests/ledger.rs
+++ b/crates/burn/tests/ledger.rs
@@ -6,8 +6,8 @@
 use burn::Report;
 use burn::Sample;
 use burn::Summary;
-use burn::ledger::REST;
-use burn::ledger::SERIES_MAX;
+use burn::ledger::MAX_SERIES;
+use burn::ledger::OVERFLOW_ACCOUNT;
 use burn::report::Target;
 use burn::report::Urgency;
 use clock::Span;
@@ -27,7 +27,7 @@
 fn ledger(entry: &str, incarnation: &str, zero: u64) -> Ledger {
     let mut ledger = Ledger::new(entry.into(), incarnation.into(), zero);
     let pair = ("thesis".into(), "branches".into());
-    ledger.promise(Time::ZERO, [(pair, TARGET)]);
+    ledger.set_targets(Time::ZERO, [(pair, TARGET)]);
     ledger
 }
 
@@ -72,7 +72,7 @@
     let mut ledger = ledger("entry-1", "entry-1.1", ZERO);
     record(&mut ledger, MINUTE, &good(), 95);
     record(&mut ledger, MINUTE, &late(), 5);
-    let report = Report::at(ZERO + 2 * MINUTE, vec![summary(&mut ledger, 2 * MINUTE)]);
+    let report = Report::from_summaries(ZERO + 2 * MINUTE, vec![summary(&mut ledger, 2 * MINUTE)]);
     let row = &report.rows[0];
     assert_eq!((row.requests, row.within, row.misses.waiting), (100, 95, 5));
     // 100 in 1000 may miss and 50 in 1000 did: half of the budget, burnt at half of its rate.
@@ -102,13 +102,13 @@
         ..good()
     };
     let cancelled = Sample {
-        outcome: Outcome::Caller,
+        outcome: Outcome::EndedByCaller,
         ..good()
     };
     for sample in [good(), slow, refused, cancelled] {
         record(&mut ledger, 0, &sample, 1);
     }
-    let report = Report::at(ZERO, vec![summary(&mut ledger, 0)]);
+    let report = Report::from_summaries(ZERO, vec![summary(&mut ledger, 0)]);
     let row = &report.rows[0];
     assert_eq!((row.requests, row.within), (3, 1));
     assert_eq!((row.misses.slow_backend, row.misses.refused), (1, 1));
@@ -122,12 +122,13 @@
     let mut ledger = ledger("entry-1", "entry-1.1", ZERO);
     record(&mut ledger, 0, &good(), 20);
     record(&mut ledger, 20 * MINUTE, &late(), 80);
-    let during = Report::at(ZERO + 21 * MINUTE, vec![summary(&mut ledger, 21 * MINUTE)]);
+    let during =
+        Report::from_summaries(ZERO + 21 * MINUTE, vec![summary(&mut ledger, 21 * MINUTE)]);
     assert_eq!(during.rows[0].burn_long, 8.0);
     assert_eq!(during.rows[0].burn_short, 10.0);
     assert_eq!(during.rows[0].urgency(), Urgency::Page);
     record(&mut ledger, 40 * MINUTE, &good(), 10);
-    let after = Report::at(ZERO + 41 * MINUTE, vec![summary(&mut ledger, 41 * MINUTE)]);
+    let after = Report::from_summaries(ZERO + 41 * MINUTE, vec![summary(&mut ledger, 41 * MINUTE)]);
     assert!(after.rows[0].burn_long > 6.0);
     assert_eq!(after.rows[0].burn_short, 0.0);
     assert_eq!(after.rows[0].urgency(), Urgency::Calm);
@@ -138,12 +139,16 @@
     let mut ledger = ledger("entry-1", "entry-1.1", ZERO);
     record(&mut ledger, 0, &late(), 10);
     record(&mut ledger, 23 * HOUR, &good(), 1);
-    let report = Report::at(ZERO + 24 * HOUR, vec![summary(&mut ledger, 24 * HOUR)]);
+    let report = Report::from_summaries(ZERO + 24 * HOUR, vec![summary(&mut ledger, 24 * HOUR)]);
     assert_eq!((report.rows[0].requests, report.rows[0].within), (1, 1));
     let spent = summary(&mut ledger, 24 * HOUR);
-    assert!(!spent.is_spent(ZERO + 48 * HOUR));
-    assert!(spent.is_spent(ZERO + 50 * HOUR));
-    assert!(Report::at(ZERO + 50 * HOUR, vec![spent]).rows.is_empty());
+    assert!(!spent.is_expired(ZERO + 48 * HOUR));
+    assert!(spent.is_expired(ZERO + 50 * HOUR));
+    assert!(
+        Report::from_summaries(ZERO + 50 * HOUR, vec![spent])
+            .rows
+            .is_empty()
+    );
     let empty = summary(&mut ledger, 48 * HOUR);
     assert!(empty.series.is_empty());
 }
@@ -163,7 +168,7 @@
         record(&mut new, 0, &good(), 5);
         left.push(summary(&mut new, 5 * MINUTE));
     }
-    let report = Report::at(ZERO + 15 * MINUTE, left);
+    let report = Report::from_summaries(ZERO + 15 * MINUTE, left);
     assert_eq!(report.rows[0].requests, 30);
     assert_eq!(report.gaps.len(), 1);
     let gap = &report.gaps[0];
@@ -186,7 +191,10 @@
     record(&mut ledger, MINUTE, &good(), 4);
     let late = summary(&mut ledger, 2 * MINUTE);
     let all = vec![late.clone(), early, late];
-    assert_eq!(Report::at(ZERO + 2 * MINUTE, all).rows[0].requests, 7);
+    assert_eq!(
+        Report::from_summaries(ZERO + 2 * MINUTE, all).rows[0].requests,
+        7
+    );
 }
 
 /// A caller finds a way to come under thousands of names, or accounts are that many. Memory and
@@ -194,7 +202,7 @@
 #[test]
 fn accounts_beyond_the_bound_count_together() {
     let mut ledger = Ledger::new("entry-1".into(), "entry-1.1".into(), ZERO);
-    for number in 0..SERIES_MAX + 500 {
+    for number in 0..MAX_SERIES + 500 {
         let sample = Sample {
             account: format!("account-{number}").into(),
             ..good()
@@ -202,9 +210,13 @@
         record(&mut ledger, 0, &sample, 1);
     }
     let summary = summary(&mut ledger, 0);
-    assert_eq!(summary.series.len(), SERIES_MAX + 1);
-    let report = Report::at(ZERO, vec![summary]);
-    let rest = report.rows.iter().find(|row| row.account == REST).unwrap();
+    assert_eq!(summary.series.len(), MAX_SERIES + 1);
+    let report = Report::from_summaries(ZERO, vec![summary]);
+    let rest = report
+        .rows
+        .iter()
+        .find(|row| row.account == OVERFLOW_ACCOUNT)
+        .unwrap();
     assert_eq!(rest.requests, 500);
 }
 
@@ -216,7 +228,7 @@
         ..late()
     };
     record(&mut ledger, 0, &sample, 1);
-    let html = Report::at(ZERO, vec![summary(&mut ledger, 0)]).to_html();
+    let html = Report::from_summaries(ZERO, vec![summary(&mut ledger, 0)]).to_html();
     assert!(html.contains("thesis / &lt;script&gt;"));
     assert!(!html.contains("<script") && !html.contains("http"));
     assert_eq!(html.matches("<svg").count(), html.matches("</svg>").count());
--- a/crates/burn/tests/merge.rs
+++ b/crates/burn/tests/merge.rs
@@ -29,7 +29,7 @@
     let outcomes = prop_oneof![
         Just(Outcome::Answered),
         Just(Outcome::Failed),
-        Just(Outcome::Caller)
+        Just(Outcome::EndedByCaller)
     ];
     let rest = (0..2_000_u64, 0..200_u64, 0..50_u64, 0..900_u64, 0..2_u8);
     (0..ENTRIES, 0..END, causes, outcomes, rest).prop_map(|(entry, at, cause, outcome, rest)| {
@@ -58,7 +58,7 @@
         share_per_mille: 950,
     };
     let promise = |account: &str| (("thesis".into(), account.into()), target);
-    ledger.promise(Time::ZERO, [promise("account-0"), promise("account-1")]);
+    ledger.set_targets(Time::ZERO, [promise("account-0"), promise("account-1")]);
     ledger
 }
 
@@ -89,11 +89,11 @@
             one[0].record(Time::from_millis(*at), sample);
             several[*entry].record(Time::from_millis(*at), sample);
         }
-        let whole = Report::at(ZERO + END, summaries(&mut one));
+        let whole = Report::from_summaries(ZERO + END, summaries(&mut one));
         let mut parts = summaries(&mut several);
-        prop_assert_eq!(&whole, &Report::at(ZERO + END, parts.clone()));
+        prop_assert_eq!(&whole, &Report::from_summaries(ZERO + END, parts.clone()));
         parts.reverse();
-        prop_assert_eq!(&whole, &Report::at(ZERO + END, parts));
+        prop_assert_eq!(&whole, &Report::from_summaries(ZERO + END, parts));
     }
 
     #[test]
@@ -118,7 +118,7 @@
         for (_, at, sample) in &samples {
             ledger.record(Time::from_millis(*at), sample);
         }
-        let report = Report::at(ZERO + END, vec![ledger.summary(Time::from_millis(END), true)]);
+        let report = Report::from_summaries(ZERO + END, vec![ledger.summary(Time::from_millis(END), true)]);
         for row in &report.rows {
             let misses = &row.misses;
             let named = misses.waiting + misses.slow_backend + misses.reclaim;
--- a/crates/entry/src/accounting.rs
+++ b/crates/entry/src/accounting.rs
@@ -50,8 +50,8 @@
                 collector::Effect::Store { id, call } => {
                     self.queue_store_call(Waiter::Collector(id), call);
                 }
-                collector::Effect::Report { asker, report } => effects.push(Effect::Operator {
-                    call: asker,
+                collector::Effect::Report { requester, report } => effects.push(Effect::Operator {
+                    call: requester,
                     reply: Ok(Reply::Report(report)),
                 }),
             }
@@ -61,7 +61,7 @@
     /// Sets the latency targets of the configuration in force.
     pub(crate) fn set_targets(&mut self, now: Time) {
         let targets = targets_of(self.catalog.snapshot());
-        self.collector.ledger.promise(now, targets);
+        self.collector.ledger.set_targets(now, targets);
     }
 
     /// Records an answered request.
@@ -181,7 +181,7 @@
         | Reason::Forbidden
         | Reason::Unknown
         | Reason::Repeated
-        | Reason::Cancelled => (Outcome::Caller, Cause::Other),
+        | Reason::Cancelled => (Outcome::EndedByCaller, Cause::Other),
         Reason::OverLimit | Reason::Overloaded | Reason::NoBackend => {
             (Outcome::Failed, Cause::Refused)
         }
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -171,7 +171,7 @@
         if peer == self.identity.incarnation.0 {
             return;
         }
-        match wire::news::decode(&item.payload) {
+        match wire::scheduler::decode(&item.payload) {
             Ok(mut digest) => {
                 digest.quarantine = digest.quarantine.aged(Span::from_millis(item.age_ms));
                 self.with_scheduler(now, effects, |scheduler, out| {
@@ -202,7 +202,7 @@
             key: format_smolstr!("{}", self.identity.incarnation),
             version: self.digest_version,
             age_ms: 0,
-            payload: wire::news::encode(&digest),
+            payload: wire::scheduler::encode(&digest),
         };
         self.step_membership(now, MemberEvent::Publish(item), effects);
     }
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -34,10 +34,13 @@
             Request::GetStatus => Ok(self.status_reply(now)),
             Request::Drain(target) => self.drain(now, &target, effects),
             Request::Report { deployment } => {
-                let asker = call;
+                let requester = call;
                 return self.step_collector(
                     now,
-                    collector::Event::Asked { asker, deployment },
+                    collector::Event::ReportRequested {
+                        requester,
+                        deployment,
+                    },
                     effects,
                 );
             }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -265,7 +265,12 @@
         if digest.quarantine.items.is_empty() && digest.quarantine.claims.is_empty() {
             return;
         }
-        self.publish(now, Topic::Quarantine, wire::news::encode(&digest), effects);
+        self.publish(
+            now,
+            Topic::Quarantine,
+            wire::scheduler::encode(&digest),
+            effects,
+        );
     }
 
     fn publish(&mut self, now: Time, topic: Topic, payload: Vec<u8>, effects: &mut Vec<Effect>) {
@@ -376,7 +381,7 @@
     }
 
     fn handle_quarantine(&mut self, now: Time, item: &Item, effects: &mut Vec<Effect>) {
-        match wire::news::decode(&item.payload) {
+        match wire::scheduler::decode(&item.payload) {
             Ok(digest) => {
                 let peer = rendezvous::identity(&item.key);
                 self.with_scheduler(now, effects, |scheduler, out| {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,7 +4,7 @@
 //! and gives a newer one defaults for what wasn't said, so that two releases run side by side.
 
 pub mod digest;
-pub mod news;
+pub mod scheduler;
 
 /// Drawn from `schema/peer.capnp` by `cargo run -p wire --example draw`.
 #[allow(missing_docs, clippy::all, clippy::unwrap_used)]
