--- a/crates/burn/examples/page.rs
+++ b/crates/burn/examples/page.rs
@@ -1,4 +1,4 @@
-//! Counts a made-up day of two accounts and writes its report as text and as a page.
+//! Simulates a day of two accounts and writes its report as text and as an HTML page.
 //!
 //! `cargo run -p burn --example page -- burn.html`
 
@@ -15,9 +15,9 @@
 use clock::Span;
 use clock::Time;
 
-/// An hour, milliseconds.
+/// Milliseconds in an hour.
 const HOUR_MS: u64 = 3_600_000;
-/// Requests of each account an hour.
+/// Requests per account and hour.
 const REQUESTS: u64 = 200;
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// One ended request.
+/// Creates an ended request.
 fn sample(account: &str, first_token_ms: u64, cause: Cause) -> Sample {
     Sample {
         deployment: "thesis".into(),
--- a/crates/burn/examples/size.rs
+++ b/crates/burn/examples/size.rs
@@ -1,4 +1,4 @@
-//! Measures what a ledger takes for each pair of deployment and account with a day of traffic.
+//! Measures the memory that a ledger takes for each pair of deployment and account with a day of traffic.
 //!
 //! `cargo run --release -p burn --example size -- PAIRS`
 
@@ -15,11 +15,11 @@
 use clock::Time;
 use smol_str::SmolStr;
 
-/// Requests of each pair in each five minutes.
+/// Requests of each pair in each slice of five minutes.
 const REQUESTS: u64 = 20;
-/// Five minutes, milliseconds.
+/// Width of a slice, milliseconds.
 const SLICE_MS: u64 = 300_000;
-/// Slices of a day.
+/// Slices in a day.
 const SLICES: u64 = 288;
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -29,9 +29,9 @@
     measure(pairs)
 }
 
-/// Measures one number of pairs; another one wants another process, as memory is used again.
+/// Measures one number of pairs. Each needs a process of its own, because freed memory is reused.
 fn measure(pairs: u64) -> Result<(), Box<dyn Error>> {
-    let before = resident()?;
+    let before_bytes = resident_bytes()?;
     let mut ledger = Ledger::new("entry-1".into(), "entry-1.1".into(), 0);
     let mut sample = Sample {
         deployment: "thesis".into(),
@@ -62,18 +62,18 @@
     }
     let records = SLICES * pairs * REQUESTS;
     let nanos = started.elapsed().as_nanos() as u64 / records;
-    let kept = resident()?.saturating_sub(before) / pairs;
+    let kept = resident_bytes()?.saturating_sub(before_bytes) / pairs;
     let summary = ledger.summary(Time::from_millis(SLICES * SLICE_MS), false);
     let text = serde_json::to_string(&summary)?;
-    let peak = resident()?.saturating_sub(before) / pairs;
+    let peak = resident_bytes()?.saturating_sub(before_bytes) / pairs;
     let bytes = text.len() as u64 / pairs;
     println!("{pairs} pairs; a pair: {kept} bytes kept, {peak} while a summary is written");
     println!("{bytes} bytes of the summary a pair, {nanos} ns a record");
     Ok(())
 }
 
-/// Resident memory of this process, bytes.
-fn resident() -> Result<u64, Box<dyn Error>> {
+/// Returns the resident memory of this process, bytes.
+fn resident_bytes() -> Result<u64, Box<dyn Error>> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kib = line
--- a/crates/burn/src/builder.rs
+++ b/crates/burn/src/builder.rs
@@ -1,4 +1,4 @@
-//! Draws a report from the summaries of all entries.
+//! Builds a report from the summaries of all entries.
 
 use std::collections::BTreeMap;
 
@@ -16,21 +16,20 @@
 use crate::summary;
 use crate::summary::Summary;
 
-/// The short window: the running slice of five minutes and the one before.
+/// The short window: the current slice of five minutes and the previous one.
 const SHORT_WINDOW_MS: u64 = 2 * SHORT_SLICE_MS;
 /// The long window: an hour.
 const LONG_WINDOW_MS: u64 = 60 * 60 * 1_000;
 /// The period of the error budget: a day.
 const PERIOD_MS: u64 = 24 * 60 * 60 * 1_000;
-/// How long a summary may be overdue before the time since counts as missing: a slow store and clocks
-/// that differ by some seconds are no gap.
+/// How long a summary may be overdue before its entry counts as a gap. Tolerates a slow store and clocks
+/// that differ by some seconds.
 const OVERDUE_MS: u64 = 90_000;
 
 impl Report {
-    /// The report at a moment, milliseconds since 1970, from what the store holds.
+    /// Builds the report as of a time, in milliseconds since 1970, from the summaries in the store.
     ///
-    /// Of several summaries of one incarnation the newest counts. The order of the list is of no
-    /// matter.
+    /// For each incarnation only the latest summary counts. The order of the list is irrelevant.
     pub fn from_summaries(unix_ms: u64, summaries: Vec<Summary>) -> Report {
         let summaries = summary::latest_by_incarnation(summaries);
         let mut merged: BTreeMap<(SmolStr, SmolStr), Series> = BTreeMap::new();
@@ -41,27 +40,27 @@
                 .or_insert_with(|| Series::new(pair.0, pair.1));
             sum.merge(series);
         }
-        let rows = merged.values().map(|series| row(unix_ms, series));
+        let rows = merged.values().map(|series| build_row(unix_ms, series));
         Report {
             rows: rows
                 .filter(|row| row.requests > 0 || row.cost_micros > 0)
                 .collect(),
-            gaps: gaps(unix_ms, &summaries),
+            gaps: find_gaps(unix_ms, &summaries),
             short_window_ms: SHORT_WINDOW_MS,
             long_window_ms: LONG_WINDOW_MS,
             period_ms: PERIOD_MS,
         }
     }
 
-    /// The report on one deployment.
+    /// Keeps only the rows of one deployment.
     pub fn for_deployment(mut self, deployment: &str) -> Report {
         self.rows.retain(|row| row.deployment == deployment);
         self
     }
 }
 
-/// The row of one account with one deployment.
-fn row(unix_ms: u64, series: &Series) -> Row {
+/// Builds the row of one account with one deployment.
+fn build_row(unix_ms: u64, series: &Series) -> Row {
     let period = series
         .long
         .sum_since(first_slice(unix_ms, PERIOD_MS, LONG_SLICE_MS));
@@ -71,33 +70,33 @@
     let long = series
         .short
         .sum_since(first_slice(unix_ms, LONG_WINDOW_MS, SHORT_SLICE_MS));
-    let latency_from = first_slice(unix_ms, 2 * LONG_SLICE_MS, LONG_SLICE_MS);
+    let first_latency_hour = first_slice(unix_ms, 2 * LONG_SLICE_MS, LONG_SLICE_MS);
     Row {
         deployment: series.deployment.clone(),
         account: series.account.clone(),
         target: series.target,
         requests: period.requests,
         within: period.within,
-        budget_left: 1.0 - burn(&period, series.target),
-        burn_short: burn(&short, series.target),
-        burn_long: burn(&long, series.target),
+        budget_left: 1.0 - burn_rate(&period, series.target),
+        burn_short: burn_rate(&short, series.target),
+        burn_long: burn_rate(&long, series.target),
         misses: period.misses,
-        first_token_ms: series.first_token.quantiles_since(latency_from),
-        worst_gap_ms: series.worst_gap.quantiles_since(latency_from),
+        first_token_ms: series.first_token.quantiles_since(first_latency_hour),
+        worst_gap_ms: series.worst_gap.quantiles_since(first_latency_hour),
         cost_micros: period.cost_micros,
         cost_per_within_micros: ratio(period.cost_micros, period.within),
         recomputed_tokens: period.recomputed,
-        points: points(unix_ms, series),
+        points: hourly_points(unix_ms, series),
     }
 }
 
-/// The first slice of a window that ends with the running slice.
+/// Returns the first slice of a window that ends with the current slice.
 fn first_slice(unix_ms: u64, window_ms: u64, slice_ms: u64) -> u64 {
     (unix_ms / slice_ms + 1).saturating_sub(window_ms / slice_ms)
 }
 
-/// Misses as a multiple of what the share allows: at 1 the budget lasts exactly the period.
-fn burn(count: &Count, target: Target) -> f64 {
+/// Returns the burn rate: misses as a multiple of the allowed share; at 1 the budget lasts the period.
+fn burn_rate(count: &Count, target: Target) -> f64 {
     let allowed_per_mille = 1_000_u32.saturating_sub(target.share_per_mille);
     let missed_per_mille = ratio(count.missed() * 1_000, count.requests);
     if missed_per_mille == 0.0 {
@@ -106,7 +105,7 @@
     missed_per_mille / f64::from(allowed_per_mille.max(1))
 }
 
-/// A quotient; zero of nothing.
+/// Returns a quotient, or 0 if the divisor is 0.
 fn ratio(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         0.0
@@ -115,8 +114,8 @@
     }
 }
 
-/// The course over the period, by hour.
-fn points(unix_ms: u64, series: &Series) -> Vec<Point> {
+/// Returns the totals of each hour of the period.
+fn hourly_points(unix_ms: u64, series: &Series) -> Vec<Point> {
     let first = first_slice(unix_ms, PERIOD_MS, LONG_SLICE_MS);
     let point = |(number, count): (u64, &Count)| Point {
         ago_ms: unix_ms.saturating_sub((number + 1) * LONG_SLICE_MS),
@@ -126,9 +125,9 @@
     series.long.iter_since(first).map(point).collect()
 }
 
-/// Where data is missing: after the newest summary of an incarnation that did not say it was the
-/// last one. What such an entry counted since may still come, or is lost with its instance.
-fn gaps(unix_ms: u64, summaries: &[Summary]) -> Vec<Gap> {
+/// Returns the gaps in the data: the time after an incarnation's latest summary, if that is overdue and
+/// wasn't marked as the last. What the entry recorded since may still arrive, or is lost with its instance.
+fn find_gaps(unix_ms: u64, summaries: &[Summary]) -> Vec<Gap> {
     let mut gaps = Vec::new();
     for (index, summary) in summaries.iter().enumerate() {
         let age = unix_ms.saturating_sub(summary.made_unix_ms);
--- a/crates/burn/src/collector.rs
+++ b/crates/burn/src/collector.rs
@@ -1,6 +1,6 @@
-//! One entry's part in the report: counts, writes its summary, reads all of them when asked.
+//! Collects an entry's requests for the report: records them, writes its summary and reads all summaries.
 //!
-//! A pure state machine: the embedder carries out store calls and hands their outcomes back.
+//! A pure state machine: the embedder performs the store calls and feeds back their outcomes.
 
 use std::collections::BTreeMap;
 
@@ -15,55 +15,55 @@
 use crate::report::Report;
 use crate::writer::Writer;
 
-/// What happens to it.
+/// An input to the collector.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The time named by `next_wake` has come.
+    /// The time returned by `next_wake` has been reached.
     Wake,
-    /// A store call has ended.
+    /// A store call has completed.
     Store {
-        /// Which.
+        /// The call.
         id: call::Id,
-        /// How.
+        /// The outcome of the call.
         outcome: Outcome,
     },
-    /// An operator wants a report.
+    /// An operator requested a report.
     ReportRequested {
-        /// Names the operator's call; chosen by the embedder.
+        /// Identifies the operator's call; assigned by the embedder.
         requester: u64,
-        /// Only this deployment.
+        /// Restricts the report to this deployment.
         deployment: Option<SmolStr>,
     },
-    /// The entry has stopped; nothing is counted from now on.
+    /// The entry has stopped; no further requests will be recorded.
     Stopped,
 }
 
-/// What is to be done.
+/// An output of the collector.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Call the store.
     Store {
-        /// Names the call in its outcome.
+        /// Identifies the call in its outcome.
         id: call::Id,
         /// The call.
         call: Call,
     },
-    /// Answer an operator.
+    /// Return a report to an operator.
     Report {
-        /// Whom.
+        /// The operator's call.
         requester: u64,
         /// The report.
         report: Report,
     },
 }
 
-/// One entry's part in the report.
+/// Collects the requests of one entry and builds reports over all entries.
 #[derive(Clone, Debug)]
 pub struct Collector {
-    /// What this entry counts.
+    /// The requests that this entry recorded.
     pub ledger: Ledger,
     writer: Writer,
-    /// At most one reading at a time; whoever asks meanwhile waits for the same.
+    /// The scan in progress, at most one; requests that arrive meanwhile share its result.
     reader: Option<Reader>,
     requesters: Vec<(u64, Option<SmolStr>)>,
     calls: BTreeMap<call::Id, Purpose>,
@@ -73,16 +73,16 @@
 /// Why a store call was made.
 #[derive(Clone, Copy, Debug)]
 enum Purpose {
-    /// To write our summary; whether it is the last one.
+    /// To write this entry's summary.
     Write { last: bool },
     /// To read summaries.
     Read,
-    /// To remove rows that add nothing any more.
+    /// To remove expired rows.
     Remove,
 }
 
 impl Collector {
-    /// Begins to count.
+    /// Creates a collector with a ledger.
     pub fn new(now: Time, ledger: Ledger) -> Collector {
         Collector {
             writer: Writer::new(now, ledger.incarnation()),
@@ -94,34 +94,34 @@
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting effects.
     pub fn step(&mut self, now: Time, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Wake => {}
-            Event::Store { id, outcome } => self.answered(now, id, outcome, effects),
+            Event::Store { id, outcome } => self.handle_outcome(now, id, outcome, effects),
             Event::ReportRequested {
                 requester,
                 deployment,
             } => self.request_report(requester, deployment, effects),
             Event::Stopped => self.writer.stop(now),
         }
-        if let Some(call) = self.writer.due(now, &mut self.ledger) {
+        if let Some(call) = self.writer.take_due(now, &mut self.ledger) {
             let last = self.writer.is_stopping();
-            self.call(Purpose::Write { last }, call, effects);
+            self.send_call(Purpose::Write { last }, call, effects);
         }
     }
 
-    /// When [`Event::Wake`] is wanted next.
+    /// Returns when [`Event::Wake`] is due next.
     pub fn next_wake(&self) -> Option<Time> {
         self.writer.next_wake()
     }
 
-    /// Whether the last summary is known to be in the store.
+    /// Returns whether the last summary is known to be in the store.
     pub fn is_done(&self) -> bool {
         self.writer.is_done()
     }
 
-    /// An operator asks: one reading serves all who ask meanwhile.
+    /// Queues a request for a report; requests share a scan that is in progress.
     fn request_report(
         &mut self,
         requester: u64,
@@ -133,42 +133,48 @@
             return;
         }
         let reader = Reader::default();
-        self.call(Purpose::Read, reader.call(), effects);
+        self.send_call(Purpose::Read, reader.next_call(), effects);
         self.reader = Some(reader);
     }
 
-    /// Takes the outcome of a store call.
-    fn answered(&mut self, now: Time, id: call::Id, outcome: Outcome, effects: &mut Vec<Effect>) {
+    /// Handles the outcome of a store call.
+    fn handle_outcome(
+        &mut self,
+        now: Time,
+        id: call::Id,
+        outcome: Outcome,
+        effects: &mut Vec<Effect>,
+    ) {
         match self.calls.remove(&id) {
             Some(Purpose::Write { last: true }) if matches!(outcome, Outcome::Committed(_)) => {
-                self.writer.last_committed();
+                self.writer.mark_committed();
             }
-            Some(Purpose::Read) => self.read(now, outcome, effects),
-            // A write that failed is made good by the next one, a removal by the next report.
+            Some(Purpose::Read) => self.handle_page(now, outcome, effects),
+            // The next write makes up for a failed one, the next report for a failed removal.
             Some(Purpose::Write { .. } | Purpose::Remove) | None => {}
         }
     }
 
-    /// Takes rows, reads on or answers.
-    fn read(&mut self, now: Time, outcome: Outcome, effects: &mut Vec<Effect>) {
+    /// Processes a page of rows, then reads the next one or completes the report.
+    fn handle_page(&mut self, now: Time, outcome: Outcome, effects: &mut Vec<Effect>) {
         let Some(mut reader) = self.reader.take() else {
             return;
         };
-        if !reader.take(self.ledger.unix_ms(now), outcome) {
-            self.call(Purpose::Read, reader.call(), effects);
+        if !reader.handle_outcome(self.ledger.unix_ms(now), outcome) {
+            self.send_call(Purpose::Read, reader.next_call(), effects);
             self.reader = Some(reader);
             return;
         }
-        self.answer(now, reader, effects);
+        self.send_reports(now, reader, effects);
     }
 
-    /// Answers all who wait, with this entry's own counts as they are now.
-    fn answer(&mut self, now: Time, reader: Reader, effects: &mut Vec<Effect>) {
-        let found = reader.finish();
-        let mut summaries = found.summaries;
+    /// Answers all pending requests, including this entry's current counts.
+    fn send_reports(&mut self, now: Time, reader: Reader, effects: &mut Vec<Effect>) {
+        let findings = reader.finish();
+        let mut summaries = findings.summaries;
         summaries.push(self.ledger.summary(now, false));
         let mut report = Report::from_summaries(self.ledger.unix_ms(now), summaries);
-        report.gaps.extend(found.gaps);
+        report.gaps.extend(findings.gaps);
         for (requester, deployment) in std::mem::take(&mut self.requesters) {
             let report = match deployment {
                 Some(deployment) => report.clone().for_deployment(&deployment),
@@ -176,13 +182,13 @@
             };
             effects.push(Effect::Report { requester, report });
         }
-        if let Some(call) = found.removal {
-            self.call(Purpose::Remove, call, effects);
+        if let Some(call) = findings.removal {
+            self.send_call(Purpose::Remove, call, effects);
         }
     }
 
-    /// Makes a store call.
-    fn call(&mut self, purpose: Purpose, call: Call, effects: &mut Vec<Effect>) {
+    /// Sends a store call and remembers its purpose.
+    fn send_call(&mut self, purpose: Purpose, call: Call, effects: &mut Vec<Effect>) {
         let id = call::Id(self.next_call);
         self.next_call += 1;
         self.calls.insert(id, purpose);
--- a/crates/burn/src/count.rs
+++ b/crates/burn/src/count.rs
@@ -1,4 +1,4 @@
-//! What is added up over a slice of time.
+//! Totals over a slice of time.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,35 +6,35 @@
 use crate::report::Misses;
 use crate::sample::Cause;
 
-/// Sums over a slice of time. Written as a list of numbers: slices are most of a summary.
+/// Totals over a slice of time, serialized as a list of numbers because slices make up most of a summary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "[u64; 10]", from = "[u64; 10]")]
 pub struct Count {
-    /// Requests that ended and count against the promise.
+    /// Ended requests that count toward the objective.
     pub requests: u64,
-    /// Those that met both targets; at most `requests`, and the misses are the rest.
+    /// Requests that met both targets; the rest of `requests` are misses.
     pub within: u64,
     /// Misses by cause.
     pub misses: Misses,
     /// Cost of all requests, millionths of the currency.
     pub cost_micros: u64,
-    /// Tokens that were computed again.
+    /// Tokens that were recomputed.
     pub recomputed: u64,
 }
 
 impl Count {
-    /// Adds another slice's sums.
+    /// Adds the totals of another slice.
     pub fn add(&mut self, other: &Count) {
-        let sums = <[u64; 10]>::from(*self);
-        let more = <[u64; 10]>::from(*other);
-        let mut added = [0; 10];
-        for ((sum, left), right) in added.iter_mut().zip(sums).zip(more) {
+        let own = <[u64; 10]>::from(*self);
+        let others = <[u64; 10]>::from(*other);
+        let mut sums = [0; 10];
+        for ((sum, left), right) in sums.iter_mut().zip(own).zip(others) {
             *sum = left.saturating_add(right);
         }
-        *self = Count::from(added);
+        *self = Count::from(sums);
     }
 
-    /// Counts one miss.
+    /// Counts one miss under its cause.
     pub fn count_miss(&mut self, cause: Cause) {
         let misses = &mut self.misses;
         let counter = match cause {
@@ -48,7 +48,7 @@
         *counter += 1;
     }
 
-    /// Requests that missed a target.
+    /// Returns the number of requests that missed a target.
     pub const fn missed(&self) -> u64 {
         self.requests.saturating_sub(self.within)
     }
@@ -83,8 +83,8 @@
             refused,
             store,
             other,
-            cost,
-            again,
+            cost_micros,
+            recomputed,
         ] = numbers;
         Count {
             requests,
@@ -97,8 +97,8 @@
                 store,
                 other,
             },
-            cost_micros: cost,
-            recomputed: again,
+            cost_micros,
+            recomputed,
         }
     }
 }
--- a/crates/burn/src/format.rs
+++ b/crates/burn/src/format.rs
@@ -1,4 +1,4 @@
-//! Figures in words, the same for a terminal and a page.
+//! Formats figures for people, alike on a terminal and on the HTML page.
 
 use crate::report::Gap;
 use crate::report::Misses;
@@ -9,11 +9,11 @@
 /// Milliseconds in an hour.
 const HOUR_MS: u64 = 60 * MINUTE_MS;
 
-/// A row's figures.
-pub fn facts(row: &Row) -> Vec<(&'static str, String)> {
+/// Returns the figures of a row as pairs of name and value.
+pub fn figures(row: &Row) -> Vec<(&'static str, String)> {
     let target = &row.target;
-    let first = &row.first_token_ms;
-    let gap = &row.worst_gap_ms;
+    let first_token = &row.first_token_ms;
+    let worst_gap = &row.worst_gap_ms;
     vec![
         (
             "target",
@@ -36,44 +36,47 @@
             "burn rate",
             format!("{:.2} short, {:.2} long", row.burn_short, row.burn_long),
         ),
-        ("misses", misses(&row.misses)),
+        ("misses", format_misses(&row.misses)),
         (
             "first token",
             format!(
                 "{} / {} / {} ms (50, 95, 99 in 100)",
-                first.p50, first.p95, first.p99
+                first_token.p50, first_token.p95, first_token.p99
             ),
         ),
         (
             "worst gap",
-            format!("{} / {} / {} ms", gap.p50, gap.p95, gap.p99),
+            format!(
+                "{} / {} / {} ms",
+                worst_gap.p50, worst_gap.p95, worst_gap.p99
+            ),
         ),
         (
             "cost",
             format!(
                 "{} in all, {} for each request within target",
-                money(row.cost_micros as f64),
-                money(row.cost_per_within_micros)
+                format_money(row.cost_micros as f64),
+                format_money(row.cost_per_within_micros)
             ),
         ),
         ("recomputed", format!("{} tokens", row.recomputed_tokens)),
     ]
 }
 
-/// Misses by cause, the most frequent first.
-fn misses(misses: &Misses) -> String {
-    let mut causes = causes(misses);
+/// Formats misses by cause, the most frequent first.
+fn format_misses(misses: &Misses) -> String {
+    let mut causes = misses_by_cause(misses);
     causes.retain(|(_, count)| *count > 0);
     causes.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
     if causes.is_empty() {
         return "none".to_owned();
     }
-    let named = causes.iter().map(|(name, count)| format!("{count} {name}"));
-    named.collect::<Vec<_>>().join(", ")
+    let texts = causes.iter().map(|(name, count)| format!("{count} {name}"));
+    texts.collect::<Vec<_>>().join(", ")
 }
 
-/// Causes by name.
-pub fn causes(misses: &Misses) -> Vec<(&'static str, u64)> {
+/// Returns the misses by cause, with the cause's name.
+pub fn misses_by_cause(misses: &Misses) -> Vec<(&'static str, u64)> {
     vec![
         ("waiting", misses.waiting),
         ("slow backend server", misses.slow_backend),
@@ -84,20 +87,24 @@
     ]
 }
 
-/// A gap in one line.
-pub fn gap_line(gap: &Gap) -> String {
+/// Formats a gap as one line.
+pub fn format_gap(gap: &Gap) -> String {
     if gap.from_ago_ms == 0 {
         return format!("{}: could not be read", gap.entry);
     }
-    let from = span(gap.from_ago_ms);
+    let from = format_duration(gap.from_ago_ms);
     if gap.to_ago_ms == 0 {
         return format!("{}: nothing since {from} ago", gap.entry);
     }
-    format!("{}: from {from} to {} ago", gap.entry, span(gap.to_ago_ms))
+    format!(
+        "{}: from {from} to {} ago",
+        gap.entry,
+        format_duration(gap.to_ago_ms)
+    )
 }
 
-/// A length of time for people.
-pub fn span(millis: u64) -> String {
+/// Formats a duration in milliseconds.
+pub fn format_duration(millis: u64) -> String {
     if millis >= HOUR_MS {
         let (hours, rest) = (millis / HOUR_MS, millis % HOUR_MS / MINUTE_MS);
         return if rest == 0 {
@@ -112,7 +119,7 @@
     format!("{} s", millis / 1_000)
 }
 
-/// An amount for people.
-fn money(micros: f64) -> String {
+/// Formats an amount of millionths of the currency.
+fn format_money(micros: f64) -> String {
     format!("{:.4}", micros / 1_000_000.0)
 }
--- a/crates/burn/src/html.rs
+++ b/crates/burn/src/html.rs
@@ -1,17 +1,17 @@
-//! The report as one page that needs nothing else.
+//! Renders the report as one self-contained HTML page.
 
 use std::fmt::Write;
 
-use crate::format::facts;
-use crate::format::gap_line;
-use crate::format::span;
+use crate::format::figures;
+use crate::format::format_duration;
+use crate::format::format_gap;
 use crate::plot;
 use crate::report::Report;
 use crate::report::Row;
 use crate::report::Urgency;
 
-/// The page up to its body.
-const HEAD: &str = "<!doctype html>
+/// The page before its body's content.
+const PAGE_HEAD: &str = "<!doctype html>
 <html lang=\"en\"><head><meta charset=\"utf-8\"><title>dogwoodspur: service-level burn</title><style>
 body{font:14px sans-serif;max-width:1040px;margin:2em auto;color:#222}
 section{border-top:1px solid #ccc;padding:1em 0;display:flex;gap:2em;flex-wrap:wrap}
@@ -22,68 +22,68 @@
 ";
 
 impl Report {
-    /// The report as one HTML page without scripts and without anything from elsewhere.
+    /// Renders the report as one HTML page without scripts or external resources.
     pub fn to_html(&self) -> String {
-        let mut html = String::from(HEAD);
+        let mut html = String::from(PAGE_HEAD);
         let _ = writeln!(
             html,
             "<h1>Service-level burn</h1>\n<p>Sums over {}; burn rates over {} and {}. Bars are hours, \
              the dashed line is the promised share, the floor of each plot is 800 in 1000.</p>\n<p>{}</p>",
-            span(self.period_ms),
-            span(self.short_window_ms),
-            span(self.long_window_ms),
+            format_duration(self.period_ms),
+            format_duration(self.short_window_ms),
+            format_duration(self.long_window_ms),
             plot::legend()
         );
         for row in &self.rows {
-            section(&mut html, row, self.period_ms);
+            append_section(&mut html, row, self.period_ms);
         }
         if self.rows.is_empty() {
             html.push_str("<p>No request ended in this time.</p>\n");
         }
-        gaps(&mut html, self);
+        append_gaps(&mut html, self);
         html.push_str("</body></html>\n");
         html
     }
 }
 
 /// Appends a row.
-fn section(html: &mut String, row: &Row, period_ms: u64) {
-    let (class, word) = match row.urgency() {
+fn append_section(html: &mut String, row: &Row, period_ms: u64) {
+    let (class, suffix) = match row.urgency() {
         Urgency::Calm => ("calm", ""),
         Urgency::Watch => ("watch", " &mdash; watch"),
         Urgency::Page => ("page", " &mdash; page"),
     };
     let _ = writeln!(
         html,
-        "<section><h2 class=\"{class}\">{} / {}{word}</h2><table>",
+        "<section><h2 class=\"{class}\">{} / {}{suffix}</h2><table>",
         escape(&row.deployment),
         escape(&row.account)
     );
-    for (name, value) in facts(row) {
+    for (name, value) in figures(row) {
         let _ = writeln!(html, "<tr><td>{name}</td><td>{}</td></tr>", escape(&value));
     }
     let _ = writeln!(
         html,
         "</table><div>{}{}</div></section>",
-        plot::course(row, period_ms),
+        plot::share_chart(row, period_ms),
         plot::causes_bar(&row.misses)
     );
 }
 
-/// Appends where data is missing.
-fn gaps(html: &mut String, report: &Report) {
+/// Appends the gaps in the data.
+fn append_gaps(html: &mut String, report: &Report) {
     if report.gaps.is_empty() {
         html.push_str("<p>No data is missing.</p>\n");
         return;
     }
     html.push_str("<h2>Data is missing</h2><ul>\n");
     for gap in &report.gaps {
-        let _ = writeln!(html, "<li>{}</li>", escape(&gap_line(gap)));
+        let _ = writeln!(html, "<li>{}</li>", escape(&format_gap(gap)));
     }
     html.push_str("</ul>\n");
 }
 
-/// Text that can't be taken for markup.
+/// Escapes text for HTML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
--- a/crates/burn/src/ledger.rs
+++ b/crates/burn/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What one entry counts.
+//! Records the ended requests of one entry.
 
 use std::collections::BTreeMap;
 
@@ -10,43 +10,43 @@
 use crate::series::Series;
 use crate::summary::Summary;
 
-/// Most pairs of deployment and account that are kept apart. A further account's requests count
-/// under [`OVERFLOW_ACCOUNT`], so that memory and summaries stay bounded when accounts are many.
+/// Maximum number of pairs of deployment and account with a series of their own. Requests of further
+/// accounts count under [`OVERFLOW_ACCOUNT`], so that memory and summaries stay bounded.
 ///
-/// The figure keeps the ledger within a sixth of the 128 MB that an entry has for control, at the
-/// bytes a pair that the example `size` measures.
+/// Keeps the ledger within a sixth of the 128 MB that an entry has for control; `examples/size.rs` prints
+/// the memory for each pair.
 pub const MAX_SERIES: usize = 1_000;
-/// The account under which requests count that have no place of their own.
+/// The account under which requests count whose pair has no series of its own.
 pub const OVERFLOW_ACCOUNT: &str = "(rest)";
 
 /// A pair of deployment and account.
 type Pair = (SmolStr, SmolStr);
 
-/// What one entry counts.
+/// Ended requests of one entry, as totals by deployment and account.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     entry: SmolStr,
     incarnation: SmolStr,
-    /// Wall clock at the process's time zero.
-    zero_unix_ms: u64,
+    /// Wall clock at the process's time zero, milliseconds since 1970.
+    start_unix_ms: u64,
     targets: BTreeMap<Pair, Target>,
-    /// At most `MAX_SERIES`, and one more for each deployment.
+    /// At most `MAX_SERIES`, and one overflow series for each deployment.
     series: BTreeMap<Pair, Series>,
 }
 
 impl Ledger {
-    /// An empty one; `zero_unix_ms` is the wall clock at the process's time zero.
-    pub fn new(entry: SmolStr, incarnation: SmolStr, zero_unix_ms: u64) -> Ledger {
+    /// Creates an empty ledger; `start_unix_ms` is the wall clock at the process's time zero.
+    pub fn new(entry: SmolStr, incarnation: SmolStr, start_unix_ms: u64) -> Ledger {
         Ledger {
             entry,
             incarnation,
-            zero_unix_ms,
+            start_unix_ms,
             targets: BTreeMap::new(),
             series: BTreeMap::new(),
         }
     }
 
-    /// Takes over all promises of a configuration that is in force now.
+    /// Replaces all targets with those of a configuration that has just taken effect.
     pub fn set_targets(&mut self, now: Time, targets: impl IntoIterator<Item = (Pair, Target)>) {
         self.targets = targets.into_iter().collect();
         let unix_ms = self.unix_ms(now);
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Counts an ended request.
+    /// Records an ended request.
     pub fn record(&mut self, now: Time, sample: &Sample) {
         let unix_ms = self.unix_ms(now);
-        let pair = self.place(sample);
-        let promised = (sample.deployment.clone(), sample.account.clone());
-        let target = self.targets.get(&promised).copied();
+        let pair = self.pair_for(sample);
+        let own_pair = (sample.deployment.clone(), sample.account.clone());
+        let target = self.targets.get(&own_pair).copied();
         let series = self
             .series
             .entry(pair.clone())
@@ -73,15 +73,15 @@
         series.record(unix_ms, sample);
     }
 
-    /// What is to be written to the store; `last` if nothing is counted from now on.
+    /// Builds the summary to write to the store; `last` if no further requests will be recorded.
     ///
-    /// It is due again at once: who writes it sets when.
+    /// Its due time is set to now; the writer replaces it once the next write is scheduled.
     pub fn summary(&mut self, now: Time, last: bool) -> Summary {
         self.trim(now);
         Summary {
             entry: self.entry.clone(),
             incarnation: self.incarnation.clone(),
-            since_unix_ms: self.zero_unix_ms,
+            since_unix_ms: self.start_unix_ms,
             made_unix_ms: self.unix_ms(now),
             due_unix_ms: self.unix_ms(now),
             last,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Forgets what is older than any window, and pairs of which nothing is left.
+    /// Drops data that is older than every window, and pairs without any data left.
     pub fn trim(&mut self, now: Time) {
         let unix_ms = self.unix_ms(now);
         for series in self.series.values_mut() {
@@ -98,18 +98,18 @@
         self.series.retain(|_, series| !series.is_empty());
     }
 
-    /// Its entry's incarnation.
+    /// Returns the entry's incarnation.
     pub fn incarnation(&self) -> &SmolStr {
         &self.incarnation
     }
 
-    /// The wall clock at a time of the process.
+    /// Converts a time of the process to wall-clock milliseconds since 1970.
     pub fn unix_ms(&self, now: Time) -> u64 {
-        self.zero_unix_ms.saturating_add(now.as_millis())
+        self.start_unix_ms.saturating_add(now.as_millis())
     }
 
-    /// Under which pair a request counts.
-    fn place(&self, sample: &Sample) -> Pair {
+    /// Returns the pair under which a request counts.
+    fn pair_for(&self, sample: &Sample) -> Pair {
         let pair = (sample.deployment.clone(), sample.account.clone());
         if self.series.len() < MAX_SERIES || self.series.contains_key(&pair) {
             return pair;
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,13 +1,12 @@
 //! Service-level objectives: error budget, burn rates and reports.
 //!
-//! An entry records each ended request in a [`Ledger`]. Now and then its [`Collector`] writes the
-//! ledger's [`Summary`] to the platform's store; a [`Report`] is drawn from the summaries of all
-//! incarnations of all entries, so that it outlives each. The ledger's memory and the summary's size
-//! are bounded whatever callers do.
+//! An entry records each ended request in a [`Ledger`]. Its [`Collector`] periodically writes the ledger's
+//! [`Summary`] to the platform's store. A [`Report`] is built from the summaries of all incarnations of all
+//! entries, so that it outlives each of them. The ledger's memory and the summary's size are bounded,
+//! whatever callers do.
 //!
-//! Times within a summary are those of the entry's wall clock. They serve the report alone: two
-//! entries whose clocks differ show their requests in slices that are that much apart, and no
-//! decision hangs on it.
+//! Times in a summary are those of the entry's wall clock. Only the report uses them: if the clocks of two
+//! entries differ, their requests appear in slices that are as far apart. No decision depends on them.
 
 pub mod builder;
 pub mod collector;
--- a/crates/burn/src/plot.rs
+++ b/crates/burn/src/plot.rs
@@ -1,86 +1,86 @@
-//! Plots as SVG, without scripts and without anything from elsewhere.
+//! Plots as inline SVG, without scripts or external resources.
 
 use std::fmt::Write;
 
-use crate::format::causes;
+use crate::format::misses_by_cause;
 use crate::report::Misses;
 use crate::report::Row;
 
 /// Width of a plot, pixels.
 const WIDTH: f64 = 480.0;
-/// Height of the course, pixels.
-const HEIGHT: f64 = 110.0;
+/// Height of the chart of shares, pixels.
+const CHART_HEIGHT: f64 = 110.0;
 /// Height of the bar of causes, pixels.
 const BAR_HEIGHT: f64 = 18.0;
-/// Least share shown, in thousandths: below, the course stands on the floor.
-const FLOOR_PER_MILLE: f64 = 800.0;
+/// Lowest share shown, in thousandths; lower shares are drawn at the bottom.
+const MIN_SHARE_PER_MILLE: f64 = 800.0;
 /// Milliseconds in an hour.
 const HOUR_MS: f64 = 3_600_000.0;
-/// Colours of the causes, in their order; told apart by people who don't see red and green alike.
+/// Colours of the causes, in the order of the causes; distinguishable with red-green colour blindness.
 const COLOURS: [&str; 6] = [
     "#0072b2", "#e69f00", "#cc79a7", "#d55e00", "#009e73", "#888888",
 ];
 
-/// The share within target by hour, with the promised share as a line.
-pub fn course(row: &Row, period_ms: u64) -> String {
+/// Draws the share of requests within target by hour, with the target share as a line.
+pub fn share_chart(row: &Row, period_ms: u64) -> String {
     let hours = (period_ms as f64 / HOUR_MS).max(1.0);
     let step = WIDTH / hours;
-    let mut svg = open(HEIGHT, "share within target by hour");
+    let mut svg = open_svg(CHART_HEIGHT, "share within target by hour");
     for point in &row.points {
         let hours_ago = point.ago_ms as f64 / HOUR_MS;
-        let left = (WIDTH - (hours_ago + 1.0) * step).max(0.0);
+        let x = (WIDTH - (hours_ago + 1.0) * step).max(0.0);
         let share = point.within as f64 * 1_000.0 / point.requests.max(1) as f64;
         let met = share >= f64::from(row.target.share_per_mille);
         let colour = if met { COLOURS[0] } else { COLOURS[3] };
-        let height = HEIGHT - y(share);
+        let height = CHART_HEIGHT - share_y(share);
         let _ = write!(
             svg,
-            "<rect x=\"{left:.1}\" y=\"{:.1}\" width=\"{:.1}\" height=\"{height:.1}\" fill=\"{colour}\">\
+            "<rect x=\"{x:.1}\" y=\"{:.1}\" width=\"{:.1}\" height=\"{height:.1}\" fill=\"{colour}\">\
              <title>{} of {} requests within target, {hours_ago:.0} h ago</title></rect>",
-            y(share),
+            share_y(share),
             (step - 1.0).max(1.0),
             point.within,
             point.requests
         );
     }
-    let line = y(f64::from(row.target.share_per_mille));
+    let target_y = share_y(f64::from(row.target.share_per_mille));
     let _ = write!(
         svg,
-        "<line x1=\"0\" x2=\"{WIDTH}\" y1=\"{line:.1}\" y2=\"{line:.1}\" stroke=\"#000\" \
+        "<line x1=\"0\" x2=\"{WIDTH}\" y1=\"{target_y:.1}\" y2=\"{target_y:.1}\" stroke=\"#000\" \
          stroke-dasharray=\"4 3\"><title>promised share</title></line>"
     );
     svg.push_str("</svg>");
     svg
 }
 
-/// Misses by cause as parts of a bar; nothing without misses.
+/// Draws misses by cause as segments of a bar; returns an empty string without misses.
 pub fn causes_bar(misses: &Misses) -> String {
-    let causes = causes(misses);
-    let all: u64 = causes.iter().map(|(_, count)| count).sum();
-    if all == 0 {
+    let causes = misses_by_cause(misses);
+    let total: u64 = causes.iter().map(|(_, count)| count).sum();
+    if total == 0 {
         return String::new();
     }
-    let mut svg = open(BAR_HEIGHT, "misses by cause");
-    let mut left = 0.0;
+    let mut svg = open_svg(BAR_HEIGHT, "misses by cause");
+    let mut x = 0.0;
     for ((name, count), colour) in causes.iter().zip(COLOURS) {
-        let width = WIDTH * *count as f64 / all as f64;
+        let width = WIDTH * *count as f64 / total as f64;
         if *count > 0 {
             let _ = write!(
                 svg,
-                "<rect x=\"{left:.1}\" y=\"0\" width=\"{width:.1}\" height=\"{BAR_HEIGHT}\" \
+                "<rect x=\"{x:.1}\" y=\"0\" width=\"{width:.1}\" height=\"{BAR_HEIGHT}\" \
                  fill=\"{colour}\"><title>{count} {name}</title></rect>"
             );
         }
-        left += width;
+        x += width;
     }
     svg.push_str("</svg>");
     svg
 }
 
-/// What the colours of the causes mean.
+/// Renders the legend of the causes' colours.
 pub fn legend() -> String {
     let mut html = String::new();
-    for ((name, _), colour) in causes(&Misses::default()).iter().zip(COLOURS) {
+    for ((name, _), colour) in misses_by_cause(&Misses::default()).iter().zip(COLOURS) {
         let _ = write!(
             html,
             "<span class=\"key\"><i style=\"background:{colour}\"></i>{name}</span> "
@@ -89,16 +89,17 @@
     html
 }
 
-/// The head of a plot.
-fn open(height: f64, label: &str) -> String {
+/// Opens an SVG element.
+fn open_svg(height: f64, label: &str) -> String {
     format!(
         "<svg role=\"img\" aria-label=\"{label}\" viewBox=\"0 0 {WIDTH} {height}\" \
          width=\"{WIDTH}\" height=\"{height}\">"
     )
 }
 
-/// The height at which a share stands.
-fn y(share_per_mille: f64) -> f64 {
-    let above = (share_per_mille - FLOOR_PER_MILLE).max(0.0) / (1_000.0 - FLOOR_PER_MILLE);
-    HEIGHT - 1.0 - above * (HEIGHT - 2.0)
+/// Returns the y coordinate of a share.
+fn share_y(share_per_mille: f64) -> f64 {
+    let fraction =
+        (share_per_mille - MIN_SHARE_PER_MILLE).max(0.0) / (1_000.0 - MIN_SHARE_PER_MILLE);
+    CHART_HEIGHT - 1.0 - fraction * (CHART_HEIGHT - 2.0)
 }
--- a/crates/burn/src/reader.rs
+++ b/crates/burn/src/reader.rs
@@ -13,85 +13,87 @@
 use crate::summary::Summary;
 use crate::writer::TABLE;
 
-/// Rows read at once.
+/// Rows in one page of a scan.
 const ROWS_PER_READ: u32 = 50;
-/// Most rows removed after one report.
-const REMOVED_AT_ONCE: usize = 50;
-/// The name under which the store's own gap stands in a report.
-const STORE: &str = "(store)";
+/// Maximum number of rows removed after one report.
+const MAX_REMOVALS: usize = 50;
+/// The entry name of the gap that a report shows if the store can't be read.
+const STORE_GAP: &str = "(store)";
 
-/// One reading of the whole table.
+/// A paged scan of the whole table.
 #[derive(Clone, Debug, Default)]
 pub struct Reader {
-    after: SmolStr,
+    cursor: SmolStr,
     summaries: Vec<Summary>,
     gaps: Vec<Gap>,
-    /// Rows that add nothing to any report, with their revisions.
-    spent: Vec<(SmolStr, u64)>,
+    /// Keys and revisions of rows that no report needs any more.
+    expired: Vec<(SmolStr, u64)>,
 }
 
-/// What was read.
+/// The result of a scan.
 #[derive(Clone, Debug)]
-pub struct Found {
-    /// All summaries, in parts.
+pub struct Findings {
+    /// Summaries that were read; a summary may be split into several parts.
     pub summaries: Vec<Summary>,
-    /// What could not be read.
+    /// Data that could not be read.
     pub gaps: Vec<Gap>,
-    /// The removal of rows that add nothing any more.
+    /// A call that removes expired rows.
     pub removal: Option<Call>,
 }
 
 impl Reader {
-    /// The next read.
-    pub fn call(&self) -> Call {
+    /// Returns the call that reads the next page.
+    pub fn next_call(&self) -> Call {
         Call::Scan {
             table: SmolStr::new_static(TABLE),
             prefix: SmolStr::default(),
-            after: self.after.clone(),
+            after: self.cursor.clone(),
             limit: ROWS_PER_READ,
         }
     }
 
-    /// Takes the rows of a read; whether that was the last one.
+    /// Processes the outcome of a read and returns whether the scan is complete.
     ///
-    /// A store that doesn't answer ends the reading: the report shows what is there and says that the
-    /// rest is missing, at once, as an operator looks at it just when things fail.
-    pub fn take(&mut self, unix_ms: u64, outcome: Outcome) -> bool {
+    /// A failed read ends the scan: reports are most needed during an outage, so the operator immediately
+    /// receives what is available, with a gap for the rest.
+    pub fn handle_outcome(&mut self, unix_ms: u64, outcome: Outcome) -> bool {
         let Outcome::Rows { rows, more } = outcome else {
             self.gaps.push(Gap {
-                entry: SmolStr::new_static(STORE),
+                entry: SmolStr::new_static(STORE_GAP),
                 from_ago_ms: 0,
                 to_ago_ms: 0,
             });
             return true;
         };
-        let last = rows.last().map(|row| row.key.clone());
+        let last_key = rows.last().map(|row| row.key.clone());
         for row in rows {
-            self.read(unix_ms, row);
+            self.read_row(unix_ms, row);
         }
-        match last {
+        match last_key {
             Some(key) if more => {
-                self.after = key;
+                self.cursor = key;
                 false
             }
             _ => true,
         }
     }
 
-    /// What was read.
-    pub fn finish(mut self) -> Found {
-        self.spent.truncate(REMOVED_AT_ONCE);
-        Found {
-            removal: removal(&self.spent),
+    /// Returns the result of the scan.
+    pub fn finish(mut self) -> Findings {
+        self.expired.truncate(MAX_REMOVALS);
+        Findings {
+            removal: removal(&self.expired),
             summaries: self.summaries,
             gaps: self.gaps,
         }
     }
 
-    /// Reads one row. One that a release wrote which this one can't read is a gap.
-    fn read(&mut self, unix_ms: u64, row: Row) {
+    /// Reads one row. A row of another release that can't be parsed is reported as a gap.
+    fn read_row(&mut self, unix_ms: u64, row: Row) {
         match serde_json::from_value::<Summary>(row.value) {
-            Ok(summary) if summary.is_expired(unix_ms) => self.spent.push((row.key, row.revision)),
+            Ok(summary) if summary.is_expired(unix_ms) => {
+                self.expired.push((row.key, row.revision))
+            }
             Ok(summary) => self.summaries.push(summary),
             Err(_) => self.gaps.push(Gap {
                 entry: row.key,
@@ -102,18 +104,18 @@
     }
 }
 
-/// Removes rows as they were read; a row that was written since stays, with all the others.
-fn removal(spent: &[(SmolStr, u64)]) -> Option<Call> {
-    if spent.is_empty() {
+/// Removes rows at the revisions that were read; if one has been written since, none is removed.
+fn removal(expired: &[(SmolStr, u64)]) -> Option<Call> {
+    if expired.is_empty() {
         return None;
     }
-    let at = |key: &SmolStr| Address::new(TABLE, key.clone());
-    let checks = spent.iter().map(|(key, revision)| Check {
-        at: at(key),
+    let address = |key: &SmolStr| Address::new(TABLE, key.clone());
+    let checks = expired.iter().map(|(key, revision)| Check {
+        at: address(key),
         revision: Some(*revision),
     });
-    let writes = spent.iter().map(|(key, _)| Write {
-        at: at(key),
+    let writes = expired.iter().map(|(key, _)| Write {
+        at: address(key),
         value: serde_json::Value::Null,
     });
     Some(Call::Transact(Transaction {
--- a/crates/burn/src/sample.rs
+++ b/crates/burn/src/sample.rs
@@ -1,53 +1,53 @@
-//! One ended request, as the report counts it.
+//! An ended request, as the report counts it.
 
 use clock::Span;
 use smol_str::SmolStr;
 
-/// One ended request.
+/// An ended request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// Which deployment.
+    /// The deployment that served the request.
     pub deployment: SmolStr,
-    /// Whose.
+    /// The account that sent the request.
     pub account: SmolStr,
-    /// Time to the first token, or to the whole answer of a plain service; none if there was none.
+    /// Time to the first token, or to the complete answer of a non-streaming service; none without an answer.
     pub first_token: Option<Span>,
     /// Longest time between two tokens.
     pub worst_gap: Span,
     /// How it ended.
     pub outcome: Outcome,
-    /// What held it up, if anything did; counts only when it missed its targets.
+    /// What delayed the request, if anything; counts only if it missed its targets.
     pub cause: Cause,
-    /// Tokens that were computed again for it.
+    /// Tokens that were recomputed for it.
     pub recomputed: u64,
-    /// What it cost, millionths of the currency.
+    /// Cost, millionths of the currency.
     pub cost_micros: u64,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The whole answer was given.
+    /// The complete answer was delivered.
     Answered,
-    /// It was refused or failed.
+    /// The request was refused or failed.
     Failed,
-    /// The caller took it back or sent it malformed: no promise was broken, only its cost counts.
+    /// The caller cancelled it or sent a malformed request: it is no miss, but its cost counts.
     EndedByCaller,
 }
 
 /// Why a request missed its targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// It waited too long before it was started.
+    /// The request waited too long before it started.
     Waiting,
     /// The backend server was slow.
     SlowBackend,
-    /// An instance was reclaimed under it.
+    /// An instance was reclaimed during the request.
     Reclaim,
-    /// It was refused.
+    /// The request was refused.
     Refused,
-    /// The platform's store was down or slow.
+    /// The platform's store was unavailable or slow.
     Store,
-    /// Anything else.
+    /// Any other cause.
     Other,
 }
--- a/crates/burn/src/series.rs
+++ b/crates/burn/src/series.rs
@@ -1,4 +1,4 @@
-//! What is kept of one account with one deployment.
+//! Totals and latencies of one account with one deployment.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,36 +15,36 @@
 pub const SHORT_SLICE_MS: u64 = 5 * 60 * 1_000;
 /// Width of a long slice, milliseconds.
 pub const LONG_SLICE_MS: u64 = 60 * 60 * 1_000;
-/// Short slices kept: the long window of an hour and the running slice.
+/// Short slices retained: the long burn-rate window of an hour and the current slice.
 const SHORT_SLICES: u64 = 13;
-/// Long slices kept: the period of a day and the running slice.
+/// Long slices retained: the period of a day and the current slice.
 const LONG_SLICES: u64 = 25;
-/// Hours of latencies kept: the last whole one and the running one.
+/// Hours of latencies retained: the last complete hour and the current one.
 const LATENCY_HOURS: u64 = 2;
 
-/// What is kept of one account with one deployment. Its size is bounded by the slices kept.
+/// Totals and latencies of one account with one deployment, bounded by the number of slices retained.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Series {
     /// The deployment.
     pub deployment: SmolStr,
     /// The account.
     pub account: SmolStr,
-    /// The newest promise. Requests were judged by the one in force when they ended.
+    /// The newest target. Each request is evaluated against the target in effect when it ended.
     pub target: Target,
-    /// When the promise was last seen, milliseconds since 1970: the newest one wins in a merge.
+    /// When the target was last in effect, milliseconds since 1970; in a merge the newest target wins.
     pub target_unix_ms: u64,
-    /// Sums by five minutes, for burn rates.
+    /// Totals by five minutes, for burn rates.
     pub short: Slices,
-    /// Sums by hour, for the error budget.
+    /// Totals by hour, for the error budget.
     pub long: Slices,
     /// Time to the first token.
     pub first_token: Latency,
-    /// Worst time between two tokens of a request.
+    /// Longest time between two tokens of a request.
     pub worst_gap: Latency,
 }
 
 impl Series {
-    /// An empty one.
+    /// Creates an empty series.
     pub fn new(deployment: SmolStr, account: SmolStr) -> Series {
         Series {
             deployment,
@@ -53,15 +53,15 @@
         }
     }
 
-    /// Notes the promise.
+    /// Sets the target that is in effect at a time.
     pub fn set_target(&mut self, unix_ms: u64, target: Target) {
         self.target = target;
         self.target_unix_ms = unix_ms;
     }
 
-    /// Counts an ended request.
+    /// Records an ended request.
     pub fn record(&mut self, unix_ms: u64, sample: &Sample) {
-        let count = self.judge(sample);
+        let count = self.evaluate(sample);
         self.short.add(unix_ms / SHORT_SLICE_MS, &count);
         self.long.add(unix_ms / LONG_SLICE_MS, &count);
         let hour = unix_ms / LONG_SLICE_MS;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Adds what another entry, or another incarnation, kept of the same account and deployment.
+    /// Merges the series of another entry or incarnation for the same account and deployment.
     pub fn merge(&mut self, other: &Series) {
         if other.target_unix_ms > self.target_unix_ms {
             self.set_target(other.target_unix_ms, other.target);
@@ -85,24 +85,25 @@
         self.worst_gap.merge(&other.worst_gap);
     }
 
-    /// Forgets what is older than any window.
+    /// Drops slices and latencies that are older than every window.
     pub fn trim(&mut self, unix_ms: u64) {
-        let short = unix_ms / SHORT_SLICE_MS;
-        let long = unix_ms / LONG_SLICE_MS;
-        self.short.trim((short + 1).saturating_sub(SHORT_SLICES));
-        self.long.trim((long + 1).saturating_sub(LONG_SLICES));
-        let first_hour = (long + 1).saturating_sub(LATENCY_HOURS);
+        let short_slice = unix_ms / SHORT_SLICE_MS;
+        let long_slice = unix_ms / LONG_SLICE_MS;
+        self.short
+            .trim((short_slice + 1).saturating_sub(SHORT_SLICES));
+        self.long.trim((long_slice + 1).saturating_sub(LONG_SLICES));
+        let first_hour = (long_slice + 1).saturating_sub(LATENCY_HOURS);
         self.first_token.trim(first_hour);
         self.worst_gap.trim(first_hour);
     }
 
-    /// Whether nothing is left in any window.
+    /// Returns whether no window holds any data.
     pub fn is_empty(&self) -> bool {
         self.short.is_empty() && self.long.is_empty()
     }
 
-    /// What one request adds to the sums.
-    fn judge(&self, sample: &Sample) -> Count {
+    /// Returns what a request adds to the totals.
+    fn evaluate(&self, sample: &Sample) -> Count {
         let mut count = Count {
             cost_micros: sample.cost_micros,
             recomputed: sample.recomputed,
@@ -120,7 +121,7 @@
         count
     }
 
-    /// Whether the request met both targets.
+    /// Returns whether the request met both targets.
     fn is_within(&self, sample: &Sample) -> bool {
         let Some(first_token) = sample.first_token else {
             return false;
--- a/crates/burn/tests/collector.rs
+++ b/crates/burn/tests/collector.rs
@@ -1,4 +1,4 @@
-//! Summaries on their way through the store, with its failures.
+//! Tests of writing and reading summaries, with failures of the store.
 
 use burn::Cause;
 use burn::Collector;
@@ -15,19 +15,19 @@
 use store::fake::Table;
 
 /// A whole hour since 1970.
-const ZERO: u64 = 500_000 * 3_600_000;
-const MINUTE: u64 = 60_000;
-const HOUR: u64 = 60 * MINUTE;
+const START_MS: u64 = 500_000 * 3_600_000;
+const MINUTE_MS: u64 = 60_000;
+const HOUR_MS: u64 = 60 * MINUTE_MS;
 
-/// An entry that began at a time of the test.
+/// Creates an entry that starts at a time of the test.
 fn entry(name: &str, start: u64) -> (u64, Collector) {
     let incarnation = format!("{name}.{start}");
-    let ledger = Ledger::new(name.into(), incarnation.into(), ZERO + start);
+    let ledger = Ledger::new(name.into(), incarnation.into(), START_MS + start);
     (start, Collector::new(Time::ZERO, ledger))
 }
 
-/// Records requests of several accounts.
-fn record(entry: &mut (u64, Collector), at: u64, accounts: usize) {
+/// Records one request for each of several accounts.
+fn record(entry: &mut (u64, Collector), at_ms: u64, accounts: usize) {
     for number in 0..accounts {
         let sample = Sample {
             deployment: "thesis".into(),
@@ -39,14 +39,14 @@
             recomputed: 0,
             cost_micros: 1,
         };
-        let now = Time::from_millis(at - entry.0);
+        let now = Time::from_millis(at_ms - entry.0);
         entry.1.ledger.record(now, &sample);
     }
 }
 
-/// Hands an event in and carries out store calls until there are none; gives the reports.
-fn step(entry: &mut (u64, Collector), at: u64, event: Event, table: &mut Table) -> Vec<Report> {
-    let now = Time::from_millis(at - entry.0);
+/// Feeds an event, performs store calls until there are none left, and returns the reports.
+fn step(entry: &mut (u64, Collector), at_ms: u64, event: Event, table: &mut Table) -> Vec<Report> {
+    let now = Time::from_millis(at_ms - entry.0);
     let (mut effects, mut reports) = (Vec::new(), Vec::new());
     entry.1.step(now, event, &mut effects);
     while let Some(effect) = effects.pop() {
@@ -63,136 +63,146 @@
     reports
 }
 
-/// The report that an entry gives.
-fn ask(entry: &mut (u64, Collector), at: u64, table: &mut Table) -> Report {
+/// Requests a report from an entry.
+fn request_report(entry: &mut (u64, Collector), at_ms: u64, table: &mut Table) -> Report {
     let event = Event::ReportRequested {
         requester: 1,
         deployment: None,
     };
-    step(entry, at, event, table).pop().expect("a report")
+    step(entry, at_ms, event, table).pop().expect("a report")
 }
 
-/// Requests of a report.
+/// Returns the number of requests in a report.
 fn requests(report: &Report) -> u64 {
     report.rows.iter().map(|row| row.requests).sum()
 }
 
-/// All entries are replaced one after the other, one of them killed before it could say goodbye. An
-/// operator asks a new entry: the day's requests are all there but for the killed one's last ones.
+/// All entries are replaced, one of them killed before its last write. A report from a new entry must include
+/// all of the day's requests but those that the killed one had not yet written.
 #[test]
 fn a_report_survives_the_replacement_of_every_entry() {
     let mut table = Table::new();
     let (mut stopped, mut killed) = (entry("entry-1", 0), entry("entry-2", 0));
     for old in [&mut stopped, &mut killed] {
         record(old, 0, 2);
-        step(old, MINUTE, Event::Wake, &mut table);
-        record(old, MINUTE, 2);
+        step(old, MINUTE_MS, Event::Wake, &mut table);
+        record(old, MINUTE_MS, 2);
     }
-    step(&mut stopped, 2 * MINUTE, Event::Stopped, &mut table);
+    step(&mut stopped, 2 * MINUTE_MS, Event::Stopped, &mut table);
     assert!(stopped.1.is_done());
-    let mut new = entry("entry-3", 10 * MINUTE);
-    record(&mut new, 10 * MINUTE, 1);
-    let report = ask(&mut new, 11 * MINUTE, &mut table);
+    let mut new = entry("entry-3", 10 * MINUTE_MS);
+    record(&mut new, 10 * MINUTE_MS, 1);
+    let report = request_report(&mut new, 11 * MINUTE_MS, &mut table);
     assert_eq!(requests(&report), 4 + 2 + 1);
     let missing: Vec<&str> = report.gaps.iter().map(|gap| gap.entry.as_str()).collect();
     assert_eq!(missing, ["entry-2"]);
 }
 
-/// The store carries a write out and its answer is lost. The next write must not count twice.
+/// The store commits a write but its response is lost. The next write must not count twice.
 #[test]
-fn a_lost_answer_counts_nothing_twice() {
+fn a_lost_response_counts_nothing_twice() {
     let mut table = Table::new();
     let mut one = entry("entry-1", 0);
     record(&mut one, 0, 3);
     table.push_fault(Fault::LostAnswer);
-    step(&mut one, MINUTE, Event::Wake, &mut table);
-    step(&mut one, 2 * MINUTE, Event::Wake, &mut table);
-    let mut other = entry("entry-2", MINUTE);
-    assert_eq!(requests(&ask(&mut other, 2 * MINUTE, &mut table)), 3);
+    step(&mut one, MINUTE_MS, Event::Wake, &mut table);
+    step(&mut one, 2 * MINUTE_MS, Event::Wake, &mut table);
+    let mut other = entry("entry-2", MINUTE_MS);
+    assert_eq!(
+        requests(&request_report(&mut other, 2 * MINUTE_MS, &mut table)),
+        3
+    );
 }
 
-/// An operator asks while the store is down, which is just when reports are wanted. The answer comes
-/// at once with what the asked entry knows, and says that the rest is missing.
+/// An operator requests a report while the store is down. It must arrive immediately with the entry's own
+/// counts, and list the rest as a gap.
 #[test]
-fn a_store_that_is_down_leaves_the_entry_s_own_counts_and_a_gap() {
+fn with_the_store_down_a_report_has_the_entry_s_own_counts_and_a_gap() {
     let mut table = Table::new();
     let mut one = entry("entry-1", 0);
     record(&mut one, 0, 3);
     table.set_down(true);
-    let report = ask(&mut one, MINUTE, &mut table);
+    let report = request_report(&mut one, MINUTE_MS, &mut table);
     assert_eq!(requests(&report), 3);
     assert_eq!(report.gaps[0].entry, "(store)");
     assert!(report.to_text().contains("(store): could not be read"));
 }
 
 #[test]
-fn a_large_summary_takes_several_rows_and_gives_them_back_when_it_shrinks() {
+fn a_large_summary_takes_several_rows_that_are_removed_when_it_shrinks() {
     let mut table = Table::new();
     let mut one = entry("entry-1", 0);
     record(&mut one, 0, 250);
-    step(&mut one, MINUTE, Event::Wake, &mut table);
+    step(&mut one, MINUTE_MS, Event::Wake, &mut table);
     assert!(table.row("burn", "entry-1.0/2").is_some());
     let mut other = entry("entry-2", 0);
-    assert_eq!(requests(&ask(&mut other, MINUTE, &mut table)), 250);
-    record(&mut one, 26 * HOUR, 1);
-    step(&mut one, 26 * HOUR, Event::Wake, &mut table);
+    assert_eq!(
+        requests(&request_report(&mut other, MINUTE_MS, &mut table)),
+        250
+    );
+    record(&mut one, 26 * HOUR_MS, 1);
+    step(&mut one, 26 * HOUR_MS, Event::Wake, &mut table);
     assert!(table.row("burn", "entry-1.0/0").is_some());
     assert!(table.row("burn", "entry-1.0/1").is_none());
-    assert_eq!(requests(&ask(&mut other, 26 * HOUR, &mut table)), 1);
+    assert_eq!(
+        requests(&request_report(&mut other, 26 * HOUR_MS, &mut table)),
+        1
+    );
 }
 
 #[test]
-fn a_large_summary_is_written_more_seldom() {
+fn a_large_summary_is_written_less_often() {
     let mut table = Table::new();
     let (mut small, mut large) = (entry("entry-1", 0), entry("entry-2", 0));
     record(&mut small, 0, 5);
     record(&mut large, 0, 900);
     for one in [&mut small, &mut large] {
-        step(one, MINUTE, Event::Wake, &mut table);
+        step(one, MINUTE_MS, Event::Wake, &mut table);
     }
-    let wait = |one: &Collector| one.next_wake().map(Time::as_millis).unwrap_or_default() - MINUTE;
-    assert_eq!(wait(&small.1), MINUTE);
-    assert!(wait(&large.1) > 3 * MINUTE);
-    let report = ask(&mut small, 4 * MINUTE, &mut table);
+    let delay =
+        |one: &Collector| one.next_wake().map(Time::as_millis).unwrap_or_default() - MINUTE_MS;
+    assert_eq!(delay(&small.1), MINUTE_MS);
+    assert!(delay(&large.1) > 3 * MINUTE_MS);
+    let report = request_report(&mut small, 4 * MINUTE_MS, &mut table);
     assert!(report.gaps.is_empty(), "{:?}", report.gaps);
 }
 
 #[test]
-fn rows_older_than_the_period_are_removed_by_who_reads_them() {
+fn rows_older_than_the_period_are_removed_when_read() {
     let mut table = Table::new();
     let mut old = entry("entry-1", 0);
     record(&mut old, 0, 1);
-    step(&mut old, MINUTE, Event::Wake, &mut table);
-    let mut new = entry("entry-2", 27 * HOUR);
-    ask(&mut new, 27 * HOUR, &mut table);
+    step(&mut old, MINUTE_MS, Event::Wake, &mut table);
+    let mut new = entry("entry-2", 27 * HOUR_MS);
+    request_report(&mut new, 27 * HOUR_MS, &mut table);
     assert!(table.row("burn", "entry-1.0/0").is_none());
 }
 
-/// An entry stops while its last but one write is on its way. It must not take that write's success
-/// for that of the last summary, which the store has yet to take.
+/// An entry stops while an earlier write is in flight. It must not take that write's success for that of the
+/// last summary, which is not committed yet.
 #[test]
 fn the_last_summary_is_written_until_the_store_has_it() {
     let mut table = Table::new();
     let mut one = entry("entry-1", 0);
     let mut effects = Vec::new();
     one.1
-        .step(Time::from_millis(MINUTE), Event::Wake, &mut effects);
+        .step(Time::from_millis(MINUTE_MS), Event::Wake, &mut effects);
     let Some(Effect::Store { id, call }) = effects.pop() else {
         panic!("no write");
     };
     assert!(matches!(call, Call::Transact(_)));
     table.push_fault(Fault::Down);
-    step(&mut one, 2 * MINUTE, Event::Stopped, &mut table);
+    step(&mut one, 2 * MINUTE_MS, Event::Stopped, &mut table);
     let outcome = table.apply(&call);
     step(
         &mut one,
-        2 * MINUTE,
+        2 * MINUTE_MS,
         Event::Store { id, outcome },
         &mut table,
     );
     assert!(!one.1.is_done());
-    let again = one.1.next_wake().map(Time::as_millis).unwrap();
-    step(&mut one, again, Event::Wake, &mut table);
+    let retry_ms = one.1.next_wake().map(Time::as_millis).unwrap();
+    step(&mut one, retry_ms, Event::Wake, &mut table);
     assert!(one.1.is_done());
     assert_eq!(one.1.next_wake(), None);
 }
--- a/crates/burn/tests/ledger.rs
+++ b/crates/burn/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of budgets and burn rates, and what survives the replacement of entries.
+//! Tests of error budgets, burn rates and reports across the replacement of entries.
 
 use burn::Cause;
 use burn::Ledger;
@@ -13,25 +13,25 @@
 use clock::Span;
 use clock::Time;
 
-/// A whole hour since 1970, so that slices begin with the tests.
-const ZERO: u64 = 500_000 * 3_600_000;
-const MINUTE: u64 = 60_000;
-const HOUR: u64 = 60 * MINUTE;
+/// A whole hour since 1970, so that slices begin with the test.
+const START_MS: u64 = 500_000 * 3_600_000;
+const MINUTE_MS: u64 = 60_000;
+const HOUR_MS: u64 = 60 * MINUTE_MS;
 const TARGET: Target = Target {
     first_token_ms: 480,
     token_gap_ms: 61,
     share_per_mille: 900,
 };
 
-/// A ledger with one promise.
-fn ledger(entry: &str, incarnation: &str, zero: u64) -> Ledger {
-    let mut ledger = Ledger::new(entry.into(), incarnation.into(), zero);
+/// Creates a ledger with one target.
+fn ledger(entry: &str, incarnation: &str, start_ms: u64) -> Ledger {
+    let mut ledger = Ledger::new(entry.into(), incarnation.into(), start_ms);
     let pair = ("thesis".into(), "branches".into());
     ledger.set_targets(Time::ZERO, [(pair, TARGET)]);
     ledger
 }
 
-/// A request that met its targets.
+/// Returns a request that met its targets.
 fn good() -> Sample {
     Sample {
         deployment: "thesis".into(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// A request that waited too long.
+/// Returns a request that waited too long.
 fn late() -> Sample {
     Sample {
         first_token: Some(Span::from_millis(481)),
@@ -56,26 +56,29 @@
 }
 
 /// Records a sample several times.
-fn record(ledger: &mut Ledger, at: u64, sample: &Sample, times: u64) {
+fn record(ledger: &mut Ledger, at_ms: u64, sample: &Sample, times: u64) {
     for _ in 0..times {
-        ledger.record(Time::from_millis(at), sample);
+        ledger.record(Time::from_millis(at_ms), sample);
     }
 }
 
-/// The summary at a time of the process.
-fn summary(ledger: &mut Ledger, at: u64) -> Summary {
-    ledger.summary(Time::from_millis(at), false)
+/// Returns the summary at a time of the process.
+fn summary(ledger: &mut Ledger, at_ms: u64) -> Summary {
+    ledger.summary(Time::from_millis(at_ms), false)
 }
 
 #[test]
 fn share_budget_and_cost_add_up() {
-    let mut ledger = ledger("entry-1", "entry-1.1", ZERO);
-    record(&mut ledger, MINUTE, &good(), 95);
-    record(&mut ledger, MINUTE, &late(), 5);
-    let report = Report::from_summaries(ZERO + 2 * MINUTE, vec![summary(&mut ledger, 2 * MINUTE)]);
+    let mut ledger = ledger("entry-1", "entry-1.1", START_MS);
+    record(&mut ledger, MINUTE_MS, &good(), 95);
+    record(&mut ledger, MINUTE_MS, &late(), 5);
+    let report = Report::from_summaries(
+        START_MS + 2 * MINUTE_MS,
+        vec![summary(&mut ledger, 2 * MINUTE_MS)],
+    );
     let row = &report.rows[0];
     assert_eq!((row.requests, row.within, row.misses.waiting), (100, 95, 5));
-    // 100 in 1000 may miss and 50 in 1000 did: half of the budget, burnt at half of its rate.
+    // 100 in 1000 may miss and 50 in 1000 did: half of the budget is spent, at half of its rate.
     assert_eq!(
         (row.budget_left, row.burn_short, row.burn_long),
         (0.5, 0.5, 0.5)
@@ -88,8 +91,8 @@
 }
 
 #[test]
-fn each_target_alone_can_be_missed_and_a_caller_s_own_end_breaks_no_promise() {
-    let mut ledger = ledger("entry-1", "entry-1.1", ZERO);
+fn each_target_can_be_missed_and_requests_ended_by_the_caller_are_no_misses() {
+    let mut ledger = ledger("entry-1", "entry-1.1", START_MS);
     let slow = Sample {
         worst_gap: Span::from_millis(62),
         cause: Cause::SlowBackend,
@@ -108,72 +111,83 @@
     for sample in [good(), slow, refused, cancelled] {
         record(&mut ledger, 0, &sample, 1);
     }
-    let report = Report::from_summaries(ZERO, vec![summary(&mut ledger, 0)]);
+    let report = Report::from_summaries(START_MS, vec![summary(&mut ledger, 0)]);
     let row = &report.rows[0];
     assert_eq!((row.requests, row.within), (3, 1));
     assert_eq!((row.misses.slow_backend, row.misses.refused), (1, 1));
     assert_eq!(row.cost_micros, 400);
 }
 
-/// A backend server hangs for some minutes, then all is well. Operators should be called while it
-/// lasts, not for the hour that the long window remembers it.
+/// A backend server hangs for some minutes, then recovers. Operators must be paged during the outage, but
+/// not for the rest of the hour that the long window covers.
 #[test]
 fn both_windows_must_burn_for_a_page() {
-    let mut ledger = ledger("entry-1", "entry-1.1", ZERO);
+    let mut ledger = ledger("entry-1", "entry-1.1", START_MS);
     record(&mut ledger, 0, &good(), 20);
-    record(&mut ledger, 20 * MINUTE, &late(), 80);
-    let during =
-        Report::from_summaries(ZERO + 21 * MINUTE, vec![summary(&mut ledger, 21 * MINUTE)]);
+    record(&mut ledger, 20 * MINUTE_MS, &late(), 80);
+    let during = Report::from_summaries(
+        START_MS + 21 * MINUTE_MS,
+        vec![summary(&mut ledger, 21 * MINUTE_MS)],
+    );
     assert_eq!(during.rows[0].burn_long, 8.0);
     assert_eq!(during.rows[0].burn_short, 10.0);
     assert_eq!(during.rows[0].urgency(), Urgency::Page);
-    record(&mut ledger, 40 * MINUTE, &good(), 10);
-    let after = Report::from_summaries(ZERO + 41 * MINUTE, vec![summary(&mut ledger, 41 * MINUTE)]);
+    record(&mut ledger, 40 * MINUTE_MS, &good(), 10);
+    let after = Report::from_summaries(
+        START_MS + 41 * MINUTE_MS,
+        vec![summary(&mut ledger, 41 * MINUTE_MS)],
+    );
     assert!(after.rows[0].burn_long > 6.0);
     assert_eq!(after.rows[0].burn_short, 0.0);
     assert_eq!(after.rows[0].urgency(), Urgency::Calm);
 }
 
 #[test]
-fn what_is_older_than_the_period_is_forgotten() {
-    let mut ledger = ledger("entry-1", "entry-1.1", ZERO);
+fn requests_older_than_the_period_are_dropped() {
+    let mut ledger = ledger("entry-1", "entry-1.1", START_MS);
     record(&mut ledger, 0, &late(), 10);
-    record(&mut ledger, 23 * HOUR, &good(), 1);
-    let report = Report::from_summaries(ZERO + 24 * HOUR, vec![summary(&mut ledger, 24 * HOUR)]);
+    record(&mut ledger, 23 * HOUR_MS, &good(), 1);
+    let report = Report::from_summaries(
+        START_MS + 24 * HOUR_MS,
+        vec![summary(&mut ledger, 24 * HOUR_MS)],
+    );
     assert_eq!((report.rows[0].requests, report.rows[0].within), (1, 1));
-    let spent = summary(&mut ledger, 24 * HOUR);
-    assert!(!spent.is_expired(ZERO + 48 * HOUR));
-    assert!(spent.is_expired(ZERO + 50 * HOUR));
+    let expired = summary(&mut ledger, 24 * HOUR_MS);
+    assert!(!expired.is_expired(START_MS + 48 * HOUR_MS));
+    assert!(expired.is_expired(START_MS + 50 * HOUR_MS));
     assert!(
-        Report::from_summaries(ZERO + 50 * HOUR, vec![spent])
+        Report::from_summaries(START_MS + 50 * HOUR_MS, vec![expired])
             .rows
             .is_empty()
     );
-    let empty = summary(&mut ledger, 48 * HOUR);
+    let empty = summary(&mut ledger, 48 * HOUR_MS);
     assert!(empty.series.is_empty());
 }
 
-/// Every entry is replaced. What the old ones counted stays in the report, and the time between an
-/// entry's last summary and its successor's start is named as missing, as nobody counted it.
+/// Every entry is replaced. The report must keep what the old ones recorded, and list the time between an
+/// entry's last summary and its successor's start as a gap.
 #[test]
-fn the_report_survives_the_replacement_of_every_entry_and_names_what_is_missing() {
-    let mut left = Vec::new();
+fn the_report_survives_the_replacement_of_every_entry_and_lists_gaps() {
+    let mut summaries = Vec::new();
     for name in ["entry-1", "entry-2"] {
-        let mut old = ledger(name, &format!("{name}.1"), ZERO);
-        record(&mut old, MINUTE, &good(), 10);
-        left.push(old.summary(Time::from_millis(2 * MINUTE), name == "entry-1"));
+        let mut old = ledger(name, &format!("{name}.1"), START_MS);
+        record(&mut old, MINUTE_MS, &good(), 10);
+        summaries.push(old.summary(Time::from_millis(2 * MINUTE_MS), name == "entry-1"));
     }
     for name in ["entry-1", "entry-2"] {
-        let mut new = ledger(name, &format!("{name}.2"), ZERO + 10 * MINUTE);
+        let mut new = ledger(name, &format!("{name}.2"), START_MS + 10 * MINUTE_MS);
         record(&mut new, 0, &good(), 5);
-        left.push(summary(&mut new, 5 * MINUTE));
+        summaries.push(summary(&mut new, 5 * MINUTE_MS));
     }
-    let report = Report::from_summaries(ZERO + 15 * MINUTE, left);
+    let report = Report::from_summaries(START_MS + 15 * MINUTE_MS, summaries);
     assert_eq!(report.rows[0].requests, 30);
     assert_eq!(report.gaps.len(), 1);
     let gap = &report.gaps[0];
     assert_eq!(gap.entry, "entry-2");
-    assert_eq!((gap.from_ago_ms, gap.to_ago_ms), (13 * MINUTE, 5 * MINUTE));
+    assert_eq!(
+        (gap.from_ago_ms, gap.to_ago_ms),
+        (13 * MINUTE_MS, 5 * MINUTE_MS)
+    );
     assert!(
         report
             .to_text()
@@ -181,27 +195,26 @@
     );
 }
 
-/// A write whose answer was lost is repeated, and the store lists an older copy too. Nothing may be
-/// counted twice.
+/// A write whose response was lost is retried, and the scan also returns an older copy. Nothing may count
+/// twice.
 #[test]
 fn only_the_newest_summary_of_an_incarnation_counts() {
-    let mut ledger = ledger("entry-1", "entry-1.1", ZERO);
+    let mut ledger = ledger("entry-1", "entry-1.1", START_MS);
     record(&mut ledger, 0, &good(), 3);
-    let early = summary(&mut ledger, MINUTE);
-    record(&mut ledger, MINUTE, &good(), 4);
-    let late = summary(&mut ledger, 2 * MINUTE);
+    let early = summary(&mut ledger, MINUTE_MS);
+    record(&mut ledger, MINUTE_MS, &good(), 4);
+    let late = summary(&mut ledger, 2 * MINUTE_MS);
     let all = vec![late.clone(), early, late];
     assert_eq!(
-        Report::from_summaries(ZERO + 2 * MINUTE, all).rows[0].requests,
+        Report::from_summaries(START_MS + 2 * MINUTE_MS, all).rows[0].requests,
         7
     );
 }
 
-/// A caller finds a way to come under thousands of names, or accounts are that many. Memory and
-/// summaries must not grow with them.
+/// With thousands of accounts, memory and the size of summaries must stay bounded.
 #[test]
 fn accounts_beyond_the_bound_count_together() {
-    let mut ledger = Ledger::new("entry-1".into(), "entry-1.1".into(), ZERO);
+    let mut ledger = Ledger::new("entry-1".into(), "entry-1.1".into(), START_MS);
     for number in 0..MAX_SERIES + 500 {
         let sample = Sample {
             account: format!("account-{number}").into(),
@@ -211,7 +224,7 @@
     }
     let summary = summary(&mut ledger, 0);
     assert_eq!(summary.series.len(), MAX_SERIES + 1);
-    let report = Report::from_summaries(ZERO, vec![summary]);
+    let report = Report::from_summaries(START_MS, vec![summary]);
     let rest = report
         .rows
         .iter()
@@ -221,14 +234,14 @@
 }
 
 #[test]
-fn a_page_shows_names_as_text_and_needs_nothing_else() {
-    let mut ledger = Ledger::new("entry-1".into(), "entry-1.1".into(), ZERO);
+fn html_escapes_names_and_needs_no_external_resources() {
+    let mut ledger = Ledger::new("entry-1".into(), "entry-1.1".into(), START_MS);
     let sample = Sample {
         account: "<script>".into(),
         ..late()
     };
     record(&mut ledger, 0, &sample, 1);
-    let html = Report::from_summaries(ZERO, vec![summary(&mut ledger, 0)]).to_html();
+    let html = Report::from_summaries(START_MS, vec![summary(&mut ledger, 0)]).to_html();
     assert!(html.contains("thesis / &lt;script&gt;"));
     assert!(!html.contains("<script") && !html.contains("http"));
     assert_eq!(html.matches("<svg").count(), html.matches("</svg>").count());
