--- a/crates/burn/src/collector.rs
+++ b/crates/burn/src/collector.rs
@@ -133,7 +133,7 @@
             return;
         }
         let reader = Reader::default();
-        self.send_call(Purpose::Read, reader.next_call(), effects);
+        self.send_call(Purpose::Read, reader.page_call(), effects);
         self.reader = Some(reader);
     }
 
@@ -161,7 +161,7 @@
             return;
         };
         if !reader.handle_outcome(self.ledger.unix_ms(now), outcome) {
-            self.send_call(Purpose::Read, reader.next_call(), effects);
+            self.send_call(Purpose::Read, reader.page_call(), effects);
             self.reader = Some(reader);
             return;
         }
--- a/crates/burn/src/reader.rs
+++ b/crates/burn/src/reader.rs
@@ -43,7 +43,7 @@
 
 impl Reader {
     /// Returns the call that reads the next page.
-    pub fn next_call(&self) -> Call {
+    pub fn page_call(&self) -> Call {
         Call::Scan {
             table: SmolStr::new_static(TABLE),
             prefix: SmolStr::default(),
--- a/crates/wire/examples/draw.rs
+++ b/crates/wire/examples/draw.rs
@@ -1,4 +1,4 @@
-//! Draws `src/peer_capnp.rs` from the schema. Needs the `capnp` tool; the build doesn't.
+//! Generates `src/peer_capnp.rs` from the schema. Requires the `capnp` tool, which the build doesn't.
 
 use std::path::PathBuf;
 
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of members.
+//! Encodes and decodes the digests that members exchange.
 
 use lease::holder;
 use member::digest::Beat;
@@ -17,109 +17,111 @@
 use crate::peer_capnp::item;
 use crate::peer_capnp::record;
 
-/// Writes a digest.
-pub fn write(digest: &Digest, mut to: digest::Builder<'_>) {
-    write_beat(&digest.own, to.reborrow().init_own());
-    let mut beats = to.reborrow().init_beats(count(digest.beats.len()));
-    for (at, beat) in digest.beats.iter().enumerate() {
-        write_beat(beat, beats.reborrow().get(count(at)));
+/// Writes a digest to a message.
+pub fn write(digest: &Digest, mut builder: digest::Builder<'_>) {
+    write_beat(&digest.own, builder.reborrow().init_own());
+    let mut beats = builder.reborrow().init_beats(to_u32(digest.beats.len()));
+    for (index, beat) in digest.beats.iter().enumerate() {
+        write_beat(beat, beats.reborrow().get(to_u32(index)));
     }
-    let mut records = to.reborrow().init_records(count(digest.records.len()));
-    for (at, record) in digest.records.iter().enumerate() {
-        write_record(record, records.reborrow().get(count(at)));
+    let mut records = builder
+        .reborrow()
+        .init_records(to_u32(digest.records.len()));
+    for (index, record) in digest.records.iter().enumerate() {
+        write_record(record, records.reborrow().get(to_u32(index)));
     }
-    let mut items = to.reborrow().init_items(count(digest.items.len()));
-    for (at, item) in digest.items.iter().enumerate() {
-        write_item(item, items.reborrow().get(count(at)));
+    let mut items = builder.reborrow().init_items(to_u32(digest.items.len()));
+    for (index, item) in digest.items.iter().enumerate() {
+        write_item(item, items.reborrow().get(to_u32(index)));
     }
-    to.set_greeting(digest.greeting);
+    builder.set_greeting(digest.greeting);
 }
 
-/// Reads a digest; pieces on topics that a newer release brought are passed over.
-pub fn read(from: digest::Reader<'_>) -> capnp::Result<Digest> {
+/// Reads a digest from a message. Records and items of kinds that only a newer release knows are skipped.
+pub fn read(reader: digest::Reader<'_>) -> capnp::Result<Digest> {
     let mut digest = Digest {
-        own: read_beat(from.get_own()?),
-        greeting: from.get_greeting(),
+        own: read_beat(reader.get_own()?),
+        greeting: reader.get_greeting(),
         ..Digest::default()
     };
-    digest.beats = from.get_beats()?.iter().map(read_beat).collect();
-    for record in from.get_records()? {
+    digest.beats = reader.get_beats()?.iter().map(read_beat).collect();
+    for record in reader.get_records()? {
         digest.records.extend(read_record(record)?);
     }
-    for item in from.get_items()? {
+    for item in reader.get_items()? {
         digest.items.extend(read_item(item)?);
     }
     Ok(digest)
 }
 
-/// A length as the encoding counts it.
-fn count(length: usize) -> u32 {
+/// Converts a length or an index to the type that capnp uses.
+fn to_u32(length: usize) -> u32 {
     u32::try_from(length).unwrap_or(u32::MAX)
 }
 
-fn write_beat(beat: &Beat, mut to: beat::Builder<'_>) {
-    to.set_id(beat.id.0);
-    to.set_count(beat.count);
-    to.set_applied(beat.applied);
-    to.set_load(beat.load);
-    to.set_store_lost(beat.store_lost);
+fn write_beat(beat: &Beat, mut builder: beat::Builder<'_>) {
+    builder.set_id(beat.id.0);
+    builder.set_count(beat.count);
+    builder.set_applied(beat.applied);
+    builder.set_load(beat.load);
+    builder.set_store_lost(beat.store_lost);
 }
 
-fn read_beat(from: beat::Reader<'_>) -> Beat {
+fn read_beat(reader: beat::Reader<'_>) -> Beat {
     Beat {
-        id: holder::Id(from.get_id()),
-        count: from.get_count(),
-        applied: from.get_applied(),
-        load: from.get_load(),
-        store_lost: from.get_store_lost(),
+        id: holder::Id(reader.get_id()),
+        count: reader.get_count(),
+        applied: reader.get_applied(),
+        load: reader.get_load(),
+        store_lost: reader.get_store_lost(),
     }
 }
 
-fn write_record(record: &Record, mut to: record::Builder<'_>) {
+fn write_record(record: &Record, mut builder: record::Builder<'_>) {
     let row = &record.row;
-    to.set_id(row.id.0);
-    to.set_zone(row.zone.as_str());
-    to.set_address(row.address.as_str());
-    to.set_peer_address(row.peer_address.as_str());
-    to.set_state(match row.state {
+    builder.set_id(row.id.0);
+    builder.set_zone(row.zone.as_str());
+    builder.set_address(row.address.as_str());
+    builder.set_peer_address(row.peer_address.as_str());
+    builder.set_state(match row.state {
         State::Live => WireState::Live,
         State::Draining => WireState::Draining,
         State::Left => WireState::Left,
     });
-    to.set_applied(row.applied);
-    to.set_term_ms(row.term_ms);
-    to.set_renewals(row.renewals);
-    to.set_heir(row.heir.map_or(0, |heir| heir.0));
-    to.set_has_heir(row.heir.is_some());
-    to.set_gone(record.gone);
+    builder.set_applied(row.applied);
+    builder.set_term_ms(row.term_ms);
+    builder.set_renewals(row.renewals);
+    builder.set_heir(row.heir.map_or(0, |heir| heir.0));
+    builder.set_has_heir(row.heir.is_some());
+    builder.set_gone(record.gone);
 }
 
-fn read_record(from: record::Reader<'_>) -> capnp::Result<Option<Record>> {
-    let state = match from.get_state() {
+fn read_record(reader: record::Reader<'_>) -> capnp::Result<Option<Record>> {
+    let state = match reader.get_state() {
         Ok(WireState::Live) => State::Live,
         Ok(WireState::Draining) => State::Draining,
         Ok(WireState::Left) => State::Left,
         Err(_) => return Ok(None),
     };
     let row = Row {
-        id: holder::Id(from.get_id()),
-        zone: text(from.get_zone()?)?,
-        address: text(from.get_address()?)?,
-        peer_address: text(from.get_peer_address()?)?,
+        id: holder::Id(reader.get_id()),
+        zone: text(reader.get_zone()?)?,
+        address: text(reader.get_address()?)?,
+        peer_address: text(reader.get_peer_address()?)?,
         state,
-        applied: from.get_applied(),
-        term_ms: from.get_term_ms(),
-        renewals: from.get_renewals(),
-        heir: from.get_has_heir().then(|| holder::Id(from.get_heir())),
+        applied: reader.get_applied(),
+        term_ms: reader.get_term_ms(),
+        renewals: reader.get_renewals(),
+        heir: reader.get_has_heir().then(|| holder::Id(reader.get_heir())),
     };
     Ok(Some(Record {
         row,
-        gone: from.get_gone(),
+        gone: reader.get_gone(),
     }))
 }
 
-fn write_item(item: &Item, mut to: item::Builder<'_>) {
-    to.set_topic(match item.topic {
+fn write_item(item: &Item, mut builder: item::Builder<'_>) {
+    builder.set_topic(match item.topic {
         Topic::Leaving => WireTopic::Leaving,
         Topic::Quarantine => WireTopic::Quarantine,
         Topic::Heir => WireTopic::Heir,
@@ -132,14 +134,14 @@
         Topic::Rollout => WireTopic::Rollout,
         Topic::Silent => WireTopic::Silent,
     });
-    to.set_key(item.key.as_str());
-    to.set_version(item.version);
-    to.set_age_ms(item.age_ms);
-    to.set_payload(&item.payload);
+    builder.set_key(item.key.as_str());
+    builder.set_version(item.version);
+    builder.set_age_ms(item.age_ms);
+    builder.set_payload(&item.payload);
 }
 
-fn read_item(from: item::Reader<'_>) -> capnp::Result<Option<Item>> {
-    let topic = match from.get_topic() {
+fn read_item(reader: item::Reader<'_>) -> capnp::Result<Option<Item>> {
+    let topic = match reader.get_topic() {
         Ok(WireTopic::Leaving) => Topic::Leaving,
         Ok(WireTopic::Quarantine) => Topic::Quarantine,
         Ok(WireTopic::Heir) => Topic::Heir,
@@ -155,13 +157,13 @@
     };
     Ok(Some(Item {
         topic,
-        key: text(from.get_key()?)?,
-        version: from.get_version(),
-        age_ms: from.get_age_ms(),
-        payload: from.get_payload()?.to_vec(),
+        key: text(reader.get_key()?)?,
+        version: reader.get_version(),
+        age_ms: reader.get_age_ms(),
+        payload: reader.get_payload()?.to_vec(),
     }))
 }
 
-fn text(from: capnp::text::Reader<'_>) -> capnp::Result<SmolStr> {
-    Ok(SmolStr::from(from.to_str()?))
+fn text(reader: capnp::text::Reader<'_>) -> capnp::Result<SmolStr> {
+    Ok(SmolStr::from(reader.to_str()?))
 }
--- a/crates/wire/src/scheduler.rs
+++ b/crates/wire/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! What schedulers tell each other, as the payload of a piece of news.
+//! Encodes and decodes the digests that schedulers exchange as the payload of an item.
 
 use capnp::message::Builder;
 use capnp::message::ReaderOptions;
@@ -14,23 +14,23 @@
 use crate::peer_capnp::news;
 use crate::peer_capnp::suspect;
 
-/// The packed form of a scheduler's digest.
+/// Encodes a scheduler's digest in capnp's packed form.
 pub fn encode(digest: &Digest) -> Vec<u8> {
     let mut message = Builder::new_default();
     let mut root = message.init_root::<news::Builder<'_>>();
     let claims = &digest.limit.claims;
-    let mut to = root.reborrow().init_claims(count(claims.len()));
-    for (at, claim) in claims.iter().enumerate() {
-        write_claim(claim, to.reborrow().get(count(at)));
+    let mut claim_list = root.reborrow().init_claims(to_u32(claims.len()));
+    for (index, claim) in claims.iter().enumerate() {
+        write_claim(claim, claim_list.reborrow().get(to_u32(index)));
     }
     write_quarantine(&digest.quarantine, root);
     let mut bytes = Vec::new();
-    // Writing to memory can't fail; an empty payload would be passed over by its readers.
+    // Writing to memory can't fail; readers would ignore an empty payload.
     let _ = serialize_packed::write_message(&mut bytes, &message);
     bytes
 }
 
-/// The digest of a packed form.
+/// Decodes a scheduler's digest from capnp's packed form.
 pub fn decode(bytes: &[u8]) -> capnp::Result<Digest> {
     let message = serialize_packed::read_message(bytes, ReaderOptions::new())?;
     let root = message.get_root::<news::Reader<'_>>()?;
@@ -41,93 +41,97 @@
     })
 }
 
-fn count(length: usize) -> u32 {
+fn to_u32(length: usize) -> u32 {
     u32::try_from(length).unwrap_or(u32::MAX)
 }
 
-fn write_claim(claim: &limit::Claim, mut to: claim::Builder<'_>) {
-    to.set_name(claim.name);
-    to.set_demand(claim.demand);
-    to.set_wanted(claim.wanted);
-    to.set_tokens(claim.tokens);
-    to.set_open(claim.open);
+fn write_claim(claim: &limit::Claim, mut builder: claim::Builder<'_>) {
+    builder.set_name(claim.name);
+    builder.set_demand(claim.demand);
+    builder.set_wanted(claim.wanted);
+    builder.set_tokens(claim.tokens);
+    builder.set_open(claim.open);
 }
 
-fn read_claim(from: claim::Reader<'_>) -> limit::Claim {
+fn read_claim(reader: claim::Reader<'_>) -> limit::Claim {
     limit::Claim {
-        name: from.get_name(),
-        demand: from.get_demand(),
-        wanted: from.get_wanted(),
-        tokens: from.get_tokens(),
-        open: from.get_open(),
+        name: reader.get_name(),
+        demand: reader.get_demand(),
+        wanted: reader.get_wanted(),
+        tokens: reader.get_tokens(),
+        open: reader.get_open(),
     }
 }
 
 fn write_quarantine(digest: &quarantine::Digest, mut root: news::Builder<'_>) {
-    let mut suspects = root.reborrow().init_suspects(count(digest.items.len()));
-    for (at, item) in digest.items.iter().enumerate() {
-        write_suspect(item, suspects.reborrow().get(count(at)));
+    let mut suspects = root.reborrow().init_suspects(to_u32(digest.items.len()));
+    for (index, item) in digest.items.iter().enumerate() {
+        write_suspect(item, suspects.reborrow().get(to_u32(index)));
     }
-    let mut crashes = root.reborrow().init_crashes(count(digest.crashes.len()));
-    for (at, crash) in digest.crashes.iter().enumerate() {
-        let mut to = crashes.reborrow().get(count(at));
-        to.set_replica(crash.replica);
-        to.set_zone(crash.zone);
-        to.set_age_ms(crash.age.as_millis());
+    let mut crashes = root.reborrow().init_crashes(to_u32(digest.crashes.len()));
+    for (index, crash) in digest.crashes.iter().enumerate() {
+        let mut builder = crashes.reborrow().get(to_u32(index));
+        builder.set_replica(crash.replica);
+        builder.set_zone(crash.zone);
+        builder.set_age_ms(crash.age.as_millis());
     }
-    let mut claims = root.init_alone(count(digest.claims.len()));
-    for (at, claim) in digest.claims.iter().enumerate() {
-        let mut to = claims.reborrow().get(count(at));
-        to.set_fingerprint(claim.fingerprint);
-        to.set_replica(claim.replica);
+    let mut claims = root.init_alone(to_u32(digest.claims.len()));
+    for (index, claim) in digest.claims.iter().enumerate() {
+        let mut builder = claims.reborrow().get(to_u32(index));
+        builder.set_fingerprint(claim.fingerprint);
+        builder.set_replica(claim.replica);
     }
 }
 
-fn write_suspect(item: &quarantine::Item, mut to: suspect::Builder<'_>) {
-    to.set_fingerprint(item.fingerprint);
-    to.set_judged(item.judged);
-    to.set_left_ms(item.remaining.as_millis());
-    let mut crashes = to.reborrow().init_crashes(count(item.crashes.len()));
-    for (at, replica) in item.crashes.iter().enumerate() {
-        crashes.set(count(at), *replica);
+fn write_suspect(item: &quarantine::Item, mut builder: suspect::Builder<'_>) {
+    builder.set_fingerprint(item.fingerprint);
+    builder.set_judged(item.judged);
+    builder.set_left_ms(item.remaining.as_millis());
+    let mut crashes = builder.reborrow().init_crashes(to_u32(item.crashes.len()));
+    for (index, replica) in item.crashes.iter().enumerate() {
+        crashes.set(to_u32(index), *replica);
     }
-    let mut acquitted = to.init_acquitted(count(item.acquitted.len()));
-    for (at, replica) in item.acquitted.iter().enumerate() {
-        acquitted.set(count(at), *replica);
+    let mut acquitted = builder.init_acquitted(to_u32(item.acquitted.len()));
+    for (index, replica) in item.acquitted.iter().enumerate() {
+        acquitted.set(to_u32(index), *replica);
     }
 }
 
 fn read_quarantine(root: news::Reader<'_>) -> capnp::Result<quarantine::Digest> {
     let mut digest = quarantine::Digest::default();
-    for from in root.get_suspects()? {
-        digest.items.push(read_suspect(from)?);
+    for reader in root.get_suspects()? {
+        digest.items.push(read_suspect(reader)?);
     }
     digest.crashes = root.get_crashes()?.iter().map(read_crash).collect();
-    digest.claims = root.get_alone()?.iter().map(read_alone).collect();
+    digest.claims = root
+        .get_alone()?
+        .iter()
+        .map(read_quarantine_claim)
+        .collect();
     Ok(digest)
 }
 
-fn read_suspect(from: suspect::Reader<'_>) -> capnp::Result<quarantine::Item> {
+fn read_suspect(reader: suspect::Reader<'_>) -> capnp::Result<quarantine::Item> {
     Ok(quarantine::Item {
-        fingerprint: from.get_fingerprint(),
-        crashes: from.get_crashes()?.iter().collect(),
-        acquitted: from.get_acquitted()?.iter().collect(),
-        judged: from.get_judged(),
-        remaining: Span::from_millis(from.get_left_ms()),
+        fingerprint: reader.get_fingerprint(),
+        crashes: reader.get_crashes()?.iter().collect(),
+        acquitted: reader.get_acquitted()?.iter().collect(),
+        judged: reader.get_judged(),
+        remaining: Span::from_millis(reader.get_left_ms()),
     })
 }
 
-fn read_crash(from: crash::Reader<'_>) -> quarantine::Crash {
+fn read_crash(reader: crash::Reader<'_>) -> quarantine::Crash {
     quarantine::Crash {
-        replica: from.get_replica(),
-        zone: from.get_zone(),
-        age: Span::from_millis(from.get_age_ms()),
+        replica: reader.get_replica(),
+        zone: reader.get_zone(),
+        age: Span::from_millis(reader.get_age_ms()),
     }
 }
 
-fn read_alone(from: alone::Reader<'_>) -> quarantine::Claim {
+fn read_quarantine_claim(reader: alone::Reader<'_>) -> quarantine::Claim {
     quarantine::Claim {
-        fingerprint: from.get_fingerprint(),
-        replica: from.get_replica(),
+        fingerprint: reader.get_fingerprint(),
+        replica: reader.get_replica(),
     }
 }
