--- a/crates/burn/tests/collector.rs
+++ b/crates/burn/tests/collector.rs
@@ -100,7 +100,7 @@
 
 /// The store commits a write but its response is lost. The next write must not count twice.
 #[test]
-fn a_lost_response_counts_nothing_twice() {
+fn a_lost_answer_counts_nothing_twice() {
     let mut table = Table::new();
     let mut one = entry("entry-1", 0);
     record(&mut one, 0, 3);
