--- a/crates/model/src/acceptance.rs
+++ b/crates/model/src/acceptance.rs
@@ -1,146 +1,146 @@
 //! One change of the configuration among three members.
 //!
-//! Member 0 commits the change and decides when it is accepted. Member 1 applies it, renews its row
-//! or sleeps. Member 2 is the one that is looked at: it may sleep through anything, be cut off from
-//! the table service and live by the others' word, or join while the change goes on; any member is as
-//! good as this one, so the others' own admission is left out. Bounds: three members, one change, a
-//! lease term of two ticks, a margin of one, a word that counts for two ticks, clocks that run evenly.
+//! Member 0 commits the change and decides when it is accepted. Member 1 applies it, renews its row or is
+//! paused. Member 2 is the one whose admission is checked: it may be paused at any time, be cut off from the
+//! table service and rely on the others' votes, or join during the change. Members are interchangeable, so
+//! the admission of the others is omitted. Bounds: three members, one change, a lease term of two ticks, a
+//! margin of one, a vote that is valid for two ticks, clocks without drift.
 
 use crate::checker::Specification;
 
-/// Ticks of a lease.
+/// Term of a lease, ticks.
 const TERM: u8 = 2;
-/// Ticks added before another treats it as lapsed.
+/// Ticks after the term before others treat a lease as lapsed.
 const MARGIN: u8 = 1;
-/// Ticks that a member's word counts, from when it was asked.
-const WORD: u8 = 2;
-/// Members.
+/// Time that a vote is valid, counted from the query, ticks.
+const VOTE_TERM: u8 = 2;
+/// Number of members.
 const MEMBERS: usize = 3;
-/// The member that lives by the others' word.
-const ASKER: usize = 2;
+/// The member whose admission is checked.
+const OBSERVED: usize = 2;
 
-/// What is left out.
+/// A guard that the specification omits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// All guards are present.
     #[default]
     None,
-    /// A member with a regained lease doesn't read the head before it admits.
+    /// A member that regains its lease doesn't read the head before it admits.
     NoReread,
-    /// A read of the members from before the commit counts.
-    OldView,
-    /// Members say at once that they have applied the change, whatever they told others before.
-    NoPromise,
-    /// Acceptance takes no majority while members are out.
+    /// A read of the members from before the commit is used.
+    StaleView,
+    /// Members announce the change as soon as they apply it, whatever they voted before.
+    NoDeferral,
+    /// Acceptance requires no majority while members have lapsed.
     NoMajority,
-    /// A word counts from when it was heard, not from when it was asked.
-    WordFromAnswer,
-    /// Members that are not out are not waited for.
+    /// A vote is valid from its arrival, not from the query.
+    VoteTermFromArrival,
+    /// Acceptance doesn't wait for members whose lease hasn't lapsed.
     NoWait,
 }
 
-/// The specification.
+/// The specification of acceptance and admission.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Acceptance {
-    /// What is left out.
+    /// The guard that is omitted.
     pub fault: Fault,
-    /// Whether member 2 joins while the change goes on.
+    /// Whether member 2 joins during the change.
     pub joining: bool,
-    /// Which of members 0 and 1 member 2 may ask.
-    pub asked: [bool; ASKER],
+    /// Whether member 2 may query each of members 0 and 1.
+    pub queried: [bool; OBSERVED],
 }
 
-/// Everything. The change is committed once member 0 has applied it.
+/// The whole state. The change is committed once member 0 has applied it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     /// The members.
     pub members: [Member; MEMBERS],
-    /// What member 0 read of the members after the commit (or ever, where that is the fault).
+    /// The members as member 0 read them after the commit (or at any time with [`Fault::StaleView`]).
     pub view: Option<[Row; MEMBERS]>,
-    /// Whether the operator was told "accepted".
+    /// Whether the operator was notified that the change is accepted.
     pub accepted: bool,
 }
 
 /// One member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// Whether it has a row.
+    /// Whether it has a row in the table.
     pub joined: bool,
     /// Whether it has applied the change.
     pub applied: bool,
-    /// Whether its row says so.
-    pub written: bool,
+    /// Whether its row says that the change was applied.
+    pub row_applied: bool,
     /// Ticks until its lease lapses.
     pub lease: u8,
-    /// Whether it has read the head since it gained the lease.
+    /// Whether it has read the head since it gained its lease.
     pub confirmed: bool,
-    /// A read of the head on its way back.
+    /// The read of the head in flight.
     pub read: Option<Read>,
-    /// Ticks since member 0 first saw its row as it is; none if it has not seen it so.
-    pub watched: Option<u8>,
-    /// Its question to member 2's peers: this member is asked by member 2.
-    pub question: Option<Question>,
-    /// Ticks before it may say that it has applied the change, since it said it had not.
-    pub promise: u8,
-    /// Its word to member 2: ticks that it counts, and whether it held the change.
-    pub word: Option<(u8, bool)>,
+    /// Ticks since member 0 first read its row in its present state; none if it hasn't read it.
+    pub row_age: Option<u8>,
+    /// The query from member 2 to this member.
+    pub query: Option<Query>,
+    /// Ticks until it may announce the change, because a vote against it may still be valid.
+    pub deferral: u8,
+    /// Its vote at member 2: ticks for which it is valid, and whether it held the change.
+    pub vote: Option<(u8, bool)>,
 }
 
 /// A read of the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Read {
-    /// Whether the head named the change.
+    /// Whether the head contained the change.
     pub changed: bool,
-    /// Whether it was sent under the present lease.
+    /// Whether it was sent under the current lease.
     pub current: bool,
 }
 
-/// A question and, once answered, what the answer says.
+/// A query and, once it is answered, the vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Question {
-    /// Ticks that the answer will count.
+pub struct Query {
+    /// Ticks for which the vote will be valid.
     pub left: u8,
-    /// Whether the asked member held the change; none before it answers.
+    /// Whether the queried member held the change; none before it answers.
     pub answer: Option<bool>,
 }
 
 /// A member's row as member 0 read it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Row {
-    /// Whether there is one.
-    pub there: bool,
+    /// Whether the row exists.
+    pub exists: bool,
     /// Whether it says that the change was applied.
     pub applied: bool,
-    /// Whether its lease has lapsed for certain.
+    /// Whether its lease has certainly lapsed.
     pub lapsed: bool,
 }
 
-/// A step; the number is the member's.
+/// A step; the number identifies the member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Time passes for all.
+    /// Time passes for all members.
     Tick,
     /// Member 0 commits the change.
     Commit,
-    /// Renews or gains the lease; the row says what the member has applied.
+    /// Renews or gains the lease; the row records whether the member announces the change.
     Renew(usize),
-    /// Asks the service for the head; the service answers.
+    /// Reads the head; the service answers.
     ReadHead(usize),
-    /// The head arrives.
-    Head(usize),
-    /// A peer hands the change over.
-    Learn(usize),
-    /// Member 2 asks this member what it holds.
-    Ask(usize),
-    /// This member answers.
-    Reply(usize),
-    /// The answer arrives at member 2.
-    Word(usize),
-    /// Member 0 reads all members.
-    View,
-    /// Member 0 hears that a member has applied the change.
-    Hear(usize),
-    /// Member 0 tells the operator "accepted".
+    /// The head arrives at the member.
+    ReceiveHead(usize),
+    /// A peer sends the change to the member.
+    ReceiveChange(usize),
+    /// Member 2 queries this member.
+    Query(usize),
+    /// This member answers the query with a vote.
+    Answer(usize),
+    /// The vote arrives at member 2.
+    ReceiveVote(usize),
+    /// Member 0 reads all rows.
+    ReadMembers,
+    /// Member 0 receives a member's announcement of the change.
+    ReceiveAnnouncement(usize),
+    /// Member 0 notifies the operator that the change is accepted.
     Accept,
 }
 
@@ -161,7 +161,7 @@
         };
         let mut members = [other.clone(), other, member];
         if self.joining {
-            members[ASKER] = Member::default();
+            members[OBSERVED] = Member::default();
         }
         State {
             members,
@@ -171,59 +171,64 @@
     }
 
     fn steps(&self, state: &State) -> Vec<(Action, State)> {
-        let mut actions = vec![Action::Tick, Action::Commit, Action::View, Action::Accept];
+        let mut actions = vec![
+            Action::Tick,
+            Action::Commit,
+            Action::ReadMembers,
+            Action::Accept,
+        ];
         for member in 1..MEMBERS {
-            actions.extend([Action::Renew(member), Action::Learn(member)]);
+            actions.extend([Action::Renew(member), Action::ReceiveChange(member)]);
         }
-        actions.extend((0..MEMBERS).map(Action::Hear));
-        actions.extend([Action::ReadHead(ASKER), Action::Head(ASKER)]);
-        for member in (0..ASKER).filter(|member| self.asked[*member]) {
+        actions.extend((0..MEMBERS).map(Action::ReceiveAnnouncement));
+        actions.extend([Action::ReadHead(OBSERVED), Action::ReceiveHead(OBSERVED)]);
+        for member in (0..OBSERVED).filter(|member| self.queried[*member]) {
             actions.extend([
-                Action::Ask(member),
-                Action::Reply(member),
-                Action::Word(member),
+                Action::Query(member),
+                Action::Answer(member),
+                Action::ReceiveVote(member),
             ]);
         }
         actions
             .into_iter()
-            .filter_map(|action| Some((action, self.take(state, action)?)))
+            .filter_map(|action| Some((action, self.apply(state, action)?)))
             .collect()
     }
 
     fn violation(&self, state: &State) -> Option<&'static str> {
-        let old = !state.members[ASKER].applied && state.admits();
+        let old = !state.members[OBSERVED].applied && state.admits();
         (state.accepted && old).then_some("a member admits under the old version")
     }
 }
 
 impl Member {
-    /// Whether it says that it has applied the change.
-    fn says_applied(&self) -> bool {
-        self.applied && self.promise == 0
+    /// Returns whether it announces the change.
+    fn announces_applied(&self) -> bool {
+        self.applied && self.deferral == 0
     }
 }
 
 impl State {
-    /// Whether member 2 would admit a request now.
+    /// Returns whether member 2 would admit a request now.
     pub fn admits(&self) -> bool {
-        let asker = &self.members[ASKER];
-        let leased = asker.joined && asker.lease > 0 && asker.confirmed;
+        let observed = &self.members[OBSERVED];
+        let leased = observed.joined && observed.lease > 0 && observed.confirmed;
         leased || self.has_majority()
     }
 
-    /// Whether most members, among them member 2 itself if it has a row, hold nothing newer.
+    /// Returns whether a majority of members, including member 2 if it has a row, holds nothing newer.
     fn has_majority(&self) -> bool {
-        let asker = &self.members[ASKER];
-        let agreeing = self.members[..ASKER]
+        let observed = &self.members[OBSERVED];
+        let agreeing = self.members[..OBSERVED]
             .iter()
             .filter(|member| {
                 member
-                    .word
-                    .is_some_and(|(left, changed)| left > 0 && (asker.applied || !changed))
+                    .vote
+                    .is_some_and(|(left, changed)| left > 0 && (observed.applied || !changed))
             })
             .count();
-        let own = usize::from(asker.joined);
-        (agreeing + own) * 2 > ASKER + own
+        let own_vote = usize::from(observed.joined);
+        (agreeing + own_vote) * 2 > OBSERVED + own_vote
     }
 
     fn committed(&self) -> bool {
@@ -232,8 +237,8 @@
 }
 
 impl Acceptance {
-    /// The state after an action, if it can happen.
-    pub fn take(&self, state: &State, action: Action) -> Option<State> {
+    /// Returns the state after an action, or none if the action is impossible.
+    pub fn apply(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         match action {
             Action::Tick => tick(&mut next),
@@ -242,7 +247,7 @@
                     return None;
                 }
                 next.members[0].applied = true;
-                if self.fault != Fault::OldView {
+                if self.fault != Fault::StaleView {
                     next.view = None;
                 }
             }
@@ -252,47 +257,47 @@
                 let current = next.members[member].lease > 0;
                 next.members[member].read = Some(Read { changed, current });
             }
-            Action::Head(member) => {
+            Action::ReceiveHead(member) => {
                 let read = next.members[member].read.take()?;
                 next.members[member].applied |= read.changed;
                 next.members[member].confirmed |= read.current;
             }
-            Action::Learn(member) => {
+            Action::ReceiveChange(member) => {
                 let known = next.members.iter().any(|other| other.applied);
                 next.members[member].applied |= known;
             }
-            Action::Ask(member) => {
-                let left = WORD;
-                next.members[member].question = Some(Question { left, answer: None });
+            Action::Query(member) => {
+                let left = VOTE_TERM;
+                next.members[member].query = Some(Query { left, answer: None });
             }
-            Action::Reply(member) => {
-                let replying = &mut next.members[member];
-                let question = replying.question.as_mut()?;
-                if question.answer.is_some() {
+            Action::Answer(member) => {
+                let voter = &mut next.members[member];
+                let query = voter.query.as_mut()?;
+                if query.answer.is_some() {
                     return None;
                 }
-                question.answer = Some(replying.applied);
-                if !replying.applied && self.fault != Fault::NoPromise {
-                    replying.promise = WORD;
+                query.answer = Some(voter.applied);
+                if !voter.applied && self.fault != Fault::NoDeferral {
+                    voter.deferral = VOTE_TERM;
                 }
             }
-            Action::Word(member) => {
-                let question = next.members[member].question.take()?;
+            Action::ReceiveVote(member) => {
+                let query = next.members[member].query.take()?;
                 let left = match self.fault {
-                    Fault::WordFromAnswer => WORD,
-                    _ => question.left,
+                    Fault::VoteTermFromArrival => VOTE_TERM,
+                    _ => query.left,
                 };
-                let before = next.members[member]
-                    .word
+                let voted_changed = next.members[member]
+                    .vote
                     .is_some_and(|(_, changed)| changed);
-                let changed = question.answer? || before;
-                next.members[member].word = Some((left, changed));
+                let changed = query.answer? || voted_changed;
+                next.members[member].vote = Some((left, changed));
             }
-            Action::View => view(&mut next),
-            Action::Hear(member) => {
-                let says = next.members[member].says_applied();
+            Action::ReadMembers => read_members(&mut next),
+            Action::ReceiveAnnouncement(member) => {
+                let announced = next.members[member].announces_applied();
                 let rows = next.view.as_mut()?;
-                rows[member].applied |= says && rows[member].there;
+                rows[member].applied |= announced && rows[member].exists;
             }
             Action::Accept => {
                 if next.accepted || !next.committed() || !self.may_accept(&next) {
@@ -305,12 +310,12 @@
         (next != *state).then_some(next)
     }
 
-    /// Clears what no longer has an effect, so that equal states are counted once.
+    /// Clears values that have no further effect, so that equivalent states are merged.
     fn normalize(&self, next: &mut State) {
-        // Once member 2 has applied the change it never admits under the old version again.
-        if next.members[ASKER].applied {
+        // Once member 2 has applied the change it never again admits under the old version.
+        if next.members[OBSERVED].applied {
             let mut members: [Member; MEMBERS] = Default::default();
-            members[ASKER].applied = true;
+            members[OBSERVED].applied = true;
             *next = State {
                 members,
                 view: None,
@@ -319,20 +324,20 @@
             return;
         }
         for member in &mut next.members {
-            member.word = member.word.filter(|(left, changed)| *left > 0 && !changed);
-            member.question = member
-                .question
-                .filter(|question| question.answer != Some(true))
-                .filter(|question| question.left > 0 || self.fault == Fault::WordFromAnswer);
+            member.vote = member.vote.filter(|(left, changed)| *left > 0 && !changed);
+            member.query = member
+                .query
+                .filter(|query| query.answer != Some(true))
+                .filter(|query| query.left > 0 || self.fault == Fault::VoteTermFromArrival);
             if next.accepted {
-                member.watched = None;
-                member.written = false;
-                member.promise = 0;
+                member.row_age = None;
+                member.row_applied = false;
+                member.deferral = 0;
             }
         }
-        // A view from before the commit counts only where that is the fault.
-        let early = !next.committed() && self.fault != Fault::OldView;
-        if next.accepted || early {
+        // A read from before the commit counts only if that is the fault.
+        let before_commit = !next.committed() && self.fault != Fault::StaleView;
+        if next.accepted || before_commit {
             next.view = None;
         }
     }
@@ -348,23 +353,23 @@
             read.current = false;
         }
         state.joined = true;
-        state.lease = if member == ASKER { TERM } else { 0 };
-        state.written = state.says_applied();
-        state.watched = None;
+        state.lease = if member == OBSERVED { TERM } else { 0 };
+        state.row_applied = state.announces_applied();
+        state.row_age = None;
     }
 
-    /// Whether nobody that is not out is behind, some are out, and a majority has applied it.
-    fn settled(&self, state: &State) -> bool {
+    /// Returns whether no unlapsed member is behind, and a majority has applied the change without lapsing.
+    fn is_settled(&self, state: &State) -> bool {
         let Some(rows) = state.view.filter(|_| state.committed()) else {
             return false;
         };
-        let there: Vec<Row> = rows.into_iter().filter(|row| row.there).collect();
-        let applied = there
+        let existing: Vec<Row> = rows.into_iter().filter(|row| row.exists).collect();
+        let applied = existing
             .iter()
             .filter(|row| row.applied && !row.lapsed)
             .count();
-        let behind = there.iter().any(|row| !row.applied && !row.lapsed);
-        let majority = applied * 2 > there.len() || self.fault == Fault::NoMajority;
+        let behind = existing.iter().any(|row| !row.applied && !row.lapsed);
+        let majority = applied * 2 > existing.len() || self.fault == Fault::NoMajority;
         (!behind || self.fault == Fault::NoWait) && majority
     }
 
@@ -372,32 +377,32 @@
         let Some(rows) = state.view else {
             return false;
         };
-        if rows.iter().all(|row| !row.there || row.applied) {
+        if rows.iter().all(|row| !row.exists || row.applied) {
             return true;
         }
-        self.settled(state)
+        self.is_settled(state)
     }
 }
 
 fn tick(next: &mut State) {
     for member in &mut next.members {
         member.lease = member.lease.saturating_sub(1);
-        member.promise = member.promise.saturating_sub(1);
-        if let Some(watched) = &mut member.watched {
-            *watched = (*watched + 1).min(TERM + MARGIN);
+        member.deferral = member.deferral.saturating_sub(1);
+        if let Some(row_age) = &mut member.row_age {
+            *row_age = (*row_age + 1).min(TERM + MARGIN);
         }
-        if let Some(question) = &mut member.question {
-            question.left = question.left.saturating_sub(1);
+        if let Some(query) = &mut member.query {
+            query.left = query.left.saturating_sub(1);
         }
-        if let Some((left, _)) = &mut member.word {
+        if let Some((left, _)) = &mut member.vote {
             *left = left.saturating_sub(1);
         }
     }
 }
 
-/// Member 0 reads all rows at one moment; what it holds itself it knows.
-fn view(next: &mut State) {
-    let own = next.members[0].says_applied();
+/// Reads all rows at member 0 at one moment; for itself it uses its own state.
+fn read_members(next: &mut State) {
+    let own_applied = next.members[0].announces_applied();
     let mut rows = [Row::default(); MEMBERS];
     for (index, member) in next.members.iter_mut().enumerate() {
         if !member.joined {
@@ -405,17 +410,17 @@
         }
         if index == 0 {
             rows[index] = Row {
-                there: true,
-                applied: own,
+                exists: true,
+                applied: own_applied,
                 lapsed: false,
             };
             continue;
         }
-        let watched = *member.watched.get_or_insert(0);
+        let row_age = *member.row_age.get_or_insert(0);
         rows[index] = Row {
-            there: true,
-            applied: member.written,
-            lapsed: watched >= TERM + MARGIN,
+            exists: true,
+            applied: member.row_applied,
+            lapsed: row_age >= TERM + MARGIN,
         };
     }
     next.view = Some(rows);
--- a/crates/model/src/checker.rs
+++ b/crates/model/src/checker.rs
@@ -1,4 +1,4 @@
-//! Visits all reachable states of a specification.
+//! Explores the reachable states of a specification breadth first.
 
 use std::fmt;
 use std::fmt::Debug;
@@ -7,42 +7,42 @@
 use pathfinding::directed::bfs::bfs;
 use pathfinding::directed::bfs::bfs_reach;
 
-/// A protocol as a set of states and the steps between them.
+/// A protocol as a set of states, the steps between them and an invariant.
 pub trait Specification {
-    /// One state of everything: processes, services and what is on its way.
+    /// The whole state: processes, services and messages in flight.
     type State: Clone + Eq + Hash + Debug;
-    /// What a step is called.
+    /// The label of a step.
     type Action: Debug;
 
-    /// Where it begins.
+    /// Returns the initial state.
     fn initial(&self) -> Self::State;
 
-    /// Every step that may happen next.
+    /// Returns every possible step from a state, with the resulting state.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Action, Self::State)>;
 
-    /// What is wrong with a state, if anything.
+    /// Returns the violated invariant of a state, if any.
     fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// What a check found.
+/// The result of a check.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// States that can be reached, as far as they were visited.
+    /// Number of states that were visited.
     pub states: usize,
-    /// The first violation on a shortest path, if there is one.
+    /// A shortest path to a violation, if there is one.
     pub counterexample: Option<Counterexample>,
 }
 
-/// How a violation comes about in the fewest steps.
+/// A shortest sequence of steps that leads to a violation.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
-    /// What is wrong in the end.
+    /// The violated invariant.
     pub violation: &'static str,
-    /// The steps that lead there.
+    /// The steps that lead to the violation.
     pub actions: Vec<String>,
 }
 
-/// Visits every reachable state, or finds a shortest way to a violation.
+/// Visits every reachable state, or stops at the first violation and returns a shortest path to it.
 pub fn check<S: Specification>(specification: &S) -> Report {
     let mut states = 0;
     let mut broken = false;
@@ -79,7 +79,7 @@
     Some(Counterexample { violation, actions })
 }
 
-/// The name of the step between two states.
+/// Returns the label of the step between two states.
 fn action<S: Specification>(specification: &S, from: &S::State, to: &S::State) -> Option<String> {
     let steps = specification.steps(from);
     let step = steps.into_iter().find(|(_, state)| state == to)?;
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -1,145 +1,145 @@
-//! One lease, two rivals, and orders to an engine.
+//! A lease with two rivals, and the holder's orders to an engine.
 //!
-//! Time passes in ticks that any process may sleep through; a process acts whenever it pleases, which
-//! covers every pause. A holder's clock may lose one tick a term against the others. A write may take
-//! effect after its sender gave up. Bounds: two rivals, a term of two ticks, a margin of one, orders
-//! in flight for up to two ticks, one order in flight for each rival, fencing numbers up to three.
+//! Time passes in ticks. A process may be paused for any number of them, because no step is ever forced. A
+//! holder's clock may lose one tick per term against the others. A write may take effect after its sender
+//! has abandoned it. Bounds: two rivals, a term of two ticks, a margin of one, orders in flight for up to
+//! two ticks, one order in flight for each rival, fencing numbers up to three.
 
 use crate::checker::Specification;
 
-/// Ticks of a lease.
+/// Term of a lease, ticks.
 const TERM: u8 = 2;
-/// Ticks added before another takes it.
+/// Ticks after the term before a rival takes the lease over.
 const MARGIN: u8 = 1;
-/// Most ticks that an order is in flight.
-const FLIGHT: u8 = 2;
-/// Highest fencing number that is followed.
-const MOST_FENCES: u8 = 3;
-/// Rivals.
+/// Maximum time that an order is in flight, ticks.
+const MAX_ORDER_FLIGHT: u8 = 2;
+/// Highest fencing number in the explored states.
+const MAX_FENCE: u8 = 3;
+/// Number of rivals.
 pub const RIVALS: usize = 2;
 
-/// What is left out.
+/// A guard that the specification omits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// All guards are present.
     #[default]
     None,
-    /// The holder counts its deadline from the answer, not from before it sent.
+    /// The holder counts its term from the answer instead of from before the write was sent.
     DeadlineFromAnswer,
-    /// Those who wait add no margin.
+    /// A rival adds no margin before it takes the lease over.
     NoMargin,
     /// Writes don't check the row's revision.
     BlindWrite,
-    /// The engine takes any order, and a new holder does not wait out old ones.
+    /// The engine accepts any order, and a new holder doesn't wait until old orders have expired.
     NoFlightWait,
-    /// The engine takes orders with old numbers and holders rely on its check.
+    /// The engine accepts orders with old fencing numbers although holders rely on its check.
     NoFenceCheck,
 }
 
-/// The specification.
+/// The specification of the lease.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lease {
-    /// What is left out.
+    /// The guard that is omitted.
     pub fault: Fault,
-    /// Whether the engine checks fencing numbers; else new holders wait out old orders.
+    /// Whether the engine checks fencing numbers; otherwise new holders wait until old orders have expired.
     pub checks_fencing: bool,
-    /// Whether a holder whose lease has run out gives its number up for good.
+    /// Whether a holder whose lease has expired permanently gives its fencing number up.
     pub resigns: bool,
 }
 
-/// Everything.
+/// The whole state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Who holds the row; none before the first.
+    /// The holder in the row; none before the first lease.
     pub holder: Option<u8>,
     /// The row's fencing number.
     pub fence: u8,
     /// The processes.
     pub rivals: [Rival; RIVALS],
-    /// The highest number whose order took effect at the engine.
-    pub highest: u8,
-    /// Whether an order with a lower number took effect after one with a higher.
+    /// The highest fencing number of an order that took effect at the engine.
+    pub highest_fence: u8,
+    /// Whether an order took effect after one with a higher fencing number.
     pub reverted: bool,
 }
 
-/// One process and what is on its way for it.
+/// One process with its messages in flight.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Rival {
-    /// Ticks until its lease lapses by its own clock; 0 is lapsed.
+    /// Ticks until its lease expires by its own clock; 0 if expired.
     pub lease: u8,
-    /// The number of its lease.
+    /// The fencing number of its lease.
     pub fence: u8,
-    /// Whether its clock has lost its tick since the write that gained its lease was sent.
+    /// Whether its clock has lost its tick since it sent the write that gained its lease.
     pub slow: bool,
-    /// Its last read, if the row is still as it was then.
-    pub seen: bool,
-    /// Ticks since it first saw the row as it is, up to the term and margin.
-    pub age: u8,
-    /// Whether a read showed the lease to be free.
-    pub free: bool,
-    /// The write on its way.
+    /// Whether the row is unchanged since its last read.
+    pub row_known: bool,
+    /// Ticks since it first read the row in its present state, up to the term and margin.
+    pub row_age: u8,
+    /// Whether a read showed that the lease may be taken.
+    pub takeable: bool,
+    /// The write in flight.
     pub write: Option<Write>,
-    /// A write that it gave up on.
-    pub ghost: Option<Write>,
-    /// Ticks before it may order, since it gained the lease.
-    pub wait: u8,
+    /// A write in flight that it has abandoned.
+    pub abandoned: Option<Write>,
+    /// Ticks until it may send orders, after it gained the lease.
+    pub order_wait: u8,
     /// The order in flight.
     pub order: Option<Order>,
-    /// The number that it held last; followed where holders resign.
-    pub held: u8,
-    /// It holds no number up to this one any more.
-    pub ended: u8,
+    /// The fencing number that it held last; tracked only if holders resign.
+    pub last_fence: u8,
+    /// The highest fencing number that it has given up.
+    pub resigned_fence: u8,
 }
 
 /// A write to the row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Write {
-    /// Whether the row is still at the revision that it checks.
-    pub fresh: bool,
-    /// The number it writes.
+    /// Whether the row still has the revision that the write checks.
+    pub current: bool,
+    /// The fencing number to write.
     pub fence: u8,
-    /// Ticks until the lease would lapse, counted from before it was sent.
-    pub left: u8,
+    /// Ticks until the lease would expire, counted from before the write was sent.
+    pub remaining: u8,
     /// Whether its sender's clock has lost its tick since it was sent.
     pub slow: bool,
-    /// Whether it took effect; none while it is on its way.
-    pub done: Option<bool>,
+    /// Whether it took effect; none while it is in flight.
+    pub took_effect: Option<bool>,
 }
 
 /// An order to the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Order {
-    /// Its number.
+    /// The fencing number of its sender.
     pub fence: u8,
-    /// Ticks it may still be in flight.
-    pub left: u8,
+    /// Ticks until it expires in flight.
+    pub remaining: u8,
 }
 
-/// A step; the number is the rival's.
+/// A step; the number identifies the rival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Time passes; the clock of `slow` loses the tick.
     Tick {
-        /// Whose clock is slow.
+        /// The rival with the slow clock, if any.
         slow: Option<usize>,
     },
     /// Reads the row.
     Read(usize),
-    /// Sends a write that gains or renews.
-    Send(usize),
-    /// The write arrives.
-    Arrive(usize),
-    /// The answer arrives.
-    Answer(usize),
-    /// The sender gives up; the write may still be on its way.
-    GiveUp(usize),
-    /// A write that was given up on arrives.
-    GhostArrives(usize),
-    /// Gives up the number of a lease that has run out.
+    /// Sends a write that gains or renews the lease.
+    SendWrite(usize),
+    /// The write reaches the service.
+    WriteArrives(usize),
+    /// The answer to the write arrives.
+    AnswerArrives(usize),
+    /// The sender abandons a write, which may still be in flight.
+    Abandon(usize),
+    /// An abandoned write reaches the service.
+    AbandonedWriteArrives(usize),
+    /// Gives up the fencing number of an expired lease.
     Resign(usize),
     /// Sends an order.
-    Order(usize),
-    /// An order arrives at the engine.
+    SendOrder(usize),
+    /// The order reaches the engine.
     OrderArrives(usize),
 }
 
@@ -152,7 +152,7 @@
             holder: None,
             fence: 0,
             rivals: [Rival::default(), Rival::default()],
-            highest: 0,
+            highest_fence: 0,
             reverted: false,
         }
     }
@@ -166,25 +166,25 @@
         for rival in 0..RIVALS {
             actions.extend([
                 Action::Read(rival),
-                Action::Send(rival),
-                Action::Arrive(rival),
-                Action::Answer(rival),
-                Action::GiveUp(rival),
-                Action::GhostArrives(rival),
+                Action::SendWrite(rival),
+                Action::WriteArrives(rival),
+                Action::AnswerArrives(rival),
+                Action::Abandon(rival),
+                Action::AbandonedWriteArrives(rival),
                 Action::Resign(rival),
-                Action::Order(rival),
+                Action::SendOrder(rival),
                 Action::OrderArrives(rival),
             ]);
         }
         actions
             .into_iter()
-            .filter_map(|action| Some((action, self.take(state, action)?)))
+            .filter_map(|action| Some((action, self.apply(state, action)?)))
             .collect()
     }
 
     fn violation(&self, state: &State) -> Option<&'static str> {
-        let holding = state.rivals.iter().filter(|rival| rival.lease > 0).count();
-        if holding > 1 {
+        let holders = state.rivals.iter().filter(|rival| rival.lease > 0).count();
+        if holders > 1 {
             return Some("two rivals hold the lease");
         }
         if state.reverted {
@@ -195,54 +195,54 @@
 }
 
 impl Lease {
-    /// The state after an action, if it can happen.
-    pub fn take(&self, state: &State, action: Action) -> Option<State> {
+    /// Returns the state after an action, or none if the action is impossible.
+    pub fn apply(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         match action {
             Action::Tick { slow } => tick(&mut next, slow)?,
             Action::Read(rival) => self.read(&mut next, rival)?,
-            Action::Send(rival) => send(&mut next, rival)?,
-            Action::Arrive(rival) => {
+            Action::SendWrite(rival) => send_write(&mut next, rival)?,
+            Action::WriteArrives(rival) => {
                 let write = next.rivals[rival]
                     .write
-                    .filter(|write| write.done.is_none())?;
-                let done = self.arrive(&mut next, rival, write);
+                    .filter(|write| write.took_effect.is_none())?;
+                let took_effect = self.write_arrives(&mut next, rival, write);
                 next.rivals[rival].write = Some(Write {
-                    done: Some(done),
+                    took_effect: Some(took_effect),
                     ..write
                 });
             }
-            Action::Answer(rival) => self.answer(&mut next, rival)?,
-            Action::GiveUp(rival) => {
+            Action::AnswerArrives(rival) => self.answer_arrives(&mut next, rival)?,
+            Action::Abandon(rival) => {
                 let write = next.rivals[rival].write.take()?;
-                let on_its_way = write.done.is_none();
-                if on_its_way && next.rivals[rival].ghost.is_some() {
+                let in_flight = write.took_effect.is_none();
+                if in_flight && next.rivals[rival].abandoned.is_some() {
                     return None;
                 }
-                if on_its_way {
-                    next.rivals[rival].ghost = Some(write);
+                if in_flight {
+                    next.rivals[rival].abandoned = Some(write);
                 }
-                next.rivals[rival].free = false;
+                next.rivals[rival].takeable = false;
             }
-            Action::GhostArrives(rival) => {
-                let write = next.rivals[rival].ghost.take()?;
-                self.arrive(&mut next, rival, write);
+            Action::AbandonedWriteArrives(rival) => {
+                let write = next.rivals[rival].abandoned.take()?;
+                self.write_arrives(&mut next, rival, write);
             }
             Action::Resign(rival) => {
                 let process = &mut next.rivals[rival];
-                if process.lease > 0 || process.held <= process.ended {
+                if process.lease > 0 || process.last_fence <= process.resigned_fence {
                     return None;
                 }
-                process.ended = process.held;
+                process.resigned_fence = process.last_fence;
             }
-            Action::Order(rival) => {
+            Action::SendOrder(rival) => {
                 let process = &mut next.rivals[rival];
-                if process.lease == 0 || process.wait > 0 || process.order.is_some() {
+                if process.lease == 0 || process.order_wait > 0 || process.order.is_some() {
                     return None;
                 }
                 process.order = Some(Order {
                     fence: process.fence,
-                    left: FLIGHT,
+                    remaining: MAX_ORDER_FLIGHT,
                 });
             }
             Action::OrderArrives(rival) => self.order_arrives(&mut next, rival)?,
@@ -251,11 +251,11 @@
         (next != *state).then_some(next)
     }
 
-    /// Clears what no longer has an effect, so that equal states are counted once.
+    /// Clears values that have no further effect, so that equivalent states are merged.
     fn normalize(&self, next: &mut State) {
         for process in &mut next.rivals {
             if !self.resigns {
-                process.held = 0;
+                process.last_fence = 0;
             }
             if process.lease == 0 {
                 process.slow = false;
@@ -263,23 +263,24 @@
             if process.lease == 0 && self.checks_fencing {
                 process.fence = 0;
             }
-            if !process.seen {
-                process.age = 0;
-                process.free = false;
+            if !process.row_known {
+                process.row_age = 0;
+                process.takeable = false;
             }
             if self.fault == Fault::BlindWrite {
                 continue;
             }
-            process.ghost = process.ghost.filter(|write| write.fresh);
-            if let Some(ghost) = &mut process.ghost {
-                ghost.left = 0;
-                ghost.slow = false;
+            process.abandoned = process.abandoned.filter(|write| write.current);
+            if let Some(write) = &mut process.abandoned {
+                write.remaining = 0;
+                write.slow = false;
             }
             if let Some(write) = &mut process.write
-                && (write.done == Some(false) || (write.done.is_none() && !write.fresh))
+                && (write.took_effect == Some(false)
+                    || (write.took_effect.is_none() && !write.current))
             {
                 *write = Write {
-                    done: Some(false),
+                    took_effect: Some(false),
                     ..Write::default()
                 };
             }
@@ -295,121 +296,121 @@
         if process.write.is_some() {
             return None;
         }
-        if !process.seen {
-            process.seen = true;
-            process.age = 0;
+        if !process.row_known {
+            process.row_known = true;
+            process.row_age = 0;
         }
-        process.free = next.holder.is_none() || process.age >= TERM + margin;
+        process.takeable = next.holder.is_none() || process.row_age >= TERM + margin;
         Some(())
     }
 
-    /// A write reaches the service; whether it takes effect.
-    fn arrive(&self, next: &mut State, rival: usize, write: Write) -> bool {
-        if !write.fresh && self.fault != Fault::BlindWrite {
+    /// Processes a write at the service and returns whether it took effect.
+    fn write_arrives(&self, next: &mut State, rival: usize, write: Write) -> bool {
+        if !write.current && self.fault != Fault::BlindWrite {
             return false;
         }
         next.holder = Some(rival as u8);
         next.fence = write.fence;
         for other in &mut next.rivals {
-            other.seen = false;
-            other.free = false;
-            other.age = 0;
-            let writes = other.write.iter_mut().chain(&mut other.ghost);
-            writes.for_each(|write| write.fresh = false);
+            other.row_known = false;
+            other.takeable = false;
+            other.row_age = 0;
+            let writes = other.write.iter_mut().chain(&mut other.abandoned);
+            writes.for_each(|write| write.current = false);
         }
         true
     }
 
-    fn answer(&self, next: &mut State, rival: usize) -> Option<()> {
+    fn answer_arrives(&self, next: &mut State, rival: usize) -> Option<()> {
         let process = &mut next.rivals[rival];
-        let write = process.write.filter(|write| write.done.is_some())?;
+        let write = process.write.filter(|write| write.took_effect.is_some())?;
         process.write = None;
-        if write.done != Some(true) {
-            process.seen = false;
+        if write.took_effect != Some(true) {
+            process.row_known = false;
             return Some(());
         }
         if write.fence != process.fence && !self.checks_fencing {
-            process.wait = match self.fault {
+            process.order_wait = match self.fault {
                 Fault::NoFlightWait => 0,
-                _ => FLIGHT,
+                _ => MAX_ORDER_FLIGHT,
             };
         }
         process.fence = write.fence;
-        process.held = write.fence;
+        process.last_fence = write.fence;
         process.slow = write.slow;
         process.lease = match self.fault {
-            // A number that was given up is never held again.
-            _ if write.fence <= process.ended => 0,
+            // A fencing number that was given up is never held again.
+            _ if write.fence <= process.resigned_fence => 0,
             Fault::DeadlineFromAnswer => TERM,
-            _ => write.left,
+            _ => write.remaining,
         };
-        // Its own write is the row it now knows, unless another has written since.
-        process.seen = next.holder == Some(rival as u8) && next.fence == write.fence;
+        // After its own write it knows the row, unless another rival has written since.
+        process.row_known = next.holder == Some(rival as u8) && next.fence == write.fence;
         Some(())
     }
 
     fn order_arrives(&self, next: &mut State, rival: usize) -> Option<()> {
         let order = next.rivals[rival].order.take()?;
-        let old = order.fence < next.highest;
-        let refused = self.checks_fencing && self.fault != Fault::NoFenceCheck;
-        if old && refused {
+        let is_old = order.fence < next.highest_fence;
+        let checks = self.checks_fencing && self.fault != Fault::NoFenceCheck;
+        if is_old && checks {
             return Some(());
         }
-        next.reverted |= old;
-        next.highest = next.highest.max(order.fence);
+        next.reverted |= is_old;
+        next.highest_fence = next.highest_fence.max(order.fence);
         Some(())
     }
 }
 
 fn tick(next: &mut State, slow: Option<usize>) -> Option<()> {
     for (index, process) in next.rivals.iter_mut().enumerate() {
-        let lost = slow == Some(index);
-        if lost && (process.slow || process.write.is_some_and(|write| write.slow)) {
+        let loses_tick = slow == Some(index);
+        if loses_tick && (process.slow || process.write.is_some_and(|write| write.slow)) {
             return None;
         }
-        if lost {
+        if loses_tick {
             process.slow = process.lease > 0;
             process.write.iter_mut().for_each(|write| write.slow = true);
         } else {
             process.lease = process.lease.saturating_sub(1);
-            for write in process.write.iter_mut().chain(&mut process.ghost) {
-                write.left = write.left.saturating_sub(1);
+            for write in process.write.iter_mut().chain(&mut process.abandoned) {
+                write.remaining = write.remaining.saturating_sub(1);
             }
-            process.wait = process.wait.saturating_sub(1);
+            process.order_wait = process.order_wait.saturating_sub(1);
         }
-        process.age = (process.age + 1).min(TERM + MARGIN);
+        process.row_age = (process.row_age + 1).min(TERM + MARGIN);
         if let Some(order) = &mut process.order {
-            // An order that is not delivered by now is lost.
-            if order.left == 0 {
+            // An order that isn't delivered in time is lost.
+            if order.remaining == 0 {
                 process.order = None;
             } else {
-                order.left -= 1;
+                order.remaining -= 1;
             }
         }
     }
     Some(())
 }
 
-fn send(next: &mut State, rival: usize) -> Option<()> {
-    let ours = next.holder == Some(rival as u8);
+fn send_write(next: &mut State, rival: usize) -> Option<()> {
+    let is_holder = next.holder == Some(rival as u8);
     let fence = next.fence;
     let process = &mut next.rivals[rival];
-    if process.write.is_some() || !process.seen || !(ours || process.free) {
+    if process.write.is_some() || !process.row_known || !(is_holder || process.takeable) {
         return None;
     }
-    let fence = match ours && fence > process.ended {
+    let fence = match is_holder && fence > process.resigned_fence {
         true => fence,
         false => fence + 1,
     };
-    if fence > MOST_FENCES {
+    if fence > MAX_FENCE {
         return None;
     }
     process.write = Some(Write {
-        fresh: true,
+        current: true,
         fence,
-        left: TERM,
+        remaining: TERM,
         slow: false,
-        done: None,
+        took_effect: None,
     });
     Some(())
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,9 +1,9 @@
 //! Small specifications of the core protocols, checked over all reachable states.
 //!
-//! A specification is written apart from the code it is about: its own few state variables, every
-//! step that may happen, and what must always hold. [`checker::check`] visits every state that can
-//! be reached within the bounds stated in the specification. Each specification has faulty variants
-//! that leave out one guard; the checker must find what goes wrong then, else it proves nothing.
+//! A specification is independent of the code that implements the protocol: it has a few state variables of
+//! its own, all possible steps, and an invariant. [`checker::check`] visits every state that is reachable
+//! within the bounds of the specification. Each specification has faulty variants that omit one guard. The
+//! checker must find a violation in each of them; otherwise passing the check proves nothing.
 
 pub mod acceptance;
 pub mod checker;
--- a/crates/model/src/ticket.rs
+++ b/crates/model/src/ticket.rs
@@ -1,62 +1,62 @@
-//! One ticket of a non-idempotent request, its ledger, and a caller who sends it again and again.
+//! The ledger of a non-idempotent request's ticket, and a caller that retries the request.
 //!
-//! The minter holds the ledger and may hand it on when it stops; so may its heir. Whoever receives
-//! the request asks some entry that it believes to hold the ledger, and starts the request only when
-//! that entry grants the ticket. Entries may crash, messages may be lost, late or doubled. Bounds:
-//! three entries, one ticket, three requests under it, one question to an entry for each request.
+//! The minter holds the ledger and may hand it over when it stops; so may its heir. The entry that receives a
+//! request queries an entry that it believes to hold the ledger, and starts the request only if that entry
+//! grants the ticket. Entries may crash; messages may be lost, delayed or duplicated. Bounds: three entries,
+//! one ticket, three requests under it, one query to an entry for each request.
 
 use crate::checker::Specification;
 
-/// Entries that may hold the ledger.
+/// Number of entries that may hold the ledger.
 pub const ENTRIES: usize = 3;
-/// Requests that the caller sends under the one ticket.
+/// Number of requests that the caller sends under the ticket.
 pub const REQUESTS: usize = 3;
 
-/// What is left out.
+/// A guard that the specification omits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// All guards are present.
     #[default]
     None,
-    /// A ledger that was handed on goes on granting.
+    /// A ledger continues to grant after it was handed over.
     NoFreeze,
-    /// A ledger that is delivered twice is taken twice.
+    /// A ledger that is delivered twice is inherited twice.
     InheritTwice,
-    /// A request whose answer was lost is started.
+    /// A request starts although the answer to its query was lost.
     StartOnLoss,
     /// The ticket is marked as spent when the request starts, not when it is granted.
     SpendOnStart,
 }
 
-/// The specification.
+/// The specification of at-most-once execution by tickets.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ticket {
-    /// What is left out.
+    /// The guard that is omitted.
     pub fault: Fault,
 }
 
-/// Everything.
+/// The whole state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The ledger at each entry; none if it never had it.
-    pub books: [Option<Book>; ENTRIES],
-    /// Entries that have crashed.
+    /// The ledger at each entry; none if the entry never had it.
+    pub ledgers: [Option<Ledger>; ENTRIES],
+    /// Whether each entry has crashed.
     pub crashed: [bool; ENTRIES],
-    /// The ledger on its way to each entry, and whether the ticket was spent in it. It may be
-    /// delivered any number of times.
+    /// The ledger in flight to each entry, as whether the ticket was spent in it. It may be delivered any
+    /// number of times.
     pub estates: [Option<bool>; ENTRIES],
     /// The requests.
     pub requests: [Request; REQUESTS],
-    /// How often one was started at a backend server.
+    /// How often a request was started at a backend server.
     pub starts: u8,
 }
 
 /// A ledger with one ticket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Book {
+pub struct Ledger {
     /// Whether the ticket is spent.
     pub spent: bool,
-    /// Whether the ledger was handed on.
+    /// Whether the ledger was handed over.
     pub frozen: bool,
 }
 
@@ -66,42 +66,42 @@
     /// Not sent yet.
     #[default]
     New,
-    /// An entry is being asked.
-    Asking(u8),
-    /// An entry has answered: it grants the ticket or not.
+    /// An entry is being queried.
+    Querying(u8),
+    /// The queried entry has answered whether it grants the ticket.
     Answered(bool),
     /// Started at a backend server.
     Started,
-    /// The caller was told "may have run".
+    /// The caller received the refusal "may have run".
     Refused,
 }
 
-/// A step; the numbers are those of a request or an entry.
+/// A step; the number identifies a request or an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The request arrives somewhere, and this entry is asked.
-    Ask {
+    /// The request arrives at some entry, which queries this one.
+    Query {
         /// The request.
         request: usize,
-        /// Who is asked.
+        /// The queried entry.
         entry: usize,
     },
-    /// The asked entry looks into its ledger.
+    /// The queried entry looks the ticket up in its ledger.
     Spend(usize),
     /// The answer arrives: the request is started or refused.
     Answer(usize),
-    /// Question or answer is lost.
+    /// The query or its answer is lost.
     Lose(usize),
-    /// An entry crashes; its ledger is gone.
+    /// An entry crashes and loses its ledger.
     Crash(usize),
-    /// An entry hands its ledger on.
-    HandOn {
-        /// Who stops.
+    /// An entry hands its ledger over.
+    HandOver {
+        /// The entry that stops.
         from: usize,
         /// Its heir.
         to: usize,
     },
-    /// The ledger is delivered, perhaps not for the first time.
+    /// The ledger is delivered, possibly again.
     Deliver(usize),
 }
 
@@ -110,10 +110,10 @@
     type Action = Action;
 
     fn initial(&self) -> State {
-        let mut books = [None; ENTRIES];
-        books[0] = Some(Book::default());
+        let mut ledgers = [None; ENTRIES];
+        ledgers[0] = Some(Ledger::default());
         State {
-            books,
+            ledgers,
             crashed: [false; ENTRIES],
             estates: [None; ENTRIES],
             requests: [Request::New; REQUESTS],
@@ -124,7 +124,7 @@
     fn steps(&self, state: &State) -> Vec<(Action, State)> {
         let mut actions = Vec::new();
         for request in 0..REQUESTS {
-            actions.extend((0..ENTRIES).map(|entry| Action::Ask { request, entry }));
+            actions.extend((0..ENTRIES).map(|entry| Action::Query { request, entry }));
             actions.extend([
                 Action::Spend(request),
                 Action::Answer(request),
@@ -132,12 +132,12 @@
             ]);
         }
         for from in 0..ENTRIES {
-            actions.extend((0..ENTRIES).map(|to| Action::HandOn { from, to }));
+            actions.extend((0..ENTRIES).map(|to| Action::HandOver { from, to }));
             actions.extend([Action::Crash(from), Action::Deliver(from)]);
         }
         actions
             .into_iter()
-            .filter_map(|action| Some((action, self.take(state, action)?)))
+            .filter_map(|action| Some((action, self.apply(state, action)?)))
             .collect()
     }
 
@@ -147,18 +147,18 @@
 }
 
 impl Ticket {
-    /// The state after an action, if it can happen.
-    pub fn take(&self, state: &State, action: Action) -> Option<State> {
+    /// Returns the state after an action, or none if the action is impossible.
+    pub fn apply(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         match action {
-            Action::Ask { request, entry } => {
+            Action::Query { request, entry } => {
                 if next.requests[request] != Request::New {
                     return None;
                 }
-                next.requests[request] = Request::Asking(entry as u8);
+                next.requests[request] = Request::Querying(entry as u8);
             }
             Action::Spend(request) => {
-                let Request::Asking(entry) = next.requests[request] else {
+                let Request::Querying(entry) = next.requests[request] else {
                     return None;
                 };
                 if next.crashed[usize::from(entry)] {
@@ -171,71 +171,73 @@
                 let Request::Answered(granted) = next.requests[request] else {
                     return None;
                 };
-                self.end(&mut next, request, granted);
+                self.finish(&mut next, request, granted);
             }
             Action::Lose(request) => {
                 match next.requests[request] {
-                    Request::Asking(_) | Request::Answered(_) => {}
+                    Request::Querying(_) | Request::Answered(_) => {}
                     _ => return None,
                 }
-                self.end(&mut next, request, self.fault == Fault::StartOnLoss);
+                self.finish(&mut next, request, self.fault == Fault::StartOnLoss);
             }
             Action::Crash(entry) => {
                 if next.crashed[entry] {
                     return None;
                 }
                 next.crashed[entry] = true;
-                next.books[entry] = None;
+                next.ledgers[entry] = None;
                 next.estates[entry] = None;
             }
-            Action::HandOn { from, to } => self.hand_on(&mut next, from, to)?,
+            Action::HandOver { from, to } => self.hand_over(&mut next, from, to)?,
             Action::Deliver(entry) => self.deliver(&mut next, entry)?,
         }
         (next != *state).then_some(next)
     }
 
     fn spend(&self, next: &mut State, entry: usize) -> bool {
-        let Some(book) = &mut next.books[entry] else {
+        let Some(ledger) = &mut next.ledgers[entry] else {
             return false;
         };
-        if book.frozen && self.fault != Fault::NoFreeze {
+        if ledger.frozen && self.fault != Fault::NoFreeze {
             return false;
         }
-        let granted = !book.spent;
+        let granted = !ledger.spent;
         if self.fault != Fault::SpendOnStart {
-            book.spent = true;
+            ledger.spent = true;
         }
         granted
     }
 
-    fn end(&self, next: &mut State, request: usize, start: bool) {
+    fn finish(&self, next: &mut State, request: usize, start: bool) {
         if !start {
             next.requests[request] = Request::Refused;
             return;
         }
         next.requests[request] = Request::Started;
         next.starts += 1;
-        for book in next.books.iter_mut().flatten() {
-            book.spent |= self.fault == Fault::SpendOnStart;
+        for ledger in next.ledgers.iter_mut().flatten() {
+            ledger.spent |= self.fault == Fault::SpendOnStart;
         }
     }
 
-    fn hand_on(&self, next: &mut State, from: usize, to: usize) -> Option<()> {
-        let book = next.books[from].as_mut().filter(|book| !book.frozen)?;
+    fn hand_over(&self, next: &mut State, from: usize, to: usize) -> Option<()> {
+        let ledger = next.ledgers[from]
+            .as_mut()
+            .filter(|ledger| !ledger.frozen)?;
         if from == to || next.crashed[to] || next.estates[to].is_some() {
             return None;
         }
-        book.frozen = true;
-        next.estates[to] = Some(book.spent);
+        ledger.frozen = true;
+        next.estates[to] = Some(ledger.spent);
         Some(())
     }
 
     fn deliver(&self, next: &mut State, entry: usize) -> Option<()> {
         let spent = next.estates[entry]?;
-        if next.books[entry].is_some() && self.fault != Fault::InheritTwice {
+        if next.ledgers[entry].is_some() && self.fault != Fault::InheritTwice {
             return None;
         }
-        next.books[entry] = Some(Book {
+        next.ledgers[entry] = Some(Ledger {
             spent,
             frozen: false,
         });
--- a/crates/model/tests/acceptance.rs
+++ b/crates/model/tests/acceptance.rs
@@ -1,4 +1,4 @@
-//! Acceptance of a configuration change, over all reachable states.
+//! Checks the acceptance of a configuration change over all reachable states.
 
 use model::acceptance::Acceptance;
 use model::acceptance::Fault;
@@ -11,14 +11,14 @@
         (false, [false, true]),
         (true, [true, true]),
     ];
-    for (joining, asked) in cases {
+    for (joining, queried) in cases {
         let report = check(&Acceptance {
             fault: Fault::None,
             joining,
-            asked,
+            queried,
         });
         println!(
-            "acceptance joining={joining} asked={asked:?} states={} (3 members, 1 change, term 2, margin 1, word 2)",
+            "acceptance joining={joining} asked={queried:?} states={} (3 members, 1 change, term 2, margin 1, word 2)",
             report.states
         );
         if let Some(counterexample) = report.counterexample {
@@ -28,20 +28,20 @@
 }
 
 #[test]
-fn every_guard_left_out_is_found() {
+fn every_omitted_guard_is_detected() {
     let faults = [
         (Fault::NoReread, false),
-        (Fault::OldView, true),
-        (Fault::NoPromise, false),
+        (Fault::StaleView, true),
+        (Fault::NoDeferral, false),
         (Fault::NoMajority, false),
-        (Fault::WordFromAnswer, false),
+        (Fault::VoteTermFromArrival, false),
         (Fault::NoWait, false),
     ];
     for (fault, joining) in faults {
         let report = check(&Acceptance {
             fault,
             joining,
-            asked: [false, true],
+            queried: [false, true],
         });
         let counterexample = report.counterexample.expect("not found");
         println!("acceptance {fault:?}: {counterexample}");
--- a/crates/model/tests/claim.rs
+++ b/crates/model/tests/claim.rs
@@ -1,7 +1,7 @@
-//! Walks `lease::claim` at random and the specification beside it.
+//! Takes random steps in `lease::claim` and in its specification.
 //!
-//! Whatever the code does must be a step that the specification allows, and where the code holds the
-//! lease, so must the specification, under the same fencing number. A tick is a second.
+//! Every step of the code must be allowed by the specification, and whenever the code holds the lease, the
+//! specification must hold it under the same fencing number. A tick is 1000 seconds.
 
 use clock::Span;
 use clock::Time;
@@ -30,35 +30,35 @@
 
 const CASES: u32 = 3_000;
 const TICK: Span = Span::from_seconds(1_000);
-/// Passes with each wake, so that the next one finds something due.
-const MOMENT: Span = Span::from_millis(8);
-/// Fencing numbers that the specification follows.
-const FENCES: u64 = 3;
+/// Time that passes with each wake, so that the next one finds a step due.
+const WAKE_DELAY: Span = Span::from_millis(8);
+/// Fencing numbers that the specification covers.
+const MAX_FENCE: u64 = 3;
 
-/// One thing that the world does.
+/// One random step of the environment.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Tick,
-    /// Wakes a process; its reads are answered at once.
+    /// Wakes a process; its reads are answered immediately.
     Wake(usize),
-    /// The service carries out a write; a conflict is answered at once.
+    /// The service performs a write; a conflict is answered immediately.
     Arrive(usize),
     Answer(usize),
-    GiveUp(usize),
-    GhostArrives(usize),
+    Abandon(usize),
+    AbandonedWriteArrives(usize),
 }
 
-/// The code's side.
+/// The code under test.
 struct Code {
     table: Table,
     now: Time,
     claims: Vec<Claim>,
-    /// The write on its way, and its outcome once the service has carried it out.
+    /// The write in flight, and its outcome once the service has performed it.
     writes: [Option<(call::Id, Call, Option<Outcome>)>; RIVALS],
-    ghosts: [Option<Call>; RIVALS],
+    abandoned: [Option<Call>; RIVALS],
 }
 
-/// Both sides.
+/// The code and the specification, which take the same steps.
 struct Walk {
     code: Code,
     specification: Lease,
@@ -70,8 +70,8 @@
         let settings = Settings {
             term: TICK.times(2),
             margin: TICK,
-            renewal_interval: MOMENT.scaled(0.5),
-            poll_interval: MOMENT.scaled(0.5),
+            renewal_interval: WAKE_DELAY.scaled(0.5),
+            poll_interval: WAKE_DELAY.scaled(0.5),
             retry_delay: Span::ZERO,
             max_retry_delay: Span::ZERO,
             max_step_gap: Span::from_seconds(1_000_000),
@@ -89,7 +89,7 @@
             now: Time::ZERO,
             claims,
             writes: Default::default(),
-            ghosts: Default::default(),
+            abandoned: Default::default(),
         };
         let state = specification.initial();
         let mut walk = Walk {
@@ -98,21 +98,22 @@
             state,
         };
         for index in 0..RIVALS {
-            walk.feed(index, Event::Want(true)).expect("no start");
+            walk.handle_event(index, Event::Want(true))
+                .expect("initial event failed");
         }
         walk
     }
 
-    /// The specification takes the same step; a step without effect there is none at all.
-    fn same(&mut self, action: Action) {
-        if let Some(state) = self.specification.take(&self.state, action) {
+    /// Takes a step in the specification if it has an effect there.
+    fn follow(&mut self, action: Action) {
+        if let Some(state) = self.specification.apply(&self.state, action) {
             self.state = state;
         }
     }
 
-    /// The specification must be able to take the same step.
-    fn must(&mut self, action: Action) -> Result<(), TestCaseError> {
-        let state = self.specification.take(&self.state, action);
+    /// Takes a step that the specification must allow.
+    fn require(&mut self, action: Action) -> Result<(), TestCaseError> {
+        let state = self.specification.apply(&self.state, action);
         prop_assert!(
             state.is_some(),
             "{action:?} is not allowed: {:?}",
@@ -122,7 +123,7 @@
         Ok(())
     }
 
-    fn is_doomed(&self, call: &Call) -> bool {
+    fn is_outdated(&self, call: &Call) -> bool {
         let Call::Transact(transaction) = call else {
             return false;
         };
@@ -130,27 +131,26 @@
         transaction.checks[0].revision != row.map(|row| row.revision)
     }
 
-    fn feed(&mut self, index: usize, event: Event) -> Result<(), TestCaseError> {
+    fn handle_event(&mut self, index: usize, event: Event) -> Result<(), TestCaseError> {
         let mut effects = Vec::new();
         self.code.claims[index].step(self.code.now, event, &mut effects);
         for effect in effects {
             let (id, call) = match effect {
                 Effect::Store { id, call } => (id, call),
                 Effect::Lost(_) => {
-                    self.must(Action::Resign(index))?;
+                    self.require(Action::Resign(index))?;
                     continue;
                 }
                 Effect::Gained(_) | Effect::Renewed(_) => continue,
             };
             if let Call::Get { .. } = call {
                 let outcome = self.code.table.apply(&call);
-                self.same(Action::Read(index));
-                self.feed(index, Event::Store { id, outcome })?;
+                self.follow(Action::Read(index));
+                self.handle_event(index, Event::Store { id, outcome })?;
             } else {
-                // A write that checks a revision which is gone already can't take effect; the
-                // specification leaves it out.
-                if !self.is_doomed(&call) {
-                    self.must(Action::Send(index))?;
+                // A write that checks an outdated revision can't take effect; the specification omits it.
+                if !self.is_outdated(&call) {
+                    self.require(Action::SendWrite(index))?;
                 }
                 self.code.writes[index] = Some((id, call, None));
             }
@@ -158,29 +158,29 @@
         Ok(())
     }
 
-    fn take(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
             Step::Tick => {
                 self.code.now = self.code.now + TICK;
-                self.same(Action::Tick { slow: None });
+                self.follow(Action::Tick { slow: None });
             }
             Step::Wake(index) => {
-                self.code.now = self.code.now + MOMENT;
-                self.feed(index, Event::Wake)?;
+                self.code.now = self.code.now + WAKE_DELAY;
+                self.handle_event(index, Event::Wake)?;
             }
             Step::Arrive(index) => self.arrive(index)?,
             Step::Answer(index) => {
                 if let Some((id, _, Some(outcome))) = self.code.writes[index].clone() {
                     self.code.writes[index] = None;
-                    self.same(Action::Answer(index));
-                    self.feed(index, Event::Store { id, outcome })?;
+                    self.follow(Action::AnswerArrives(index));
+                    self.handle_event(index, Event::Store { id, outcome })?;
                 }
             }
-            Step::GiveUp(index) => self.give_up(index)?,
-            Step::GhostArrives(index) => {
-                if let Some(call) = self.code.ghosts[index].take() {
+            Step::Abandon(index) => self.abandon(index)?,
+            Step::AbandonedWriteArrives(index) => {
+                if let Some(call) = self.code.abandoned[index].take() {
                     self.code.table.apply(&call);
-                    self.same(Action::GhostArrives(index));
+                    self.follow(Action::AbandonedWriteArrives(index));
                 }
             }
         }
@@ -192,32 +192,32 @@
             return Ok(());
         };
         let outcome = self.code.table.apply(&call);
-        self.same(Action::Arrive(index));
+        self.follow(Action::WriteArrives(index));
         if let Outcome::Conflict(_) = outcome {
-            // The answer shows the row as it is: to the specification, an answer and a read.
+            // The answer contains the current row: in the specification, an answer and a read.
             self.code.writes[index] = None;
-            self.same(Action::Answer(index));
-            self.same(Action::Read(index));
-            return self.feed(index, Event::Store { id, outcome });
+            self.follow(Action::AnswerArrives(index));
+            self.follow(Action::Read(index));
+            return self.handle_event(index, Event::Store { id, outcome });
         }
         self.code.writes[index] = Some((id, call, Some(outcome)));
         Ok(())
     }
 
-    fn give_up(&mut self, index: usize) -> Result<(), TestCaseError> {
+    fn abandon(&mut self, index: usize) -> Result<(), TestCaseError> {
         let Some((id, call, outcome)) = self.code.writes[index].clone() else {
             return Ok(());
         };
-        if outcome.is_none() && self.code.ghosts[index].is_some() {
+        if outcome.is_none() && self.code.abandoned[index].is_some() {
             return Ok(());
         }
         self.code.writes[index] = None;
         if outcome.is_none() {
-            self.code.ghosts[index] = Some(call);
+            self.code.abandoned[index] = Some(call);
         }
-        self.same(Action::GiveUp(index));
+        self.follow(Action::Abandon(index));
         let outcome = Outcome::Unknown;
-        self.feed(index, Event::Store { id, outcome })
+        self.handle_event(index, Event::Store { id, outcome })
     }
 
     fn compare(&self) -> Result<(), TestCaseError> {
@@ -232,34 +232,34 @@
     }
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn random_step() -> impl Strategy<Value = Step> {
     let index = 0..RIVALS;
     prop_oneof![
         3 => (0..1_u8).prop_map(|_| Step::Tick),
         5 => index.clone().prop_map(Step::Wake),
         4 => index.clone().prop_map(Step::Arrive),
         4 => index.clone().prop_map(Step::Answer),
-        1 => index.clone().prop_map(Step::GiveUp),
-        1 => index.prop_map(Step::GhostArrives),
+        1 => index.clone().prop_map(Step::Abandon),
+        1 => index.prop_map(Step::AbandonedWriteArrives),
     ]
 }
 
 #[test]
-fn the_claim_takes_only_steps_of_the_specification() {
+fn the_claim_conforms_to_the_specification() {
     let config = Config {
         cases: CASES,
         rng_seed: RngSeed::Fixed(17),
         failure_persistence: None,
         ..Config::default()
     };
-    let steps = proptest::collection::vec(step(), 1..120);
+    let steps = proptest::collection::vec(random_step(), 1..120);
     let run = TestRunner::new(config).run(&steps, |steps| {
         let mut walk = Walk::new();
         for step in steps {
-            if u64::from(walk.state.fence) >= FENCES {
+            if u64::from(walk.state.fence) >= MAX_FENCE {
                 break;
             }
-            walk.take(step)?;
+            walk.step(step)?;
         }
         Ok(())
     });
--- a/crates/model/tests/lease.rs
+++ b/crates/model/tests/lease.rs
@@ -1,11 +1,11 @@
-//! The lease with fencing, over all reachable states.
+//! Checks the lease with fencing over all reachable states.
 
 use model::checker::check;
 use model::lease::Fault;
 use model::lease::Lease;
 
 #[test]
-fn no_two_rivals_hold_the_lease_and_no_old_order_lands_last() {
+fn at_most_one_rival_holds_the_lease_and_no_old_order_overrides_a_newer_one() {
     for checks_fencing in [true, false] {
         let specification = Lease {
             checks_fencing,
@@ -22,10 +22,10 @@
     }
 }
 
-/// A holder that gave its number up takes the lease under a new one; were it to act under the old number again, so might
-/// whoever was told that it gave up.
+/// A holder that gave its fencing number up must gain the lease under a new one. If it acted under the old
+/// number again, so might whichever process was notified that it had resigned.
 #[test]
-fn a_holder_that_resigns_is_never_back_under_its_number() {
+fn a_resigned_fencing_number_is_never_held_again() {
     let report = check(&Lease {
         checks_fencing: true,
         resigns: true,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn every_guard_left_out_is_found() {
+fn every_omitted_guard_is_detected() {
     let faults = [
         (Fault::DeadlineFromAnswer, true),
         (Fault::NoMargin, true),
--- a/crates/model/tests/ticket.rs
+++ b/crates/model/tests/ticket.rs
@@ -1,4 +1,4 @@
-//! At most once by tickets, over all reachable states, and the ledger's code along its transitions.
+//! Checks at-most-once execution by tickets over all reachable states, and the ledger's code against them.
 
 use clock::Time;
 use model::checker::check;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn every_guard_left_out_is_found() {
+fn every_omitted_guard_is_detected() {
     let faults = [
         Fault::NoFreeze,
         Fault::InheritTwice,
@@ -49,7 +49,7 @@
     }
 }
 
-/// The code's side of a state: a ledger for each entry and the estates on their way.
+/// The code under test: the ledger of each entry and the estates in flight.
 struct Code {
     ledgers: Vec<Option<Ledger>>,
     estates: Vec<Option<Vec<Estate>>>,
@@ -69,11 +69,11 @@
         }
     }
 
-    /// Takes the step that the specification took; the answer if a ledger was asked.
-    fn take(&mut self, before: &State, action: Action) -> Option<Answer> {
+    /// Performs the step of the specification and returns the answer if a ledger was queried.
+    fn step(&mut self, before: &State, action: Action) -> Option<Answer> {
         match action {
             Action::Spend(request) => {
-                let Request::Asking(entry) = before.requests[request] else {
+                let Request::Querying(entry) = before.requests[request] else {
                     return None;
                 };
                 let ledger = self.ledgers[usize::from(entry)].as_mut()?;
@@ -83,12 +83,12 @@
                 self.ledgers[entry] = None;
                 self.estates[entry] = None;
             }
-            Action::HandOn { from, to } => {
+            Action::HandOver { from, to } => {
                 let estates = self.ledgers[from].as_mut()?.hand_over(Time::ZERO);
                 self.estates[to] = Some(estates);
             }
             Action::Deliver(entry) => self.deliver(entry),
-            Action::Ask { .. } | Action::Answer(_) | Action::Lose(_) => {}
+            Action::Query { .. } | Action::Answer(_) | Action::Lose(_) => {}
         }
         None
     }
@@ -108,20 +108,20 @@
     let entry = 0..ENTRIES;
     prop_oneof![
         3 => (request.clone(), entry.clone())
-            .prop_map(|(request, entry)| Action::Ask { request, entry }),
+            .prop_map(|(request, entry)| Action::Query { request, entry }),
         3 => request.clone().prop_map(Action::Spend),
         2 => request.clone().prop_map(Action::Answer),
         1 => request.prop_map(Action::Lose),
         1 => entry.clone().prop_map(Action::Crash),
-        2 => (entry.clone(), entry.clone()).prop_map(|(from, to)| Action::HandOn { from, to }),
+        2 => (entry.clone(), entry.clone()).prop_map(|(from, to)| Action::HandOver { from, to }),
         2 => entry.prop_map(Action::Deliver),
     ]
 }
 
-/// Walks the specification at random and the code beside it. Whatever the specification grants or
-/// refuses, the ledger must, and an estate that is delivered again must change nothing.
+/// Takes random steps in the specification and in the code. The ledger must grant or refuse exactly as the
+/// specification does, and an estate that is delivered again must change nothing.
 #[test]
-fn the_ledger_does_what_the_specification_does() {
+fn the_ledger_conforms_to_the_specification() {
     let config = Config {
         cases: CASES,
         rng_seed: RngSeed::Fixed(13),
@@ -134,13 +134,13 @@
         let mut state = model::checker::Specification::initial(&specification);
         let mut code = Code::new();
         for action in actions {
-            let Some(next) = specification.take(&state, action) else {
+            let Some(next) = specification.apply(&state, action) else {
                 if let Action::Deliver(entry) = action {
                     code.deliver(entry);
                 }
                 continue;
             };
-            let answer = code.take(&state, action);
+            let answer = code.step(&state, action);
             if let Action::Spend(request) = action {
                 let granted = next.requests[request] == Request::Answered(true);
                 prop_assert_eq!(answer == Some(Answer::Granted), granted);
