--- a/crates/burn/src/ledger.rs
+++ b/crates/burn/src/ledger.rs
@@ -16,7 +16,7 @@
 /// Keeps the ledger within a sixth of the 128 MB that an entry has for control; `examples/size.rs` prints
 /// the memory for each pair.
 pub const MAX_SERIES: usize = 1_000;
-/// The account under which requests count whose pair has no series of its own.
+/// The account that collects requests beyond [`MAX_SERIES`].
 pub const OVERFLOW_ACCOUNT: &str = "(rest)";
 
 /// A pair of deployment and account.
