--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,5 +1,5 @@
-//! Callers: each asks for addresses, keeps the answer for a while, sends one request after the other on
-//! connections that it keeps open, and comes again as its kind of request allows.
+//! Callers. Each resolves entries' addresses and caches them for their TTL, sends one request at a time over
+//! keep-alive connections, and retries where the kind of request allows it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -36,40 +36,40 @@
 use crate::scene::Shared;
 use crate::scene::ZONES;
 
-/// The key of all callers.
+/// API key of all callers.
 pub const KEY: &str = "soak-key";
-/// How long a caller waits for a connection, and for addresses.
+/// Timeout of connection attempts and address queries.
 const CONNECT_TIME: Duration = Duration::from_secs(1);
-/// How long it listens beyond its deadline, so that an answer that comes late is seen.
+/// Time for which a caller waits beyond its deadline, to tell a late answer from none.
 const OVERTIME: Duration = Duration::from_secs(2);
-/// Longest pause between two requests, milliseconds.
+/// Longest pause between two requests, in milliseconds.
 const THINK_MS: u64 = 250;
-/// Share of requests whose caller leaves early, where that may be.
+/// Share of requests whose caller leaves early, for requests that may be cancelled.
 const LEAVING: f64 = 0.04;
-/// When it leaves.
+/// Time after which such a caller leaves.
 const LEAVES_AFTER: Duration = Duration::from_millis(150);
 /// Share of requests sent on a new connection although one is open.
 const FRESH: f64 = 0.2;
-/// Attempts of one request.
+/// Most attempts of one request.
 const ATTEMPTS: u32 = 3;
-/// Events of a stream.
+/// Number of events of a stream.
 const EVENTS: std::ops::Range<u64> = 5..50;
 
-/// What is asked for.
+/// Kind of request; each has a route of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// A plain call that may run again.
+    /// A plain call that may be repeated.
     Look,
-    /// One that must not.
+    /// A plain call that must not be repeated.
     File,
-    /// A stream that may be gone on with.
+    /// A stream that can be resumed.
     Chat,
-    /// A plain call whose route changes its service.
+    /// A repeatable plain call whose route changes its service.
     Move,
 }
 
 impl Class {
-    /// All classes, and their weights.
+    /// All classes with their weights.
     pub const ALL: [(Class, u32); 4] = [
         (Class::Look, 3),
         (Class::File, 3),
@@ -77,7 +77,7 @@
         (Class::Move, 2),
     ];
 
-    /// The name of its route.
+    /// Returns the name of the route.
     pub const fn name(self) -> &'static str {
         match self {
             Class::Look => "look",
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The time limit of its route, which is also how long its callers wait.
+    /// Returns the time limit of the route, which is also the callers' deadline.
     pub const fn timeout(self) -> Span {
         match self {
             Class::Chat => Span::from_millis(6_000),
@@ -96,10 +96,10 @@
     }
 }
 
-/// One caller.
+/// A caller.
 pub struct Caller {
     shared: Rc<Shared>,
-    /// Entries that may be asked for addresses.
+    /// Addresses for address queries, one per entry.
     directories: Vec<SocketAddr>,
     zone: &'static str,
     name: SmolStr,
@@ -122,17 +122,17 @@
     }
 }
 
-/// What an attempt came to.
+/// Result of an attempt.
 struct Outcome {
     end: End,
-    /// Last event of a stream that came.
+    /// Last event received of a stream.
     after: u64,
-    /// When to come back at the earliest.
+    /// Least pause before a retry.
     again: Duration,
 }
 
 impl Caller {
-    /// A caller with a number of its own.
+    /// Creates a caller; `number` determines its name and zone.
     pub fn new(shared: Rc<Shared>, number: usize, entries: usize) -> Caller {
         let directory = |entry| shared.network.address(Party::Entry(entry), Port::Directory);
         Caller {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Sends one request, as often as its kind allows.
+    /// Sends one request and retries it as its class allows.
     async fn request(&mut self) {
         let class = self.draw_class();
         self.sent += 1;
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Makes one attempt and notes how it ended; none if no entry could be named.
+    /// Makes one attempt and records its end. Returns none if no entry could be reached.
     async fn attempt(
         &mut self,
         class: Class,
@@ -203,7 +203,7 @@
                 let entry = self.entry().await?;
                 match connect(entry).await {
                     Some(connection) => connection,
-                    // An address that failed isn't used again before the next answer.
+                    // An address that refused a connection isn't used again until addresses are refreshed.
                     None => {
                         self.known = None;
                         return None;
@@ -241,7 +241,7 @@
         Some(Outcome { end, after, again })
     }
 
-    /// The open connection, if it is to be used.
+    /// Takes the open connection, unless it is unusable or a new one is drawn.
     fn kept(&mut self) -> Option<Connection> {
         let fresh = self.chance(FRESH);
         let connection = self.open.take()?;
@@ -249,7 +249,7 @@
         usable.then_some(connection)
     }
 
-    /// An entry by the last answer, or by a new one if that is too old.
+    /// Chooses a random entry from the cached addresses, which are refreshed once they expire.
     async fn entry(&mut self) -> Option<SocketAddr> {
         let now = self.shared.clock.now();
         let holds =
@@ -289,7 +289,7 @@
     }
 }
 
-/// Whether a caller sends such a request again after that end.
+/// Returns whether a caller retries a request of that class after such an end.
 fn may_come_again(class: Class, end: &End) -> bool {
     match end {
         End::Answered(200) | End::Left | End::Waited | End::Wrong(_) => false,
@@ -304,7 +304,7 @@
     let socket = socket.ok()?.ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(socket)).await.ok()?;
     let task = tokio::task::spawn_local(async move {
-        // How it ended shows in the answer.
+        // The request on this connection sees how it ended.
         let _ = connection.await;
     });
     Some(Connection {
@@ -315,7 +315,7 @@
     })
 }
 
-/// Asks an entry for addresses.
+/// Queries an entry for the addresses of entries.
 pub async fn ask_directory(directory: SocketAddr, zone: &str) -> Option<Addresses> {
     let mut connection = connect(directory).await?;
     let request = caller::address_query(HOST, zone);
@@ -325,7 +325,7 @@
     caller::addresses(head.status, &body)
 }
 
-/// The number of the entry at a caller's address.
+/// Returns the index of the entry with that address.
 fn entry_of(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(address) => usize::from(address.ip().octets()[3]) - 1,
@@ -333,7 +333,8 @@
     }
 }
 
-/// Sends a request and reads its answer: how it ended, when to come back, whether the connection is kept.
+/// Sends a request and reads its answer. Returns how it ended, the pause before a retry, and whether the
+/// connection stays open.
 async fn ask(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
@@ -377,7 +378,7 @@
     }
 }
 
-/// Reads a stream to its end; each event must be the next one.
+/// Reads a stream to its end and checks that its events arrive in order.
 async fn read_stream(mut body: Incoming, stream: &Stream, after: &mut u64) -> End {
     let mut text = String::new();
     while let Some(frame) = body.frame().await {
--- a/crates/soak/src/cloud.rs
+++ b/crates/soak/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The platform's API in memory: holders of duties call it, and it notes who did what.
+//! In-memory stand-in of the platform's API: takes the calls of duty holders and checks their fencing.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 use crate::server::Body;
 use crate::server::Lost;
 
-/// The API.
+/// The stand-in of the API.
 pub struct Cloud {
     shared: Rc<Shared>,
     state: RefCell<State>,
@@ -29,14 +29,14 @@
 
 #[derive(Default)]
 struct State {
-    /// By subject: the highest fencing token and its holder.
+    /// Highest fencing token and its holder, by subject.
     fences: BTreeMap<SmolStr, (u64, SmolStr)>,
-    /// Usage by window, as it was accepted first.
+    /// First accepted usage report of each window.
     usage: BTreeMap<u64, BTreeMap<SmolStr, u64>>,
 }
 
 impl Cloud {
-    /// Serves on that address.
+    /// Binds `address` and serves calls.
     pub async fn serve(shared: Rc<Shared>, address: SocketAddr) -> Result<Rc<Cloud>> {
         let listener = server::bind(address).await?;
         let cloud = Rc::new(Cloud {
@@ -52,12 +52,12 @@
         Ok(cloud)
     }
 
-    /// Windows of which the usage was reported.
+    /// Returns the number of windows whose usage was reported.
     pub fn windows(&self) -> usize {
         self.state.borrow().usage.len()
     }
 
-    /// Takes a call; whether its fencing token is high enough.
+    /// Records a call; returns false if its fencing token is stale.
     fn take(&self, call: &Call) -> bool {
         let subject = match &call.order {
             Order::Usage { .. } => SmolStr::new_static("usage"),
--- a/crates/soak/src/configs/bounds.rs
+++ b/crates/soak/src/configs/bounds.rs
@@ -1,26 +1,25 @@
-//! What the system promises, in figures.
+//! Bounds of the promises.
 
 use clock::Span;
 
-/// The bounds that are checked.
+/// Bounds within which promises must hold.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// An entry, a replica or the table service counts as disturbed for so long before and after a fault:
-    /// what it took in meanwhile may still be on its way.
+    /// Time after a fault for which its target still counts as disturbed: work from during it may be in flight.
     pub contact: Span,
-    /// A final answer may come so long after the time limit of its route.
+    /// Time after a route's timeout by which the final answer must arrive.
     pub late: Span,
-    /// A replica that says that it leaves gets requests for so long at most.
+    /// Time after a replica's notice of leaving within which it may still get requests.
     pub drain: Span,
-    /// A new version of the configuration holds everywhere after so long.
+    /// Time by which every entry applies a new version of the configuration.
     pub apply: Span,
-    /// An entry that was asked to stop has so long.
+    /// Grace period of an entry that is asked to stop.
     pub grace: Span,
-    /// Work goes on for so long at most after its caller has left.
+    /// Time for which work may go on after its caller has left.
     pub leave: Span,
-    /// After the last fault, so long until callers are served as before.
+    /// Time after the last fault by which callers are served as before.
     pub recover: Span,
-    /// Least share of attempts that is served then.
+    /// Least share of attempts that is served after recovery.
     pub served: f64,
 }
 
--- a/crates/soak/src/configs/size.rs
+++ b/crates/soak/src/configs/size.rs
@@ -1,4 +1,4 @@
-//! How much is started.
+//! Sizes of a run.
 
 use clock::Span;
 
@@ -7,25 +7,25 @@
 pub struct Size {
     /// Entries, each a process.
     pub entries: usize,
-    /// Replicas that run streams.
+    /// Replicas that serve streams.
     pub engines: usize,
     /// Replicas of each of the two plain services.
     pub apps: usize,
     /// Callers, each with one request at a time.
     pub callers: usize,
-    /// How long faults are played.
+    /// Time within which faults start.
     pub faults: Span,
-    /// How many faults begin in that time.
+    /// Number of faults.
     pub count: usize,
 }
 
 impl Size {
-    /// A few processes: the usual size.
+    /// Returns the default size, a few processes.
     pub fn small() -> Size {
         Size::default()
     }
 
-    /// A few hundred processes, in about a sixth of the memory that a run may use (12 MB an entry).
+    /// Returns a size of a few hundred processes: at 12 MB an entry, about a sixth of a run's memory limit.
     pub fn limit() -> Size {
         Size {
             entries: 200,
--- a/crates/soak/src/content.rs
+++ b/crates/soak/src/content.rs
@@ -1,19 +1,19 @@
-//! What answers hold, so that callers can tell whether they got theirs.
+//! Contents of answers, by which callers verify that an answer is theirs.
 
-/// Begins the path of streams.
+/// Path prefix of streams.
 const STREAMS: &str = "/chat/";
 
-/// A stream, as its path names it: `/chat/NAME/EVENTS`.
+/// A stream, encoded in its path as `/chat/NAME/EVENTS`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stream {
-    /// Its name, in each of its events.
+    /// Name of the stream, contained in each of its events.
     pub name: String,
-    /// How many events it has.
+    /// Number of events.
     pub events: u64,
 }
 
 impl Stream {
-    /// The stream that a path asks for.
+    /// Parses the path of a request for a stream.
     pub fn of(path: &str) -> Option<Stream> {
         let (name, events) = path.strip_prefix(STREAMS)?.split_once('/')?;
         Some(Stream {
@@ -22,18 +22,18 @@
         })
     }
 
-    /// The path that asks for it.
+    /// Returns the path that requests the stream.
     pub fn path(&self) -> String {
         format!("{STREAMS}{}/{}", self.name, self.events)
     }
 
-    /// One event, whole.
+    /// Returns the text of one event.
     pub fn event(&self, number: u64) -> String {
         format!("id: {number}\ndata: {}-{number}\n\n", self.name)
     }
 }
 
-/// The body of the answer to a plain call.
+/// Returns the body of the answer to a plain call.
 pub fn body_of(attempt: &str) -> String {
     format!("done {attempt}")
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Carries the steps of a plan out.
+//! Applies the steps of a plan.
 
 use std::rc::Rc;
 
@@ -23,24 +23,24 @@
 use crate::scene::Shared;
 use crate::tables::Trouble;
 
-/// The services of plain calls; the route that changes goes to one of them by turns.
+/// Services of plain calls; the route that changes alternates between them.
 pub const APPS: [&str; 2] = ["app-a", "app-b"];
-/// The service of streams.
+/// Service of streams.
 pub const ENGINES: &str = "engines";
-/// A killed entry has started again and serves after so long.
+/// Time in which a killed entry is restarted and serves.
 const BACK: Span = Span::from_millis(2_500);
-/// A row of a replica that says nothing goes after so long.
+/// Time after which the row of a crashed replica is removed.
 const ROW: Span = Span::from_millis(1_500);
-/// A replica that leaves goes on for so long.
+/// Time for which a replica goes on after it announced that it leaves.
 const LEAVING: Span = Span::from_millis(3_500);
 /// Pause between two entries that are stopped in turn.
 const TURN: Span = Span::from_millis(500);
-/// So many are stopped in turn: each takes its whole grace, as long as callers keep their connections.
+/// Number of entries stopped in turn. Each takes its whole grace period while callers keep connections open.
 const IN_TURN: usize = 3;
 
-/// Everybody who takes part.
+/// All nodes of a run that faults act on.
 pub struct World {
-    /// What they have in common.
+    /// State shared by all nodes.
     pub shared: Rc<Shared>,
     /// Entries.
     pub entries: Vec<Rc<Program>>,
@@ -49,7 +49,7 @@
 }
 
 impl World {
-    /// Carries a step out, from its fault's beginning to its end.
+    /// Applies a fault, and ends it after its duration.
     pub async fn carry_out(&self, step: &Step) {
         match step.fault {
             Fault::Kill(entry) => self.kill(&[entry]).await,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The operator writes a version that sends the route that changes to the other service.
+    /// Publishes a configuration that switches the route that changes to the other service.
     pub fn configure(&self) {
         let mut ledger = self.shared.ledger.borrow_mut();
         let version = ledger.configured.len() as u64 + 1;
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers and replicas saw, and which faults were on meanwhile.
+//! Records what callers and replicas observed, and which faults were active.
 
 use std::collections::BTreeMap;
 
@@ -9,98 +9,98 @@
 use crate::configs::bounds::Bounds;
 use crate::promises;
 
-/// What a fault is about.
+/// Target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// An entry, or a way to or from it.
+    /// An entry, or its connections.
     Entry(usize),
-    /// A replica or the way to it.
+    /// A replica, or the connections to it.
     Replica(usize),
     /// The table service, for everyone.
     Tables,
 }
 
-/// Something was wrong for a time.
+/// A period during which a target was faulty.
 #[derive(Clone, Copy, Debug)]
 struct Disturbance {
     target: Target,
     from: Time,
-    /// None while it lasts.
+    /// None while the fault lasts.
     to: Option<Time>,
 }
 
 /// One attempt of a caller.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its name.
+    /// Id of the attempt.
     pub id: SmolStr,
-    /// What it asks for.
+    /// Kind of request.
     pub class: Class,
-    /// The entry that it was sent to.
+    /// Index of the entry to which it was sent.
     pub entry: usize,
-    /// Whether its connection served another one before.
+    /// Whether its connection carried an earlier attempt.
     pub reused: bool,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Time,
-    /// When and how it ended for its caller.
+    /// Time and kind of its end, as its caller saw it.
     pub ended: Option<(Time, End)>,
 }
 
-/// How an attempt ended for its caller.
+/// End of an attempt, as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
-    /// An answer came whole.
+    /// A complete answer with this status.
     Answered(u16),
-    /// An answer looked whole and wasn't the replica's.
+    /// A complete answer with a wrong content.
     Wrong(SmolStr),
-    /// No connection came about.
+    /// No connection could be opened.
     NotSent,
-    /// The connection ended before the answer did.
+    /// The connection ended before the answer was complete.
     Broken,
-    /// The caller gave up as it had planned to.
+    /// The caller cancelled the attempt, as planned.
     Left,
-    /// Nothing final came in all the caller's time.
+    /// No complete answer arrived in the caller's time.
     Waited,
 }
 
 /// A replica's work on an attempt.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: SmolStr,
-    /// The replica.
+    /// Index of the replica.
     pub replica: usize,
-    /// The replica's service.
+    /// Service of the replica.
     pub service: SmolStr,
-    /// When it began.
+    /// Time at which the work began.
     pub began: Time,
-    /// When the work ended, done or given up.
+    /// Time at which the work was completed or aborted.
     pub ended: Option<Time>,
 }
 
 /// A promise that was broken.
 #[derive(Clone, Debug)]
 pub struct Breach {
-    /// Which promise.
+    /// Name of the promise.
     pub promise: &'static str,
-    /// When it showed.
+    /// Time at which the breach was detected.
     pub at: Time,
-    /// What showed it.
+    /// Evidence of the breach.
     pub detail: String,
 }
 
-/// Everything that was seen in one run.
+/// Everything that was observed in one run.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// What is promised.
+    /// Bounds of the promises.
     pub bounds: Bounds,
-    /// Attempts by name.
+    /// Attempts by id.
     pub attempts: BTreeMap<SmolStr, Attempt>,
-    /// Runs in the order in which they began.
+    /// Runs in order of their start.
     pub runs: Vec<Run>,
-    /// Which version of the configuration named which service, when: in order.
+    /// Service of the route that changes, with the time of each version, in order.
     pub configured: Vec<(Time, SmolStr)>,
-    /// When replicas said that they leave, by replica.
+    /// Time at which a replica announced that it leaves, by its index.
     pub leaving: BTreeMap<usize, Time>,
     /// Broken promises.
     pub breaches: Vec<Breach>,
@@ -109,12 +109,12 @@
 }
 
 impl Ledger {
-    /// An attempt is sent.
+    /// Records an attempt that is sent.
     pub fn sent(&mut self, attempt: Attempt) {
         self.attempts.insert(attempt.id.clone(), attempt);
     }
 
-    /// An attempt ended for its caller.
+    /// Records the end of an attempt and checks it.
     pub fn ended(&mut self, id: &SmolStr, at: Time, end: End) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -124,7 +124,7 @@
         promises::check_end(self, &attempt);
     }
 
-    /// A replica begins to work on an attempt; names the run.
+    /// Records a replica's start of work on an attempt, checks it, and returns the run's index.
     pub fn began(&mut self, run: Run) -> usize {
         let index = self.runs.len();
         self.by_attempt
@@ -136,20 +136,20 @@
         index
     }
 
-    /// A replica's work is done or given up.
+    /// Records that a run was completed or aborted.
     pub fn finished(&mut self, run: usize, at: Time) {
         if let Some(run) = self.runs.get_mut(run) {
             run.ended = Some(at);
         }
     }
 
-    /// The runs of an attempt, in order.
+    /// Returns the runs of an attempt, in order.
     pub fn runs_of(&self, attempt: &str) -> impl Iterator<Item = &Run> {
         let runs = self.by_attempt.get(attempt).into_iter().flatten();
         runs.map(|index| &self.runs[*index])
     }
 
-    /// Something begins to be wrong; names it for [`Ledger::heal`].
+    /// Records the start of a fault and returns its index, for [`Ledger::heal`].
     pub fn disturb(&mut self, target: Target, at: Time) -> usize {
         self.disturbances.push(Disturbance {
             target,
@@ -159,14 +159,14 @@
         self.disturbances.len() - 1
     }
 
-    /// It is well again.
+    /// Records the end of a fault.
     pub fn heal(&mut self, disturbance: usize, at: Time) {
         if let Some(disturbance) = self.disturbances.get_mut(disturbance) {
             disturbance.to = Some(at);
         }
     }
 
-    /// Whether nothing was wrong there from `contact` before the first moment until the second.
+    /// Returns whether the target had no fault from `contact` before `from` until `to`.
     pub fn is_calm(&self, target: Target, from: Time, to: Time) -> bool {
         let contact = self.bounds.contact;
         self.disturbances.iter().all(|one| {
@@ -175,7 +175,7 @@
         })
     }
 
-    /// Notes a broken promise.
+    /// Records a broken promise.
     pub fn breach(&mut self, promise: &'static str, at: Time, detail: String) {
         self.breaches.push(Breach {
             promise,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,12 +1,12 @@
-//! Plays seeded faults against real entries of dogwoodspur and checks its promises meanwhile.
+//! Injects seeded faults into real entries of dogwoodspur and checks its promises meanwhile.
 //!
-//! Entries run as processes of their own. The table service, the API, replicas and callers are stand-ins in
-//! this process, and every connection between any of them goes through a [`proxy`] that can delay, hold, cut
-//! one way or reset it. A [`plan`] drawn from a seed orders signals, proxies and stand-ins; the [`ledger`]
-//! notes what callers and replicas see, and [`promises`] says what of it must never be seen.
+//! Entries run as separate processes. The table service, the API, replicas and callers are stand-ins in this
+//! process, and every connection between them goes through a [`proxy`] that can delay, hold or reset it,
+//! also in one direction only. A [`plan`] drawn from a seed schedules signals and faults of proxies and
+//! stand-ins; the [`ledger`] records what callers and replicas observe, and [`promises`] checks it.
 //!
-//! Clocks: a paused process finds that time has gone on, as after a machine's sleep. The time of day isn't
-//! stepped, since that takes rights that a test must not have.
+//! A paused process sees its clock jump forward when it resumes, as after a machine's sleep. The wall clock
+//! isn't stepped, since that needs privileges that a test must not have.
 
 pub mod caller;
 pub mod cloud;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `soak`: plays seeds and reports broken promises.
+//! Command line of `soak`: plays seeds and reports broken promises.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -17,13 +17,13 @@
 /// Plays seeded faults against real entries and checks their promises.
 #[derive(FromArgs)]
 struct Arguments {
-    /// how many seeds to play (10)
+    /// number of seeds to play (10)
     #[argh(option, default = "10")]
     seeds: u64,
-    /// the first seed; the clock's if absent
+    /// first seed; by default the current time in milliseconds
     #[argh(option)]
     from: Option<u64>,
-    /// begin no further seed after so many minutes
+    /// start no further seeds after this many minutes
     #[argh(option)]
     minutes: Option<u64>,
     /// size of each run, small or limit (small)
@@ -32,10 +32,10 @@
     /// seeds played at once (4)
     #[argh(option, default = "4")]
     jobs: usize,
-    /// the program of an entry; by default `dogwoodspur-platform` beside this one
+    /// path of the entry binary; by default `dogwoodspur-platform` beside this one
     #[argh(option)]
     program: Option<PathBuf>,
-    /// where logs of seeds with broken promises are kept
+    /// folder that keeps the logs of seeds with broken promises
     #[argh(option, default = "PathBuf::from(\"target/soak\")")]
     logs: PathBuf,
 }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Plays all seeds; whether every promise was kept.
+/// Plays all seeds and returns whether every promise was kept.
 fn play(arguments: &Arguments) -> Result<bool> {
     let size = match arguments.size.as_str() {
         "small" => Size::small(),
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, drawn from a seed.
+//! Draws a schedule of faults from a seed.
 
 use clock::Span;
 use rand::RngExt;
@@ -10,66 +10,66 @@
 use crate::replica::Manner;
 use crate::tables::Trouble;
 
-/// Share of faults that come again shortly after.
+/// Share of faults that repeat shortly after.
 const SERIES: f64 = 0.35;
-/// Times that one of a series comes in all.
+/// Occurrences of a repeating fault.
 const TIMES: std::ops::Range<u32> = 2..4;
-/// Time between two of a series, milliseconds.
+/// Time between two occurrences of a repeating fault, in milliseconds.
 const GAP_MS: std::ops::Range<u64> = 200..1_500;
-/// How long a fault lasts, milliseconds.
+/// Duration of a fault, in milliseconds.
 const LASTS_MS: std::ops::Range<u64> = 400..4_000;
-/// How long bytes are delayed, milliseconds.
+/// Delay of bytes or answers, in milliseconds.
 const DELAY_MS: std::ops::Range<u64> = 20..600;
 
-/// A fault, when it begins and how long it lasts.
+/// A fault with its start and duration.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// From the start of the faults.
+    /// Start, counted from the start of the faults.
     pub at: Span,
-    /// How long, where that makes sense.
+    /// Duration; unused by faults that have none.
     pub lasts: Span,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// What goes wrong, or is done on purpose.
+/// A fault or a change by the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// An entry is killed.
     Kill(usize),
     /// All entries are killed at once.
     KillAll,
-    /// An entry is asked to stop.
+    /// An entry is asked to stop by SIGTERM.
     Stop(usize),
-    /// Some entries are asked to stop, one after the other.
+    /// Several entries are asked to stop, one after the other.
     StopInTurn,
-    /// An entry stands still.
+    /// An entry is paused by SIGSTOP.
     Pause(usize),
-    /// An entry is told to read its settings again.
+    /// An entry reloads its settings on SIGHUP.
     Reload(usize),
-    /// The way from callers to an entry.
+    /// The connections from callers to an entry misbehave.
     Callers(usize, Mode),
-    /// The way from other entries to an entry.
+    /// The connections from other entries to an entry misbehave.
     Peers(usize, Mode),
-    /// An entry's way to the table service.
+    /// The connections from an entry to the table service misbehave.
     TablesWay(usize, Mode),
-    /// The way to a replica.
+    /// The connections to a replica misbehave.
     ReplicaWay(usize, Mode),
-    /// The table service, for everyone.
+    /// The table service misbehaves for everyone.
     Tables(Trouble),
-    /// The table service forgets what changed.
+    /// The table service drops its history of changes.
     Forget,
-    /// A replica crashes, and comes back.
+    /// A replica crashes and later restarts.
     Crash(usize),
-    /// A replica leaves as it is meant to, and comes back.
+    /// A replica announces that it leaves, goes, and later restarts.
     Leave(usize),
-    /// A replica works badly.
+    /// A replica misbehaves.
     Works(usize, Manner),
     /// The operator changes the configuration.
     Configure,
 }
 
-/// The steps of a seed, in order.
+/// Draws the steps of a seed, in order of their start.
 pub fn draw(seed: u64, size: &Size) -> Vec<Step> {
     let mut random = Pcg64::seed_from_u64(seed);
     let mut steps = Vec::new();
--- a/crates/soak/src/program.rs
+++ b/crates/soak/src/program.rs
@@ -1,4 +1,4 @@
-//! Entries as processes of their own, started again when they end, as the platform does.
+//! Entries as separate processes, restarted when they end, as the platform does.
 
 use std::cell::Cell;
 use std::fs::File;
@@ -24,33 +24,33 @@
 use crate::scene::Shared;
 use crate::scene::ZONES;
 
-/// Pause before a process that ended is started again.
+/// Pause before a process that ended is restarted.
 const RESTART: Duration = Duration::from_millis(300);
-/// Pause between two looks whether a process that was asked to stop has ended.
+/// Interval at which a process that was asked to stop is polled.
 const LOOK: Duration = Duration::from_millis(50);
 
-/// One entry.
+/// An entry's process and the proxies around it.
 pub struct Program {
-    /// Its number.
+    /// Index of the entry.
     pub index: usize,
-    /// The way from callers to it.
+    /// Proxy between callers and the entry.
     pub callers: Proxy,
-    /// The way from other entries to it.
+    /// Proxy between other entries and the entry.
     pub peers: Proxy,
-    /// Its way to the table service.
+    /// Proxy between the entry and the table service.
     pub tables: Proxy,
     shared: Rc<Shared>,
     binary: PathBuf,
     settings: PathBuf,
-    /// The process, while it runs.
+    /// Process id while the process runs.
     pid: Cell<Option<Pid>>,
-    /// Why it may end now, and since when.
+    /// Time of the signal that ends the process, if one was sent.
     asked: Cell<Option<Time>>,
     over: Cell<bool>,
 }
 
 impl Program {
-    /// Starts an entry and keeps it running.
+    /// Starts an entry and a task that restarts it when it ends.
     pub async fn start(
         shared: Rc<Shared>,
         index: usize,
@@ -77,7 +77,7 @@
         Ok(program)
     }
 
-    /// Sends a signal to the process, if there is one.
+    /// Sends a signal to the process if it runs.
     pub fn signal(&self, signal: Signal) {
         if signal == Signal::KILL || signal == Signal::TERM {
             self.asked.set(Some(self.shared.clock.now()));
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Ends the process for good.
+    /// Kills the process and doesn't restart it.
     pub fn end(&self) {
         self.over.set(true);
         self.signal(Signal::KILL);
     }
 
-    /// Asks the process to stop, and kills it if it is still there after its grace.
+    /// Sends SIGTERM, and kills the process if it still runs after its grace period.
     pub async fn stop(&self) {
         let Some(pid) = self.pid.get() else {
             return;
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -1,8 +1,7 @@
-//! What must never be seen, whatever goes wrong.
+//! Checks the promises that hold under every fault.
 //!
-//! Each check names the evidence that it needs from callers and replicas. Where a promise holds only for
-//! parties that nothing was wrong with, the ledger's disturbances decide; those of an entry's stop by its
-//! own operator are none.
+//! Each check works on the evidence of callers and replicas. A promise that holds only for targets without
+//! faults is checked only where the ledger has no disturbance. An ordered stop of an entry is no disturbance.
 
 use clock::Span;
 use clock::Time;
@@ -18,10 +17,10 @@
 
 /// Most replicas that one attempt may reach.
 const MOST_RUNS: usize = 2;
-/// Work that may go on behind callers who left, in one run.
+/// Number of attempts of one run whose work may outlast their callers.
 const FORGOTTEN_ALLOWED: usize = 3;
 
-/// Checks a run that begins.
+/// Checks a replica's run when it begins.
 pub fn check_run(ledger: &mut Ledger, index: usize) {
     let run = ledger.runs[index].clone();
     let Some(attempt) = ledger.attempts.get(&run.attempt).cloned() else {
@@ -34,7 +33,7 @@
     check_configuration(ledger, &attempt, &run);
 }
 
-/// Checks an attempt that ended.
+/// Checks an attempt when it ends.
 pub fn check_end(ledger: &mut Ledger, attempt: &Attempt) {
     let Some((at, end)) = attempt.ended.clone() else {
         return;
@@ -48,13 +47,13 @@
     check_lost(ledger, attempt, at, &end);
 }
 
-/// Checks what shows only once all is over; faults ended at `calm`.
+/// Checks the promises that can be judged only at the end of a run; the last fault ended at `calm`.
 pub fn check_all(ledger: &mut Ledger, calm: Time, now: Time) {
     check_forgotten(ledger, now);
     check_recovered(ledger, calm, now);
 }
 
-/// A plain call that must not be repeated runs once; any other reaches no more replicas than allowed.
+/// Checks that a call that must not be repeated runs once, and others reach no more replicas than allowed.
 fn check_count(ledger: &mut Ledger, attempt: &Attempt, at: Time) {
     let runs = ledger.runs_of(&attempt.id).count();
     let (most, promise) = match attempt.class {
@@ -67,7 +66,7 @@
     }
 }
 
-/// A refusal that says "not run" is true, before and after.
+/// Checks that an attempt refused with a "not run" status never runs, neither before nor after the refusal.
 fn check_refused(ledger: &mut Ledger, attempt: &Attempt, at: Time) {
     let Some((_, End::Answered(status))) = &attempt.ended else {
         return;
@@ -81,7 +80,7 @@
     }
 }
 
-/// Everybody gets a final answer in time.
+/// Checks that a final answer arrives in time.
 fn check_held(ledger: &mut Ledger, attempt: &Attempt, at: Time, end: &End) {
     if *end == End::Left || *end == End::NotSent {
         return;
@@ -98,7 +97,7 @@
     }
 }
 
-/// An entry that stops by order, or none of whose parties has a fault, breaks off nothing that runs.
+/// Checks that no running answer is broken off by an entry's ordered stop or without any fault.
 fn check_lost(ledger: &mut Ledger, attempt: &Attempt, at: Time, end: &End) {
     if *end != End::Broken || !ledger.is_calm(Target::Entry(attempt.entry), attempt.sent, at) {
         return;
@@ -111,7 +110,7 @@
     }
 }
 
-/// A replica that leaves gets nothing more.
+/// Checks that a replica that announced that it leaves gets no more requests.
 fn check_leaving(ledger: &mut Ledger, attempt: &Attempt, run: &Run) {
     let Some(left) = ledger.leaving.get(&run.replica).copied() else {
         return;
@@ -127,7 +126,7 @@
     }
 }
 
-/// Requests go where the newest configuration says, or one that came since.
+/// Checks that a request ran where the newest applied configuration or a later one routes it.
 fn check_configuration(ledger: &mut Ledger, attempt: &Attempt, run: &Run) {
     if attempt.class != Class::Move {
         return;
@@ -145,13 +144,13 @@
     }
 }
 
-/// Whether the attempt's entry and the table service were well since then.
+/// Returns whether neither the attempt's entry nor the table service was disturbed in that time.
 fn knows_all(ledger: &Ledger, attempt: &Attempt, since: Time, now: Time) -> bool {
     ledger.is_calm(Target::Entry(attempt.entry), since, now)
         && ledger.is_calm(Target::Tables, since, now)
 }
 
-/// Work stops when its caller has left.
+/// Checks that work stops when its caller has left.
 fn check_forgotten(ledger: &mut Ledger, now: Time) {
     let slack = ledger.bounds.leave;
     let goes_on = |attempt: &Attempt, left: Time| {
@@ -173,7 +172,7 @@
     }
 }
 
-/// Once faults are over, callers are served as before.
+/// Checks that callers are served as before after the faults are over.
 fn check_recovered(ledger: &mut Ledger, calm: Time, now: Time) {
     let from = calm + ledger.bounds.recover;
     let sent = ledger.attempts.values().filter(|attempt| {
@@ -192,13 +191,13 @@
     }
 }
 
-/// A process ended though nobody had asked it to.
+/// Records a process that ended without a signal from this run.
 pub fn ended_by_itself(ledger: &mut Ledger, entry: usize, at: Time, how: &str) {
     let detail = format!("entry {entry}: {how}");
     ledger.breach("no process ends by itself", at, detail);
 }
 
-/// A process that was asked to stop is still there.
+/// Records a process that still runs after its grace period, unless it was disturbed.
 pub fn stops_too_slowly(ledger: &mut Ledger, entry: usize, at: Time, took: Span) {
     if ledger.is_calm(Target::Entry(entry), at, at) {
         let detail = format!("entry {entry} after {} ms", took.as_millis());
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on the loopback network that stands between two parties and misbehaves on order.
+//! A TCP proxy on the loopback network that misbehaves on demand.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,32 +15,32 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::watch;
 
-/// Bytes that are carried at once.
+/// Size of the buffer for one read, in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// What happens to connections.
+/// Treatment of a proxy's connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Bytes pass.
+    /// Bytes are forwarded.
     Pass,
-    /// Bytes pass after a while.
+    /// Bytes are forwarded after a delay.
     Delay(Span),
-    /// Nothing passes, and nobody is told.
+    /// Bytes are held in both directions; neither side is notified.
     Silence,
-    /// Only what the side says that connected passes.
+    /// Bytes from the server are held; those from the client are forwarded.
     AnswersHeld,
-    /// Open connections break, and new ones as they come.
+    /// Open connections are reset, and new ones as they are accepted.
     Reset,
 }
 
-/// One proxy.
+/// A proxy.
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     mode: watch::Sender<Mode>,
 }
 
-/// Which way bytes go.
+/// Direction of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Way {
     There,
@@ -48,7 +48,7 @@
 }
 
 impl Proxy {
-    /// Carries connections from `listen` to `to`.
+    /// Listens on `listen` and forwards connections to `to`.
     pub async fn start(listen: SocketAddr, to: SocketAddr) -> Result<Proxy> {
         let listener = TcpListener::bind(listen)
             .await
@@ -66,13 +66,13 @@
         })
     }
 
-    /// Changes what happens from now on, also to open connections.
+    /// Sets the treatment of all connections, also of open ones.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 }
 
-/// Carries one connection until either side ends it.
+/// Forwards one connection until either side closes it.
 async fn carry(from: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>) {
     if *mode.borrow() == Mode::Reset {
         return reset(&from);
@@ -85,7 +85,7 @@
     let (Ok(to), Ok(from)) = (connected, Rc::try_unwrap(from)) else {
         return;
     };
-    // Without it a packet waits for the acknowledgement of the one before.
+    // Nagle's algorithm would hold a packet until the one before is acknowledged.
     let _ = (from.set_nodelay(true), to.set_nodelay(true));
     let (from_read, from_write) = from.into_split();
     let (to_read, to_write) = to.into_split();
@@ -102,7 +102,7 @@
     }
 }
 
-/// Carries bytes one way until their sender ends, or either connection breaks; a break breaks the other too.
+/// Forwards bytes in one direction until the end of the stream. An error on one connection resets the other.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Waits as long as bytes of that way are held.
+/// Waits while bytes of that direction are held or delayed.
 async fn until_passing(mode: &mut watch::Receiver<Mode>, way: Way) {
     loop {
         let now = *mode.borrow_and_update();
@@ -147,7 +147,7 @@
     }
 }
 
-/// Lets the connection end with a reset once it is dropped.
+/// Makes the connection end with a reset when it is dropped.
 fn reset(socket: &TcpStream) {
     let _ = SockRef::from(socket).set_linger(Some(std::time::Duration::ZERO));
 }
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas in memory that misbehave on order.
+//! In-memory replicas that misbehave on demand.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -38,33 +38,33 @@
 use crate::server::Body;
 use crate::server::Lost;
 
-/// Work of a plain call.
+/// Time that a plain call takes.
 const WORK: Duration = Duration::from_millis(30);
 /// Time between two events of a stream.
 const PAUSE: Duration = Duration::from_millis(25);
-/// How much longer slow work takes.
+/// Factor by which slow work takes longer.
 const SLOW: u32 = 8;
 
-/// How a replica works.
+/// Behavior of a replica towards requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Manner {
-    /// Well.
+    /// Every request is served.
     Good,
-    /// This share of requests fails.
+    /// This share of requests is answered with status 500.
     Fails(f64),
-    /// The answers of this share are lost, and streams break off in the middle.
+    /// This share of answers is lost; their streams break off halfway.
     LosesAnswers(f64),
-    /// All work takes longer.
+    /// All work takes several times as long.
     Slow,
 }
 
-/// One replica.
+/// A replica.
 pub struct Replica {
-    /// Its number.
+    /// Index of the replica.
     pub index: usize,
-    /// Its service.
+    /// Service to which the replica belongs.
     pub service: SmolStr,
-    /// The way to it.
+    /// Proxy in front of the replica.
     pub link: Proxy,
     shared: Rc<Shared>,
     id: RefCell<SmolStr>,
@@ -73,7 +73,7 @@
     up: watch::Sender<bool>,
 }
 
-/// Work that ends when it is done or its connection is given up.
+/// Records the end of a run when dropped: the work is done, or its connection was closed.
 struct Work {
     shared: Rc<Shared>,
     run: usize,
@@ -87,7 +87,7 @@
 }
 
 impl Replica {
-    /// Starts a replica, and announces it.
+    /// Starts a replica and writes its row.
     pub async fn start(shared: Rc<Shared>, index: usize, service: &str) -> Result<Rc<Replica>> {
         let party = Party::Replica(index);
         let server = shared.network.address(party, Port::Requests);
@@ -127,17 +127,17 @@
         Ok(replica)
     }
 
-    /// Changes how it works.
+    /// Sets the behavior towards further requests.
     pub fn set(&self, manner: Manner) {
         self.manner.set(manner);
     }
 
-    /// Ends its process without a word; its row stays for a while.
+    /// Ends the replica without notice; its row stays until [`Replica::forget`].
     pub fn crash(&self) {
         self.up.send_replace(false);
     }
 
-    /// Starts it again under the same name, as one that knows nothing of before.
+    /// Restarts the replica under the same id, with no state from before.
     pub fn revive(&self) {
         self.born.set(unix_ms());
         self.manner.set(Manner::Good);
@@ -147,7 +147,7 @@
         self.announce(false);
     }
 
-    /// Says that it leaves.
+    /// Announces in the replica's row that it leaves.
     pub fn leave(&self) {
         self.announce(true);
         let now = self.shared.clock.now();
@@ -155,7 +155,7 @@
         ledger.leaving.insert(self.index, now);
     }
 
-    /// Its row is gone.
+    /// Removes the replica's row.
     pub fn forget(&self) {
         self.shared
             .tables
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Time for something that usually takes `usual`.
+    /// Returns the time that work takes which takes `usual` when the replica isn't slow.
     fn pace(&self, usual: Duration) -> Duration {
         match self.manner.get() {
             Manner::Slow => usual * SLOW,
@@ -242,7 +242,7 @@
     server::whole(response)
 }
 
-/// The events behind those that the caller has; if it loses them, the stream breaks off on the way.
+/// Streams the events after the caller's last one; breaks off halfway through them if `loses` is set.
 fn streamed(
     replica: Rc<Replica>,
     work: Work,
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of a seed, for people.
+//! The report of a seed, for people.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,28 +12,28 @@
 use crate::ledger::Ledger;
 use crate::plan::Step;
 
-/// What came of a seed.
+/// Result of a seed.
 pub struct Report {
     /// The seed.
     pub seed: u64,
     /// Broken promises.
     pub breaches: Vec<Breach>,
     steps: Vec<Step>,
-    /// Windows of which the usage was reported.
+    /// Number of windows whose usage was reported.
     windows: usize,
     classes: BTreeMap<Class, Counts>,
 }
 
-/// What became of the attempts of a class.
+/// Ends of the attempts of one class.
 #[derive(Default)]
 struct Counts {
     ends: BTreeMap<String, u32>,
-    /// Milliseconds to the end of answers that came whole.
+    /// Latency of successful answers, in milliseconds.
     answered: Option<Histogram<u64>>,
 }
 
 impl Report {
-    /// Sums a ledger up.
+    /// Summarizes a ledger.
     pub fn new(seed: u64, steps: Vec<Step>, ledger: &Ledger, windows: usize) -> Report {
         let mut classes: BTreeMap<Class, Counts> = BTreeMap::new();
         for attempt in ledger.attempts.values() {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -31,20 +31,20 @@
 use crate::scene::Port;
 use crate::scene::Shared;
 
-/// The program of an entry.
+/// File name of the entry binary.
 const PROGRAM: &str = "dogwoodspur-platform";
-/// How long entries may take to start.
+/// Time limit for the entries' start.
 const START_TIME: Duration = Duration::from_secs(60);
-/// Pause between two looks whether they have.
+/// Interval at which a starting entry is polled.
 const LOOK: Duration = Duration::from_millis(100);
 /// Traffic before the first fault.
 const BEFORE: Span = Span::from_millis(1_500);
-/// No run's faults take longer.
+/// Upper limit of the faults' total time.
 const LONGEST: Span = Span::from_seconds(600);
-/// Traffic after all is well again, beyond the time to recover.
+/// Traffic after the time to recover, from which the recovery is judged.
 const AFTER: Span = Span::from_millis(4_000);
 
-/// The program of an entry, in the folder of this program or the one above it.
+/// Returns the path of the entry binary, in the folder of this executable or its parent.
 pub fn program_beside() -> Result<PathBuf> {
     let own = std::env::current_exe()?;
     let beside = own.ancestors().skip(1).take(2);
@@ -54,7 +54,7 @@
     found.with_context(|| format!("no {PROGRAM}: build it with `cargo build -p platform`"))
 }
 
-/// Plays a seed and says what was seen. Settings and logs of the entries are left in `folder`.
+/// Plays a seed and reports what was observed. Settings and logs of the entries are left in `folder`.
 pub fn play(seed: u64, size: Size, binary: &Path, folder: PathBuf) -> Result<Report> {
     std::fs::create_dir_all(&folder)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -74,7 +74,7 @@
     let steps = plan::draw(seed, &size);
     let begun = shared.clock.now() + BEFORE;
     let faults = tokio::task::spawn_local(carry_out(Rc::clone(&world), steps.clone(), begun));
-    // Faults take longer than they are planned for; callers go on until all is over and some time more.
+    // Faults may overrun their planned time: callers go on until the last is over, and through the recovery.
     let stop = watch::Sender::new(begun + LONGEST);
     let mut callers = JoinSet::new();
     for number in 0..size.callers {
@@ -95,7 +95,7 @@
     Ok(Report::new(seed, steps, &shared.ledger.borrow(), windows))
 }
 
-/// Starts everybody; the configuration and the replicas stand before the entries start.
+/// Starts all nodes. Entries start last, when the configuration and the replicas' rows exist.
 async fn start(shared: &Rc<Shared>, size: Size, binary: &Path) -> Result<World> {
     let tables = shared.network.address(Party::Platform, Port::Tables);
     shared.tables.serve(tables).await?;
@@ -119,7 +119,7 @@
     Ok(world)
 }
 
-/// Waits until every entry names addresses.
+/// Waits until every entry answers address queries.
 async fn wait_for_entries(shared: &Shared, entries: usize) -> Result<()> {
     let begun = shared.clock.now();
     for entry in 0..entries {
@@ -134,7 +134,7 @@
     Ok(())
 }
 
-/// Carries all steps out, each at its time.
+/// Applies every step at its time and waits until all are over.
 async fn carry_out(world: Rc<World>, steps: Vec<Step>, begun: Time) {
     let mut running = JoinSet::new();
     for step in steps {
--- a/crates/soak/src/scene.rs
+++ b/crates/soak/src/scene.rs
@@ -1,4 +1,4 @@
-//! What the parties of one run have in common, and where they are.
+//! State shared by the nodes of one run, and their addresses.
 
 use std::cell::RefCell;
 use std::net::Ipv4Addr;
@@ -18,35 +18,35 @@
 use crate::ledger::Ledger;
 use crate::tables::Tables;
 
-/// The host that callers ask for.
+/// Host name that callers resolve.
 pub const HOST: &str = "soak.example";
-/// Zones, in turn.
+/// Availability zones, assigned round-robin.
 pub const ZONES: [&str; 3] = ["north", "middle", "south"];
-/// Loopback networks, so that some runs can go on at once, also of the same seed.
+/// Number of loopback networks: concurrent runs, also of the same seed, use one each.
 const NETWORKS: u64 = 200;
-/// The first of these networks, `127.16.0.0`.
+/// Second octet of the first network, `127.16.0.0`.
 const FIRST_NETWORK: u64 = 16;
 
-/// Handed to all parties.
+/// State shared by all nodes of a run.
 pub struct Shared {
     /// The run's clock.
     pub clock: Clock,
-    /// What was seen.
+    /// Observations of callers and replicas.
     pub ledger: RefCell<Ledger>,
     /// The table service.
     pub tables: Rc<Tables>,
-    /// Chance, for everything that isn't planned.
+    /// Random numbers for everything that the plan doesn't fix.
     pub random: RefCell<Pcg64>,
-    /// Where parties listen.
+    /// Addresses on which nodes listen.
     pub network: Network,
-    /// Where settings and logs are kept.
+    /// Folder of settings and logs.
     pub folder: PathBuf,
-    /// Keeps the network from other runs.
+    /// Reserves the network while the run lasts.
     _taken: TcpListener,
 }
 
 impl Shared {
-    /// The common things of the run of a seed.
+    /// Reserves a network and creates the state for the run of a seed.
     pub fn new(seed: u64, folder: PathBuf) -> Result<Shared> {
         let (network, taken) = Network::take(seed)?;
         Ok(Shared {
@@ -61,13 +61,13 @@
     }
 }
 
-/// Addresses of one run, all on the loopback network.
+/// Loopback addresses of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
     second: u8,
 }
 
-/// Parties with addresses of their own.
+/// A node with an address of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Party {
     /// An entry.
@@ -78,33 +78,33 @@
     Platform,
 }
 
-/// Ports of a party.
+/// Ports of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
-    /// Callers, or requests.
+    /// Requests of callers, or of entries at a replica.
     Requests = 8221,
-    /// Questions for addresses.
+    /// Address queries.
     Directory = 8220,
-    /// Readiness.
+    /// Readiness checks.
     Readiness = 8224,
-    /// Other entries.
+    /// Traffic of other entries.
     Peers = 8229,
     /// The table service.
     Tables = 8225,
     /// The API.
     Cloud = 8226,
-    /// The proxy before the port for requests.
+    /// Proxy in front of [`Port::Requests`].
     RequestsLink = 9221,
-    /// The proxy before the port for other entries.
+    /// Proxy in front of [`Port::Peers`].
     PeersLink = 9229,
-    /// An entry's way to the table service.
+    /// Proxy between an entry and the table service.
     TablesLink = 9225,
-    /// Says that the network is used.
+    /// Bound while a run uses the network.
     Mark = 9219,
 }
 
 impl Network {
-    /// A network that no other run uses, for as long as the listener lives.
+    /// Reserves a network that no other run uses, for as long as the listener lives.
     fn take(seed: u64) -> Result<(Network, TcpListener)> {
         for turn in 0..NETWORKS {
             let network = Network {
@@ -118,7 +118,7 @@
         bail!("{NETWORKS} runs go on already")
     }
 
-    /// The address of a party's port.
+    /// Returns the address of a node's port.
     pub fn address(self, party: Party, port: Port) -> SocketAddr {
         let (third, fourth) = match party {
             Party::Entry(index) => (1, index + 1),
@@ -130,7 +130,7 @@
     }
 }
 
-/// Milliseconds since 1970.
+/// Returns the milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers of the stand-ins.
+//! HTTP server of the stand-ins.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// The body of an answer, whole or a stream.
+/// Body of an answer, complete or streamed.
 pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = Lost>>>;
 
-/// The connection ends without an answer.
+/// Error by which a handler closes its connection without a complete answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Lost;
 
@@ -34,12 +34,12 @@
 
 impl std::error::Error for Lost {}
 
-/// An answer that is whole.
+/// Converts a complete answer.
 pub fn whole(response: Response<Bytes>) -> Response<Body> {
     response.map(|bytes| -> Body { Box::pin(Full::new(bytes).map_err(|never| match never {})) })
 }
 
-/// Binds a port of a stand-in.
+/// Binds the listener of a stand-in.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener> {
     let bound = TcpListener::bind(address).await;
     bound.with_context(|| format!("can't listen on {address}"))
@@ -54,6 +54,6 @@
 {
     let service = service_fn(move |request| handle(Rc::clone(&state), request));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(socket), service);
-    // How it ended shows at the other side, which is what is checked.
+    // The other side sees how the connection ended, and that is checked.
     let _ = connection.await;
 }
--- a/crates/soak/src/tables.rs
+++ b/crates/soak/src/tables.rs
@@ -1,4 +1,4 @@
-//! A table service in memory that misbehaves on order.
+//! An in-memory table service that misbehaves on demand.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -28,27 +28,27 @@
 use crate::server::Body;
 use crate::server::Lost;
 
-/// How long a change that is made late waits.
+/// Delay of a late transaction.
 const LATE: Duration = Duration::from_millis(1_500);
 
-/// What is wrong with the service.
+/// Misbehavior of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
-    /// Nothing.
+    /// The service works.
     None,
-    /// It turns every call away.
+    /// It refuses every call.
     Refuses,
-    /// It says nothing.
+    /// It answers no call.
     Silent,
-    /// It answers late.
+    /// It answers every call late.
     Slow(Span),
-    /// Changes are made, and their answers lost.
+    /// Transactions are committed, but their answers are lost.
     LosesAnswers,
-    /// Changes get no answer, and are made seconds later if their checks hold then.
+    /// Transactions get no answer and run after a delay, if their checks hold then.
     Late,
 }
 
-/// The service.
+/// The table service.
 #[derive(Default)]
 pub struct Tables {
     state: RefCell<State>,
@@ -59,15 +59,15 @@
 #[derive(Default)]
 struct State {
     rows: BTreeMap<Address, (Bytes, u64)>,
-    /// Every change, in order.
+    /// All changes since the history was last dropped, in order.
     history: Vec<Row>,
     version: u64,
-    /// Changes up to this version are forgotten.
+    /// Version up to which the history was dropped.
     forgotten: u64,
 }
 
 impl Tables {
-    /// Serves on that address.
+    /// Binds `address` and serves calls.
     pub async fn serve(self: &Rc<Self>, address: SocketAddr) -> Result<()> {
         let listener = server::bind(address).await?;
         let tables = Rc::clone(self);
@@ -79,19 +79,19 @@
         Ok(())
     }
 
-    /// Changes what is wrong.
+    /// Sets the misbehavior.
     pub fn set(&self, trouble: Trouble) {
         self.trouble.set(Some(trouble));
     }
 
-    /// Forgets all changes so far; the rows stay.
+    /// Drops the history of changes; the rows stay.
     pub fn forget(&self) {
         let mut state = self.state.borrow_mut();
         state.forgotten = state.version;
         state.history.clear();
     }
 
-    /// Writes one row as the operator or a replica does; none removes it.
+    /// Writes one row as the operator or a replica does; without data, removes it.
     pub fn put(&self, table: &'static str, key: &str, data: Option<Bytes>) {
         let at = Address {
             table: table.into(),
@@ -174,7 +174,7 @@
         Answer::Committed(version)
     }
 
-    /// Waits until something changed in the table, or the caller's time is up.
+    /// Waits for a change in the table, until the caller's time is up.
     async fn wait(&self, table: &str, since: u64, wait: Duration) {
         let waiting = async {
             loop {
@@ -200,7 +200,7 @@
     }
 }
 
-/// Answers one call, as well as the trouble lets it.
+/// Answers one call, subject to the current misbehavior.
 async fn answer(tables: Rc<Tables>, request: Request<Incoming>) -> Result<Response<Body>, Lost> {
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(|_| Lost)?.to_bytes();
@@ -223,7 +223,7 @@
     }
     let answer = tables.answer_to(&operation).await;
     match tables.trouble() {
-        // Also for a question that waited when the trouble began.
+        // Covers a call that was already waiting when the misbehavior began.
         Trouble::Refuses => Ok(server::whole(response(&Answer::Refused))),
         Trouble::LosesAnswers if is_change => Err(Lost),
         Trouble::Silent => std::future::pending().await,
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! A short run with fixed seeds: the real program, a few faults, every promise checked.
+//! A short run with fixed seeds: the real binary, a few faults, all promises checked.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,9 +20,8 @@
     }
 }
 
-/// Signals, cuts and troubles of the table service come in series while callers go on. What callers and replicas
-/// see then has shown, with one guard removed at a time, calls that ran twice, refusals that weren't true and work
-/// sent to replicas that leave.
+/// Guards against calls that run twice, untrue refusals and work sent to leaving replicas, when signals,
+/// connection faults and faults of the table service come in series under load.
 #[test]
 fn promises_hold_under_short_series_of_faults() {
     let program = run::program_beside().unwrap();
