--- a/crates/soak/src/cloud.rs
+++ b/crates/soak/src/cloud.rs
@@ -16,14 +16,14 @@
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
 
-use crate::scene::Shared;
+use crate::environment::Environment;
 use crate::server;
 use crate::server::Body;
-use crate::server::Lost;
+use crate::server::Disconnected;
 
 /// The stand-in of the API.
 pub struct Cloud {
-    shared: Rc<Shared>,
+    environment: Rc<Environment>,
     state: RefCell<State>,
 }
 
@@ -37,10 +37,10 @@
 
 impl Cloud {
     /// Binds `address` and serves calls.
-    pub async fn serve(shared: Rc<Shared>, address: SocketAddr) -> Result<Rc<Cloud>> {
+    pub async fn serve(environment: Rc<Environment>, address: SocketAddr) -> Result<Rc<Cloud>> {
         let listener = server::bind(address).await?;
         let cloud = Rc::new(Cloud {
-            shared,
+            environment,
             state: RefCell::default(),
         });
         let serving = Rc::clone(&cloud);
@@ -53,12 +53,12 @@
     }
 
     /// Returns the number of windows whose usage was reported.
-    pub fn windows(&self) -> usize {
+    pub fn usage_windows(&self) -> usize {
         self.state.borrow().usage.len()
     }
 
     /// Records a call; returns false if its fencing token is stale.
-    fn take(&self, call: &Call) -> bool {
+    fn accept(&self, call: &Call) -> bool {
         let subject = match &call.order {
             Order::Usage { .. } => SmolStr::new_static("usage"),
             Order::Replicas { service, zone, .. } => format_smolstr!("{service} in {zone}"),
@@ -74,7 +74,7 @@
                 "{holder} and {} as holder {fence} of {subject}",
                 call.holder
             );
-            self.breach("a duty has one holder", detail);
+            self.record_breach("a duty has one holder", detail);
         }
         state
             .fences
@@ -83,25 +83,31 @@
             let first = state.usage.entry(*window).or_insert_with(|| counts.clone());
             if first != counts {
                 let detail = format!("window {window}: {first:?}, then {counts:?}");
-                self.breach("a window of usage has one count", detail);
+                self.record_breach("a window of usage has one count", detail);
             }
         }
         true
     }
 
-    fn breach(&self, promise: &'static str, detail: String) {
-        let now = self.shared.clock.now();
-        self.shared.ledger.borrow_mut().breach(promise, now, detail);
+    fn record_breach(&self, promise: &'static str, detail: String) {
+        let now = self.environment.clock.now();
+        self.environment
+            .ledger
+            .borrow_mut()
+            .record_breach(promise, now, detail);
     }
 }
 
-async fn answer(cloud: Rc<Cloud>, request: Request<Incoming>) -> Result<Response<Body>, Lost> {
+async fn answer(
+    cloud: Rc<Cloud>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Disconnected> {
     let (head, body) = request.into_parts();
-    let body = body.collect().await.map_err(|_| Lost)?.to_bytes();
+    let body = body.collect().await.map_err(|_| Disconnected)?.to_bytes();
     let response = match cloud::call(&head, &body) {
-        Some(call) if cloud.take(&call) => cloud::done(),
+        Some(call) if cloud.accept(&call) => cloud::done(),
         Some(_) => cloud::fenced(),
         None => cloud::refused(),
     };
-    Ok(server::whole(response))
+    Ok(server::complete(response))
 }
--- a/crates/soak/src/configs/bounds.rs
+++ b/crates/soak/src/configs/bounds.rs
@@ -5,35 +5,35 @@
 /// Bounds within which promises must hold.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Time after a fault for which its target still counts as disturbed: work from during it may be in flight.
-    pub contact: Span,
+    /// Time for which a target counts as disturbed after a fault: work from before its end may be in flight.
+    pub settle_time: Span,
     /// Time after a route's timeout by which the final answer must arrive.
-    pub late: Span,
+    pub timeout_slack: Span,
     /// Time after a replica's notice of leaving within which it may still get requests.
-    pub drain: Span,
+    pub drain_time: Span,
     /// Time by which every entry applies a new version of the configuration.
-    pub apply: Span,
+    pub apply_time: Span,
     /// Grace period of an entry that is asked to stop.
-    pub grace: Span,
+    pub grace_period: Span,
     /// Time for which work may go on after its caller has left.
-    pub leave: Span,
+    pub abandon_slack: Span,
     /// Time after the last fault by which callers are served as before.
-    pub recover: Span,
+    pub recovery_time: Span,
     /// Least share of attempts that is served after recovery.
-    pub served: f64,
+    pub min_served_share: f64,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Bounds {
-            contact: Span::from_millis(3_000),
-            late: Span::from_millis(500),
-            drain: Span::from_millis(2_000),
-            apply: Span::from_millis(2_000),
-            grace: Span::from_millis(4_000),
-            leave: Span::from_millis(500),
-            recover: Span::from_millis(6_000),
-            served: 0.95,
+            settle_time: Span::from_millis(3_000),
+            timeout_slack: Span::from_millis(500),
+            drain_time: Span::from_millis(2_000),
+            apply_time: Span::from_millis(2_000),
+            grace_period: Span::from_millis(4_000),
+            abandon_slack: Span::from_millis(500),
+            recovery_time: Span::from_millis(6_000),
+            min_served_share: 0.95,
         }
     }
 }
--- a/crates/soak/src/configs/size.rs
+++ b/crates/soak/src/configs/size.rs
@@ -14,9 +14,9 @@
     /// Callers, each with one request at a time.
     pub callers: usize,
     /// Time within which faults start.
-    pub faults: Span,
+    pub fault_window: Span,
     /// Number of faults.
-    pub count: usize,
+    pub fault_count: usize,
 }
 
 impl Size {
@@ -32,7 +32,7 @@
             engines: 40,
             apps: 8,
             callers: 150,
-            count: 40,
+            fault_count: 40,
             ..Size::default()
         }
     }
@@ -45,8 +45,8 @@
             engines: 5,
             apps: 2,
             callers: 24,
-            faults: Span::from_seconds(14),
-            count: 9,
+            fault_window: Span::from_seconds(14),
+            fault_count: 9,
         }
     }
 }
--- a/crates/soak/src/content.rs
+++ b/crates/soak/src/content.rs
@@ -1,7 +1,7 @@
 //! Contents of answers, by which callers verify that an answer is theirs.
 
 /// Path prefix of streams.
-const STREAMS: &str = "/chat/";
+const STREAM_PREFIX: &str = "/chat/";
 
 /// A stream, encoded in its path as `/chat/NAME/EVENTS`.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -14,8 +14,8 @@
 
 impl Stream {
     /// Parses the path of a request for a stream.
-    pub fn of(path: &str) -> Option<Stream> {
-        let (name, events) = path.strip_prefix(STREAMS)?.split_once('/')?;
+    pub fn parse(path: &str) -> Option<Stream> {
+        let (name, events) = path.strip_prefix(STREAM_PREFIX)?.split_once('/')?;
         Some(Stream {
             name: name.to_owned(),
             events: events.parse().ok()?,
@@ -24,7 +24,7 @@
 
     /// Returns the path that requests the stream.
     pub fn path(&self) -> String {
-        format!("{STREAMS}{}/{}", self.name, self.events)
+        format!("{STREAM_PREFIX}{}/{}", self.name, self.events)
     }
 
     /// Returns the text of one event.
@@ -34,6 +34,6 @@
 }
 
 /// Returns the body of the answer to a plain call.
-pub fn body_of(attempt: &str) -> String {
+pub fn call_body(attempt: &str) -> String {
     format!("done {attempt}")
 }
--- a/crates/soak/src/program.rs
+++ b/crates/soak/src/entry.rs
@@ -17,20 +17,20 @@
 use tokio::process::Child;
 use tokio::process::Command;
 
+use crate::environment::Environment;
+use crate::environment::Node;
+use crate::environment::Port;
+use crate::environment::ZONES;
 use crate::promises;
 use crate::proxy::Proxy;
-use crate::scene::Party;
-use crate::scene::Port;
-use crate::scene::Shared;
-use crate::scene::ZONES;
 
 /// Pause before a process that ended is restarted.
-const RESTART: Duration = Duration::from_millis(300);
+const RESTART_PAUSE: Duration = Duration::from_millis(300);
 /// Interval at which a process that was asked to stop is polled.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An entry's process and the proxies around it.
-pub struct Program {
+pub struct Entry {
     /// Index of the entry.
     pub index: usize,
     /// Proxy between callers and the entry.
@@ -39,48 +39,48 @@
     pub peers: Proxy,
     /// Proxy between the entry and the table service.
     pub tables: Proxy,
-    shared: Rc<Shared>,
+    environment: Rc<Environment>,
     binary: PathBuf,
     settings: PathBuf,
     /// Process id while the process runs.
     pid: Cell<Option<Pid>>,
     /// Time of the signal that ends the process, if one was sent.
-    asked: Cell<Option<Time>>,
-    over: Cell<bool>,
+    signalled_at: Cell<Option<Time>>,
+    is_shut_down: Cell<bool>,
 }
 
-impl Program {
+impl Entry {
     /// Starts an entry and a task that restarts it when it ends.
     pub async fn start(
-        shared: Rc<Shared>,
+        environment: Rc<Environment>,
         index: usize,
         entries: usize,
         binary: PathBuf,
-    ) -> Result<Rc<Program>> {
-        let at = |port| shared.network.address(Party::Entry(index), port);
-        let tables = shared.network.address(Party::Platform, Port::Tables);
-        let program = Rc::new(Program {
+    ) -> Result<Rc<Entry>> {
+        let address = |port| environment.network.address(Node::Entry(index), port);
+        let tables = environment.network.address(Node::Platform, Port::Tables);
+        let entry = Rc::new(Entry {
             index,
-            callers: Proxy::start(at(Port::RequestsLink), at(Port::Requests)).await?,
-            peers: Proxy::start(at(Port::PeersLink), at(Port::Peers)).await?,
-            tables: Proxy::start(at(Port::TablesLink), tables).await?,
-            settings: shared.folder.join(format!("entry-{index}.jsonc")),
-            shared,
+            callers: Proxy::start(address(Port::RequestsProxy), address(Port::Requests)).await?,
+            peers: Proxy::start(address(Port::PeersProxy), address(Port::Peers)).await?,
+            tables: Proxy::start(address(Port::TablesProxy), tables).await?,
+            settings: environment.folder.join(format!("entry-{index}.jsonc")),
+            environment,
             binary,
             pid: Cell::new(None),
-            asked: Cell::new(None),
-            over: Cell::new(false),
+            signalled_at: Cell::new(None),
+            is_shut_down: Cell::new(false),
         });
-        program.write_settings(entries)?;
-        let child = program.spawn()?;
-        tokio::task::spawn_local(Rc::clone(&program).supervise(child));
-        Ok(program)
+        entry.write_settings(entries)?;
+        let child = entry.spawn()?;
+        tokio::task::spawn_local(Rc::clone(&entry).supervise(child));
+        Ok(entry)
     }
 
     /// Sends a signal to the process if it runs.
     pub fn signal(&self, signal: Signal) {
         if signal == Signal::KILL || signal == Signal::TERM {
-            self.asked.set(Some(self.shared.clock.now()));
+            self.signalled_at.set(Some(self.environment.clock.now()));
         }
         let sent = self.pid.get().map(|pid| kill_process(pid, signal));
         if let Some(Err(error)) = sent {
@@ -89,8 +89,8 @@
     }
 
     /// Kills the process and doesn't restart it.
-    pub fn end(&self) {
-        self.over.set(true);
+    pub fn shut_down(&self) {
+        self.is_shut_down.set(true);
         self.signal(Signal::KILL);
     }
 
@@ -99,20 +99,20 @@
         let Some(pid) = self.pid.get() else {
             return;
         };
-        let begun = self.shared.clock.now();
+        let stopped_at = self.environment.clock.now();
         self.signal(Signal::TERM);
-        let bounds = self.shared.ledger.borrow().bounds;
-        let grace = bounds.grace + bounds.late;
+        let bounds = self.environment.ledger.borrow().bounds;
+        let grace = bounds.grace_period + bounds.timeout_slack;
         while self.pid.get() == Some(pid) {
-            let took = self.shared.clock.now().since(begun);
+            let took = self.environment.clock.now().since(stopped_at);
             if took > grace {
-                let mut ledger = self.shared.ledger.borrow_mut();
-                promises::stops_too_slowly(&mut ledger, self.index, begun, took);
+                let mut ledger = self.environment.ledger.borrow_mut();
+                promises::report_slow_stop(&mut ledger, self.index, stopped_at, took);
                 drop(ledger);
                 self.signal(Signal::KILL);
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -120,17 +120,18 @@
         loop {
             let ended = child.wait().await;
             self.pid.set(None);
-            let asked = self.asked.take();
-            if self.over.get() {
+            let signalled_at = self.signalled_at.take();
+            if self.is_shut_down.get() {
                 return;
             }
-            if asked.is_none() {
-                let how = ended.map_or_else(|error| error.to_string(), |how| how.to_string());
-                let now = self.shared.clock.now();
-                let mut ledger = self.shared.ledger.borrow_mut();
-                promises::ended_by_itself(&mut ledger, self.index, now, &how);
+            if signalled_at.is_none() {
+                let status =
+                    ended.map_or_else(|error| error.to_string(), |status| status.to_string());
+                let now = self.environment.clock.now();
+                let mut ledger = self.environment.ledger.borrow_mut();
+                promises::report_unexpected_exit(&mut ledger, self.index, now, &status);
             }
-            tokio::time::sleep(RESTART).await;
+            tokio::time::sleep(RESTART_PAUSE).await;
             match self.spawn() {
                 Ok(next) => child = next,
                 Err(error) => return eprintln!("entry {}: {error:#}", self.index),
@@ -139,7 +140,10 @@
     }
 
     fn spawn(&self) -> Result<Child> {
-        let log = self.shared.folder.join(format!("entry-{}.log", self.index));
+        let log = self
+            .environment
+            .folder
+            .join(format!("entry-{}.log", self.index));
         let log = File::options().create(true).append(true).open(log)?;
         let child = Command::new(&self.binary)
             .arg("--settings")
@@ -150,35 +154,35 @@
             .kill_on_drop(true)
             .spawn()
             .with_context(|| format!("can't start {}", self.binary.display()))?;
-        self.asked.set(None);
+        self.signalled_at.set(None);
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
         self.pid.set(pid);
         Ok(child)
     }
 
     fn write_settings(&self, entries: usize) -> Result<()> {
-        let network = self.shared.network;
-        let grace = self.shared.ledger.borrow().bounds.grace;
-        let own = |port| network.address(Party::Entry(self.index), port).to_string();
+        let network = self.environment.network;
+        let grace = self.environment.ledger.borrow().bounds.grace_period;
+        let own = |port| network.address(Node::Entry(self.index), port).to_string();
         let seeds = (0..entries.min(3)).map(|entry| {
             network
-                .address(Party::Entry(entry), Port::PeersLink)
+                .address(Node::Entry(entry), Port::PeersProxy)
                 .to_string()
         });
         let settings = json!({
             "identity": {"name": format!("entry-{}", self.index), "zone": ZONES[self.index % ZONES.len()]},
             "callers": {
-                "listen": own(Port::Requests), "advertise": own(Port::RequestsLink),
+                "listen": own(Port::Requests), "advertise": own(Port::RequestsProxy),
                 "address_ttl_ms": 2000,
             },
             "admin": {"listen": own(Port::Readiness)},
             "peers": {
-                "listen": own(Port::Peers), "advertise": own(Port::PeersLink),
+                "listen": own(Port::Peers), "advertise": own(Port::PeersProxy),
                 "key": "soak: entries of one run", "seeds": seeds.collect::<Vec<String>>(),
             },
             "platform": {
-                "table_service": format!("http://{}", own(Port::TablesLink)),
-                "cloud": format!("http://{}", network.address(Party::Platform, Port::Cloud)),
+                "table_service": format!("http://{}", own(Port::TablesProxy)),
+                "cloud": format!("http://{}", network.address(Node::Platform, Port::Cloud)),
                 "reads_per_second": 2000, "writes_per_second": 400, "timeout_ms": 1000,
             },
             "shutdown": {"grace_ms": grace.as_millis()},
--- a/crates/soak/src/scene.rs
+++ b/crates/soak/src/environment.rs
@@ -28,7 +28,7 @@
 const FIRST_NETWORK: u64 = 16;
 
 /// State shared by all nodes of a run.
-pub struct Shared {
+pub struct Environment {
     /// The run's clock.
     pub clock: Clock,
     /// Observations of callers and replicas.
@@ -42,21 +42,21 @@
     /// Folder of settings and logs.
     pub folder: PathBuf,
     /// Reserves the network while the run lasts.
-    _taken: TcpListener,
+    _network_lock: TcpListener,
 }
 
-impl Shared {
+impl Environment {
     /// Reserves a network and creates the state for the run of a seed.
-    pub fn new(seed: u64, folder: PathBuf) -> Result<Shared> {
-        let (network, taken) = Network::take(seed)?;
-        Ok(Shared {
+    pub fn new(seed: u64, folder: PathBuf) -> Result<Environment> {
+        let (network, lock) = Network::acquire(seed)?;
+        Ok(Environment {
             clock: Clock::start(),
             ledger: RefCell::default(),
             tables: Rc::default(),
             random: RefCell::new(Pcg64::seed_from_u64(seed)),
             network,
             folder,
-            _taken: taken,
+            _network_lock: lock,
         })
     }
 }
@@ -64,12 +64,12 @@
 /// Loopback addresses of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
-    second: u8,
+    second_octet: u8,
 }
 
 /// A node with an address of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Party {
+pub enum Node {
     /// An entry.
     Entry(usize),
     /// A replica.
@@ -94,44 +94,44 @@
     /// The API.
     Cloud = 8226,
     /// Proxy in front of [`Port::Requests`].
-    RequestsLink = 9221,
+    RequestsProxy = 9221,
     /// Proxy in front of [`Port::Peers`].
-    PeersLink = 9229,
+    PeersProxy = 9229,
     /// Proxy between an entry and the table service.
-    TablesLink = 9225,
+    TablesProxy = 9225,
     /// Bound while a run uses the network.
-    Mark = 9219,
+    Lock = 9219,
 }
 
 impl Network {
     /// Reserves a network that no other run uses, for as long as the listener lives.
-    fn take(seed: u64) -> Result<(Network, TcpListener)> {
-        for turn in 0..NETWORKS {
+    fn acquire(seed: u64) -> Result<(Network, TcpListener)> {
+        for offset in 0..NETWORKS {
             let network = Network {
-                second: (FIRST_NETWORK + (seed + turn) % NETWORKS) as u8,
+                second_octet: (FIRST_NETWORK + (seed + offset) % NETWORKS) as u8,
             };
-            let mark = network.address(Party::Platform, Port::Mark);
-            if let Ok(taken) = TcpListener::bind(mark) {
-                return Ok((network, taken));
+            let lock_address = network.address(Node::Platform, Port::Lock);
+            if let Ok(lock) = TcpListener::bind(lock_address) {
+                return Ok((network, lock));
             }
         }
         bail!("{NETWORKS} runs go on already")
     }
 
     /// Returns the address of a node's port.
-    pub fn address(self, party: Party, port: Port) -> SocketAddr {
-        let (third, fourth) = match party {
-            Party::Entry(index) => (1, index + 1),
-            Party::Replica(index) => (2, index + 1),
-            Party::Platform => (3, 1),
+    pub fn address(self, node: Node, port: Port) -> SocketAddr {
+        let (third, fourth) = match node {
+            Node::Entry(index) => (1, index + 1),
+            Node::Replica(index) => (2, index + 1),
+            Node::Platform => (3, 1),
         };
-        let ip = Ipv4Addr::new(127, self.second, third, fourth as u8);
+        let ip = Ipv4Addr::new(127, self.second_octet, third, fourth as u8);
         SocketAddr::from((ip, port as u16))
     }
 }
 
 /// Returns the milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -12,106 +12,107 @@
 
 use crate::caller::Class;
 use crate::caller::KEY;
+use crate::entry::Entry;
+use crate::environment::Environment;
+use crate::environment::HOST;
 use crate::ledger::Target;
 use crate::plan::Fault;
 use crate::plan::Step;
-use crate::program::Program;
 use crate::proxy::Mode;
-use crate::replica::Manner;
+use crate::replica::Behavior;
 use crate::replica::Replica;
-use crate::scene::HOST;
-use crate::scene::Shared;
-use crate::tables::Trouble;
+use crate::tables::Failure;
 
 /// Services of plain calls; the route that changes alternates between them.
 pub const APPS: [&str; 2] = ["app-a", "app-b"];
 /// Service of streams.
 pub const ENGINES: &str = "engines";
 /// Time in which a killed entry is restarted and serves.
-const BACK: Span = Span::from_millis(2_500);
+const RESTART_TIME: Span = Span::from_millis(2_500);
 /// Time after which the row of a crashed replica is removed.
-const ROW: Span = Span::from_millis(1_500);
+const ROW_REMOVAL_DELAY: Span = Span::from_millis(1_500);
 /// Time for which a replica goes on after it announced that it leaves.
-const LEAVING: Span = Span::from_millis(3_500);
+const LEAVE_TIME: Span = Span::from_millis(3_500);
 /// Pause between two entries that are stopped in turn.
-const TURN: Span = Span::from_millis(500);
+const STOP_PAUSE: Span = Span::from_millis(500);
 /// Number of entries stopped in turn. Each takes its whole grace period while callers keep connections open.
-const IN_TURN: usize = 3;
+const STOPS_IN_TURN: usize = 3;
 
 /// All nodes of a run that faults act on.
-pub struct World {
+pub struct Cluster {
     /// State shared by all nodes.
-    pub shared: Rc<Shared>,
+    pub environment: Rc<Environment>,
     /// Entries.
-    pub entries: Vec<Rc<Program>>,
+    pub entries: Vec<Rc<Entry>>,
     /// Replicas.
     pub replicas: Vec<Rc<Replica>>,
 }
 
-impl World {
+impl Cluster {
     /// Applies a fault, and ends it after its duration.
-    pub async fn carry_out(&self, step: &Step) {
+    pub async fn apply(&self, step: &Step) {
         match step.fault {
             Fault::Kill(entry) => self.kill(&[entry]).await,
             Fault::KillAll => self.kill(&Vec::from_iter(0..self.entries.len())).await,
             Fault::Stop(entry) => self.entries[entry].stop().await,
             Fault::StopInTurn => {
-                for entry in self.entries.iter().take(IN_TURN) {
+                for entry in self.entries.iter().take(STOPS_IN_TURN) {
                     entry.stop().await;
-                    wait(TURN).await;
+                    wait(STOP_PAUSE).await;
                 }
             }
             Fault::Pause(entry) => {
                 let target = Target::Entry(entry);
-                let program = &self.entries[entry];
-                let pause = || program.signal(Signal::STOP);
-                let go_on = || program.signal(Signal::CONT);
-                self.during(target, step.lasts, pause, go_on).await;
+                let process = &self.entries[entry];
+                let pause = || process.signal(Signal::STOP);
+                let resume = || process.signal(Signal::CONT);
+                self.hold_fault(target, step.duration, pause, resume).await;
             }
             Fault::Reload(entry) => self.entries[entry].signal(Signal::HUP),
             Fault::Callers(entry, mode) => {
-                let link = &self.entries[entry].callers;
-                self.link(Target::Entry(entry), step.lasts, mode, |mode| {
-                    link.set(mode)
+                let proxy = &self.entries[entry].callers;
+                self.disturb_link(Target::Entry(entry), step.duration, mode, |mode| {
+                    proxy.set_mode(mode)
                 })
                 .await;
             }
             Fault::Peers(entry, mode) => {
-                let link = &self.entries[entry].peers;
-                self.link(Target::Entry(entry), step.lasts, mode, |mode| {
-                    link.set(mode)
+                let proxy = &self.entries[entry].peers;
+                self.disturb_link(Target::Entry(entry), step.duration, mode, |mode| {
+                    proxy.set_mode(mode)
                 })
                 .await;
             }
             Fault::TablesWay(entry, mode) => {
-                let link = &self.entries[entry].tables;
-                self.link(Target::Entry(entry), step.lasts, mode, |mode| {
-                    link.set(mode)
+                let proxy = &self.entries[entry].tables;
+                self.disturb_link(Target::Entry(entry), step.duration, mode, |mode| {
+                    proxy.set_mode(mode)
                 })
                 .await;
             }
             Fault::ReplicaWay(replica, mode) => {
-                let link = &self.replicas[replica].link;
-                self.link(Target::Replica(replica), step.lasts, mode, |mode| {
-                    link.set(mode)
+                let proxy = &self.replicas[replica].proxy;
+                self.disturb_link(Target::Replica(replica), step.duration, mode, |mode| {
+                    proxy.set_mode(mode)
                 })
                 .await;
             }
-            Fault::Tables(trouble) => {
-                let tables = &self.shared.tables;
-                let begin = || tables.set(trouble);
-                let end = || tables.set(Trouble::None);
-                self.during(Target::Tables, step.lasts, begin, end).await;
+            Fault::Tables(failure) => {
+                let tables = &self.environment.tables;
+                let begin = || tables.set_failure(failure);
+                let end = || tables.set_failure(Failure::None);
+                self.hold_fault(Target::Tables, step.duration, begin, end)
+                    .await;
             }
-            Fault::Forget => self.shared.tables.forget(),
-            Fault::Crash(replica) => self.crash(replica, step.lasts).await,
-            Fault::Leave(replica) => self.leave(replica, step.lasts).await,
-            Fault::Works(replica, manner) => {
+            Fault::Forget => self.environment.tables.drop_history(),
+            Fault::Crash(replica) => self.crash(replica, step.duration).await,
+            Fault::Leave(replica) => self.leave(replica, step.duration).await,
+            Fault::Works(replica, behavior) => {
                 let replica = &self.replicas[replica];
                 let target = Target::Replica(replica.index);
-                let begin = || replica.set(manner);
-                let end = || replica.set(Manner::Good);
-                self.during(target, step.lasts, begin, end).await;
+                let begin = || replica.set_behavior(behavior);
+                let end = || replica.set_behavior(Behavior::Good);
+                self.hold_fault(target, step.duration, begin, end).await;
             }
             Fault::Configure => self.configure(),
         }
@@ -119,71 +120,79 @@
 
     /// Publishes a configuration that switches the route that changes to the other service.
     pub fn configure(&self) {
-        let mut ledger = self.shared.ledger.borrow_mut();
-        let version = ledger.configured.len() as u64 + 1;
+        let mut ledger = self.environment.ledger.borrow_mut();
+        let version = ledger.configured_services.len() as u64 + 1;
         let service = SmolStr::new_static(APPS[version as usize % APPS.len()]);
-        let document = document_of(version, service.clone());
-        let tables = &self.shared.tables;
+        let document = build_document(version, service.clone());
+        let tables = &self.environment.tables;
         tables.put(document::TABLE, document::KEY, Some(document.encode()));
-        ledger.configured.push((self.shared.clock.now(), service));
+        ledger
+            .configured_services
+            .push((self.environment.clock.now(), service));
     }
 
     async fn kill(&self, entries: &[usize]) {
-        let now = self.shared.clock.now();
-        let disturbed: Vec<usize> = entries
+        let now = self.environment.clock.now();
+        let disturbances: Vec<usize> = entries
             .iter()
-            .map(|entry| self.disturb(Target::Entry(*entry)))
+            .map(|entry| self.begin_disturbance(Target::Entry(*entry)))
             .collect();
         for entry in entries {
             self.entries[*entry].signal(Signal::KILL);
         }
-        wait(BACK).await;
-        for disturbance in disturbed {
-            let mut ledger = self.shared.ledger.borrow_mut();
-            ledger.heal(disturbance, now + BACK);
+        wait(RESTART_TIME).await;
+        for disturbance in disturbances {
+            let mut ledger = self.environment.ledger.borrow_mut();
+            ledger.end_disturbance(disturbance, now + RESTART_TIME);
         }
     }
 
-    async fn crash(&self, replica: usize, lasts: Span) {
+    async fn crash(&self, replica: usize, duration: Span) {
         let replica = &self.replicas[replica];
-        let disturbance = self.disturb(Target::Replica(replica.index));
+        let disturbance = self.begin_disturbance(Target::Replica(replica.index));
         replica.crash();
-        wait(ROW).await;
-        replica.forget();
-        wait(lasts).await;
-        replica.revive();
-        self.heal(disturbance);
+        wait(ROW_REMOVAL_DELAY).await;
+        replica.remove_row();
+        wait(duration).await;
+        replica.restart();
+        self.end_disturbance(disturbance);
     }
 
-    async fn leave(&self, replica: usize, lasts: Span) {
+    async fn leave(&self, replica: usize, duration: Span) {
         let replica = &self.replicas[replica];
-        replica.leave();
-        wait(LEAVING).await;
-        replica.forget();
-        self.crash(replica.index, lasts).await;
+        replica.announce_leaving();
+        wait(LEAVE_TIME).await;
+        replica.remove_row();
+        self.crash(replica.index, duration).await;
     }
 
-    async fn link(&self, target: Target, lasts: Span, mode: Mode, set: impl Fn(Mode)) {
-        self.during(target, lasts, || set(mode), || set(Mode::Pass))
+    async fn disturb_link(&self, target: Target, duration: Span, mode: Mode, set: impl Fn(Mode)) {
+        self.hold_fault(target, duration, || set(mode), || set(Mode::Pass))
             .await;
     }
 
-    async fn during(&self, target: Target, lasts: Span, begin: impl Fn(), end: impl Fn()) {
-        let disturbance = self.disturb(target);
+    async fn hold_fault(&self, target: Target, duration: Span, begin: impl Fn(), end: impl Fn()) {
+        let disturbance = self.begin_disturbance(target);
         begin();
-        wait(lasts).await;
+        wait(duration).await;
         end();
-        self.heal(disturbance);
+        self.end_disturbance(disturbance);
     }
 
-    fn disturb(&self, target: Target) -> usize {
-        let now = self.shared.clock.now();
-        self.shared.ledger.borrow_mut().disturb(target, now)
+    fn begin_disturbance(&self, target: Target) -> usize {
+        let now = self.environment.clock.now();
+        self.environment
+            .ledger
+            .borrow_mut()
+            .begin_disturbance(target, now)
     }
 
-    fn heal(&self, disturbance: usize) {
-        let now = self.shared.clock.now();
-        self.shared.ledger.borrow_mut().heal(disturbance, now);
+    fn end_disturbance(&self, disturbance: usize) {
+        let now = self.environment.clock.now();
+        self.environment
+            .ledger
+            .borrow_mut()
+            .end_disturbance(disturbance, now);
     }
 }
 
@@ -191,13 +200,13 @@
     tokio::time::sleep(span.as_duration()).await;
 }
 
-fn document_of(version: u64, moving: SmolStr) -> Document {
+fn build_document(version: u64, rerouted_service: SmolStr) -> Document {
     let route = |(class, _): (Class, u32)| {
         let (kind, service) = match class {
-            Class::Look => (Kind::Idempotent, SmolStr::new_static(APPS[0])),
-            Class::File => (Kind::NonIdempotent, SmolStr::new_static(APPS[0])),
-            Class::Chat => (Kind::Stream, SmolStr::new_static(ENGINES)),
-            Class::Move => (Kind::Idempotent, moving.clone()),
+            Class::Idempotent => (Kind::Idempotent, SmolStr::new_static(APPS[0])),
+            Class::NonIdempotent => (Kind::NonIdempotent, SmolStr::new_static(APPS[0])),
+            Class::Stream => (Kind::Stream, SmolStr::new_static(ENGINES)),
+            Class::Rerouted => (Kind::Idempotent, rerouted_service.clone()),
         };
         Route {
             prefix: SmolStr::new_static(class.name()),
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Disturbance {
     target: Target,
-    from: Time,
+    start: Time,
     /// None while the fault lasts.
-    to: Option<Time>,
+    end: Option<Time>,
 }
 
 /// One attempt of a caller.
@@ -41,7 +41,7 @@
     /// Whether its connection carried an earlier attempt.
     pub reused: bool,
     /// Time at which it was sent.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Time and kind of its end, as its caller saw it.
     pub ended: Option<(Time, End)>,
 }
@@ -73,9 +73,9 @@
     /// Service of the replica.
     pub service: SmolStr,
     /// Time at which the work began.
-    pub began: Time,
+    pub began_at: Time,
     /// Time at which the work was completed or aborted.
-    pub ended: Option<Time>,
+    pub ended_at: Option<Time>,
 }
 
 /// A promise that was broken.
@@ -84,7 +84,7 @@
     /// Name of the promise.
     pub promise: &'static str,
     /// Time at which the breach was detected.
-    pub at: Time,
+    pub detected_at: Time,
     /// Evidence of the breach.
     pub detail: String,
 }
@@ -99,23 +99,23 @@
     /// Runs in order of their start.
     pub runs: Vec<Run>,
     /// Service of the route that changes, with the time of each version, in order.
-    pub configured: Vec<(Time, SmolStr)>,
+    pub configured_services: Vec<(Time, SmolStr)>,
     /// Time at which a replica announced that it leaves, by its index.
-    pub leaving: BTreeMap<usize, Time>,
+    pub leaving_since: BTreeMap<usize, Time>,
     /// Broken promises.
     pub breaches: Vec<Breach>,
-    by_attempt: BTreeMap<SmolStr, Vec<usize>>,
+    runs_by_attempt: BTreeMap<SmolStr, Vec<usize>>,
     disturbances: Vec<Disturbance>,
 }
 
 impl Ledger {
     /// Records an attempt that is sent.
-    pub fn sent(&mut self, attempt: Attempt) {
+    pub fn record_attempt(&mut self, attempt: Attempt) {
         self.attempts.insert(attempt.id.clone(), attempt);
     }
 
     /// Records the end of an attempt and checks it.
-    pub fn ended(&mut self, id: &SmolStr, at: Time, end: End) {
+    pub fn record_end(&mut self, id: &SmolStr, at: Time, end: End) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
@@ -125,9 +125,9 @@
     }
 
     /// Records a replica's start of work on an attempt, checks it, and returns the run's index.
-    pub fn began(&mut self, run: Run) -> usize {
+    pub fn record_run(&mut self, run: Run) -> usize {
         let index = self.runs.len();
-        self.by_attempt
+        self.runs_by_attempt
             .entry(run.attempt.clone())
             .or_default()
             .push(index);
@@ -137,49 +137,49 @@
     }
 
     /// Records that a run was completed or aborted.
-    pub fn finished(&mut self, run: usize, at: Time) {
+    pub fn finish_run(&mut self, run: usize, at: Time) {
         if let Some(run) = self.runs.get_mut(run) {
-            run.ended = Some(at);
+            run.ended_at = Some(at);
         }
     }
 
     /// Returns the runs of an attempt, in order.
     pub fn runs_of(&self, attempt: &str) -> impl Iterator<Item = &Run> {
-        let runs = self.by_attempt.get(attempt).into_iter().flatten();
+        let runs = self.runs_by_attempt.get(attempt).into_iter().flatten();
         runs.map(|index| &self.runs[*index])
     }
 
-    /// Records the start of a fault and returns its index, for [`Ledger::heal`].
-    pub fn disturb(&mut self, target: Target, at: Time) -> usize {
+    /// Records the start of a fault and returns its index, for [`Ledger::end_disturbance`].
+    pub fn begin_disturbance(&mut self, target: Target, at: Time) -> usize {
         self.disturbances.push(Disturbance {
             target,
-            from: at,
-            to: None,
+            start: at,
+            end: None,
         });
         self.disturbances.len() - 1
     }
 
     /// Records the end of a fault.
-    pub fn heal(&mut self, disturbance: usize, at: Time) {
+    pub fn end_disturbance(&mut self, disturbance: usize, at: Time) {
         if let Some(disturbance) = self.disturbances.get_mut(disturbance) {
-            disturbance.to = Some(at);
+            disturbance.end = Some(at);
         }
     }
 
-    /// Returns whether the target had no fault from `contact` before `from` until `to`.
-    pub fn is_calm(&self, target: Target, from: Time, to: Time) -> bool {
-        let contact = self.bounds.contact;
-        self.disturbances.iter().all(|one| {
-            let over = one.to.is_some_and(|end| end + contact < from);
-            one.target != target || one.from > to || over
+    /// Returns whether the target had no fault from `settle_time` before `from` until `to`.
+    pub fn is_undisturbed(&self, target: Target, from: Time, to: Time) -> bool {
+        let settle_time = self.bounds.settle_time;
+        self.disturbances.iter().all(|disturbance| {
+            let is_over = disturbance.end.is_some_and(|end| end + settle_time < from);
+            disturbance.target != target || disturbance.start > to || is_over
         })
     }
 
     /// Records a broken promise.
-    pub fn breach(&mut self, promise: &'static str, at: Time, detail: String) {
+    pub fn record_breach(&mut self, promise: &'static str, at: Time, detail: String) {
         self.breaches.push(Breach {
             promise,
-            at,
+            detected_at: at,
             detail,
         });
     }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -60,9 +60,9 @@
     };
     let binary = match &arguments.program {
         Some(program) => program.clone(),
-        None => run::program_beside()?,
+        None => run::find_entry_binary()?,
     };
-    let first = arguments.from.unwrap_or_else(soak::scene::unix_ms);
+    let first = arguments.from.unwrap_or_else(soak::environment::unix_ms);
     let next = AtomicU64::new(first);
     let until = arguments
         .minutes
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -7,17 +7,17 @@
 
 use crate::configs::size::Size;
 use crate::proxy::Mode;
-use crate::replica::Manner;
-use crate::tables::Trouble;
+use crate::replica::Behavior;
+use crate::tables::Failure;
 
 /// Share of faults that repeat shortly after.
-const SERIES: f64 = 0.35;
+const REPEAT_SHARE: f64 = 0.35;
 /// Occurrences of a repeating fault.
-const TIMES: std::ops::Range<u32> = 2..4;
+const REPEAT_COUNT: std::ops::Range<u32> = 2..4;
 /// Time between two occurrences of a repeating fault, in milliseconds.
-const GAP_MS: std::ops::Range<u64> = 200..1_500;
+const REPEAT_GAP_MS: std::ops::Range<u64> = 200..1_500;
 /// Duration of a fault, in milliseconds.
-const LASTS_MS: std::ops::Range<u64> = 400..4_000;
+const DURATION_MS: std::ops::Range<u64> = 400..4_000;
 /// Delay of bytes or answers, in milliseconds.
 const DELAY_MS: std::ops::Range<u64> = 20..600;
 
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug)]
 pub struct Step {
     /// Start, counted from the start of the faults.
-    pub at: Span,
+    pub start: Span,
     /// Duration; unused by faults that have none.
-    pub lasts: Span,
+    pub duration: Span,
     /// The fault.
     pub fault: Fault,
 }
@@ -56,7 +56,7 @@
     /// The connections to a replica misbehave.
     ReplicaWay(usize, Mode),
     /// The table service misbehaves for everyone.
-    Tables(Trouble),
+    Tables(Failure),
     /// The table service drops its history of changes.
     Forget,
     /// A replica crashes and later restarts.
@@ -64,32 +64,32 @@
     /// A replica announces that it leaves, goes, and later restarts.
     Leave(usize),
     /// A replica misbehaves.
-    Works(usize, Manner),
+    Works(usize, Behavior),
     /// The operator changes the configuration.
     Configure,
 }
 
 /// Draws the steps of a seed, in order of their start.
-pub fn draw(seed: u64, size: &Size) -> Vec<Step> {
+pub fn draw_steps(seed: u64, size: &Size) -> Vec<Step> {
     let mut random = Pcg64::seed_from_u64(seed);
     let mut steps = Vec::new();
-    while steps.len() < size.count {
+    while steps.len() < size.fault_count {
         let fault = draw_fault(&mut random, size);
-        let times = match random.random::<f64>() < SERIES {
-            true => random.random_range(TIMES),
+        let count = match random.random::<f64>() < REPEAT_SHARE {
+            true => random.random_range(REPEAT_COUNT),
             false => 1,
         };
-        let mut at = random.random_range(0..size.faults.as_millis());
-        for _ in 0..times {
+        let mut start = random.random_range(0..size.fault_window.as_millis());
+        for _ in 0..count {
             steps.push(Step {
-                at: Span::from_millis(at),
-                lasts: Span::from_millis(random.random_range(LASTS_MS)),
+                start: Span::from_millis(start),
+                duration: Span::from_millis(random.random_range(DURATION_MS)),
                 fault,
             });
-            at += random.random_range(GAP_MS);
+            start += random.random_range(REPEAT_GAP_MS);
         }
     }
-    steps.sort_by_key(|step| step.at);
+    steps.sort_by_key(|step| step.start);
     steps
 }
 
@@ -107,11 +107,11 @@
         9 => Fault::Peers(entry, draw_mode(random)),
         10 => Fault::TablesWay(entry, draw_mode(random)),
         11 => Fault::ReplicaWay(replica, draw_mode(random)),
-        12 | 13 => Fault::Tables(draw_trouble(random)),
+        12 | 13 => Fault::Tables(draw_failure(random)),
         14 => Fault::Forget,
         15 => Fault::Crash(replica),
         16 | 17 => Fault::Leave(replica),
-        18 | 19 => Fault::Works(replica, draw_manner(random)),
+        18 | 19 => Fault::Works(replica, draw_behavior(random)),
         _ => Fault::Configure,
     }
 }
@@ -125,21 +125,21 @@
     }
 }
 
-fn draw_trouble(random: &mut Pcg64) -> Trouble {
+fn draw_failure(random: &mut Pcg64) -> Failure {
     match random.random_range(0..5) {
-        0 => Trouble::Refuses,
-        1 => Trouble::Silent,
-        2 => Trouble::Slow(Span::from_millis(random.random_range(DELAY_MS))),
-        3 => Trouble::LosesAnswers,
-        _ => Trouble::Late,
+        0 => Failure::Refuses,
+        1 => Failure::Silent,
+        2 => Failure::Slow(Span::from_millis(random.random_range(DELAY_MS))),
+        3 => Failure::LosesAnswers,
+        _ => Failure::Late,
     }
 }
 
-fn draw_manner(random: &mut Pcg64) -> Manner {
+fn draw_behavior(random: &mut Pcg64) -> Behavior {
     let share = random.random_range(0.05..0.6);
     match random.random_range(0..3) {
-        0 => Manner::Fails(share),
-        1 => Manner::LosesAnswers(share),
-        _ => Manner::Slow,
+        0 => Behavior::Fails(share),
+        1 => Behavior::LosesAnswers(share),
+        _ => Behavior::Slow,
     }
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 
 /// Size of the buffer for one read, in bytes.
-const CHUNK: usize = 16 << 10;
+const BUFFER_SIZE: usize = 16 << 10;
 
 /// Treatment of a proxy's connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,22 +42,22 @@
 
 /// Direction of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToServer,
+    ToClient,
 }
 
 impl Proxy {
-    /// Listens on `listen` and forwards connections to `to`.
-    pub async fn start(listen: SocketAddr, to: SocketAddr) -> Result<Proxy> {
+    /// Listens on `listen` and forwards connections to `destination`.
+    pub async fn start(listen: SocketAddr, destination: SocketAddr) -> Result<Proxy> {
         let listener = TcpListener::bind(listen)
             .await
             .with_context(|| format!("can't listen on {listen}"))?;
         let mode = watch::Sender::new(Mode::Pass);
-        let orders = mode.subscribe();
+        let mode_updates = mode.subscribe();
         tokio::task::spawn_local(async move {
             while let Ok((socket, _)) = listener.accept().await {
-                tokio::task::spawn_local(carry(socket, to, orders.clone()));
+                tokio::task::spawn_local(forward(socket, destination, mode_updates.clone()));
             }
         });
         Ok(Proxy {
@@ -67,71 +67,81 @@
     }
 
     /// Sets the treatment of all connections, also of open ones.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 }
 
 /// Forwards one connection until either side closes it.
-async fn carry(from: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>) {
+async fn forward(source: TcpStream, destination: SocketAddr, mut mode: watch::Receiver<Mode>) {
     if *mode.borrow() == Mode::Reset {
-        return reset(&from);
+        return reset_on_drop(&source);
     }
-    let from = Rc::new(from);
+    let source = Rc::new(source);
     let connected = tokio::select! {
-        connected = TcpStream::connect(to) => connected,
-        () = until_reset(&mut mode) => return reset(&from),
+        connected = TcpStream::connect(destination) => connected,
+        () = wait_until_reset(&mut mode) => return reset_on_drop(&source),
     };
-    let (Ok(to), Ok(from)) = (connected, Rc::try_unwrap(from)) else {
+    let (Ok(destination), Ok(source)) = (connected, Rc::try_unwrap(source)) else {
         return;
     };
     // Nagle's algorithm would hold a packet until the one before is acknowledged.
-    let _ = (from.set_nodelay(true), to.set_nodelay(true));
-    let (from_read, from_write) = from.into_split();
-    let (to_read, to_write) = to.into_split();
-    let (there, back) = (mode.clone(), mode.clone());
-    let carried = async {
+    let _ = (source.set_nodelay(true), destination.set_nodelay(true));
+    let (client_reader, client_writer) = source.into_split();
+    let (server_reader, server_writer) = destination.into_split();
+    let (to_server_mode, to_client_mode) = (mode.clone(), mode.clone());
+    let forwarding = async {
         tokio::join!(
-            pump(from_read, to_write, there, Way::There),
-            pump(to_read, from_write, back, Way::Back),
+            forward_bytes(
+                client_reader,
+                server_writer,
+                to_server_mode,
+                Direction::ToServer
+            ),
+            forward_bytes(
+                server_reader,
+                client_writer,
+                to_client_mode,
+                Direction::ToClient
+            ),
         )
     };
     tokio::select! {
-        _ = carried => {}
-        () = until_reset(&mut mode) => {}
+        _ = forwarding => {}
+        () = wait_until_reset(&mut mode) => {}
     }
 }
 
 /// Forwards bytes in one direction until the end of the stream. An error on one connection resets the other.
-async fn pump(
-    mut from: OwnedReadHalf,
-    mut to: OwnedWriteHalf,
+async fn forward_bytes(
+    mut source: OwnedReadHalf,
+    mut destination: OwnedWriteHalf,
     mut mode: watch::Receiver<Mode>,
-    way: Way,
+    direction: Direction,
 ) {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; BUFFER_SIZE];
     loop {
-        let Ok(count) = from.read(&mut buffer).await else {
-            return reset(to.as_ref());
+        let Ok(count) = source.read(&mut buffer).await else {
+            return reset_on_drop(destination.as_ref());
         };
-        until_passing(&mut mode, way).await;
+        wait_until_forwarding(&mut mode, direction).await;
         if count == 0 {
-            let _ = to.shutdown().await;
+            let _ = destination.shutdown().await;
             return;
         }
-        if to.write_all(&buffer[..count]).await.is_err() {
-            return reset(from.as_ref());
+        if destination.write_all(&buffer[..count]).await.is_err() {
+            return reset_on_drop(source.as_ref());
         }
     }
 }
 
 /// Waits while bytes of that direction are held or delayed.
-async fn until_passing(mode: &mut watch::Receiver<Mode>, way: Way) {
+async fn wait_until_forwarding(mode: &mut watch::Receiver<Mode>, direction: Direction) {
     loop {
         let now = *mode.borrow_and_update();
-        match (now, way) {
+        match (now, direction) {
             (Mode::Delay(span), _) => return tokio::time::sleep(span.as_duration()).await,
-            (Mode::Silence, _) | (Mode::AnswersHeld, Way::Back) => {
+            (Mode::Silence, _) | (Mode::AnswersHeld, Direction::ToClient) => {
                 if mode.changed().await.is_err() {
                     return;
                 }
@@ -141,13 +151,13 @@
     }
 }
 
-async fn until_reset(mode: &mut watch::Receiver<Mode>) {
+async fn wait_until_reset(mode: &mut watch::Receiver<Mode>) {
     if mode.wait_for(|mode| *mode == Mode::Reset).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
 /// Makes the connection end with a reset when it is dropped.
-fn reset(socket: &TcpStream) {
+fn reset_on_drop(socket: &TcpStream) {
     let _ = SockRef::from(socket).set_linger(Some(std::time::Duration::ZERO));
 }
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -27,27 +27,27 @@
 
 use crate::content;
 use crate::content::Stream;
+use crate::environment::Environment;
+use crate::environment::Node;
+use crate::environment::Port;
+use crate::environment::ZONES;
+use crate::environment::unix_ms;
 use crate::ledger::Run;
 use crate::proxy::Proxy;
-use crate::scene::Party;
-use crate::scene::Port;
-use crate::scene::Shared;
-use crate::scene::ZONES;
-use crate::scene::unix_ms;
 use crate::server;
 use crate::server::Body;
-use crate::server::Lost;
+use crate::server::Disconnected;
 
 /// Time that a plain call takes.
-const WORK: Duration = Duration::from_millis(30);
+const CALL_TIME: Duration = Duration::from_millis(30);
 /// Time between two events of a stream.
-const PAUSE: Duration = Duration::from_millis(25);
+const EVENT_INTERVAL: Duration = Duration::from_millis(25);
 /// Factor by which slow work takes longer.
-const SLOW: u32 = 8;
+const SLOWDOWN: u32 = 8;
 
 /// Behavior of a replica towards requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum Behavior {
     /// Every request is served.
     Good,
     /// This share of requests is answered with status 500.
@@ -65,51 +65,62 @@
     /// Service to which the replica belongs.
     pub service: SmolStr,
     /// Proxy in front of the replica.
-    pub link: Proxy,
-    shared: Rc<Shared>,
+    pub proxy: Proxy,
+    environment: Rc<Environment>,
     id: RefCell<SmolStr>,
-    born: Cell<u64>,
-    manner: Cell<Manner>,
-    up: watch::Sender<bool>,
+    started_ms: Cell<u64>,
+    behavior: Cell<Behavior>,
+    is_running: watch::Sender<bool>,
 }
 
 /// Records the end of a run when dropped: the work is done, or its connection was closed.
-struct Work {
-    shared: Rc<Shared>,
+struct RunGuard {
+    environment: Rc<Environment>,
     run: usize,
 }
 
-impl Drop for Work {
+impl Drop for RunGuard {
     fn drop(&mut self) {
-        let now = self.shared.clock.now();
-        self.shared.ledger.borrow_mut().finished(self.run, now);
+        let now = self.environment.clock.now();
+        self.environment
+            .ledger
+            .borrow_mut()
+            .finish_run(self.run, now);
     }
 }
 
 impl Replica {
     /// Starts a replica and writes its row.
-    pub async fn start(shared: Rc<Shared>, index: usize, service: &str) -> Result<Rc<Replica>> {
-        let party = Party::Replica(index);
-        let server = shared.network.address(party, Port::Requests);
-        let link = Proxy::start(shared.network.address(party, Port::RequestsLink), server).await?;
-        let up = watch::Sender::new(true);
-        let mut state = up.subscribe();
+    pub async fn start(
+        environment: Rc<Environment>,
+        index: usize,
+        service: &str,
+    ) -> Result<Rc<Replica>> {
+        let node = Node::Replica(index);
+        let server = environment.network.address(node, Port::Requests);
+        let proxy = Proxy::start(
+            environment.network.address(node, Port::RequestsProxy),
+            server,
+        )
+        .await?;
+        let is_running = watch::Sender::new(true);
+        let mut running = is_running.subscribe();
         let replica = Rc::new(Replica {
             index,
             service: service.into(),
-            link,
-            shared,
+            proxy,
+            environment,
             id: RefCell::new(format_smolstr!("i-{index}")),
-            born: Cell::new(unix_ms()),
-            manner: Cell::new(Manner::Good),
-            up,
+            started_ms: Cell::new(unix_ms()),
+            behavior: Cell::new(Behavior::Good),
+            is_running,
         });
-        replica.announce(false);
+        replica.write_row(false);
         let serving = Rc::clone(&replica);
         tokio::task::spawn_local(async move {
-            while state.wait_for(|up| *up).await.is_ok() {
+            while running.wait_for(|is_running| *is_running).await.is_ok() {
                 let Ok(listener) = server::bind(server).await else {
-                    tokio::time::sleep(WORK).await;
+                    tokio::time::sleep(CALL_TIME).await;
                     continue;
                 };
                 let mut connections = JoinSet::new();
@@ -119,7 +130,7 @@
                             let served = server::serve(socket, Rc::clone(&serving), answer);
                             connections.spawn_local(served);
                         }
-                        _ = state.wait_for(|up| !*up) => break,
+                        _ = running.wait_for(|is_running| !*is_running) => break,
                     }
                 }
             }
@@ -128,145 +139,154 @@
     }
 
     /// Sets the behavior towards further requests.
-    pub fn set(&self, manner: Manner) {
-        self.manner.set(manner);
+    pub fn set_behavior(&self, behavior: Behavior) {
+        self.behavior.set(behavior);
     }
 
-    /// Ends the replica without notice; its row stays until [`Replica::forget`].
+    /// Ends the replica without notice; its row stays until [`Replica::remove_row`].
     pub fn crash(&self) {
-        self.up.send_replace(false);
+        self.is_running.send_replace(false);
     }
 
     /// Restarts the replica under the same id, with no state from before.
-    pub fn revive(&self) {
-        self.born.set(unix_ms());
-        self.manner.set(Manner::Good);
-        self.up.send_replace(true);
+    pub fn restart(&self) {
+        self.started_ms.set(unix_ms());
+        self.behavior.set(Behavior::Good);
+        self.is_running.send_replace(true);
         let index = self.index;
-        self.shared.ledger.borrow_mut().leaving.remove(&index);
-        self.announce(false);
+        self.environment
+            .ledger
+            .borrow_mut()
+            .leaving_since
+            .remove(&index);
+        self.write_row(false);
     }
 
     /// Announces in the replica's row that it leaves.
-    pub fn leave(&self) {
-        self.announce(true);
-        let now = self.shared.clock.now();
-        let mut ledger = self.shared.ledger.borrow_mut();
-        ledger.leaving.insert(self.index, now);
+    pub fn announce_leaving(&self) {
+        self.write_row(true);
+        let now = self.environment.clock.now();
+        let mut ledger = self.environment.ledger.borrow_mut();
+        ledger.leaving_since.insert(self.index, now);
     }
 
     /// Removes the replica's row.
-    pub fn forget(&self) {
-        self.shared
+    pub fn remove_row(&self) {
+        self.environment
             .tables
             .put(replica::TABLE, &self.id.borrow(), None);
     }
 
-    fn announce(&self, leaving: bool) {
+    fn write_row(&self, leaving: bool) {
         let row = Row {
             service: self.service.clone(),
-            address: self.link.address.to_smolstr(),
+            address: self.proxy.address.to_smolstr(),
             zone: ZONES[self.index % ZONES.len()].into(),
             slots: 32,
             leaving,
-            started_ms: self.born.get(),
+            started_ms: self.started_ms.get(),
         };
         let id = self.id.borrow();
-        self.shared
+        self.environment
             .tables
             .put(replica::TABLE, &id, Some(row.encode()));
     }
 
     fn chance(&self, share: f64) -> bool {
-        self.shared.random.borrow_mut().random::<f64>() < share
+        self.environment.random.borrow_mut().random::<f64>() < share
     }
 
-    fn begin(&self, received: &Received) -> Work {
-        let run = self.shared.ledger.borrow_mut().began(Run {
+    fn begin_run(&self, received: &Received) -> RunGuard {
+        let run = self.environment.ledger.borrow_mut().record_run(Run {
             attempt: received.attempt.clone(),
             replica: self.index,
             service: self.service.clone(),
-            began: self.shared.clock.now(),
-            ended: None,
+            began_at: self.environment.clock.now(),
+            ended_at: None,
         });
-        Work {
-            shared: Rc::clone(&self.shared),
+        RunGuard {
+            environment: Rc::clone(&self.environment),
             run,
         }
     }
 
     /// Returns the time that work takes which takes `usual` when the replica isn't slow.
-    fn pace(&self, usual: Duration) -> Duration {
-        match self.manner.get() {
-            Manner::Slow => usual * SLOW,
+    fn work_time(&self, usual: Duration) -> Duration {
+        match self.behavior.get() {
+            Behavior::Slow => usual * SLOWDOWN,
             _ => usual,
         }
     }
 }
 
 /// Answers one request.
-async fn answer(replica: Rc<Replica>, request: Request<Incoming>) -> Result<Response<Body>, Lost> {
+async fn answer(
+    replica: Rc<Replica>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Disconnected> {
     let (head, body) = request.into_parts();
-    body.collect().await.map_err(|_| Lost)?;
+    body.collect().await.map_err(|_| Disconnected)?;
     let Some(received) = replica::received(&head) else {
-        return Ok(server::whole(replica::not_run(true)));
+        return Ok(server::complete(replica::not_run(true)));
     };
     if received.expected.as_deref() != Some(replica.id.borrow().as_str()) {
-        return Ok(server::whole(replica::not_run(false)));
+        return Ok(server::complete(replica::not_run(false)));
     }
-    let work = replica.begin(&received);
-    tokio::time::sleep(replica.pace(WORK)).await;
-    let loses = match replica.manner.get() {
-        Manner::Fails(share) if replica.chance(share) => {
-            return Ok(failure(&received));
+    let guard = replica.begin_run(&received);
+    tokio::time::sleep(replica.work_time(CALL_TIME)).await;
+    let breaks_off = match replica.behavior.get() {
+        Behavior::Fails(share) if replica.chance(share) => {
+            return Ok(failure_response(&received));
         }
-        Manner::LosesAnswers(share) => replica.chance(share),
+        Behavior::LosesAnswers(share) => replica.chance(share),
         _ => false,
     };
-    if let Some(stream) = Stream::of(head.uri.path()) {
-        return Ok(streamed(replica, work, &received, stream, loses));
+    if let Some(stream) = Stream::parse(head.uri.path()) {
+        return Ok(stream_response(
+            replica, guard, &received, stream, breaks_off,
+        ));
     }
-    if loses {
-        return Err(Lost);
+    if breaks_off {
+        return Err(Disconnected);
     }
-    let body = content::body_of(&received.attempt);
+    let body = content::call_body(&received.attempt);
     let mut response = Response::new(Bytes::from(body));
     *response.headers_mut() = replica::answer_headers(&received.attempt);
-    Ok(server::whole(response))
+    Ok(server::complete(response))
 }
 
-fn failure(received: &Received) -> Response<Body> {
+fn failure_response(received: &Received) -> Response<Body> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
     *response.headers_mut() = replica::answer_headers(&received.attempt);
-    server::whole(response)
+    server::complete(response)
 }
 
-/// Streams the events after the caller's last one; breaks off halfway through them if `loses` is set.
-fn streamed(
+/// Streams the events after the caller's last one; breaks off halfway through them if `breaks_off` is set.
+fn stream_response(
     replica: Rc<Replica>,
-    work: Work,
+    guard: RunGuard,
     received: &Received,
     stream: Stream,
-    loses: bool,
+    breaks_off: bool,
 ) -> Response<Body> {
     let half = received.last_event + stream.events.saturating_sub(received.last_event) / 2;
-    let state = (received.last_event, replica, work);
-    let made = stream::unfold(state, move |(last, replica, work)| {
+    let state = (received.last_event, replica, guard);
+    let events = stream::unfold(state, move |(last, replica, guard)| {
         let stream = stream.clone();
         async move {
             if last >= stream.events {
                 return None;
             }
-            if loses && last >= half {
-                return Some((Err(Lost), (last, replica, work)));
+            if breaks_off && last >= half {
+                return Some((Err(Disconnected), (last, replica, guard)));
             }
-            tokio::time::sleep(replica.pace(PAUSE)).await;
+            tokio::time::sleep(replica.work_time(EVENT_INTERVAL)).await;
             let event = Bytes::from(stream.event(last + 1));
-            Some((Ok(Frame::data(event)), (last + 1, replica, work)))
+            Some((Ok(Frame::data(event)), (last + 1, replica, guard)))
         }
     });
-    let body: Body = Box::pin(StreamBody::new(made));
+    let body: Body = Box::pin(StreamBody::new(events));
     let mut response = Response::new(body);
     *response.headers_mut() = replica::answer_headers(&received.attempt);
     response
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -20,7 +20,7 @@
     pub breaches: Vec<Breach>,
     steps: Vec<Step>,
     /// Number of windows whose usage was reported.
-    windows: usize,
+    usage_windows: usize,
     classes: BTreeMap<Class, Counts>,
 }
 
@@ -29,32 +29,32 @@
 struct Counts {
     ends: BTreeMap<String, u32>,
     /// Latency of successful answers, in milliseconds.
-    answered: Option<Histogram<u64>>,
+    latency: Option<Histogram<u64>>,
 }
 
 impl Report {
     /// Summarizes a ledger.
-    pub fn new(seed: u64, steps: Vec<Step>, ledger: &Ledger, windows: usize) -> Report {
+    pub fn new(seed: u64, steps: Vec<Step>, ledger: &Ledger, usage_windows: usize) -> Report {
         let mut classes: BTreeMap<Class, Counts> = BTreeMap::new();
         for attempt in ledger.attempts.values() {
             let Some((at, end)) = &attempt.ended else {
                 continue;
             };
             let counts = classes.entry(attempt.class).or_default();
-            counts.note(attempt.sent, *at, end);
+            counts.record(attempt.sent_at, *at, end);
         }
         Report {
             seed,
             breaches: ledger.breaches.clone(),
             steps,
-            windows,
+            usage_windows,
             classes,
         }
     }
 }
 
 impl Counts {
-    fn note(&mut self, sent: Time, at: Time, end: &End) {
+    fn record(&mut self, sent: Time, at: Time, end: &End) {
         let name = match end {
             End::Answered(status) => format!("{status}"),
             End::Wrong(_) => String::from("wrong"),
@@ -67,11 +67,11 @@
         if *end != End::Answered(200) {
             return;
         }
-        if self.answered.is_none() {
-            self.answered = Histogram::new(2).ok();
+        if self.latency.is_none() {
+            self.latency = Histogram::new(2).ok();
         }
-        if let Some(answered) = &mut self.answered {
-            *answered += at.since(sent).as_millis();
+        if let Some(latency) = &mut self.latency {
+            *latency += at.since(sent).as_millis();
         }
     }
 }
@@ -85,16 +85,21 @@
         writeln!(
             formatter,
             "seed {}: promises {verdict}; usage of {} windows reported",
-            self.seed, self.windows
+            self.seed, self.usage_windows
         )?;
         for (class, counts) in &self.classes {
             write!(formatter, "  {:5}", class.name())?;
             for (end, count) in &counts.ends {
                 write!(formatter, " {end}: {count}")?;
             }
-            if let Some(answered) = &counts.answered {
-                let of = |share| answered.value_at_quantile(share);
-                write!(formatter, "; ms p50 {} p99 {}", of(0.5), of(0.99))?;
+            if let Some(latency) = &counts.latency {
+                let quantile = |share| latency.value_at_quantile(share);
+                write!(
+                    formatter,
+                    "; ms p50 {} p99 {}",
+                    quantile(0.5),
+                    quantile(0.99)
+                )?;
             }
             writeln!(formatter)?;
         }
@@ -102,15 +107,15 @@
             return Ok(());
         }
         for step in &self.steps {
-            let (at, lasts) = (step.at.as_millis(), step.lasts.as_millis());
+            let (start, duration) = (step.start.as_millis(), step.duration.as_millis());
             writeln!(
                 formatter,
-                "  fault at {at} ms for {lasts} ms: {:?}",
+                "  fault at {start} ms for {duration} ms: {:?}",
                 step.fault
             )?;
         }
         for breach in &self.breaches {
-            let at = breach.at.as_millis();
+            let at = breach.detected_at.as_millis();
             writeln!(
                 formatter,
                 "  BROKEN at {at} ms: {}: {}",
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -18,40 +18,40 @@
 use crate::caller::Caller;
 use crate::cloud::Cloud;
 use crate::configs::size::Size;
+use crate::entry::Entry;
+use crate::environment::Environment;
+use crate::environment::Node;
+use crate::environment::Port;
 use crate::faults::APPS;
+use crate::faults::Cluster;
 use crate::faults::ENGINES;
-use crate::faults::World;
 use crate::plan;
 use crate::plan::Step;
-use crate::program::Program;
 use crate::promises;
 use crate::replica::Replica;
 use crate::report::Report;
-use crate::scene::Party;
-use crate::scene::Port;
-use crate::scene::Shared;
 
 /// File name of the entry binary.
-const PROGRAM: &str = "dogwoodspur-platform";
+const ENTRY_BINARY: &str = "dogwoodspur-platform";
 /// Time limit for the entries' start.
-const START_TIME: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval at which a starting entry is polled.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Traffic before the first fault.
-const BEFORE: Span = Span::from_millis(1_500);
+const WARM_UP: Span = Span::from_millis(1_500);
 /// Upper limit of the faults' total time.
-const LONGEST: Span = Span::from_seconds(600);
+const MAX_FAULT_TIME: Span = Span::from_seconds(600);
 /// Traffic after the time to recover, from which the recovery is judged.
-const AFTER: Span = Span::from_millis(4_000);
+const RECOVERED_TRAFFIC: Span = Span::from_millis(4_000);
 
 /// Returns the path of the entry binary, in the folder of this executable or its parent.
-pub fn program_beside() -> Result<PathBuf> {
+pub fn find_entry_binary() -> Result<PathBuf> {
     let own = std::env::current_exe()?;
-    let beside = own.ancestors().skip(1).take(2);
-    let found = beside
-        .map(|folder| folder.join(PROGRAM))
+    let folders = own.ancestors().skip(1).take(2);
+    let found = folders
+        .map(|folder| folder.join(ENTRY_BINARY))
         .find(|path| path.exists());
-    found.with_context(|| format!("no {PROGRAM}: build it with `cargo build -p platform`"))
+    found.with_context(|| format!("no {ENTRY_BINARY}: build it with `cargo build -p platform`"))
 }
 
 /// Plays a seed and reports what was observed. Settings and logs of the entries are left in `folder`.
@@ -60,89 +60,97 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, play_all(seed, size, binary, folder))
+    LocalSet::new().block_on(&runtime, play_nodes(seed, size, binary, folder))
 }
 
-async fn play_all(seed: u64, size: Size, binary: &Path, folder: PathBuf) -> Result<Report> {
-    let shared = Rc::new(Shared::new(seed, folder)?);
-    let world = Rc::new(start(&shared, size, binary).await?);
-    let network = shared.network;
-    let cloud_address = network.address(Party::Platform, Port::Cloud);
-    let cloud = Cloud::serve(Rc::clone(&shared), cloud_address).await?;
-    wait_for_entries(&shared, size.entries).await?;
+async fn play_nodes(seed: u64, size: Size, binary: &Path, folder: PathBuf) -> Result<Report> {
+    let environment = Rc::new(Environment::new(seed, folder)?);
+    let cluster = Rc::new(start_nodes(&environment, size, binary).await?);
+    let network = environment.network;
+    let cloud_address = network.address(Node::Platform, Port::Cloud);
+    let cloud = Cloud::serve(Rc::clone(&environment), cloud_address).await?;
+    wait_for_entries(&environment, size.entries).await?;
 
-    let steps = plan::draw(seed, &size);
-    let begun = shared.clock.now() + BEFORE;
-    let faults = tokio::task::spawn_local(carry_out(Rc::clone(&world), steps.clone(), begun));
+    let steps = plan::draw_steps(seed, &size);
+    let started_at = environment.clock.now() + WARM_UP;
+    let faults =
+        tokio::task::spawn_local(apply_steps(Rc::clone(&cluster), steps.clone(), started_at));
     // Faults may overrun their planned time: callers go on until the last is over, and through the recovery.
-    let stop = watch::Sender::new(begun + LONGEST);
+    let stop = watch::Sender::new(started_at + MAX_FAULT_TIME);
     let mut callers = JoinSet::new();
     for number in 0..size.callers {
-        let caller = Caller::new(Rc::clone(&shared), number, size.entries);
+        let caller = Caller::new(Rc::clone(&environment), number, size.entries);
         callers.spawn_local(caller.run(stop.subscribe()));
     }
     faults.await?;
-    let calm = shared.clock.now();
-    let bounds = shared.ledger.borrow().bounds;
-    stop.send_replace(calm + bounds.recover + AFTER);
+    let faults_ended_at = environment.clock.now();
+    let bounds = environment.ledger.borrow().bounds;
+    stop.send_replace(faults_ended_at + bounds.recovery_time + RECOVERED_TRAFFIC);
     while callers.join_next().await.is_some() {}
-    let now = shared.clock.now();
-    promises::check_all(&mut shared.ledger.borrow_mut(), calm, now);
-    for entry in &world.entries {
-        entry.end();
+    let now = environment.clock.now();
+    promises::check_final(&mut environment.ledger.borrow_mut(), faults_ended_at, now);
+    for entry in &cluster.entries {
+        entry.shut_down();
     }
-    let windows = cloud.windows();
-    Ok(Report::new(seed, steps, &shared.ledger.borrow(), windows))
+    let usage_windows = cloud.usage_windows();
+    Ok(Report::new(
+        seed,
+        steps,
+        &environment.ledger.borrow(),
+        usage_windows,
+    ))
 }
 
 /// Starts all nodes. Entries start last, when the configuration and the replicas' rows exist.
-async fn start(shared: &Rc<Shared>, size: Size, binary: &Path) -> Result<World> {
-    let tables = shared.network.address(Party::Platform, Port::Tables);
-    shared.tables.serve(tables).await?;
+async fn start_nodes(environment: &Rc<Environment>, size: Size, binary: &Path) -> Result<Cluster> {
+    let tables = environment.network.address(Node::Platform, Port::Tables);
+    environment.tables.serve(tables).await?;
     let engines = (0..size.engines).map(|_| ENGINES);
     let apps = APPS.iter().flat_map(|app| (0..size.apps).map(|_| *app));
-    let mut world = World {
-        shared: Rc::clone(shared),
+    let mut cluster = Cluster {
+        environment: Rc::clone(environment),
         entries: Vec::new(),
         replicas: Vec::new(),
     };
     for (index, service) in engines.chain(apps).enumerate() {
-        let replica = Replica::start(Rc::clone(shared), index, service).await?;
-        world.replicas.push(replica);
+        let replica = Replica::start(Rc::clone(environment), index, service).await?;
+        cluster.replicas.push(replica);
     }
-    world.configure();
+    cluster.configure();
     for index in 0..size.entries {
-        let shared = Rc::clone(shared);
-        let program = Program::start(shared, index, size.entries, binary.to_owned()).await?;
-        world.entries.push(program);
+        let environment = Rc::clone(environment);
+        let entry = Entry::start(environment, index, size.entries, binary.to_owned()).await?;
+        cluster.entries.push(entry);
     }
-    Ok(world)
+    Ok(cluster)
 }
 
 /// Waits until every entry answers address queries.
-async fn wait_for_entries(shared: &Shared, entries: usize) -> Result<()> {
-    let begun = shared.clock.now();
+async fn wait_for_entries(environment: &Environment, entries: usize) -> Result<()> {
+    let started_at = environment.clock.now();
     for entry in 0..entries {
-        let directory = shared.network.address(Party::Entry(entry), Port::Directory);
-        while caller::ask_directory(directory, "").await.is_none() {
-            if shared.clock.now().since(begun).as_duration() > START_TIME {
+        let directory = environment
+            .network
+            .address(Node::Entry(entry), Port::Directory);
+        while caller::query_addresses(directory, "").await.is_none() {
+            if environment.clock.now().since(started_at).as_duration() > START_TIMEOUT {
                 bail!("entry {entry} never names an address");
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok(())
 }
 
 /// Applies every step at its time and waits until all are over.
-async fn carry_out(world: Rc<World>, steps: Vec<Step>, begun: Time) {
+async fn apply_steps(cluster: Rc<Cluster>, steps: Vec<Step>, started_at: Time) {
     let mut running = JoinSet::new();
     for step in steps {
-        let world = Rc::clone(&world);
+        let cluster = Rc::clone(&cluster);
         running.spawn_local(async move {
-            let wait = (begun + step.at).since(world.shared.clock.now());
+            let wait = (started_at + step.start).since(cluster.environment.clock.now());
             tokio::time::sleep(wait.as_duration()).await;
-            world.carry_out(&step).await;
+            cluster.apply(&step).await;
         });
     }
     while running.join_next().await.is_some() {}
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -20,22 +20,22 @@
 use tokio::net::TcpStream;
 
 /// Body of an answer, complete or streamed.
-pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = Lost>>>;
+pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = Disconnected>>>;
 
 /// Error by which a handler closes its connection without a complete answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Lost;
+pub struct Disconnected;
 
-impl std::fmt::Display for Lost {
+impl std::fmt::Display for Disconnected {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str("the answer is lost")
     }
 }
 
-impl std::error::Error for Lost {}
+impl std::error::Error for Disconnected {}
 
 /// Converts a complete answer.
-pub fn whole(response: Response<Bytes>) -> Response<Body> {
+pub fn complete(response: Response<Bytes>) -> Response<Body> {
     response.map(|bytes| -> Body { Box::pin(Full::new(bytes).map_err(|never| match never {})) })
 }
 
@@ -50,7 +50,7 @@
 where
     S: 'static,
     H: Fn(Rc<S>, Request<Incoming>) -> F + Copy + 'static,
-    F: Future<Output = Result<Response<Body>, Lost>> + 'static,
+    F: Future<Output = Result<Response<Body>, Disconnected>> + 'static,
 {
     let service = service_fn(move |request| handle(Rc::clone(&state), request));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(socket), service);
--- a/crates/soak/src/tables.rs
+++ b/crates/soak/src/tables.rs
@@ -26,14 +26,14 @@
 
 use crate::server;
 use crate::server::Body;
-use crate::server::Lost;
+use crate::server::Disconnected;
 
 /// Delay of a late transaction.
-const LATE: Duration = Duration::from_millis(1_500);
+const LATE_COMMIT_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Misbehavior of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Failure {
     /// The service works.
     None,
     /// It refuses every call.
@@ -53,7 +53,7 @@
 pub struct Tables {
     state: RefCell<State>,
     changed: Notify,
-    trouble: Cell<Option<Trouble>>,
+    failure: Cell<Option<Failure>>,
 }
 
 #[derive(Default)]
@@ -63,7 +63,7 @@
     history: Vec<Row>,
     version: u64,
     /// Version up to which the history was dropped.
-    forgotten: u64,
+    dropped_version: u64,
 }
 
 impl Tables {
@@ -80,14 +80,14 @@
     }
 
     /// Sets the misbehavior.
-    pub fn set(&self, trouble: Trouble) {
-        self.trouble.set(Some(trouble));
+    pub fn set_failure(&self, failure: Failure) {
+        self.failure.set(Some(failure));
     }
 
     /// Drops the history of changes; the rows stay.
-    pub fn forget(&self) {
+    pub fn drop_history(&self) {
         let mut state = self.state.borrow_mut();
-        state.forgotten = state.version;
+        state.dropped_version = state.version;
         state.history.clear();
     }
 
@@ -106,8 +106,8 @@
         self.transact(&transaction);
     }
 
-    fn trouble(&self) -> Trouble {
-        self.trouble.get().unwrap_or(Trouble::None)
+    fn failure(&self) -> Failure {
+        self.failure.get().unwrap_or(Failure::None)
     }
 
     fn read(&self, range: &Range) -> Answer {
@@ -129,7 +129,7 @@
 
     fn changes(&self, table: &str, since: u64) -> Answer {
         let state = self.state.borrow();
-        if since < state.forgotten {
+        if since < state.dropped_version {
             return Answer::HistoryLost;
         }
         let newer = |row: &&Row| row.version > since && row.address.table == table;
@@ -175,7 +175,7 @@
     }
 
     /// Waits for a change in the table, until the caller's time is up.
-    async fn wait(&self, table: &str, since: u64, wait: Duration) {
+    async fn wait_for_change(&self, table: &str, since: u64, wait: Duration) {
         let waiting = async {
             loop {
                 let changed = self.changed.notified();
@@ -188,11 +188,11 @@
         let _ = tokio::time::timeout(wait, waiting).await;
     }
 
-    async fn answer_to(self: &Rc<Self>, operation: &Operation) -> Answer {
+    async fn execute(self: &Rc<Self>, operation: &Operation) -> Answer {
         match operation {
             Operation::Read(range) => self.read(range),
             Operation::Changes { table, since, wait } => {
-                self.wait(table, *since, *wait).await;
+                self.wait_for_change(table, *since, *wait).await;
                 self.changes(table, *since)
             }
             Operation::Transact(transaction) => self.transact(transaction),
@@ -201,33 +201,36 @@
 }
 
 /// Answers one call, subject to the current misbehavior.
-async fn answer(tables: Rc<Tables>, request: Request<Incoming>) -> Result<Response<Body>, Lost> {
+async fn answer(
+    tables: Rc<Tables>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Disconnected> {
     let (head, body) = request.into_parts();
-    let body = body.collect().await.map_err(|_| Lost)?.to_bytes();
+    let body = body.collect().await.map_err(|_| Disconnected)?.to_bytes();
     let Some(operation) = operation(&head, &body) else {
-        return Ok(server::whole(response(&Answer::Unreadable)));
+        return Ok(server::complete(response(&Answer::Unreadable)));
     };
     let is_change = matches!(operation, Operation::Transact(_));
-    match tables.trouble() {
-        Trouble::Refuses => return Ok(server::whole(response(&Answer::Refused))),
-        Trouble::Silent => std::future::pending::<()>().await,
-        Trouble::Slow(span) => tokio::time::sleep(span.as_duration()).await,
-        Trouble::Late if is_change => {
+    match tables.failure() {
+        Failure::Refuses => return Ok(server::complete(response(&Answer::Refused))),
+        Failure::Silent => std::future::pending::<()>().await,
+        Failure::Slow(span) => tokio::time::sleep(span.as_duration()).await,
+        Failure::Late if is_change => {
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(LATE).await;
-                tables.answer_to(&operation).await;
+                tokio::time::sleep(LATE_COMMIT_DELAY).await;
+                tables.execute(&operation).await;
             });
-            return Err(Lost);
+            return Err(Disconnected);
         }
         _ => {}
     }
-    let answer = tables.answer_to(&operation).await;
-    match tables.trouble() {
+    let answer = tables.execute(&operation).await;
+    match tables.failure() {
         // Covers a call that was already waiting when the misbehavior began.
-        Trouble::Refuses => Ok(server::whole(response(&Answer::Refused))),
-        Trouble::LosesAnswers if is_change => Err(Lost),
-        Trouble::Silent => std::future::pending().await,
-        _ => Ok(server::whole(response(&answer))),
+        Failure::Refuses => Ok(server::complete(response(&Answer::Refused))),
+        Failure::LosesAnswers if is_change => Err(Disconnected),
+        Failure::Silent => std::future::pending().await,
+        _ => Ok(server::complete(response(&answer))),
     }
 }
 
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -9,13 +9,13 @@
 use soak::run;
 
 /// Four seconds of faults, so that a run takes about twenty seconds.
-fn short() -> Size {
+fn short_size() -> Size {
     Size {
         entries: 4,
         engines: 3,
         callers: 12,
-        faults: Span::from_millis(4_000),
-        count: 4,
+        fault_window: Span::from_millis(4_000),
+        fault_count: 4,
         ..Size::small()
     }
 }
@@ -24,18 +24,21 @@
 /// connection faults and faults of the table service come in series under load.
 #[test]
 fn promises_hold_under_short_series_of_faults() {
-    let program = run::program_beside().unwrap();
-    let program = &program;
+    let binary = run::find_entry_binary().unwrap();
+    let binary = &binary;
     let play = |seed: u64| {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("seed-{seed}"));
-        run::play(seed, short(), program, folder).unwrap()
+        run::play(seed, short_size(), binary, folder).unwrap()
     };
     let reports: Vec<_> = std::thread::scope(|threads| {
-        let runs: Vec<_> = [7, 21]
+        let handles: Vec<_> = [7, 21]
             .into_iter()
             .map(|seed| threads.spawn(move || play(seed)))
             .collect();
-        runs.into_iter().map(|run| run.join().unwrap()).collect()
+        handles
+            .into_iter()
+            .map(|handle| handle.join().unwrap())
+            .collect()
     });
     for report in reports {
         assert!(report.breaches.is_empty(), "{report}");
