--- a/crates/soak/src/cloud.rs
+++ b/crates/soak/src/cloud.rs
@@ -71,7 +71,7 @@
         let other = seen.filter(|(fence, holder)| call.fence == *fence && *holder != call.holder);
         if let Some((fence, holder)) = other {
             let detail = format!(
-                "{holder} and {} as holder {fence} of {subject}",
+                "{holder} and {} both hold fencing token {fence} for {subject}",
                 call.holder
             );
             self.record_breach("a duty has one holder", detail);
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -115,7 +115,7 @@
                 return Ok((network, lock));
             }
         }
-        bail!("{NETWORKS} runs go on already")
+        bail!("all {NETWORKS} loopback networks are in use")
     }
 
     /// Returns the address of a node's port.
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -56,7 +56,7 @@
     let size = match arguments.size.as_str() {
         "small" => Size::small(),
         "limit" => Size::limit(),
-        other => bail!("no size is called {other}: small or limit"),
+        other => bail!("unknown size {other}: expected small or limit"),
     };
     let binary = match &arguments.program {
         Some(program) => program.clone(),
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -47,7 +47,7 @@
     check_break_off(ledger, attempt, at, &end);
 }
 
-/// Checks the promises that can be judged only at the end of a run; the last fault ended at `faults_ended_at`.
+/// Checks the promises that can be judged only when a run is over; its faults ended at `faults_ended_at`.
 pub fn check_final(ledger: &mut Ledger, faults_ended_at: Time, now: Time) {
     check_abandoned(ledger, now);
     check_recovery(ledger, faults_ended_at, now);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -134,7 +134,7 @@
             .address(Node::Entry(entry), Port::Directory);
         while caller::query_addresses(directory, "").await.is_none() {
             if environment.clock.now().since(started_at).as_duration() > START_TIMEOUT {
-                bail!("entry {entry} never names an address");
+                bail!("entry {entry} answered no address query within {START_TIMEOUT:?}");
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -28,7 +28,7 @@
 
 impl std::fmt::Display for Disconnected {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("the answer is lost")
+        formatter.write_str("the connection closes before the answer is complete")
     }
 }
 
