--- a/crates/soak/src/cloud.rs
+++ b/crates/soak/src/cloud.rs
@@ -58,7 +58,7 @@
     }
 
     /// Records a call; returns false if its fencing token is stale.
-    fn accept(&self, call: &Call) -> bool {
+    fn accept_call(&self, call: &Call) -> bool {
         let subject = match &call.order {
             Order::Usage { .. } => SmolStr::new_static("usage"),
             Order::Replicas { service, zone, .. } => format_smolstr!("{service} in {zone}"),
@@ -105,7 +105,7 @@
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(|_| Disconnected)?.to_bytes();
     let response = match cloud::call(&head, &body) {
-        Some(call) if cloud.accept(&call) => cloud::done(),
+        Some(call) if cloud.accept_call(&call) => cloud::done(),
         Some(_) => cloud::fenced(),
         None => cloud::refused(),
     };
--- a/crates/soak/src/entry.rs
+++ b/crates/soak/src/entry.rs
@@ -57,13 +57,17 @@
         entries: usize,
         binary: PathBuf,
     ) -> Result<Rc<Entry>> {
-        let address = |port| environment.network.address(Node::Entry(index), port);
+        let own_address = |port| environment.network.address(Node::Entry(index), port);
         let tables = environment.network.address(Node::Platform, Port::Tables);
         let entry = Rc::new(Entry {
             index,
-            callers: Proxy::start(address(Port::RequestsProxy), address(Port::Requests)).await?,
-            peers: Proxy::start(address(Port::PeersProxy), address(Port::Peers)).await?,
-            tables: Proxy::start(address(Port::TablesProxy), tables).await?,
+            callers: Proxy::start(
+                own_address(Port::RequestsProxy),
+                own_address(Port::Requests),
+            )
+            .await?,
+            peers: Proxy::start(own_address(Port::PeersProxy), own_address(Port::Peers)).await?,
+            tables: Proxy::start(own_address(Port::TablesProxy), tables).await?,
             settings: environment.folder.join(format!("entry-{index}.jsonc")),
             environment,
             binary,
