--- a/crates/burn/src/reader.rs
+++ b/crates/burn/src/reader.rs
@@ -111,11 +111,11 @@
     }
     let address = |key: &SmolStr| Address::new(TABLE, key.clone());
     let checks = expired.iter().map(|(key, revision)| Check {
-        at: address(key),
+        address: address(key),
         revision: Some(*revision),
     });
     let writes = expired.iter().map(|(key, _)| Write {
-        at: address(key),
+        address: address(key),
         value: serde_json::Value::Null,
     });
     Some(Call::Transact(Transaction {
--- a/crates/burn/src/writer.rs
+++ b/crates/burn/src/writer.rs
@@ -120,7 +120,7 @@
         values.resize(rows.max(self.stored_rows), Value::Null);
         self.stored_rows = rows;
         let writes = values.into_iter().enumerate().map(|(part, value)| Write {
-            at: Address::new(TABLE, format_smolstr!("{incarnation}/{part}")),
+            address: Address::new(TABLE, format_smolstr!("{incarnation}/{part}")),
             value,
         });
         Call::Transact(Transaction {
--- a/crates/config/src/agreement.rs
+++ b/crates/config/src/agreement.rs
@@ -175,7 +175,7 @@
         match self.calls.remove(&id) {
             Some(Purpose::ReadHead(epoch)) => self.handle_head(now, epoch, outcome),
             Some(Purpose::Fetch) => {
-                let wait = self.backoff.fail();
+                let wait = self.backoff.next_delay();
                 if self
                     .follower
                     .handle_outcome(now, outcome, wait, &mut self.history)
@@ -199,7 +199,7 @@
                 None => return,
             },
             _ => {
-                self.next_poll = now + self.backoff.fail();
+                self.next_poll = now + self.backoff.next_delay();
                 self.admission.set_store_failing(true);
                 return;
             }
@@ -282,11 +282,13 @@
         let members = self.admission.voters().len() as u64;
         let fair_interval = Span::from_millis(members * 1_000 / self.settings.max_polls_per_second);
         let interval = self.settings.poll_interval.max(fair_interval);
-        self.next_poll = now + self.backoff.spread(interval);
+        self.next_poll = now + self.backoff.jitter(interval);
         let epoch = self.admission.lease().epoch;
         self.send_call(
             Purpose::ReadHead(epoch),
-            Call::Get { at: row::head() },
+            Call::Get {
+                address: row::head(),
+            },
             effects,
         );
     }
--- a/crates/config/src/agreement/commits.rs
+++ b/crates/config/src/agreement/commits.rs
@@ -114,11 +114,11 @@
                 self.invalidate_head(now);
             }
             Outcome::Unavailable => {
-                let wait = self.backoff.fail();
+                let wait = self.backoff.next_delay();
                 self.submissions.record_failure(now + wait, None);
             }
             _ => {
-                let wait = self.backoff.fail();
+                let wait = self.backoff.next_delay();
                 self.submissions
                     .record_failure(now + wait, Some(commit.expected_revision));
                 self.invalidate_head(now);
--- a/crates/config/src/follower.rs
+++ b/crates/config/src/follower.rs
@@ -103,7 +103,7 @@
                 self.is_behind_retained = false;
                 self.stage = Stage::Snapshot;
                 Some(Call::Get {
-                    at: row::checkpoint(),
+                    address: row::checkpoint(),
                 })
             }
             Stage::Idle => {
--- a/crates/config/src/row.rs
+++ b/crates/config/src/row.rs
@@ -59,7 +59,7 @@
 /// Returns a write of a value as JSON.
 pub fn write(address: Address, value: &impl Serialize) -> Write {
     let value = serde_json::to_value(value).unwrap_or(Value::Null);
-    Write { at: address, value }
+    Write { address, value }
 }
 
 /// Parses a row's value; unknown fields of newer releases are ignored.
--- a/crates/config/src/submission.rs
+++ b/crates/config/src/submission.rs
@@ -272,7 +272,7 @@
     Transaction {
         token: next.change.clone(),
         checks: vec![Check {
-            at: row::head(),
+            address: row::head(),
             revision: commit.expected_revision,
         }],
         writes,
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -45,7 +45,7 @@
 
 /// Checks the settings; prints them if that is asked for.
 fn show(arguments: &Arguments) -> ExitCode {
-    match settings::load::strict(&arguments.settings) {
+    match settings::load::read_strict(&arguments.settings) {
         Ok(loaded) if arguments.print => {
             print!("{}", settings::print::effective(&loaded));
             ExitCode::SUCCESS
--- a/crates/entry/src/permits.rs
+++ b/crates/entry/src/permits.rs
@@ -263,10 +263,10 @@
         let transaction = Transaction {
             token: token.clone(),
             checks: vec![Check {
-                at: at.clone(),
+                address: at.clone(),
                 revision: None,
             }],
-            writes: vec![Write { at, value }],
+            writes: vec![Write { address: at, value }],
         };
         self.queue_store_call(Waiter::Intent { serial }, Call::Transact(transaction));
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -20,7 +20,7 @@
 use role::roster::Roster;
 use smol_str::SmolStr;
 use store::call;
-use store::contact::Contact;
+use store::health::Health;
 use store::throttle::Throttle;
 use watch::watch::Watch;
 
@@ -109,8 +109,9 @@
     pub(crate) item_version: u64,
     /// When the process was asked to stop.
     pub(crate) stop_requested_at: Option<Time>,
+
     /// Whether the table service answers.
-    pub(crate) contact: Contact,
+    pub(crate) contact: Health,
     /// When a call of the table service last failed.
     pub(crate) store_failed_at: Option<Time>,
     /// Whether reading the list of servers has failed since the last successful read.
@@ -200,7 +201,7 @@
             next_quarantine: Time::ZERO,
             item_version: 0,
             stop_requested_at: None,
-            contact: Contact::default(),
+            contact: Health::default(),
             store_failed_at: None,
             list_unavailable: false,
             next_store_call: 0,
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -54,7 +54,7 @@
         self.duties.progress.next = now + WRITE_INTERVAL;
         let at = Address::new(TABLE, KEY);
         if !self.duties.progress.restored {
-            return self.call_store(Waiter::Progress, Call::Get { at });
+            return self.call_store(Waiter::Progress, Call::Get { address: at });
         }
         let newest = self.usage.window(now);
         let mut progress = Progress::new();
@@ -65,7 +65,7 @@
         let transaction = Transaction {
             token: SmolStr::new_static(KEY),
             checks: Vec::new(),
-            writes: vec![Write { at, value }],
+            writes: vec![Write { address: at, value }],
         };
         self.call_store(Waiter::Progress, Call::Transact(transaction));
     }
--- a/crates/gateway/src/reports.rs
+++ b/crates/gateway/src/reports.rs
@@ -154,13 +154,13 @@
         let transaction = Transaction {
             token: format_smolstr!("usage/{window}"),
             checks: vec![Check {
-                at: at.clone(),
+                address: at.clone(),
                 revision: None,
             }],
             writes: vec![
-                Write { at, value },
+                Write { address: at, value },
                 Write {
-                    at: address(window.saturating_sub(RETAINED_WINDOWS)),
+                    address: address(window.saturating_sub(RETAINED_WINDOWS)),
                     value: Value::Null,
                 },
             ],
--- a/crates/gateway/src/rollout_lead.rs
+++ b/crates/gateway/src/rollout_lead.rs
@@ -128,7 +128,7 @@
             if may_call {
                 led.pending = Some(Pending::ReadStage);
                 let at = Address::new(status::STAGES, service.clone());
-                self.call_store(Waiter::Stage(service.clone()), Call::Get { at });
+                self.call_store(Waiter::Stage(service.clone()), Call::Get { address: at });
             }
             return;
         };
@@ -266,7 +266,7 @@
         token: service.clone(),
         checks: Vec::new(),
         writes: vec![Write {
-            at: Address::new(table, service.clone()),
+            address: Address::new(table, service.clone()),
             value: serde_json::to_value(stage).unwrap_or(Value::Null),
         }],
     }))
--- a/crates/gateway/src/store_calls.rs
+++ b/crates/gateway/src/store_calls.rs
@@ -62,17 +62,17 @@
         effects: &mut Vec<Effect>,
     ) {
         let failed = matches!(outcome, Outcome::Unavailable | Outcome::Unknown);
-        let was_lost = self.contact.is_lost();
+        let was_lost = self.contact.is_unavailable();
         if failed {
             self.store_failed_at = Some(now);
-            if self.contact.failed(now) {
+            if self.contact.record_failure(now) {
                 self.log_connectivity(Line::warn("dependency_lost"), id, &outcome, effects);
             }
-        } else if let Some(since) = self.contact.answered() {
+        } else if let Some(since) = self.contact.record_answer() {
             self.refresh_after_outage(since, effects);
             self.log_connectivity(Line::info("dependency_regained"), id, &outcome, effects);
         }
-        let lost = self.contact.is_lost();
+        let lost = self.contact.is_unavailable();
         if lost != was_lost {
             self.step_membership(now, member::event::Event::StoreLost(lost), effects);
         }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -761,7 +761,7 @@
         let mut writes = transaction.writes.iter();
         writes.any(|write| {
             self.failing_table
-                .is_some_and(|table| write.at.table == table)
+                .is_some_and(|table| write.address.table == table)
         })
     }
 
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -250,9 +250,9 @@
             }
             (Outcome::Unknown, Some(_)) => {
                 self.is_row_known = false;
-                self.next_action = now + self.backoff.fail();
+                self.next_action = now + self.backoff.next_delay();
             }
-            _ => self.next_action = now + self.backoff.fail(),
+            _ => self.next_action = now + self.backoff.next_delay(),
         }
     }
 
@@ -338,7 +338,7 @@
         self.next_action = now
             + self
                 .backoff
-                .spread(self.settings.renewal_interval)
+                .jitter(self.settings.renewal_interval)
                 .min(self.settings.renewal_interval);
     }
 
@@ -415,7 +415,7 @@
 
     /// Returns when to read the row again, in time to detect that the lease has lapsed.
     fn next_read_time(&mut self, now: Time) -> Time {
-        let poll = now + self.backoff.spread(self.settings.poll_interval);
+        let poll = now + self.backoff.jitter(self.settings.poll_interval);
         let lapse = self.last_row.as_ref().map(|(row, watch)| {
             let term = Span::from_millis(row.term_ms);
             let lapse = watch.lapses_at(term, self.settings.margin);
@@ -428,7 +428,7 @@
 
     fn read(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let at = self.address.clone();
-        self.send_call(now, Call::Get { at }, None, effects);
+        self.send_call(now, Call::Get { address: at }, None, effects);
     }
 
     fn write(
@@ -448,11 +448,11 @@
         let transaction = Transaction {
             token: row.token.clone(),
             checks: vec![Check {
-                at: self.address.clone(),
+                address: self.address.clone(),
                 revision: self.last_row.as_ref().map(|(_, watch)| watch.revision()),
             }],
             writes: vec![Write {
-                at: self.address.clone(),
+                address: self.address.clone(),
                 value: serde_json::to_value(&row).unwrap_or(Value::Null),
             }],
         };
--- a/crates/matrix/src/world/store.rs
+++ b/crates/matrix/src/world/store.rs
@@ -44,7 +44,7 @@
             Call::Transact(transaction) => transaction
                 .writes
                 .iter()
-                .any(|write| write.at.table == table),
+                .any(|write| write.address.table == table),
             _ => false,
         }
     }
@@ -80,7 +80,7 @@
                 let intent = transaction
                     .checks
                     .iter()
-                    .any(|check| check.at.table == "intents");
+                    .any(|check| check.address.table == "intents");
                 if intent {
                     transaction.checks.clear();
                 }
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -283,7 +283,7 @@
     ) {
         let failed = matches!(outcome, Outcome::Unavailable | Outcome::Unknown);
         let wait = if failed {
-            self.backoff.fail()
+            self.backoff.next_delay()
         } else {
             self.backoff.reset();
             Span::ZERO
@@ -384,7 +384,7 @@
     fn renew(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let members = self.directory.present_count();
         let interval = self.settings.renewal_interval_for(members);
-        let interval = self.backoff.spread(interval).min(interval);
+        let interval = self.backoff.jitter(interval).min(interval);
         let term = self.settings.term_for(members);
         if let Some(call) = self.registration.take_due(now, interval, term) {
             self.merge_own_record(now);
@@ -408,12 +408,12 @@
         }
         let zone = row::zone_prefix(&self.registration.row().zone);
         let zone_interval = self.settings.scan_interval_for(self.roster.count(&zone));
-        self.next_zone_read = now + self.backoff.spread(zone_interval);
+        self.next_zone_read = now + self.backoff.jitter(zone_interval);
         let prefix = if now >= self.next_full_read {
             let full_interval = self
                 .settings
                 .scan_interval_for(self.directory.present_count());
-            self.next_full_read = now + self.backoff.spread(full_interval);
+            self.next_full_read = now + self.backoff.jitter(full_interval);
             SmolStr::default()
         } else {
             zone
--- a/crates/member/src/membership/gossip.rs
+++ b/crates/member/src/membership/gossip.rs
@@ -40,7 +40,7 @@
         }
         let is_regular = now >= self.last_gossip + self.settings.gossip_interval || self.round == 0;
         self.last_gossip = now;
-        self.next_gossip = now + self.backoff.spread(self.settings.gossip_interval);
+        self.next_gossip = now + self.backoff.jitter(self.settings.gossip_interval);
         self.round += 1;
         self.beat.count += 1;
         let beat = self.beat;
--- a/crates/member/src/registration.rs
+++ b/crates/member/src/registration.rs
@@ -103,11 +103,11 @@
         Some(Call::Transact(Transaction {
             token: at.key.clone(),
             checks: vec![Check {
-                at: at.clone(),
+                address: at.clone(),
                 revision: self.revision,
             }],
             writes: vec![Write {
-                at,
+                address: at,
                 value: serde_json::to_value(&self.row).unwrap_or(Value::Null),
             }],
         }))
--- a/crates/member/src/roster.rs
+++ b/crates/member/src/roster.rs
@@ -229,11 +229,11 @@
     Call::Transact(Transaction {
         token: key.clone(),
         checks: vec![Check {
-            at: at.clone(),
+            address: at.clone(),
             revision: Some(revision),
         }],
         writes: vec![Write {
-            at,
+            address: at,
             value: serde_json::Value::Null,
         }],
     })
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -41,7 +41,7 @@
 
 /// No answer came: what was asked for may have happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lost(pub String);
+pub struct Error(pub String);
 
 impl Peers {
     /// No connections yet.
@@ -55,7 +55,7 @@
     }
 
     /// Asks the peer at `address` to spend a sealed ticket.
-    pub async fn spend(&self, address: &SmolStr, ticket: &str) -> Result<Answer, Lost> {
+    pub async fn spend(&self, address: &SmolStr, ticket: &str) -> Result<Answer, Error> {
         let entry = self.entry(address).await?;
         let mut request = entry.spend_request();
         request.get().set_ticket(ticket);
@@ -73,9 +73,9 @@
         &self,
         address: &SmolStr,
         estates: &[Estate],
-    ) -> Result<Option<Incarnation>, Lost> {
+    ) -> Result<Option<Incarnation>, Error> {
         let entry = self.entry(address).await?;
-        let bytes = serde_json::to_vec(estates).map_err(|error| Lost(error.to_string()))?;
+        let bytes = serde_json::to_vec(estates).map_err(|error| Error(error.to_string()))?;
         let mut request = entry.inherit_request();
         request.get().set_estates(&bytes);
         let response = self.answer(address, request.send().promise).await?;
@@ -88,7 +88,7 @@
     ///
     /// One that finds a connection on its way is lost: the next one says more. Each would else make a
     /// connection of its own, and a peer that is slow to take one would get hundreds.
-    pub async fn digest(&self, address: &SmolStr, digest: &Digest) -> Result<(), Lost> {
+    pub async fn digest(&self, address: &SmolStr, digest: &Digest) -> Result<(), Error> {
         let entry = self.ready_entry(address).await?;
         let mut request = entry.digest_request();
         wire::digest::write(digest, request.get().init_digest());
@@ -102,7 +102,7 @@
         address: &SmolStr,
         from: Incarnation,
         message: &[u8],
-    ) -> Result<(), Lost> {
+    ) -> Result<(), Error> {
         let entry = self.entry(address).await?;
         let mut request = entry.configure_request();
         request.get().set_from(from.0);
@@ -119,7 +119,7 @@
         address: &SmolStr,
         account: u64,
         tokens: u64,
-    ) -> Result<Charge, Lost> {
+    ) -> Result<Charge, Error> {
         let entry = self.ready_entry(address).await?;
         let mut request = entry.charge_request();
         request.get().set_account(account);
@@ -130,14 +130,14 @@
             true => Charge::Granted {
                 bucket: response.get_bucket(),
             },
-            false => Charge::Short {
-                after: Span::from_millis(response.get_retry_ms()),
+            false => Charge::Exceeded {
+                retry_after: Span::from_millis(response.get_retry_ms()),
             },
         })
     }
 
     /// Gives back what a peer granted.
-    pub async fn refund(&self, address: &SmolStr, bucket: u64, tokens: u64) -> Result<(), Lost> {
+    pub async fn refund(&self, address: &SmolStr, bucket: u64, tokens: u64) -> Result<(), Error> {
         let entry = self.ready_entry(address).await?;
         let mut request = entry.refund_request();
         request.get().set_bucket(bucket);
@@ -147,9 +147,9 @@
     }
 
     /// The peer at `address`, unless a connection to it is on its way.
-    async fn ready_entry(&self, address: &SmolStr) -> Result<entry::Client, Lost> {
+    async fn ready_entry(&self, address: &SmolStr) -> Result<entry::Client, Error> {
         if self.coming.borrow().contains(address) {
-            return Err(Lost(String::from("a connection is on its way")));
+            return Err(Error(String::from("a connection is on its way")));
         }
         self.entry(address).await
     }
@@ -159,7 +159,7 @@
         &self,
         address: &SmolStr,
         answer: impl Future<Output = Result<T, capnp::Error>>,
-    ) -> Result<T, Lost> {
+    ) -> Result<T, Error> {
         let result = within(self.limit.call, answer).await;
         if result.is_err() {
             self.open.borrow_mut().remove(address);
@@ -168,12 +168,12 @@
     }
 
     /// The peer at `address`, over a connection that both sides have proved.
-    async fn entry(&self, address: &SmolStr) -> Result<entry::Client, Lost> {
+    async fn entry(&self, address: &SmolStr) -> Result<entry::Client, Error> {
         if let Some(entry) = self.open.borrow().get(address) {
             return Ok(entry.clone());
         }
         self.coming.borrow_mut().insert(address.clone());
-        let entry = within(self.limit.greeting, self.connect(address)).await;
+        let entry = within(self.limit.handshake, self.connect(address)).await;
         self.coming.borrow_mut().remove(address);
         let entry = entry?;
         let mut open = self.open.borrow_mut();
@@ -229,14 +229,14 @@
 async fn within<T>(
     limit: Span,
     future: impl Future<Output = Result<T, capnp::Error>>,
-) -> Result<T, Lost> {
+) -> Result<T, Error> {
     match tokio::time::timeout(limit.as_duration(), future).await {
         Ok(result) => result.map_err(lost),
-        Err(_) => Err(Lost(format!("no answer within {limit}"))),
+        Err(_) => Err(Error(format!("no answer within {limit}"))),
     }
 }
 
 /// A failed call as a lost one.
-fn lost(error: capnp::Error) -> Lost {
-    Lost(error.to_string())
+fn lost(error: capnp::Error) -> Error {
+    Error(error.to_string())
 }
--- a/crates/peer/src/configs/limit.rs
+++ b/crates/peer/src/configs/limit.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
     /// Longest time for a connection to come about, both proofs included.
-    pub greeting: Span,
+    pub handshake: Span,
     /// Longest time for a call to be answered.
     pub call: Span,
     /// Most connections that are open at once from peers: an entry that adds up counts has one of each.
@@ -18,7 +18,7 @@
 impl Default for Limit {
     fn default() -> Limit {
         Limit {
-            greeting: Span::from_seconds(2),
+            handshake: Span::from_seconds(2),
             call: Span::from_seconds(2),
             connections: 2_048,
             message_bytes: 8 * 1024 * 1024,
--- a/crates/peer/src/receiver.rs
+++ b/crates/peer/src/receiver.rs
@@ -22,9 +22,9 @@
         bucket: u64,
     },
     /// The quota has no room.
-    Short {
+    Exceeded {
         /// When to come back.
-        after: Span,
+        retry_after: Span,
     },
 }
 
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -73,7 +73,7 @@
     let mut system = RpcSystem::new(Box::new(network), Some(client.client));
     let ended = tokio::select! {
         ended = &mut system => ended,
-        () = tokio::time::sleep(limit.greeting.as_duration()) => {
+        () = tokio::time::sleep(limit.handshake.as_duration()) => {
             if !proved.get() {
                 log::warn!(event = "peer_unproved"; "");
                 return;
@@ -215,7 +215,7 @@
                 results.set_granted(true);
                 results.set_bucket(bucket);
             }
-            Charge::Short { after } => results.set_retry_ms(after.as_millis()),
+            Charge::Exceeded { retry_after } => results.set_retry_ms(retry_after.as_millis()),
         }
         Ok(())
     }
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -63,8 +63,8 @@
     fn charge(&self, account: u64, tokens: u64) -> Pending<Charge> {
         let answer = match tokens {
             0..=100 => Charge::Granted { bucket: !account },
-            _ => Charge::Short {
-                after: Span::from_millis(tokens),
+            _ => Charge::Exceeded {
+                retry_after: Span::from_millis(tokens),
             },
         };
         Box::pin(async move { Some(answer) })
@@ -124,9 +124,9 @@
         assert_eq!(told, Ok(()));
         let granted = peers.charge(&address, 7, 100).await;
         assert_eq!(granted, Ok(Charge::Granted { bucket: !7 }));
-        let after = Span::from_millis(101);
+        let retry_after = Span::from_millis(101);
         let short = peers.charge(&address, 7, 101).await;
-        assert_eq!(short, Ok(Charge::Short { after }));
+        assert_eq!(short, Ok(Charge::Exceeded { retry_after }));
         assert_eq!(peers.refund(&address, !7, 100).await, Ok(()));
         assert_eq!(*heard.refunds.borrow(), [(!7, 100)]);
         assert_eq!(*heard.digests.borrow(), [digest]);
@@ -183,7 +183,7 @@
         let address = socket.local_addr().expect("an address").to_smolstr();
         let same = socket.try_clone().expect("a second handle");
         let limit = Limit {
-            greeting: Span::from_millis(200),
+            handshake: Span::from_millis(200),
             ..Limit::default()
         };
         let peers = peers(KEY, limit);
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -228,7 +228,7 @@
 fn answer_from(charge: receiver::Charge) -> Answer {
     match charge {
         receiver::Charge::Granted { bucket } => Answer::Granted { bucket },
-        receiver::Charge::Short { after } => Answer::Exceeded { retry_after: after },
+        receiver::Charge::Exceeded { retry_after } => Answer::Exceeded { retry_after },
     }
 }
 
@@ -236,7 +236,7 @@
 fn charge_from(answer: Answer) -> receiver::Charge {
     match answer {
         Answer::Granted { bucket } => receiver::Charge::Granted { bucket },
-        Answer::Exceeded { retry_after: after } => receiver::Charge::Short { after },
+        Answer::Exceeded { retry_after } => receiver::Charge::Exceeded { retry_after },
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -24,7 +24,7 @@
 pub use crate::load::Loaded;
 pub use crate::load::load;
 pub use crate::load::read;
-pub use crate::load::strict;
+pub use crate::load::read_strict;
 pub use crate::secret::Secret;
 
 use crate::configs::admin::Admin;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -52,7 +52,7 @@
 }
 
 /// Reads a file for `--check`: unknown names are faults too.
-pub fn strict(path: impl AsRef<Path>) -> Result<Loaded, Faults> {
+pub fn read_strict(path: impl AsRef<Path>) -> Result<Loaded, Faults> {
     let loaded = read(path)?;
     if loaded.warnings.0.is_empty() {
         Ok(loaded)
--- a/crates/settings/tests/load.rs
+++ b/crates/settings/tests/load.rs
@@ -89,10 +89,10 @@
 fn an_unknown_name_is_a_fault_for_a_strict_check() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("strict.jsonc");
     fs::write(&path, LEAST).unwrap();
-    assert!(settings::strict(&path).is_ok());
+    assert!(settings::read_strict(&path).is_ok());
     let text = LEAST.replace("\"identity\"", "\"identiti\": {}, \"identity\"");
     fs::write(&path, text).unwrap();
-    let faults = settings::strict(&path).unwrap_err();
+    let faults = settings::read_strict(&path).unwrap_err();
     assert!(lines(&faults)[0].ends_with("did you mean 'identity'?"));
 }
 
--- a/crates/standin/src/platform/tables.rs
+++ b/crates/standin/src/platform/tables.rs
@@ -80,15 +80,15 @@
         self.revision += 1;
         for write in &transaction.writes {
             if write.value.is_null() {
-                self.rows.remove(&write.at);
+                self.rows.remove(&write.address);
                 continue;
             }
             let row = Row {
-                key: write.at.key.clone(),
+                key: write.address.key.clone(),
                 value: write.value.clone(),
                 revision: self.revision,
             };
-            self.rows.insert(write.at.clone(), row);
+            self.rows.insert(write.address.clone(), row);
         }
         Ok(self.revision)
     }
@@ -96,10 +96,10 @@
     fn failed(&self, transaction: &Transaction) -> Vec<Failed> {
         let mut failed = Vec::new();
         for check in &transaction.checks {
-            let row = self.rows.get(&check.at);
+            let row = self.rows.get(&check.address);
             if row.map(|row| row.revision) != check.revision {
                 failed.push(Failed {
-                    at: check.at.clone(),
+                    at: check.address.clone(),
                     row: row.cloned(),
                 });
             }
@@ -134,7 +134,7 @@
     match state.tables.transact(transaction) {
         Ok(revision) => {
             state.counts.rows_written += transaction.writes.len() as u64;
-            let written = transaction.writes.iter().map(|write| &write.at.table);
+            let written = transaction.writes.iter().map(|write| &write.address.table);
             if state.faults.takes_answer(written) {
                 state.counts.answers_lost += 1;
                 return Err(io::Error::other("answer lost on order"));
--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -32,7 +32,7 @@
     }
 
     /// The time to wait after one more failure.
-    pub fn fail(&mut self) -> Span {
+    pub fn next_delay(&mut self) -> Span {
         let factor = 1_u64 << self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
         let full = self.first.times(factor).min(self.limit);
@@ -50,7 +50,7 @@
     }
 
     /// `span` lengthened or shortened by up to a quarter, for periodic work.
-    pub fn spread(&mut self, span: Span) -> Span {
+    pub fn jitter(&mut self, span: Span) -> Span {
         span.scaled(self.random.random_range(0.75..=1.25))
     }
 
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -35,7 +35,7 @@
     /// Given back with the outcome.
     pub ticket: Ticket,
     /// Which row.
-    pub at: Address,
+    pub address: Address,
     /// Its value; carries the writer's own token, by which a lost answer is read back.
     pub value: Value,
 }
@@ -157,12 +157,12 @@
             .sent
             .values()
             .flatten()
-            .map(|insert| insert.at.clone())
+            .map(|insert| insert.address.clone())
             .collect();
         let mut taken = Vec::new();
         let mut kept = VecDeque::new();
         for insert in std::mem::take(&mut self.waiting) {
-            if taken.len() < self.limit && addresses.insert(insert.at.clone()) {
+            if taken.len() < self.limit && addresses.insert(insert.address.clone()) {
                 taken.push(insert);
             } else {
                 kept.push_back(insert);
@@ -174,11 +174,11 @@
 
     fn transaction(&self, inserts: &[Insert]) -> Transaction {
         let check = |insert: &Insert| Check {
-            at: insert.at.clone(),
+            address: insert.address.clone(),
             revision: None,
         };
         let write = |insert: &Insert| Write {
-            at: insert.at.clone(),
+            address: insert.address.clone(),
             value: insert.value.clone(),
         };
         Transaction {
@@ -197,7 +197,9 @@
         effects: &mut Vec<Effect>,
     ) {
         let mut failed: BTreeMap<Address, Option<Row>> = failed.into_iter().collect();
-        let named = inserts.iter().any(|insert| failed.contains_key(&insert.at));
+        let named = inserts
+            .iter()
+            .any(|insert| failed.contains_key(&insert.address));
         if !named && inserts.len() == 1 {
             effects.push(done(&inserts[0], Outcome::Conflict(Vec::new())));
             return;
@@ -210,9 +212,9 @@
         };
         self.due = now;
         for insert in inserts.into_iter().rev() {
-            match failed.remove(&insert.at) {
+            match failed.remove(&insert.address) {
                 Some(row) => {
-                    let conflict = Outcome::Conflict(vec![(insert.at.clone(), row)]);
+                    let conflict = Outcome::Conflict(vec![(insert.address.clone(), row)]);
                     effects.push(done(&insert, conflict));
                 }
                 None => self.waiting.push_front(insert),
--- a/crates/store/src/call.rs
+++ b/crates/store/src/call.rs
@@ -15,7 +15,7 @@
     /// Reads one row.
     Get {
         /// Table and key.
-        at: Address,
+        address: Address,
     },
     /// Reads rows in key order.
     Scan {
@@ -67,7 +67,7 @@
 pub struct Check {
     /// Which row.
     #[serde(flatten)]
-    pub at: Address,
+    pub address: Address,
     /// Its revision; none wants the row absent.
     pub revision: Option<u64>,
 }
@@ -77,7 +77,7 @@
 pub struct Write {
     /// Which row.
     #[serde(flatten)]
-    pub at: Address,
+    pub address: Address,
     /// Its new value.
     pub value: Value,
 }
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -75,7 +75,7 @@
     /// Makes one call. Never fails otherwise than by its outcome.
     pub async fn call(&self, call: &Call) -> Outcome {
         match call {
-            Call::Get { at } => self.get(at).await,
+            Call::Get { address: at } => self.get(at).await,
             Call::Scan {
                 table,
                 prefix,
--- a/crates/store/src/fake.rs
+++ b/crates/store/src/fake.rs
@@ -101,7 +101,7 @@
 
     fn serve(&mut self, call: &Call) -> Outcome {
         match call {
-            Call::Get { at } => {
+            Call::Get { address: at } => {
                 self.reads += 1;
                 Outcome::Row(self.rows.get(at).cloned())
             }
@@ -139,8 +139,13 @@
         let failed: Vec<(Address, Option<Row>)> = transaction
             .checks
             .iter()
-            .filter(|check| self.rows.get(&check.at).map(|row| row.revision) != check.revision)
-            .map(|check| (check.at.clone(), self.rows.get(&check.at).cloned()))
+            .filter(|check| self.rows.get(&check.address).map(|row| row.revision) != check.revision)
+            .map(|check| {
+                (
+                    check.address.clone(),
+                    self.rows.get(&check.address).cloned(),
+                )
+            })
             .collect();
         if !failed.is_empty() {
             return Outcome::Conflict(failed);
@@ -148,15 +153,15 @@
         self.revision += 1;
         for write in &transaction.writes {
             if write.value == Value::Null {
-                self.rows.remove(&write.at);
+                self.rows.remove(&write.address);
                 continue;
             }
             let row = Row {
-                key: write.at.key.clone(),
+                key: write.address.key.clone(),
                 value: write.value.clone(),
                 revision: self.revision,
             };
-            self.rows.insert(write.at.clone(), row);
+            self.rows.insert(write.address.clone(), row);
         }
         Outcome::Committed(self.revision)
     }
--- a/crates/store/src/contact.rs
+++ b/crates/store/src/health.rs
@@ -7,28 +7,28 @@
 
 /// How calls of the service have ended lately.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Contact {
+pub struct Health {
     /// Since when calls fail, if the last one did.
     failing: Option<Time>,
     /// Failed calls since the last answer.
     failures: u32,
 }
 
-impl Contact {
+impl Health {
     /// A call failed; whether it is the first one since an answer.
-    pub fn failed(&mut self, now: Time) -> bool {
+    pub fn record_failure(&mut self, now: Time) -> bool {
         self.failures = self.failures.saturating_add(1);
         self.failing.replace(self.failing.unwrap_or(now)).is_none()
     }
 
     /// A call was answered; since when calls had failed, if they had.
-    pub fn answered(&mut self) -> Option<Time> {
+    pub fn record_answer(&mut self) -> Option<Time> {
         self.failures = 0;
         self.failing.take()
     }
 
     /// Whether the service is out of reach.
-    pub fn is_lost(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.failures >= FAILURES
     }
 }
--- a/crates/store/tests/batch.rs
+++ b/crates/store/tests/batch.rs
@@ -24,7 +24,7 @@
 fn insert(ticket: u64, key: &str) -> Insert {
     Insert {
         ticket: Ticket(ticket),
-        at: Address::new("intents", key),
+        address: Address::new("intents", key),
         value: json!({ "token": ticket }),
     }
 }
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -15,7 +15,7 @@
 
 fn read() -> Call {
     Call::Get {
-        at: Address::new("t", "k"),
+        address: Address::new("t", "k"),
     }
 }
 
--- a/crates/store/tests/driver.rs
+++ b/crates/store/tests/driver.rs
@@ -51,7 +51,7 @@
 
 async fn both(answer: &str) -> (Outcome, Outcome) {
     let driver = Driver::new(&service(answer.to_owned()).await, TIMEOUT);
-    let read = driver.call(&Call::Get { at: at() }).await;
+    let read = driver.call(&Call::Get { address: at() }).await;
     let write = driver.call(&Call::Transact(Transaction::default())).await;
     (read, write)
 }
