--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -57,7 +57,7 @@
     }
 
     /// Opens a model call.
-    fn model(&self, credentials: Credentials, chat: Chat) -> Pending {
+    fn start_model_call(&self, credentials: Credentials, chat: Chat) -> Pending {
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
         let output = Output::new(id.to_string(), chat.stream, head);
@@ -66,11 +66,11 @@
         let shared = Rc::clone(&self.shared);
         let flight = Flight::new(shared, id, chat, credentials.offset, commands, output);
         tokio::task::spawn_local(flight.run());
-        pending(answer)
+        await_response(answer)
     }
 
     /// Opens a plain call.
-    fn plain(&self, credentials: Credentials, call: Plain) -> Pending {
+    fn start_plain_call(&self, credentials: Credentials, call: Plain) -> Pending {
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
         let arrival = plain_arrival(&credentials, &call);
@@ -78,7 +78,7 @@
         let shared = Rc::clone(&self.shared);
         let flight = PlainFlight::new(shared, id.serial, id.to_string(), call, commands, head);
         tokio::task::spawn_local(flight.run());
-        pending(answer)
+        await_response(answer)
     }
 
     /// Tells the reducer of a request; what it commands comes through the channel.
@@ -102,7 +102,7 @@
         Box::pin(async move {
             match answer.await {
                 Ok(addresses) => addresses_answer(&addresses, &seal),
-                Err(_) => stopped(),
+                Err(_) => stopped_response(),
             }
         })
     }
@@ -120,7 +120,7 @@
             match answer.await {
                 Ok(None) => answer::json_answer(&json!({"cancelled": name})),
                 Ok(Some(refusal)) => answer::refused(&name, &refusal),
-                Err(_) => stopped(),
+                Err(_) => stopped_response(),
             }
         })
     }
@@ -130,20 +130,20 @@
     fn handle(&self, credentials: Credentials, call: Call) -> Pending {
         match call {
             Call::Addresses { prefix } => self.addresses(credentials.key, prefix),
-            Call::Model(chat) => self.model(credentials, chat),
-            Call::Plain(call) => self.plain(credentials, call),
+            Call::Model(chat) => self.start_model_call(credentials, chat),
+            Call::Plain(call) => self.start_plain_call(credentials, call),
             Call::Cancel { request } => self.cancel(credentials.key, request),
         }
     }
 }
 
 /// The answer once its task has given one.
-fn pending(answer: oneshot::Receiver<Response<Payload>>) -> Pending {
-    Box::pin(async move { answer.await.unwrap_or_else(|_| stopped()) })
+fn await_response(answer: oneshot::Receiver<Response<Payload>>) -> Pending {
+    Box::pin(async move { answer.await.unwrap_or_else(|_| stopped_response()) })
 }
 
 /// The answer when the process stops under the call.
-fn stopped() -> Response<Payload> {
+fn stopped_response() -> Response<Payload> {
     let refusal = Refusal::may_have_run(Reason::Leaving, "this entry has stopped");
     answer::refused("", &refusal)
 }
--- a/crates/daemon/src/fleet_port.rs
+++ b/crates/daemon/src/fleet_port.rs
@@ -24,10 +24,10 @@
 use crate::link::Link;
 
 /// HTTP status by which the cloud says that it has none.
-const NO_CAPACITY: u16 = 409;
+const NO_CAPACITY_STATUS: u16 = 409;
 
 /// HTTP status by which an engine refuses an old fencing number.
-const OLD_FENCE: u16 = 409;
+const STALE_FENCE_STATUS: u16 = 409;
 
 /// The way to engines' orders and the cloud.
 #[derive(Clone)]
@@ -44,11 +44,11 @@
 
 impl FleetPort {
     /// Reads what an engine serves.
-    pub fn read(&self, deployment: SmolStr, engine: SmolStr, address: SmolStr) {
+    pub fn read_engine(&self, deployment: SmolStr, engine: SmolStr, address: SmolStr) {
         let port = self.clone();
         tokio::task::spawn_local(async move {
-            let at = Engine::new(&port.client, &address);
-            let (Ok(standing), Ok(load)) = (at.standing().await, at.load().await) else {
+            let client = Engine::new(&port.client, &address);
+            let (Ok(standing), Ok(load)) = (client.standing().await, client.load().await) else {
                 return;
             };
             let target = Target {
@@ -58,7 +58,7 @@
                 role: standing.target.role,
             };
             let running = load.running + load.waiting;
-            port.tell(
+            port.notify(
                 deployment,
                 FleetEvent::EngineRead {
                     engine,
@@ -70,7 +70,7 @@
     }
 
     /// Sends an order.
-    pub fn order(
+    pub fn order_engine(
         &self,
         deployment: SmolStr,
         engine: SmolStr,
@@ -90,19 +90,19 @@
                 version: target.version,
                 role: target.role,
             };
-            let at = Engine::new(&port.client, &address);
-            if let Err(Failure::Answered { status, .. }) = at.order(fence, &target).await
-                && status == OLD_FENCE
+            let client = Engine::new(&port.client, &address);
+            if let Err(Failure::Answered { status, .. }) = client.order(fence, &target).await
+                && status == STALE_FENCE_STATUS
             {
-                let higher = at
+                let current = client
                     .standing()
                     .await
                     .map_or(fence + 1, |standing| standing.fence);
-                port.tell(
+                port.notify(
                     deployment,
                     FleetEvent::EngineRefused {
                         engine,
-                        fence: higher,
+                        fence: current,
                     },
                 );
             }
@@ -110,7 +110,7 @@
     }
 
     /// Asks the cloud for an instance. No answer is taken for neither: the wish is forgotten in time.
-    pub fn start(
+    pub fn start_instance(
         &self,
         deployment: SmolStr,
         token: SmolStr,
@@ -131,9 +131,9 @@
                 pool,
             };
             match Cloud::new(&port.client, &port.cloud).start(&wish).await {
-                Ok(_) => port.tell(deployment, FleetEvent::Granted { token }),
-                Err(Failure::Answered { status, .. }) if status == NO_CAPACITY => {
-                    port.tell(deployment, FleetEvent::Refused { token });
+                Ok(_) => port.notify(deployment, FleetEvent::Granted { token }),
+                Err(Failure::Answered { status, .. }) if status == NO_CAPACITY_STATUS => {
+                    port.notify(deployment, FleetEvent::Refused { token });
                 }
                 Err(failure) => {
                     log::warn!(event = "wish_unanswered", failure = failure.as_str(); "");
@@ -143,7 +143,7 @@
     }
 
     /// Gives an instance back once its work had time to end or move.
-    pub fn stop(&self, id: SmolStr, delay: Span, lease_end: Time) {
+    pub fn stop_instance(&self, id: SmolStr, delay: Span, lease_end: Time) {
         let port = self.clone();
         tokio::task::spawn_local(async move {
             if port.clock.now() >= lease_end {
@@ -160,7 +160,7 @@
         });
     }
 
-    fn tell(&self, deployment: SmolStr, event: FleetEvent) {
+    fn notify(&self, deployment: SmolStr, event: FleetEvent) {
         self.link.event(Event::Fleet { deployment, event });
     }
 }
--- a/crates/daemon/src/flight.rs
+++ b/crates/daemon/src/flight.rs
@@ -1,9 +1,9 @@
 //! The task of one open model call: starts, resumes and moves its engine stream and relays it.
 //!
-//! `opening` asks engines for streams, `words` takes what they say.
+//! `opening` asks engines for streams, `engine_events` takes what they say.
 
+mod engine_events;
 mod opening;
-mod words;
 
 use std::future::Future;
 use std::pin::Pin;
@@ -37,7 +37,7 @@
 use crate::output::Output;
 
 /// How often tokens passed on are reported: the reducer needs counts, not chunks.
-const REPORT_TIME: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What tasks of requests share.
 pub struct Shared {
@@ -59,7 +59,7 @@
     output: Output,
     relay: Sequencer,
     phase: Phase,
-    running: Option<Running>,
+    running: Option<Attempt>,
     /// Tokens passed on since the last report.
     unreported: u32,
     /// Longest time between two tokens since the last report.
@@ -67,12 +67,12 @@
     /// When the last token was passed on.
     last_token: Option<Instant>,
     /// Tokens passed on by this task.
-    passed: u64,
+    forwarded: u64,
 }
 
 /// The attempt that runs.
 #[derive(Clone)]
-struct Running {
+struct Attempt {
     /// Number of the attempt here.
     attempt: u32,
     /// The engine's stream.
@@ -81,16 +81,16 @@
     account: SmolStr,
     /// The caller's offset of that stream's first token.
     base: u64,
-    how: Asked,
+    source: Source,
 }
 
 /// How the stream that is read now was asked for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Asked {
+enum Source {
     /// Started or moved by this task, or read from since.
     Fresh,
-    /// Asked for again after a cut, and nothing came since.
-    Again,
+    /// Source for again after a cut, and nothing came since.
+    Retried,
     /// Taken over from another entry, and nothing came since.
     Adopted,
 }
@@ -115,8 +115,8 @@
 /// Whether the task goes on.
 #[derive(PartialEq, Eq)]
 enum Flow {
-    On,
-    Over,
+    Continue,
+    Break,
 }
 
 impl Flight {
@@ -142,32 +142,32 @@
             unreported: 0,
             worst_gap: Span::ZERO,
             last_token: None,
-            passed: 0,
+            forwarded: 0,
         }
     }
 
     /// Serves the call to its end.
     pub async fn run(mut self) {
-        let mut report = tokio::time::interval(REPORT_TIME);
+        let mut report = tokio::time::interval(REPORT_INTERVAL);
         report.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let flow = tokio::select! {
                 biased;
                 command = self.commands.recv() => match command {
-                    Some(command) => self.command(command).await,
-                    None => Flow::Over,
+                    Some(command) => self.execute(command).await,
+                    None => Flow::Break,
                 },
                 () = self.output.closed() => {
                     self.shared.link.event(Event::CallerDisconnected { serial: self.serial });
-                    Flow::Over
+                    Flow::Break
                 }
-                word = self.phase.next() => self.word(word).await,
+                event = self.phase.next() => self.handle_event(event).await,
                 _ = report.tick() => {
                     self.report_tokens();
-                    Flow::On
+                    Flow::Continue
                 }
             };
-            if flow == Flow::Over {
+            if flow == Flow::Break {
                 break;
             }
         }
@@ -176,22 +176,22 @@
     }
 
     /// Does what the reducer wants.
-    async fn command(&mut self, command: Command) -> Flow {
+    async fn execute(&mut self, command: Command) -> Flow {
         match command {
             Command::Refuse(refusal) => {
-                self.give_up_stream();
+                self.cancel_stream();
                 self.output.refuse(&refusal).await;
-                return Flow::Over;
+                return Flow::Break;
             }
-            Command::Drop => return Flow::Over,
+            Command::Drop => return Flow::Break,
             Command::Stop => {
-                self.give_up_stream();
+                self.cancel_stream();
                 self.phase = Phase::Idle;
             }
             Command::HandOff { address } => {
-                let token = self.token();
+                let token = self.resume_token();
                 self.output.hand_off(&address, &token).await;
-                return Flow::Over;
+                return Flow::Break;
             }
             Command::Start {
                 stream,
@@ -199,8 +199,8 @@
                 priority,
                 account,
             } => {
-                if self.passed >= u64::from(self.chat.max_new_tokens) {
-                    return self.whole(stream).await;
+                if self.forwarded >= u64::from(self.chat.max_new_tokens) {
+                    return self.finish_complete(stream).await;
                 }
                 self.start(stream, endpoint, priority, account);
             }
@@ -210,13 +210,13 @@
                 endpoint,
                 base,
                 account,
-            } => self.attach(Running {
+            } => self.attach(Attempt {
                 attempt,
                 stream,
                 endpoint,
                 account,
                 base,
-                how: Asked::Adopted,
+                source: Source::Adopted,
             }),
             Command::Move {
                 stream,
@@ -224,11 +224,11 @@
                 transfer,
             } => self.move_to(stream, endpoint, transfer),
         }
-        Flow::On
+        Flow::Continue
     }
 
     /// The answer was cut between its last token and its end: nothing is left to be computed.
-    async fn whole(&mut self, stream: Stream) -> Flow {
+    async fn finish_complete(&mut self, stream: Stream) -> Flow {
         self.shared.link.event(Event::Attempt {
             serial: self.serial,
             attempt: stream.attempt,
@@ -237,12 +237,12 @@
                 tokens: std::mem::take(&mut self.unreported),
             },
         });
-        self.output.done().await;
-        Flow::Over
+        self.output.finish().await;
+        Flow::Break
     }
 
     /// The sealed word with which the caller can come back to the running stream.
-    fn token(&self) -> String {
+    fn resume_token(&self) -> String {
         let Some(running) = &self.running else {
             return String::new();
         };
@@ -258,7 +258,7 @@
     }
 
     /// Stops the engine's work on a call that nobody waits for.
-    fn give_up_stream(&mut self) {
+    fn cancel_stream(&mut self) {
         let Some(running) = self.running.take() else {
             return;
         };
@@ -296,18 +296,18 @@
 }
 
 /// What the engine said.
-enum Word {
+enum EngineEvent {
     Opened(Opened),
     Chunk(Result<Chunk, Failure>),
 }
 
 impl Phase {
     /// Waits for the engine's next word; for ever if none is to come.
-    async fn next(&mut self) -> Word {
+    async fn next(&mut self) -> EngineEvent {
         match self {
             Phase::Idle => std::future::pending().await,
-            Phase::Opening(opening) => Word::Opened(opening.await),
-            Phase::Reading(events) => Word::Chunk(events.next().await),
+            Phase::Opening(opening) => EngineEvent::Opened(opening.await),
+            Phase::Reading(events) => EngineEvent::Chunk(events.next().await),
         }
     }
 }
--- a/crates/daemon/src/flight/words.rs
+++ b/crates/daemon/src/flight/engine_events.rs
@@ -13,40 +13,42 @@
 use verdict::Reason;
 use verdict::Refusal;
 
-use crate::ends::end_of;
-use crate::flight::Asked;
+use crate::attempt_end::end_of;
+use crate::flight::EngineEvent;
 use crate::flight::Flight;
 use crate::flight::Flow;
 use crate::flight::Opened;
 use crate::flight::Phase;
-use crate::flight::Word;
+use crate::flight::Source;
 
 impl Flight {
     /// Takes the engine's next word.
-    pub(super) async fn word(&mut self, word: Word) -> Flow {
-        match word {
-            Word::Opened(opened) => self.opened(opened).await,
-            Word::Chunk(Ok(Chunk::Token { offset, data })) => self.token_came(offset, data).await,
-            Word::Chunk(Ok(Chunk::Done)) => {
+    pub(super) async fn handle_event(&mut self, event: EngineEvent) -> Flow {
+        match event {
+            EngineEvent::Opened(opened) => self.handle_opened(opened).await,
+            EngineEvent::Chunk(Ok(Chunk::Token { offset, data })) => {
+                self.forward_token(offset, data).await
+            }
+            EngineEvent::Chunk(Ok(Chunk::Done)) => {
                 self.report_end(End::Finished);
-                self.output.done().await;
-                Flow::Over
+                self.output.finish().await;
+                Flow::Break
             }
-            Word::Chunk(Err(failure)) => {
-                self.broken(&failure);
-                Flow::On
+            EngineEvent::Chunk(Err(failure)) => {
+                self.handle_broken_stream(&failure);
+                Flow::Continue
             }
         }
     }
 
     /// The stream has begun, or could not.
-    async fn opened(&mut self, opened: Opened) -> Flow {
+    async fn handle_opened(&mut self, opened: Opened) -> Flow {
         self.phase = Phase::Idle;
         match (opened.events, opened.moved) {
             (Ok(events), moved) => {
                 self.phase = Phase::Reading(events);
-                let token = self.token();
-                self.output.begin(&token).await;
+                let token = self.resume_token();
+                self.output.begin_stream(&token).await;
                 match moved {
                     Some(transfer) => self.report(Report::Moved {
                         transfer,
@@ -54,13 +56,13 @@
                     }),
                     None => self.report(Report::Head),
                 }
-                Flow::On
+                Flow::Continue
             }
             (Err(_), Some(_)) => {
                 self.rerun();
-                Flow::On
+                Flow::Continue
             }
-            (Err(failure), None) => self.not_opened(&failure).await,
+            (Err(failure), None) => self.handle_open_failure(&failure).await,
         }
     }
 
@@ -69,7 +71,8 @@
         let Some(running) = self.running.clone() else {
             return;
         };
-        let recomputed = self.chat.prompt_tokens + u32::try_from(self.passed).unwrap_or(u32::MAX);
+        let recomputed =
+            self.chat.prompt_tokens + u32::try_from(self.forwarded).unwrap_or(u32::MAX);
         self.report(Report::Moved {
             transfer: Transfer::Rerun,
             recomputed,
@@ -78,63 +81,66 @@
     }
 
     /// A start or a resume failed.
-    async fn not_opened(&mut self, failure: &Failure) -> Flow {
-        let how = self.running.as_ref().map_or(Asked::Fresh, |one| one.how);
-        match (how, failure) {
-            (Asked::Adopted, _) => self.report(Report::AttachFailed),
+    async fn handle_open_failure(&mut self, failure: &Failure) -> Flow {
+        let source = self
+            .running
+            .as_ref()
+            .map_or(Source::Fresh, |one| one.source);
+        match (source, failure) {
+            (Source::Adopted, _) => self.report(Report::AttachFailed),
             // It ran there before the cut, so "not sent" speaks of the question alone.
-            (Asked::Again, Failure::NotSent | Failure::Broken) => self.report_end(End::Crashed),
-            (Asked::Again, _) => self.report_end(End::Failed),
-            (Asked::Fresh, Failure::Answered { status, .. }) if (400..500).contains(status) => {
+            (Source::Retried, Failure::NotSent | Failure::Broken) => self.report_end(End::Crashed),
+            (Source::Retried, _) => self.report_end(End::Failed),
+            (Source::Fresh, Failure::Answered { status, .. }) if (400..500).contains(status) => {
                 self.report_end(End::Left);
                 let message = format!("the model engine answered {status}");
                 let refusal = Refusal::may_have_run(Reason::Malformed, message);
                 self.output.refuse(&refusal).await;
-                return Flow::Over;
+                return Flow::Break;
             }
-            (Asked::Fresh, _) => self.report_end(end_of(failure)),
+            (Source::Fresh, _) => self.report_end(end_of(failure)),
         }
-        Flow::On
+        Flow::Continue
     }
 
     /// The stream broke: ask the same engine for it again once, since a cut connection alone costs
     /// nothing to mend, before the attempt counts as failed.
-    fn broken(&mut self, failure: &Failure) {
+    fn handle_broken_stream(&mut self, failure: &Failure) {
         self.phase = Phase::Idle;
         let Some(mut running) = self.running.clone() else {
             return;
         };
-        match running.how {
-            Asked::Adopted => self.report(Report::AttachFailed),
-            Asked::Again => self.report_end(end_of(failure)),
-            Asked::Fresh => {
-                running.how = Asked::Again;
+        match running.source {
+            Source::Adopted => self.report(Report::AttachFailed),
+            Source::Retried => self.report_end(end_of(failure)),
+            Source::Fresh => {
+                running.source = Source::Retried;
                 self.attach(running);
             }
         }
     }
 
     /// Passes a token on, if it is the next one.
-    async fn token_came(&mut self, engine_offset: u64, data: Bytes) -> Flow {
+    async fn forward_token(&mut self, engine_offset: u64, data: Bytes) -> Flow {
         let Some(running) = &mut self.running else {
-            return Flow::On;
+            return Flow::Continue;
         };
         let offset = self.relay.next();
         match self.relay.accept(running.attempt, engine_offset) {
             Decision::Drop => {}
-            Decision::Gap => self.broken(&Failure::Broken),
+            Decision::Gap => self.handle_broken_stream(&Failure::Broken),
             Decision::Emit => {
-                running.how = Asked::Fresh;
+                running.source = Source::Fresh;
                 self.unreported += 1;
                 let last = self.last_token.replace(Instant::now());
                 if let Some(last) = last {
                     let gap = Span::from_millis(last.elapsed().as_millis() as u64);
                     self.worst_gap = self.worst_gap.max(gap);
                 }
-                self.passed += 1;
-                self.output.chunk(offset, data).await;
+                self.forwarded += 1;
+                self.output.send_chunk(offset, data).await;
             }
         }
-        Flow::On
+        Flow::Continue
     }
 }
--- a/crates/daemon/src/flight/opening.rs
+++ b/crates/daemon/src/flight/opening.rs
@@ -9,11 +9,11 @@
 use request::id::Stream;
 use smol_str::SmolStr;
 
-use crate::flight::Asked;
+use crate::flight::Attempt;
 use crate::flight::Flight;
 use crate::flight::Opened;
 use crate::flight::Phase;
-use crate::flight::Running;
+use crate::flight::Source;
 
 impl Flight {
     /// Starts the call, behind what was passed on already.
@@ -26,13 +26,13 @@
     ) {
         let base = self.relay.next();
         self.relay.begin_attempt(stream.attempt, base);
-        self.running = Some(Running {
+        self.running = Some(Attempt {
             attempt: stream.attempt,
             stream,
             endpoint: endpoint.clone(),
             account,
             base,
-            how: Asked::Fresh,
+            source: Source::Fresh,
         });
         let body = self.body();
         let client = self.shared.client.clone();
@@ -47,7 +47,7 @@
     }
 
     /// Goes on reading a stream that an engine holds.
-    pub(super) fn attach(&mut self, running: Running) {
+    pub(super) fn attach(&mut self, running: Attempt) {
         self.relay.begin_attempt(running.attempt, running.base);
         let offset = self.relay.next().saturating_sub(running.base);
         let stream = running.stream;
@@ -71,13 +71,13 @@
         let base = old.base;
         let offset = self.relay.next().saturating_sub(base);
         self.relay.begin_attempt(stream.attempt, base);
-        self.running = Some(Running {
+        self.running = Some(Attempt {
             attempt: stream.attempt,
             stream,
             endpoint: endpoint.clone(),
             account: old.account,
             base,
-            how: Asked::Fresh,
+            source: Source::Fresh,
         });
         let client = self.shared.client.clone();
         self.phase = Phase::Opening(Box::pin(async move {
@@ -101,12 +101,12 @@
 
     /// The body for the engine: the caller's own, or one that goes on behind what was passed on.
     fn body(&self) -> Bytes {
-        if self.passed == 0 {
+        if self.forwarded == 0 {
             return self.chat.body.clone();
         }
         let mut text = self.chat.text_so_far.clone().unwrap_or_default();
         text.push_str(&self.output.text());
-        self.chat.continued_body(&text, self.passed)
+        self.chat.continued_body(&text, self.forwarded)
     }
 }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -5,8 +5,8 @@
 //! through [`link::Link`] and never touch the reducer.
 
 pub mod admin;
+pub mod attempt_end;
 pub mod callers;
-pub mod ends;
 pub mod fleet_port;
 pub mod flight;
 pub mod link;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -47,16 +47,16 @@
             .build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("dogwoodspur");
-        let latency = |name: &'static str, what: &'static str| {
+        let latency = |name: &'static str, description: &'static str| {
             meter
                 .f64_histogram(name)
-                .with_description(what)
+                .with_description(description)
                 .with_unit("ms")
                 .with_boundaries(LATENCY_BOUNDS.to_vec())
                 .build()
         };
-        let gauge = |name: &'static str, what: &'static str| {
-            meter.u64_gauge(name).with_description(what).build()
+        let gauge = |name: &'static str, description: &'static str| {
+            meter.u64_gauge(name).with_description(description).build()
         };
         Ok(Metrics {
             events: meter
@@ -92,17 +92,17 @@
     }
 
     /// Counts what one step did.
-    pub fn stepped(&self, effects: &[Effect], took: Duration) {
-        self.busy.add(took.as_secs_f64(), &[]);
+    pub fn record_step(&self, effects: &[Effect], elapsed: Duration) {
+        self.busy.add(elapsed.as_secs_f64(), &[]);
         for effect in effects {
             if let Effect::Log(line) = effect {
-                self.line(line);
+                self.count_line(line);
             }
         }
     }
 
     /// Shows how the entry stands.
-    pub fn show(&self, stats: &Stats) {
+    pub fn record_vitals(&self, stats: &Stats) {
         self.open.record(stats.open_requests, &[]);
         self.version.record(stats.version, &[]);
         self.members.record(stats.members, &[]);
@@ -112,7 +112,7 @@
     }
 
     /// Counts one line.
-    fn line(&self, line: &Line) {
+    fn count_line(&self, line: &Line) {
         self.events.add(1, &[KeyValue::new("event", line.event)]);
         match line.event {
             "request_refused" => {
--- a/crates/daemon/src/output.rs
+++ b/crates/daemon/src/output.rs
@@ -13,10 +13,10 @@
 use verdict::Refusal;
 
 /// Chunks that may wait for a slow caller before the engine's stream is held back.
-const CHUNKS_WAITING: usize = 1_024;
+const MAX_QUEUED_CHUNKS: usize = 1_024;
 
 /// How long a caller may leave its stream unread.
-const UNREAD_TIME: Duration = Duration::from_secs(60);
+const UNREAD_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The caller's side of one model call.
 pub struct Output {
@@ -35,7 +35,7 @@
     /// The caller reads events.
     Events(mpsc::Sender<Bytes>),
     /// Nothing more can be said.
-    Over,
+    Ended,
 }
 
 impl Output {
@@ -54,19 +54,19 @@
         match &mut self.stage {
             Stage::Head(head) => head.closed().await,
             Stage::Events(events) => events.closed().await,
-            Stage::Over => {}
+            Stage::Ended => {}
         }
     }
 
     /// Gives the head of a stream, or on a stream that has begun the new resume word.
-    pub async fn begin(&mut self, token: &str) {
+    pub async fn begin_stream(&mut self, token: &str) {
         if !self.stream {
             return;
         }
         if let Stage::Events(_) = &self.stage {
             return self.send(answer::resume_event(token)).await;
         }
-        let (sender, receiver) = mpsc::channel(CHUNKS_WAITING);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
         let head = answer::stream_head(&self.request, token, receiver);
         if let Stage::Head(waiting) = std::mem::replace(&mut self.stage, Stage::Events(sender)) {
             let _ = waiting.send(head);
@@ -74,7 +74,7 @@
     }
 
     /// Passes one chunk on.
-    pub async fn chunk(&mut self, offset: u64, data: Bytes) {
+    pub async fn send_chunk(&mut self, offset: u64, data: Bytes) {
         if self.stream {
             let text = String::from_utf8_lossy(&data);
             self.send(answer::chunk_event(offset, &text)).await;
@@ -83,10 +83,10 @@
     }
 
     /// Ends a whole answer.
-    pub async fn done(&mut self) {
+    pub async fn finish(&mut self) {
         if self.stream {
             self.send(answer::done_event()).await;
-            self.stage = Stage::Over;
+            self.stage = Stage::Ended;
             return;
         }
         let body = json!({
@@ -107,7 +107,7 @@
     pub async fn refuse(&mut self, refusal: &Refusal) {
         if let Stage::Events(_) = &self.stage {
             self.send(answer::error_event(&self.request, refusal)).await;
-            self.stage = Stage::Over;
+            self.stage = Stage::Ended;
             return;
         }
         self.respond(answer::refused(&self.request, refusal));
@@ -116,7 +116,7 @@
     /// Ends the stream here; it goes on at `address`.
     pub async fn hand_off(&mut self, address: &str, token: &str) {
         self.send(answer::continue_event(address, token)).await;
-        self.stage = Stage::Over;
+        self.stage = Stage::Ended;
     }
 
     /// The answer's text so far.
@@ -126,7 +126,7 @@
 
     /// Answers a caller that waits for the head.
     fn respond(&mut self, response: Response<Payload>) {
-        if let Stage::Head(waiting) = std::mem::replace(&mut self.stage, Stage::Over) {
+        if let Stage::Head(waiting) = std::mem::replace(&mut self.stage, Stage::Ended) {
             let _ = waiting.send(response);
         }
     }
@@ -136,9 +136,9 @@
         let Stage::Events(events) = &self.stage else {
             return;
         };
-        let sent = tokio::time::timeout(UNREAD_TIME, events.send(bytes)).await;
+        let sent = tokio::time::timeout(UNREAD_TIMEOUT, events.send(bytes)).await;
         if sent.is_err() {
-            self.stage = Stage::Over;
+            self.stage = Stage::Ended;
         }
     }
 }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -24,17 +24,22 @@
 pub struct Peers {
     link: Rc<Link>,
     client: client::Peers,
-    me: Incarnation,
+    incarnation: Incarnation,
     tickets: Rc<Signer>,
 }
 
 impl Peers {
-    /// Calls peers in the name of `me`; `tickets` seals tickets on their way.
-    pub fn new(link: Rc<Link>, client: client::Peers, me: Incarnation, tickets: Signer) -> Peers {
+    /// Calls peers in the name of `incarnation`; `tickets` seals tickets on their way.
+    pub fn new(
+        link: Rc<Link>,
+        client: client::Peers,
+        incarnation: Incarnation,
+        tickets: Signer,
+    ) -> Peers {
         Peers {
             link,
             client,
-            me,
+            incarnation,
             tickets: Rc::new(tickets),
         }
     }
@@ -51,7 +56,7 @@
     }
 
     /// Hands ledgers on to a peer.
-    pub fn offer(&self, address: SmolStr, estates: Vec<Estate>) {
+    pub fn offer_estates(&self, address: SmolStr, estates: Vec<Estate>) {
         let client = self.client.clone();
         let link = Rc::clone(&self.link);
         tokio::task::spawn_local(async move {
@@ -73,12 +78,12 @@
     /// Sends a message about the configuration; its loss does no harm.
     pub fn send_configure(&self, address: SmolStr, message: ConfigMessage) {
         let client = self.client.clone();
-        let me = self.me;
+        let incarnation = self.incarnation;
         tokio::task::spawn_local(async move {
             let Ok(bytes) = serde_json::to_vec(&message) else {
                 return;
             };
-            if let Err(lost) = client.configure(&address, me, &bytes).await {
+            if let Err(lost) = client.configure(&address, incarnation, &bytes).await {
                 log::debug!(event = "configure_lost", peer = address.as_str(), error = lost.0.as_str(); "");
             }
         });
@@ -86,19 +91,19 @@
 }
 
 /// Answers peers.
-pub struct Answering {
+pub struct PeerHandler {
     link: Rc<Link>,
     tickets: Signer,
 }
 
-impl Answering {
+impl PeerHandler {
     /// Answers by asking the loop; `tickets` opens tickets.
-    pub fn new(link: Rc<Link>, tickets: Signer) -> Answering {
-        Answering { link, tickets }
+    pub fn new(link: Rc<Link>, tickets: Signer) -> PeerHandler {
+        PeerHandler { link, tickets }
     }
 }
 
-impl Receiver for Answering {
+impl Receiver for PeerHandler {
     fn spend(&self, ticket: SmolStr) -> Pending<Answer> {
         let (reply, answer) = oneshot::channel();
         if let Some(ticket) = self.tickets.verify(&ticket) {
--- a/crates/daemon/src/plain.rs
+++ b/crates/daemon/src/plain.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::ends::end_of;
+use crate::attempt_end::end_of;
 use crate::flight::Shared;
 use crate::link::Message;
 
@@ -60,13 +60,13 @@
     /// task then stays until the reducer, which may just have handed the call on, has dropped it; were
     /// it to end at once, such a call would stay open with nobody to report its end.
     pub async fn run(mut self) {
-        let mut gone = false;
+        let mut caller_gone = false;
         let response = loop {
             let command = tokio::select! {
                 biased;
                 command = self.commands.recv() => command,
-                () = self.head.closed(), if !gone => {
-                    gone = true;
+                () = self.head.closed(), if !caller_gone => {
+                    caller_gone = true;
                     self.shared.link.event(Event::CallerDisconnected { serial: self.serial });
                     continue;
                 }
@@ -84,10 +84,10 @@
                         plain::call(&self.shared.client, &endpoint.address, self.call.clone())
                             .await;
                     match called {
-                        Ok(whole) => {
+                        Ok(served) => {
                             self.report(attempt, Report::Head);
                             self.report_end(attempt, End::Finished);
-                            break Some(answer::done(&self.request, response_of(whole)));
+                            break Some(answer::done(&self.request, response_of(served)));
                         }
                         Err(failure) => self.report_end(attempt, end_of(&failure)),
                     }
@@ -118,9 +118,9 @@
 }
 
 /// The service's answer as it is given to the caller.
-fn response_of(whole: Answer) -> Response<Payload> {
-    let mut response = Response::new(answer::whole(whole.body));
-    *response.status_mut() = whole.status;
-    *response.headers_mut() = whole.headers;
+fn response_of(served: Answer) -> Response<Payload> {
+    let mut response = Response::new(answer::whole(served.body));
+    *response.status_mut() = served.status;
+    *response.headers_mut() = served.headers;
     response
 }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -35,13 +35,13 @@
 const LEAVING_STATE: &str = "leaving";
 
 /// Time between two readings of the prices.
-const PRICES_TIME: Duration = Duration::from_secs(60);
+const PRICES_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Millionths of the currency in one.
-const MICROS: f64 = 1_000_000.0;
+const MICROS_PER_UNIT: f64 = 1_000_000.0;
 
-/// The last cache event heard of each engine.
-type Heard = Rc<RefCell<BTreeMap<SmolStr, u64>>>;
+/// The last cache event positions of each engine.
+type CachePositions = Rc<RefCell<BTreeMap<SmolStr, u64>>>;
 
 /// Polls the platform until the future is dropped.
 ///
@@ -54,7 +54,7 @@
     interval: Duration,
 ) {
     let mut last_notice = 0;
-    let heard = Heard::default();
+    let positions = CachePositions::default();
     let mut prices = Vec::new();
     let mut next_prices = Instant::now();
     let mut timer = tokio::time::interval(interval);
@@ -67,7 +67,7 @@
         {
             link.event(Event::PricesRead(newest.iter().map(offer_of).collect()));
             prices = newest;
-            next_prices = Instant::now() + PRICES_TIME;
+            next_prices = Instant::now() + PRICES_INTERVAL;
         }
         if let Ok(notices) = cloud.notices(last_notice).await {
             last_notice = notices
@@ -78,9 +78,9 @@
             link.event(Event::NoticesRead(notices));
         }
         if let Ok(instances) = cloud.instances().await {
-            tell_own(&link, &instances, &own);
-            ask_loads(&link, &client, &instances);
-            ask_caches(&link, &client, &instances, &heard);
+            report_own_instance(&link, &instances, &own);
+            poll_loads(&link, &client, &instances);
+            poll_caches(&link, &client, &instances, &positions);
             let entries = instances.iter().filter(|one| one.kind == ENTRY_KIND);
             let addresses = entries.map(|one| one.address.clone()).collect();
             link.event(Event::EntriesRead(addresses));
@@ -93,7 +93,7 @@
 }
 
 /// Tells what the list says of our own instance.
-fn tell_own(link: &Rc<Link>, instances: &[back::cloud::Instance], own: &str) {
+fn report_own_instance(link: &Rc<Link>, instances: &[back::cloud::Instance], own: &str) {
     let ours = instances
         .iter()
         .find(|one| one.kind == ENTRY_KIND && one.address == own);
@@ -106,7 +106,7 @@
 }
 
 /// Asks every engine for its load, side by side.
-fn ask_loads(link: &Rc<Link>, client: &HttpClient, instances: &[back::cloud::Instance]) {
+fn poll_loads(link: &Rc<Link>, client: &HttpClient, instances: &[back::cloud::Instance]) {
     for instance in instances.iter().filter(|one| one.kind == ENGINE_KIND) {
         let link = Rc::clone(link);
         let client = client.clone();
@@ -125,21 +125,21 @@
 }
 
 /// Asks every engine what its cache holds since it was last asked.
-fn ask_caches(
+fn poll_caches(
     link: &Rc<Link>,
     client: &HttpClient,
     instances: &[back::cloud::Instance],
-    heard: &Heard,
+    positions: &CachePositions,
 ) {
     let listed = |name: &SmolStr| instances.iter().any(|one| one.incarnation == *name);
-    heard.borrow_mut().retain(|name, _| listed(name));
+    positions.borrow_mut().retain(|name, _| listed(name));
     for instance in instances.iter().filter(|one| one.kind == ENGINE_KIND) {
         let link = Rc::clone(link);
         let client = client.clone();
-        let heard = Rc::clone(heard);
+        let positions = Rc::clone(positions);
         let address = instance.address.clone();
         let incarnation = instance.incarnation.clone();
-        let after = heard.borrow().get(&incarnation).copied().unwrap_or(0);
+        let after = positions.borrow().get(&incarnation).copied().unwrap_or(0);
         tokio::task::spawn_local(async move {
             let read = Engine::new(&client, &address).cache_events(after).await;
             let events: Vec<CacheUpdate> = read
@@ -150,7 +150,7 @@
             let Some(last) = events.last() else {
                 return;
             };
-            heard
+            positions
                 .borrow_mut()
                 .insert(incarnation.clone(), last.sequence);
             link.event(Event::CacheRead {
@@ -200,7 +200,7 @@
                     && price.class == instance.class
                     && price.market == instance.market
             })
-            .map_or(0, |price| (price.per_hour * MICROS) as u64),
+            .map_or(0, |price| (price.per_hour * MICROS_PER_UNIT) as u64),
         leaving: instance.state == LEAVING_STATE,
     }
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -41,17 +41,17 @@
 use crate::link::Link;
 use crate::logs;
 use crate::metrics::Metrics;
-use crate::peers::Answering;
+use crate::peers::PeerHandler;
 use crate::peers::Peers;
 use crate::platform;
-use crate::shell::Askers;
+use crate::shell::PendingReplies;
 use crate::shell::Shell;
 
 /// Operators' calls that may wait for the loop.
-const CALLS_WAITING: usize = 64;
+const MAX_QUEUED_CALLS: usize = 64;
 
 /// Longest time for the last words of answers to reach their callers.
-const LAST_WORDS_TIME: Duration = Duration::from_secs(5);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The sockets of one entry, bound.
 pub struct Sockets {
@@ -122,11 +122,11 @@
         identity.clone(),
         entry_settings(&settings),
         shared_key,
-        random()?,
+        random_u64()?,
     );
     let tickets = Signer::new(shared_key, TICKET_PURPOSE);
     let callers = Rc::new(Callers::new(shared, identity.incarnation, tickets));
-    let (call_sender, calls) = mpsc::channel(CALLS_WAITING);
+    let (call_sender, calls) = mpsc::channel(MAX_QUEUED_CALLS);
     let operators_key = settings.operators.key.reveal().to_owned();
     let registry = Registry::new();
     let metrics = Metrics::new(&registry)?;
@@ -145,12 +145,13 @@
         ended,
     ));
     let peer_key = Key::new(shared_key);
-    let answering = Rc::new(Answering::new(
+    let peer_handler = Rc::new(PeerHandler::new(
         Rc::clone(&link),
         Signer::new(shared_key, TICKET_PURPOSE),
     ));
     let peer_limit = peer::configs::limit::Limit::default();
-    let peer_server = peer::server::serve(sockets.peers, peer_key.clone(), peer_limit, answering);
+    let peer_server =
+        peer::server::serve(sockets.peers, peer_key.clone(), peer_limit, peer_handler);
     let peers = Peers::new(
         Rc::clone(&link),
         peer::client::Peers::new(peer_key, peer_limit),
@@ -193,12 +194,12 @@
         metrics,
         ready,
         flights: HashMap::new(),
-        askers: Askers::default(),
+        pending: PendingReplies::default(),
     };
     shell.run(messages, calls, stops).await;
     // The last words of answers may still be on their way to callers.
     let _ = end.send(true);
-    let _ = tokio::time::timeout(LAST_WORDS_TIME, front).await;
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, front).await;
     for task in tasks {
         task.abort();
     }
@@ -259,7 +260,7 @@
     let peers = settings.peers.advertise.unwrap_or(bound.peers);
     Ok(Identity {
         name: settings.identity.name.clone(),
-        incarnation: Incarnation(random()?),
+        incarnation: Incarnation(random_u64()?),
         zone: settings.identity.zone.clone(),
         caller_address: callers.to_smolstr(),
         peer_address: peers.to_smolstr(),
@@ -326,6 +327,6 @@
 }
 
 /// A number from the system's source of randomness.
-fn random() -> Result<u64> {
+fn random_u64() -> Result<u64> {
     getrandom::u64().map_err(|error| anyhow::anyhow!("no randomness: {error}"))
 }
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -30,7 +30,7 @@
 use crate::peers::Peers;
 
 /// How often the reducer is told that time has passed.
-const TICK_TIME: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The loop's state.
 pub struct Shell {
@@ -55,23 +55,23 @@
     /// Tasks of open requests.
     pub flights: HashMap<u64, mpsc::UnboundedSender<Command>>,
     /// Who waits for an answer of the reducer.
-    pub askers: Askers,
+    pub pending: PendingReplies,
 }
 
 /// Those who wait for an answer, by number.
 #[derive(Default)]
-pub struct Askers {
+pub struct PendingReplies {
     next: u64,
     addresses: HashMap<u64, oneshot::Sender<Addresses>>,
     cancels: HashMap<u64, oneshot::Sender<Option<Refusal>>>,
     operators: HashMap<u64, oneshot::Sender<Result<Reply, Fault>>>,
     spends: HashMap<u64, oneshot::Sender<Answer>>,
-    heirs: HashMap<u64, oneshot::Sender<Option<Incarnation>>>,
+    inherits: HashMap<u64, oneshot::Sender<Option<Incarnation>>>,
 }
 
-impl Askers {
+impl PendingReplies {
     /// A number not used before.
-    fn number(&mut self) -> u64 {
+    fn next_id(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
@@ -85,7 +85,7 @@
         mut calls: mpsc::Receiver<ops::Call>,
         mut stops: mpsc::UnboundedReceiver<bool>,
     ) {
-        let mut tick = tokio::time::interval(TICK_TIME);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let event = tokio::select! {
@@ -109,13 +109,13 @@
         let mut effects = Vec::new();
         let now = self.clock.now();
         let tick = matches!(event, Event::Tick);
-        let begun = Instant::now();
+        let started = Instant::now();
         self.entry.step(now, event, &mut effects);
-        self.metrics.stepped(&effects, begun.elapsed());
+        self.metrics.record_step(&effects, started.elapsed());
         if tick {
             let stats = self.entry.stats(now);
             self.ready.set(stats.ready);
-            self.metrics.show(&stats);
+            self.metrics.record_vitals(&stats);
         }
         let mut exit = false;
         for effect in effects {
@@ -142,8 +142,8 @@
                 None
             }
             Message::Addresses { key, prefix, reply } => {
-                let call = self.askers.number();
-                self.askers.addresses.insert(call, reply);
+                let call = self.pending.next_id();
+                self.pending.addresses.insert(call, reply);
                 Some(Event::AddressesRequested { call, key, prefix })
             }
             Message::Cancel {
@@ -151,18 +151,18 @@
                 request,
                 reply,
             } => {
-                let call = self.askers.number();
-                self.askers.cancels.insert(call, reply);
+                let call = self.pending.next_id();
+                self.pending.cancels.insert(call, reply);
                 Some(Event::CancelRequested { call, key, request })
             }
             Message::Spend { ticket, reply } => {
-                let call = self.askers.number();
-                self.askers.spends.insert(call, reply);
+                let call = self.pending.next_id();
+                self.pending.spends.insert(call, reply);
                 Some(Event::SpendRequested { call, ticket })
             }
             Message::Inherit { estates, reply } => {
-                let call = self.askers.number();
-                self.askers.heirs.insert(call, reply);
+                let call = self.pending.next_id();
+                self.pending.inherits.insert(call, reply);
                 Some(Event::EstatesOffered { call, estates })
             }
         }
@@ -170,8 +170,8 @@
 
     /// The event of an operator's call.
     fn operator(&mut self, call: ops::Call) -> Event {
-        let number = self.askers.number();
-        self.askers.operators.insert(number, call.reply);
+        let number = self.pending.next_id();
+        self.pending.operators.insert(number, call.reply);
         Event::Operator {
             call: number,
             request: call.request,
@@ -187,29 +187,29 @@
                 }
             }
             Effect::Addresses { call, answer } => {
-                if let Some(reply) = self.askers.addresses.remove(&call) {
+                if let Some(reply) = self.pending.addresses.remove(&call) {
                     let _ = reply.send(answer);
                 }
             }
             Effect::CancelAnswer { call, refusal } => {
-                if let Some(reply) = self.askers.cancels.remove(&call) {
+                if let Some(reply) = self.pending.cancels.remove(&call) {
                     let _ = reply.send(refusal);
                 }
             }
             Effect::Operator { call, reply } => {
-                if let Some(waiting) = self.askers.operators.remove(&call) {
+                if let Some(waiting) = self.pending.operators.remove(&call) {
                     let _ = waiting.send(reply);
                 }
             }
             Effect::Store { id, call } => self.call_store(id, call),
             Effect::Log(line) => logs::write(&self.name, &line),
             Effect::SpendAnswer { call, answer } => {
-                if let Some(reply) = self.askers.spends.remove(&call) {
+                if let Some(reply) = self.pending.spends.remove(&call) {
                     let _ = reply.send(answer);
                 }
             }
             Effect::EstatesAccepted { call, heir } => {
-                if let Some(reply) = self.askers.heirs.remove(&call) {
+                if let Some(reply) = self.pending.inherits.remove(&call) {
                     let _ = reply.send(heir);
                 }
             }
@@ -218,7 +218,7 @@
                 address,
                 ticket,
             } => self.peers.ask_spend(serial, address, ticket),
-            Effect::OfferEstates { address, estates } => self.peers.offer(address, estates),
+            Effect::OfferEstates { address, estates } => self.peers.offer_estates(address, estates),
             Effect::SendDigest { address, digest } => self.peers.send_digest(address, digest),
             Effect::SendConfigure { address, message } => {
                 self.peers.send_configure(address, message);
@@ -227,7 +227,7 @@
                 deployment,
                 engine,
                 address,
-            } => self.fleet.read(deployment, engine, address),
+            } => self.fleet.read_engine(deployment, engine, address),
             Effect::OrderEngine {
                 deployment,
                 engine,
@@ -237,19 +237,21 @@
                 lease_end,
             } => self
                 .fleet
-                .order(deployment, engine, address, fence, target, lease_end),
+                .order_engine(deployment, engine, address, fence, target, lease_end),
             Effect::StartInstance {
                 deployment,
                 token,
                 kind,
                 pool,
                 lease_end,
-            } => self.fleet.start(deployment, token, kind, pool, lease_end),
+            } => self
+                .fleet
+                .start_instance(deployment, token, kind, pool, lease_end),
             Effect::StopInstance {
                 id,
                 delay,
                 lease_end,
-            } => self.fleet.stop(id, delay, lease_end),
+            } => self.fleet.stop_instance(id, delay, lease_end),
             Effect::Exit => {}
         }
     }
