--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -69,8 +69,8 @@
     pub fn send_digest(&self, address: SmolStr, digest: Digest) {
         let client = self.client.clone();
         tokio::task::spawn_local(async move {
-            if let Err(lost) = client.digest(&address, &digest).await {
-                log::debug!(event = "digest_lost", peer = address.as_str(), error = lost.0.as_str(); "");
+            if let Err(error) = client.digest(&address, &digest).await {
+                log::debug!(event = "digest_lost", peer = address.as_str(), error = error.0.as_str(); "");
             }
         });
     }
@@ -83,8 +83,8 @@
             let Ok(bytes) = serde_json::to_vec(&message) else {
                 return;
             };
-            if let Err(lost) = client.configure(&address, incarnation, &bytes).await {
-                log::debug!(event = "configure_lost", peer = address.as_str(), error = lost.0.as_str(); "");
+            if let Err(error) = client.configure(&address, incarnation, &bytes).await {
+                log::debug!(event = "configure_lost", peer = address.as_str(), error = error.0.as_str(); "");
             }
         });
     }
--- a/crates/line/src/text.rs
+++ b/crates/line/src/text.rs
@@ -12,7 +12,7 @@
 use crate::Line;
 
 /// The name under which a record carries a line that is in its final form already.
-const FINISHED: &str = "line";
+const FORMATTED_LINE: &str = "line";
 
 /// Writes one record as text, for the log's formatter.
 pub fn format<W: Write>(output: &mut W, record: &Record) -> std::io::Result<()> {
@@ -38,7 +38,7 @@
             .level(line.level)
             .target("dogwoodspur")
             .args(format_args!(""))
-            .key_values(&[(FINISHED, fields.text.trim_start())])
+            .key_values(&[(FORMATTED_LINE, fields.text.trim_start())])
             .build(),
     );
 }
@@ -65,11 +65,11 @@
         self.text.push(' ');
         self.text.push_str(name);
         self.text.push('=');
-        let plain = !value.is_empty()
-            && value
-                .chars()
-                .all(|sign| !sign.is_whitespace() && !sign.is_control() && sign != '"');
-        if plain {
+        let is_plain = !value.is_empty()
+            && value.chars().all(|character| {
+                !character.is_whitespace() && !character.is_control() && character != '"'
+            });
+        if is_plain {
             self.text.push_str(value);
         } else {
             self.text.push_str(&format!("{value:?}"));
@@ -80,7 +80,7 @@
 impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let text = value.to_string();
-        if key.as_str() == FINISHED {
+        if key.as_str() == FORMATTED_LINE {
             self.text.push(' ');
             self.text.push_str(&text);
         } else {
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -27,16 +27,16 @@
 use crate::proof::Key;
 use crate::proof::Side;
 use crate::receiver::Charge;
-use crate::server::options_of;
+use crate::server::reader_options;
 
 /// Connections to peers, opened when needed. Cheap to clone; lives on one thread.
 #[derive(Clone)]
 pub struct Peers {
     key: Key,
     limit: Limit,
-    open: Rc<RefCell<HashMap<SmolStr, entry::Client>>>,
+    connections: Rc<RefCell<HashMap<SmolStr, entry::Client>>>,
     /// Addresses to which a connection is being made.
-    coming: Rc<RefCell<HashSet<SmolStr>>>,
+    connecting: Rc<RefCell<HashSet<SmolStr>>>,
 }
 
 /// No answer came: what was asked for may have happened.
@@ -49,8 +49,8 @@
         Peers {
             key,
             limit,
-            open: Rc::default(),
-            coming: Rc::default(),
+            connections: Rc::default(),
+            connecting: Rc::default(),
         }
     }
 
@@ -61,7 +61,7 @@
         request.get().set_ticket(ticket);
         let response = self.answer(address, request.send().promise).await?;
         let answer = response.get().and_then(|one| Ok(one.get_answer()?));
-        Ok(match answer.map_err(lost)? {
+        Ok(match answer.map_err(to_error)? {
             peer_capnp::Answer::Granted => Answer::Granted,
             peer_capnp::Answer::Spent => Answer::Spent,
             peer_capnp::Answer::Unknown => Answer::Unknown,
@@ -79,7 +79,7 @@
         let mut request = entry.inherit_request();
         request.get().set_estates(&bytes);
         let response = self.answer(address, request.send().promise).await?;
-        let response = response.get().map_err(lost)?;
+        let response = response.get().map_err(to_error)?;
         let by = Incarnation(response.get_by());
         Ok(response.get_taken().then_some(by))
     }
@@ -125,7 +125,7 @@
         request.get().set_account(account);
         request.get().set_tokens(tokens);
         let response = self.answer(address, request.send().promise).await?;
-        let response = response.get().map_err(lost)?;
+        let response = response.get().map_err(to_error)?;
         Ok(match response.get_granted() {
             true => Charge::Granted {
                 bucket: response.get_bucket(),
@@ -148,7 +148,7 @@
 
     /// The peer at `address`, unless a connection to it is on its way.
     async fn ready_entry(&self, address: &SmolStr) -> Result<entry::Client, Error> {
-        if self.coming.borrow().contains(address) {
+        if self.connecting.borrow().contains(address) {
             return Err(Error(String::from("a connection is on its way")));
         }
         self.entry(address).await
@@ -160,24 +160,24 @@
         address: &SmolStr,
         answer: impl Future<Output = Result<T, capnp::Error>>,
     ) -> Result<T, Error> {
-        let result = within(self.limit.call, answer).await;
+        let result = with_timeout(self.limit.call, answer).await;
         if result.is_err() {
-            self.open.borrow_mut().remove(address);
+            self.connections.borrow_mut().remove(address);
         }
         result
     }
 
     /// The peer at `address`, over a connection that both sides have proved.
     async fn entry(&self, address: &SmolStr) -> Result<entry::Client, Error> {
-        if let Some(entry) = self.open.borrow().get(address) {
+        if let Some(entry) = self.connections.borrow().get(address) {
             return Ok(entry.clone());
         }
-        self.coming.borrow_mut().insert(address.clone());
-        let entry = within(self.limit.handshake, self.connect(address)).await;
-        self.coming.borrow_mut().remove(address);
+        self.connecting.borrow_mut().insert(address.clone());
+        let entry = with_timeout(self.limit.handshake, self.connect(address)).await;
+        self.connecting.borrow_mut().remove(address);
         let entry = entry?;
-        let mut open = self.open.borrow_mut();
-        open.insert(address.clone(), entry.clone());
+        let mut connections = self.connections.borrow_mut();
+        connections.insert(address.clone(), entry.clone());
         Ok(entry)
     }
 
@@ -190,29 +190,29 @@
             futures::io::BufReader::new(reader),
             futures::io::BufWriter::new(writer),
             rpc_twoparty_capnp::Side::Client,
-            options_of(&self.limit),
+            reader_options(&self.limit),
         );
         let mut system = RpcSystem::new(Box::new(network), None);
         let door: door::Client = system.bootstrap(rpc_twoparty_capnp::Side::Server);
-        let (open, gone) = (Rc::downgrade(&self.open), address.clone());
+        let (connections, closed) = (Rc::downgrade(&self.connections), address.clone());
         tokio::task::spawn_local(async move {
             let _ = system.await;
-            if let Some(open) = open.upgrade() {
-                open.borrow_mut().remove(&gone);
+            if let Some(connections) = connections.upgrade() {
+                connections.borrow_mut().remove(&closed);
             }
         });
-        self.enter(&door).await
+        self.authenticate(&door).await
     }
 
     /// Checks the callee's proof and gives our own.
-    async fn enter(&self, door: &door::Client) -> Result<entry::Client, capnp::Error> {
+    async fn authenticate(&self, door: &door::Client) -> Result<entry::Client, capnp::Error> {
         let ours = proof::nonce()?;
         let mut greet = door.greet_request();
         greet.get().set_nonce(&ours);
-        let greeted = greet.send().promise.await?;
-        let greeted = greeted.get()?;
-        let theirs = greeted.get_nonce()?;
-        let proof = greeted.get_proof()?;
+        let greeting = greet.send().promise.await?;
+        let greeting = greeting.get()?;
+        let theirs = greeting.get_nonce()?;
+        let proof = greeting.get_proof()?;
         if !self.key.check(Side::Callee, &ours, theirs, proof) {
             return Err(capnp::Error::failed(String::from(
                 "the callee isn't an entry",
@@ -226,17 +226,17 @@
 }
 
 /// Waits for something, but not longer than `limit`.
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Span,
     future: impl Future<Output = Result<T, capnp::Error>>,
 ) -> Result<T, Error> {
     match tokio::time::timeout(limit.as_duration(), future).await {
-        Ok(result) => result.map_err(lost),
+        Ok(result) => result.map_err(to_error),
         Err(_) => Err(Error(format!("no answer within {limit}"))),
     }
 }
 
 /// A failed call as a lost one.
-fn lost(error: capnp::Error) -> Error {
+fn to_error(error: capnp::Error) -> Error {
     Error(error.to_string())
 }
--- a/crates/peer/src/proof.rs
+++ b/crates/peer/src/proof.rs
@@ -29,28 +29,28 @@
 
     /// A side's proof over both nonces.
     pub fn prove(&self, side: Side, caller: &[u8], callee: &[u8]) -> Vec<u8> {
-        match self.code(side, caller, callee) {
-            Some(code) => code.finalize().into_bytes().to_vec(),
+        match self.mac(side, caller, callee) {
+            Some(mac) => mac.finalize().into_bytes().to_vec(),
             None => Vec::new(),
         }
     }
 
     /// Whether a proof is right; compared in constant time.
     pub fn check(&self, side: Side, caller: &[u8], callee: &[u8], proof: &[u8]) -> bool {
-        self.code(side, caller, callee)
-            .is_some_and(|code| code.verify_slice(proof).is_ok())
+        self.mac(side, caller, callee)
+            .is_some_and(|mac| mac.verify_slice(proof).is_ok())
     }
 
     /// The authentication code over side and nonces.
-    fn code(&self, side: Side, caller: &[u8], callee: &[u8]) -> Option<Hmac<Sha256>> {
-        let mut code = Hmac::<Sha256>::new_from_slice(&self.0).ok()?;
-        code.update(match side {
+    fn mac(&self, side: Side, caller: &[u8], callee: &[u8]) -> Option<Hmac<Sha256>> {
+        let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).ok()?;
+        mac.update(match side {
             Side::Caller => b"caller",
             Side::Callee => b"callee",
         });
-        code.update(caller);
-        code.update(callee);
-        Some(code)
+        mac.update(caller);
+        mac.update(callee);
+        Some(mac)
     }
 }
 
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -54,11 +54,11 @@
 
 /// Serves one connection; one that doesn't prove itself in time is closed.
 async fn connection(socket: TcpStream, key: Key, limit: Limit, receiver: Rc<dyn Receiver>) {
-    let proved = Rc::new(Cell::new(false));
+    let authenticated = Rc::new(Cell::new(false));
     let door = Door {
         key,
         receiver,
-        proved: Rc::clone(&proved),
+        authenticated: Rc::clone(&authenticated),
         nonces: Cell::new(None),
     };
     let client: door::Client = capnp_rpc::new_client(door);
@@ -68,13 +68,13 @@
         futures::io::BufReader::new(reader),
         futures::io::BufWriter::new(writer),
         rpc_twoparty_capnp::Side::Server,
-        options_of(&limit),
+        reader_options(&limit),
     );
     let mut system = RpcSystem::new(Box::new(network), Some(client.client));
     let ended = tokio::select! {
         ended = &mut system => ended,
         () = tokio::time::sleep(limit.handshake.as_duration()) => {
-            if !proved.get() {
+            if !authenticated.get() {
                 log::warn!(event = "peer_unproved"; "");
                 return;
             }
@@ -87,7 +87,7 @@
 }
 
 /// Size limits of messages.
-pub(crate) fn options_of(limit: &Limit) -> ReaderOptions {
+pub(crate) fn reader_options(limit: &Limit) -> ReaderOptions {
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(limit.message_bytes / WORD_BYTES));
     options
@@ -97,7 +97,7 @@
 struct Door {
     key: Key,
     receiver: Rc<dyn Receiver>,
-    proved: Rc<Cell<bool>>,
+    authenticated: Rc<Cell<bool>>,
     nonces: Cell<Option<Nonces>>,
 }
 
@@ -133,28 +133,28 @@
         // Each pair of nonces is good for one try.
         let nonces = self.nonces.take();
         let proof = params.get()?.get_proof()?;
-        let proved = nonces.is_some_and(|nonces| {
+        let authenticated = nonces.is_some_and(|nonces| {
             self.key
                 .check(Side::Caller, &nonces.caller, &nonces.callee, proof)
         });
-        if !proved {
+        if !authenticated {
             return Err(capnp::Error::failed(String::from("not an entry")));
         }
-        self.proved.set(true);
+        self.authenticated.set(true);
         let receiver = Rc::clone(&self.receiver);
         results
             .get()
-            .set_entry(capnp_rpc::new_client(Inside { receiver }));
+            .set_entry(capnp_rpc::new_client(AuthenticatedEntry { receiver }));
         Ok(())
     }
 }
 
 /// The entry, to a peer that has proved itself.
-struct Inside {
+struct AuthenticatedEntry {
     receiver: Rc<dyn Receiver>,
 }
 
-impl entry::Server for Inside {
+impl entry::Server for AuthenticatedEntry {
     async fn spend(
         self: Rc<Self>,
         params: entry::SpendParams,
@@ -162,7 +162,7 @@
     ) -> Result<(), capnp::Error> {
         let ticket = SmolStr::from(params.get()?.get_ticket()?.to_str()?);
         let answer = self.receiver.spend(ticket).await.ok_or_else(no_answer)?;
-        results.get().set_answer(wire_answer(answer));
+        results.get().set_answer(to_wire(answer));
         Ok(())
     }
 
@@ -173,9 +173,11 @@
     ) -> Result<(), capnp::Error> {
         let estates = serde_json::from_slice(params.get()?.get_estates()?)
             .map_err(|error| capnp::Error::failed(error.to_string()))?;
-        let by = self.receiver.inherit(estates).await;
-        results.get().set_taken(by.is_some());
-        results.get().set_by(by.map_or(0, |by| by.0));
+        let incarnation = self.receiver.inherit(estates).await;
+        results.get().set_taken(incarnation.is_some());
+        results
+            .get()
+            .set_by(incarnation.map_or(0, |incarnation| incarnation.0));
         Ok(())
     }
 
@@ -238,7 +240,7 @@
 }
 
 /// A ledger's word on the wire.
-fn wire_answer(answer: request::ledger::Answer) -> Answer {
+fn to_wire(answer: request::ledger::Answer) -> Answer {
     match answer {
         request::ledger::Answer::Granted => Answer::Granted,
         request::ledger::Answer::Spent => Answer::Spent,
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -25,14 +25,14 @@
 
 /// An entry that notes what it hears; it answers tickets unless it was told to be silent.
 #[derive(Default)]
-struct Listener {
+struct RecordingReceiver {
     digests: RefCell<Vec<Digest>>,
     messages: RefCell<Vec<(u64, Vec<u8>)>>,
     refunds: RefCell<Vec<(u64, u64)>>,
     silent: bool,
 }
 
-impl Receiver for Listener {
+impl Receiver for RecordingReceiver {
     fn spend(&self, ticket: SmolStr) -> Pending<Answer> {
         let silent = self.silent;
         Box::pin(async move {
@@ -48,8 +48,8 @@
     }
 
     fn inherit(&self, estates: Vec<Estate>) -> Pending<Incarnation> {
-        let takes = estates.len() == 1;
-        Box::pin(async move { takes.then_some(Incarnation(9)) })
+        let accepted = estates.len() == 1;
+        Box::pin(async move { accepted.then_some(Incarnation(9)) })
     }
 
     fn digest(&self, digest: Digest) {
@@ -76,10 +76,10 @@
 }
 
 /// Starts an entry; gives its address.
-async fn serve(listener: Rc<Listener>, limit: Limit) -> SmolStr {
+async fn serve(receiver: Rc<RecordingReceiver>, limit: Limit) -> SmolStr {
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = socket.local_addr().expect("an address").to_smolstr();
-    tokio::task::spawn_local(peer::server::serve(socket, Key::new(KEY), limit, listener));
+    tokio::task::spawn_local(peer::server::serve(socket, Key::new(KEY), limit, receiver));
     address
 }
 
@@ -98,8 +98,8 @@
 #[test]
 fn peers_say_all_that_there_is_to_say() {
     run(async {
-        let heard = Rc::new(Listener::default());
-        let address = serve(Rc::clone(&heard), Limit::default()).await;
+        let receiver = Rc::new(RecordingReceiver::default());
+        let address = serve(Rc::clone(&receiver), Limit::default()).await;
         let peers = peers(KEY, Limit::default());
         assert_eq!(peers.spend(&address, "new").await, Ok(Answer::Granted));
         assert_eq!(peers.spend(&address, "used").await, Ok(Answer::Spent));
@@ -120,17 +120,17 @@
             ..Digest::default()
         };
         assert_eq!(peers.digest(&address, &digest).await, Ok(()));
-        let told = peers.configure(&address, Incarnation(6), b"{}").await;
-        assert_eq!(told, Ok(()));
+        let sent = peers.configure(&address, Incarnation(6), b"{}").await;
+        assert_eq!(sent, Ok(()));
         let granted = peers.charge(&address, 7, 100).await;
         assert_eq!(granted, Ok(Charge::Granted { bucket: !7 }));
         let retry_after = Span::from_millis(101);
         let short = peers.charge(&address, 7, 101).await;
         assert_eq!(short, Ok(Charge::Exceeded { retry_after }));
         assert_eq!(peers.refund(&address, !7, 100).await, Ok(()));
-        assert_eq!(*heard.refunds.borrow(), [(!7, 100)]);
-        assert_eq!(*heard.digests.borrow(), [digest]);
-        assert_eq!(*heard.messages.borrow(), [(6, b"{}".to_vec())]);
+        assert_eq!(*receiver.refunds.borrow(), [(!7, 100)]);
+        assert_eq!(*receiver.digests.borrow(), [digest]);
+        assert_eq!(*receiver.messages.borrow(), [(6, b"{}".to_vec())]);
     });
 }
 
@@ -138,12 +138,12 @@
 #[test]
 fn who_doesnt_hold_the_key_gets_nothing() {
     run(async {
-        let heard = Rc::new(Listener::default());
-        let address = serve(Rc::clone(&heard), Limit::default()).await;
+        let receiver = Rc::new(RecordingReceiver::default());
+        let address = serve(Rc::clone(&receiver), Limit::default()).await;
         let stranger = peers("another key of the same length", Limit::default());
         assert!(stranger.spend(&address, "new").await.is_err());
         assert!(stranger.digest(&address, &Digest::default()).await.is_err());
-        assert!(heard.digests.borrow().is_empty());
+        assert!(receiver.digests.borrow().is_empty());
     });
 }
 
@@ -155,9 +155,9 @@
             call: Span::from_millis(50),
             ..Limit::default()
         };
-        let silent = Rc::new(Listener {
+        let silent = Rc::new(RecordingReceiver {
             silent: true,
-            ..Listener::default()
+            ..RecordingReceiver::default()
         });
         let address = serve(silent, Limit::default()).await;
         assert!(peers(KEY, limit).spend(&address, "new").await.is_err());
@@ -177,7 +177,7 @@
 #[test]
 fn a_broken_connection_is_opened_anew() {
     run(async {
-        // Both servers hold the same socket, so that nobody else takes the port in between.
+        // Both servers hold the same socket, so that nobody else accepted the port in between.
         let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         socket.set_nonblocking(true).expect("a socket");
         let address = socket.local_addr().expect("an address").to_smolstr();
@@ -200,8 +200,8 @@
 /// Serves on a socket that is bound already.
 async fn serve_on(socket: std::net::TcpListener) {
     let socket = TcpListener::from_std(socket).expect("a socket of the runtime");
-    let listener = Rc::new(Listener::default());
-    peer::server::serve(socket, Key::new(KEY), Limit::default(), listener).await;
+    let receiver = Rc::new(RecordingReceiver::default());
+    peer::server::serve(socket, Key::new(KEY), Limit::default(), receiver).await;
 }
 
 /// One entry adds up the counts of 300 and has a connection of each: those beyond the 256th were closed, and their
@@ -209,8 +209,8 @@
 #[test]
 fn an_entry_takes_a_connection_of_each_of_many() {
     run(async {
-        let heard = Rc::new(Listener::default());
-        let address = serve(Rc::clone(&heard), Limit::default()).await;
+        let receiver = Rc::new(RecordingReceiver::default());
+        let address = serve(Rc::clone(&receiver), Limit::default()).await;
         let mut others = Vec::new();
         for _ in 0..300 {
             let other = TcpStream::connect(address.as_str()).await;
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -16,7 +16,7 @@
 
 /// How alike two names must be for "did you mean", 0 to 1: the usual bound for Jaro-Winkler, which
 /// admits a slip of a letter or two in a word of ours and no other word.
-const ALIKE: f64 = 0.8;
+const MIN_SIMILARITY: f64 = 0.8;
 
 /// What the walk through one file found.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     pub warnings: Vec<Fault>,
     /// The line of each option that is set.
     pub lines: BTreeMap<String, usize>,
-    /// The settings as far as they are sound.
+    /// The settings as far as they are valid.
     pub value: Value,
 }
 
@@ -52,40 +52,40 @@
 
 /// Walks the file beside the schema.
 pub fn check(file: &str, text: &str, root: Option<&ast::Value<'_>>, schema: &Value) -> Findings {
-    let mut walk = Walk {
+    let mut checker = Checker {
         file,
         text,
         findings: Findings::default(),
     };
-    walk.findings.value = match root {
-        Some(node) => walk.node(node, schema, "").unwrap_or_default(),
+    checker.findings.value = match root {
+        Some(node) => checker.node(node, schema, "").unwrap_or_default(),
         None => Value::Object(serde_json::Map::new()),
     };
-    walk.findings
+    checker.findings
 }
 
-/// The state of one walk.
-struct Walk<'a> {
+/// The state of one checker.
+struct Checker<'a> {
     file: &'a str,
     text: &'a str,
     findings: Findings,
 }
 
-impl Walk<'_> {
-    /// Checks one value; gives it as JSON if it is sound.
+impl Checker<'_> {
+    /// Checks one value; gives it as JSON if it is valid.
     fn node(&mut self, node: &ast::Value<'_>, schema: &Value, name: &str) -> Option<Value> {
         let schema = variant(node, schema);
         if schema.get("properties").is_some() {
             return self.section(node, schema, name);
         }
-        if let Some(below) = schema.get("items") {
-            return self.list(node, below, name);
+        if let Some(subschema) = schema.get("items") {
+            return self.list(node, subschema, name);
         }
-        let value = plain(node);
+        let value = to_json(node);
         match expected(&value, schema) {
             None => Some(value),
             Some(expected) => {
-                let message = format!("expected {expected}, found {}", found(node));
+                let message = format!("expected {expected}, found {}", describe(node));
                 self.fault(node.start(), name, message);
                 None
             }
@@ -95,62 +95,62 @@
     /// Checks an object name by name.
     fn section(&mut self, node: &ast::Value<'_>, schema: &Value, name: &str) -> Option<Value> {
         let ast::Value::Object(object) = node else {
-            let message = format!("expected an object, found {}", found(node));
+            let message = format!("expected an object, found {}", describe(node));
             self.fault(node.start(), name, message);
             return None;
         };
         let known = schema.get("properties").and_then(Value::as_object)?;
-        let mut sound = serde_json::Map::new();
+        let mut valid = serde_json::Map::new();
         for property in &object.properties {
-            let step = property.name.as_str();
-            let option = join(name, step);
+            let key = property.name.as_str();
+            let option = join(name, key);
             let line = self.line(property.start());
-            if step == "$schema" && name.is_empty() {
+            if key == "$schema" && name.is_empty() {
                 continue;
             }
-            let Some(below) = known.get(step) else {
-                let near = nearest(step, known.keys().map(String::as_str));
-                self.unknown(line, option, near);
+            let Some(subschema) = known.get(key) else {
+                let suggestion = nearest(key, known.keys().map(String::as_str));
+                self.unknown(line, option, suggestion);
                 continue;
             };
             if self.findings.lines.insert(option.clone(), line).is_some() {
                 self.fault(property.start(), &option, "it is set twice".to_owned());
             }
-            if let Some(value) = self.node(&property.value, below, &option) {
-                sound.insert(step.to_owned(), value);
+            if let Some(value) = self.node(&property.value, subschema, &option) {
+                valid.insert(key.to_owned(), value);
             }
         }
-        for step in names(schema, "required") {
-            let option = join(name, step);
-            if object.get(step).is_none() {
+        for key in names(schema, "required") {
+            let option = join(name, key);
+            if object.get(key).is_none() {
                 self.fault(node.start(), &option, "it must be set".to_owned());
             }
         }
-        Some(Value::Object(sound))
+        Some(Value::Object(valid))
     }
 
     /// Checks a list item by item.
-    fn list(&mut self, node: &ast::Value<'_>, below: &Value, name: &str) -> Option<Value> {
+    fn list(&mut self, node: &ast::Value<'_>, subschema: &Value, name: &str) -> Option<Value> {
         let ast::Value::Array(array) = node else {
-            let message = format!("expected a list, found {}", found(node));
+            let message = format!("expected a list, found {}", describe(node));
             self.fault(node.start(), name, message);
             return None;
         };
-        let mut sound = Vec::new();
+        let mut valid = Vec::new();
         for (index, element) in array.elements.iter().enumerate() {
             let option = format!("{name}[{index}]");
             let line = self.line(element.start());
             self.findings.lines.insert(option.clone(), line);
-            sound.extend(self.node(element, below, &option));
+            valid.extend(self.node(element, subschema, &option));
         }
-        Some(Value::Array(sound))
+        Some(Value::Array(valid))
     }
 
     /// Notes a fault at a byte of the file.
-    fn fault(&mut self, at: usize, option: &str, message: String) {
+    fn fault(&mut self, offset: usize, option: &str, message: String) {
         let fault = Fault {
             file: self.file.to_owned(),
-            line: self.line(at),
+            line: self.line(offset),
             option: option.to_owned(),
             message,
             did_you_mean: None,
@@ -159,19 +159,19 @@
     }
 
     /// Notes an unknown name.
-    fn unknown(&mut self, line: usize, option: String, near: Option<String>) {
+    fn unknown(&mut self, line: usize, option: String, suggestion: Option<String>) {
         self.findings.warnings.push(Fault {
             file: self.file.to_owned(),
             line,
             option,
             message: "no such option".to_owned(),
-            did_you_mean: near,
+            did_you_mean: suggestion,
         });
     }
 
     /// The line of a byte, from 1.
-    fn line(&self, at: usize) -> usize {
-        let before = self.text.as_bytes().iter().take(at);
+    fn line(&self, offset: usize) -> usize {
+        let before = self.text.as_bytes().iter().take(offset);
         1 + before.filter(|byte| **byte == b'\n').count()
     }
 }
@@ -180,7 +180,7 @@
 pub fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
     known
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
-        .filter(|(likeness, _)| *likeness >= ALIKE)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, candidate)| candidate.to_owned())
 }
@@ -207,18 +207,18 @@
 }
 
 /// The value as JSON.
-fn plain(node: &ast::Value<'_>) -> Value {
+fn to_json(node: &ast::Value<'_>) -> Value {
     match node {
         ast::Value::StringLit(text) => Value::String(text.value.clone().into_owned()),
         ast::Value::NumberLit(number) => number.value.parse().map_or(Value::Null, Value::Number),
         ast::Value::BooleanLit(flag) => Value::Bool(flag.value),
-        ast::Value::Array(array) => Value::Array(array.elements.iter().map(plain).collect()),
+        ast::Value::Array(array) => Value::Array(array.elements.iter().map(to_json).collect()),
         ast::Value::Object(_) | ast::Value::NullKeyword(_) => Value::Null,
     }
 }
 
 /// What stands there, in words. Texts aren't repeated: one of them may be a key.
-fn found(node: &ast::Value<'_>) -> String {
+fn describe(node: &ast::Value<'_>) -> String {
     match node {
         ast::Value::StringLit(_) => "another text".to_owned(),
         ast::Value::NumberLit(number) => number.value.to_owned(),
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -16,19 +16,19 @@
 /// The page of settings.
 pub fn page() -> String {
     let schema = schema::schema();
-    let mut text = String::from(HEAD);
+    let mut text = String::from(INTRODUCTION);
     let sections = schema.get("properties").and_then(Value::as_object);
     for (section, part) in sections.into_iter().flatten() {
         let _ = writeln!(text, "\n## {section}\n\n{}\n", schema::description(part));
         text.push_str("| option | takes | default | description |\n| --- | --- | --- | --- |\n");
         let options = part.get("properties").and_then(Value::as_object);
-        for (option, below) in options.into_iter().flatten() {
+        for (option, schema) in options.into_iter().flatten() {
             let _ = writeln!(
                 text,
                 "| `{section}.{option}` | {} | {} | {} |",
-                expect::takes(below),
-                schema::default(below),
-                schema::description(below)
+                expect::accepted(schema),
+                schema::default(schema),
+                schema::description(schema)
             );
         }
     }
@@ -36,7 +36,7 @@
 }
 
 /// What the page says before the tables.
-const HEAD: &str = "# Settings of an entry
+const INTRODUCTION: &str = "# Settings of an entry
 
 `dogwoodspurd --settings FILE` reads one file of JSON with comments (and trailing commas). Every fault
 is reported at once, with file, line and what was expected; with a fault the entry doesn't start. An
--- a/crates/settings/src/expect.rs
+++ b/crates/settings/src/expect.rs
@@ -1,4 +1,4 @@
-//! What the schema wants of one value, in words.
+//! What the schema wants of one value, in values.
 
 use std::net::SocketAddr;
 
@@ -13,9 +13,9 @@
     if let Some(tags) = tags(schema) {
         return Some(format!("an object whose \"type\" is {}", tags.join(" or ")));
     }
-    if let Some(words) = words(schema) {
-        let sound = value.as_str().is_some_and(|word| words.contains(&word));
-        return (!sound).then(|| format!("one of {}", words.join(", ")));
+    if let Some(values) = values(schema) {
+        let valid = value.as_str().is_some_and(|value| values.contains(&value));
+        return (!valid).then(|| format!("one of {}", values.join(", ")));
     }
     let kind = types(schema).find(|kind| *kind != "null").unwrap_or("");
     match kind {
@@ -47,37 +47,37 @@
 }
 
 /// The words of an enumeration.
-pub fn words(schema: &Value) -> Option<Vec<&str>> {
-    if let Some(words) = schema.get("enum").and_then(Value::as_array) {
-        return Some(words.iter().filter_map(Value::as_str).collect());
+pub fn values(schema: &Value) -> Option<Vec<&str>> {
+    if let Some(values) = schema.get("enum").and_then(Value::as_array) {
+        return Some(values.iter().filter_map(Value::as_str).collect());
     }
     let variants = schema.get("oneOf").and_then(Value::as_array)?;
-    let words = variants.iter().filter_map(|variant| variant.get("const"));
-    Some(words.filter_map(Value::as_str).collect())
+    let values = variants.iter().filter_map(|variant| variant.get("const"));
+    Some(values.filter_map(Value::as_str).collect())
 }
 
 /// Checks a whole number and its bounds.
 fn integer(value: &Value, schema: &Value) -> Option<String> {
-    let least = schema.get("minimum").and_then(Value::as_u64).unwrap_or(0);
-    let most = schema.get("maximum").and_then(Value::as_u64);
-    let most = most.unwrap_or_else(|| greatest(schema));
+    let min = schema.get("minimum").and_then(Value::as_u64).unwrap_or(0);
+    let max = schema.get("maximum").and_then(Value::as_u64);
+    let max = max.unwrap_or_else(|| max_of_type(schema));
     let number = value.as_u64();
-    if number.is_some_and(|number| (least..=most).contains(&number)) {
+    if number.is_some_and(|number| (min..=max).contains(&number)) {
         return None;
     }
-    Some(bounds(least, most))
+    Some(bounds(min, max))
 }
 
-/// Bounds of a whole number, in words.
-fn bounds(least: u64, most: u64) -> String {
-    if most == u64::MAX {
+/// Bounds of a whole number, in values.
+fn bounds(min: u64, max: u64) -> String {
+    if max == u64::MAX {
         return "a whole number".to_owned();
     }
-    format!("a whole number from {least} to {most}")
+    format!("a whole number from {min} to {max}")
 }
 
 /// The greatest number of the type.
-fn greatest(schema: &Value) -> u64 {
+fn max_of_type(schema: &Value) -> u64 {
     match schema.get("format").and_then(Value::as_str) {
         Some("uint32") => u64::from(u32::MAX),
         _ => u64::MAX,
@@ -87,37 +87,37 @@
 /// Checks a text, its length and its form.
 fn string(value: &Value, schema: &Value) -> Option<String> {
     let Some(text) = value.as_str() else {
-        return Some(form(schema).to_owned());
+        return Some(format_name(schema).to_owned());
     };
-    let least = schema.get("minLength").and_then(Value::as_u64).unwrap_or(0);
-    let most = schema.get("maxLength").and_then(Value::as_u64);
-    let most = most.unwrap_or(u64::MAX);
-    if !(least..=most).contains(&(text.chars().count() as u64)) {
-        return Some(format!("{least} to {most} characters"));
+    let min = schema.get("minLength").and_then(Value::as_u64).unwrap_or(0);
+    let max = schema.get("maxLength").and_then(Value::as_u64);
+    let max = max.unwrap_or(u64::MAX);
+    if !(min..=max).contains(&(text.chars().count() as u64)) {
+        return Some(format!("{min} to {max} characters"));
     }
-    let sound = match schema.get("format").and_then(Value::as_str) {
+    let valid = match schema.get("format").and_then(Value::as_str) {
         Some("socket-address") => text.parse::<SocketAddr>().is_ok(),
         Some("http-address") => is_http_address(text),
         Some("name") => is_name(text),
         _ => true,
     };
-    (!sound).then(|| form(schema).to_owned())
+    (!valid).then(|| format_name(schema).to_owned())
 }
 
-/// What an option takes, in words.
-pub fn takes(schema: &Value) -> String {
+/// What an option takes, in values.
+pub fn accepted(schema: &Value) -> String {
     if let Some(items) = schema.get("items") {
-        return format!("a list, each {}", takes(items));
+        return format!("a list, each {}", accepted(items));
     }
-    let wanted = expected(&Value::Array(Vec::new()), schema).unwrap_or_default();
+    let accepted = expected(&Value::Array(Vec::new()), schema).unwrap_or_default();
     if types(schema).any(|kind| kind == "null") {
-        return format!("{wanted}, or null");
+        return format!("{accepted}, or null");
     }
-    wanted
+    accepted
 }
 
-/// The form that the schema wants of a text, in words.
-pub fn form(schema: &Value) -> &'static str {
+/// The form that the schema wants of a text, in values.
+pub fn format_name(schema: &Value) -> &'static str {
     match schema.get("format").and_then(Value::as_str) {
         Some("socket-address") => "an address such as \"127.0.0.1:8000\" or \"[::1]:8000\"",
         Some("http-address") => "an address such as \"http://127.0.0.1:7000\"",
@@ -134,6 +134,6 @@
 
 /// Whether it may name an entry or a zone.
 fn is_name(text: &str) -> bool {
-    let good = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    (1..=63).contains(&text.len()) && text.bytes().all(good)
+    let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    (1..=63).contains(&text.len()) && text.bytes().all(is_allowed)
 }
--- a/crates/settings/src/explain.rs
+++ b/crates/settings/src/explain.rs
@@ -21,13 +21,15 @@
         if !text.is_empty() {
             text.push('\n');
         }
-        one(&mut text, &schema, option, loaded);
+        write_option(&mut text, &schema, option, loaded);
     }
     if !text.is_empty() {
         return Ok(text);
     }
-    let near = check::nearest(name, known.iter().map(String::as_str));
-    let hint = near.map_or(String::new(), |near| format!("; did you mean '{near}'?"));
+    let suggestion = check::nearest(name, known.iter().map(String::as_str));
+    let hint = suggestion.map_or(String::new(), |suggestion| {
+        format!("; did you mean '{suggestion}'?")
+    });
     Err(format!("no setting '{name}'{hint}"))
 }
 
@@ -40,13 +42,13 @@
 }
 
 /// Appends one option.
-fn one(text: &mut String, schema: &Value, option: &str, loaded: Option<&Loaded>) {
+fn write_option(text: &mut String, schema: &Value, option: &str, loaded: Option<&Loaded>) {
     let Some(part) = schema::option(schema, option) else {
         return;
     };
     let _ = writeln!(text, "{option}");
     let _ = writeln!(text, "  {}", schema::description(part));
-    let _ = writeln!(text, "  takes:   {}", expect::takes(part));
+    let _ = writeln!(text, "  takes:   {}", expect::accepted(part));
     let _ = writeln!(text, "  default: {}", schema::default(part));
     let Some(loaded) = loaded else {
         return;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -68,7 +68,7 @@
     let mut findings = check::check(file, text, tree.value.as_ref(), &schema);
     let settings = settings(file, &mut findings);
     if let Some(settings) = &settings {
-        break_rules(file, settings, &mut findings);
+        add_violations(file, settings, &mut findings);
     }
     match settings {
         Some(settings) if findings.faults.is_empty() => Ok(Loaded {
@@ -76,7 +76,7 @@
             warnings: Faults(findings.warnings),
             lines: findings.lines,
         }),
-        _ => Err(all(findings)),
+        _ => Err(report(findings)),
     }
 }
 
@@ -92,26 +92,26 @@
 }
 
 /// Adds the broken rules, but for options that have a fault of their own already.
-fn break_rules(file: &str, settings: &Settings, findings: &mut Findings) {
-    for breach in rules::breaches(settings) {
+fn add_violations(file: &str, settings: &Settings, findings: &mut Findings) {
+    for violation in rules::violations(settings) {
         if findings
             .faults
             .iter()
-            .any(|fault| fault.option == breach.option)
+            .any(|fault| fault.option == violation.option)
         {
             continue;
         }
-        let line = findings.lines.get(breach.option).copied().unwrap_or(1);
+        let line = findings.lines.get(violation.option).copied().unwrap_or(1);
         findings.faults.push(Fault {
             line,
-            option: breach.option.to_owned(),
-            ..Fault::whole(file, breach.message)
+            option: violation.option.to_owned(),
+            ..Fault::whole(file, violation.message)
         });
     }
 }
 
 /// Everything found, in the order of the lines: with a fault, unknown names are part of the report.
-fn all(findings: Findings) -> Faults {
+fn report(findings: Findings) -> Faults {
     let mut faults = findings.faults;
     faults.extend(findings.warnings);
     faults.sort_by_key(|fault| fault.line);
--- a/crates/settings/src/print.rs
+++ b/crates/settings/src/print.rs
@@ -14,16 +14,20 @@
     let schema = schema::schema();
     let values = serde_json::to_value(&loaded.settings).unwrap_or_default();
     let mut text = String::from("{\n");
-    for (section, part) in sections(&schema) {
+    for (section, section_schema) in properties(&schema) {
         let _ = writeln!(text, "  \"{section}\": {{");
-        for (step, below) in sections(part) {
-            let option = schema::join(section, step);
+        for (key, option_schema) in properties(section_schema) {
+            let option = schema::join(section, key);
             let value = values
-                .pointer(&format!("/{section}/{step}"))
+                .pointer(&format!("/{section}/{key}"))
                 .unwrap_or(&Value::Null);
             let origin = loaded.origin(&option);
-            let _ = writeln!(text, "    // {} ({origin})", schema::description(below));
-            let _ = writeln!(text, "    \"{step}\": {value},");
+            let _ = writeln!(
+                text,
+                "    // {} ({origin})",
+                schema::description(option_schema)
+            );
+            let _ = writeln!(text, "    \"{key}\": {value},");
         }
         text.push_str("  },\n");
     }
@@ -32,8 +36,9 @@
 }
 
 /// The properties of a part of the schema.
-fn sections(part: &Value) -> impl Iterator<Item = (&String, &Value)> {
-    part.get("properties")
+fn properties(schema: &Value) -> impl Iterator<Item = (&String, &Value)> {
+    schema
+        .get("properties")
         .and_then(Value::as_object)
         .into_iter()
         .flatten()
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -4,7 +4,7 @@
 
 /// A rule that the settings break.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// The option to change.
     pub option: &'static str,
     /// What was expected.
@@ -12,16 +12,16 @@
 }
 
 /// All rules that the settings break.
-pub fn breaches(settings: &Settings) -> Vec<Breach> {
-    let mut breaches = Vec::new();
-    required(settings, &mut breaches);
-    leases(settings, &mut breaches);
-    addresses(settings, &mut breaches);
-    breaches
+pub fn violations(settings: &Settings) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    required(settings, &mut violations);
+    leases(settings, &mut violations);
+    addresses(settings, &mut violations);
+    violations
 }
 
 /// Options without a sensible default.
-fn required(settings: &Settings, breaches: &mut Vec<Breach>) {
+fn required(settings: &Settings, violations: &mut Vec<Violation>) {
     let options = [
         ("identity.name", settings.identity.name.is_empty()),
         ("identity.zone", settings.identity.zone.is_empty()),
@@ -41,7 +41,7 @@
     ];
     for (option, absent) in options {
         if absent {
-            breaches.push(Breach {
+            violations.push(Violation {
                 option,
                 message: "it must be set".to_owned(),
             });
@@ -50,14 +50,14 @@
 }
 
 /// A lease must outlast the time to its renewal by the margin, else it lapses while all is well.
-fn leases(settings: &Settings, breaches: &mut Vec<Breach>) {
+fn leases(settings: &Settings, violations: &mut Vec<Violation>) {
     let leases = &settings.leases;
-    let most = leases.term_ms.saturating_sub(leases.margin_ms);
-    if leases.renew_interval_ms >= most {
-        breaches.push(Breach {
+    let limit = leases.term_ms.saturating_sub(leases.margin_ms);
+    if leases.renew_interval_ms >= limit {
+        violations.push(Violation {
             option: "leases.renew_interval_ms",
             message: format!(
-                "expected less than term_ms - margin_ms ({most}), found {}",
+                "expected less than term_ms - margin_ms ({limit}), found {}",
                 leases.renew_interval_ms
             ),
         });
@@ -65,18 +65,18 @@
 }
 
 /// No two ports on one address, and what is advertised must be reachable.
-fn addresses(settings: &Settings, breaches: &mut Vec<Breach>) {
-    let listens = [
+fn addresses(settings: &Settings, violations: &mut Vec<Violation>) {
+    let listeners = [
         ("callers.listen", settings.callers.listen),
         ("admin.listen", settings.admin.listen),
         ("operators.listen", settings.operators.listen),
         ("peers.listen", settings.peers.listen),
     ];
-    for (index, (option, address)) in listens.iter().enumerate() {
-        let earlier = listens.iter().take(index);
-        let mut equal = earlier.filter(|(_, other)| other == address && address.port() != 0);
-        if let Some((other, _)) = equal.next() {
-            breaches.push(Breach {
+    for (index, (option, address)) in listeners.iter().enumerate() {
+        let earlier = listeners.iter().take(index);
+        let mut duplicates = earlier.filter(|(_, other)| other == address && address.port() != 0);
+        if let Some((other, _)) = duplicates.next() {
+            violations.push(Violation {
                 option,
                 message: format!("expected another address than that of {other}"),
             });
@@ -90,7 +90,7 @@
         let unusable =
             |address: std::net::SocketAddr| address.port() == 0 || address.ip().is_unspecified();
         if address.is_some_and(unusable) {
-            breaches.push(Breach {
+            violations.push(Violation {
                 option,
                 message: "expected an address that others can connect to".to_owned(),
             });
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -21,7 +21,7 @@
         return Some(schema);
     }
     name.split('.')
-        .try_fold(schema, |part, step| part.get("properties")?.get(step))
+        .try_fold(schema, |part, key| part.get("properties")?.get(key))
 }
 
 /// Names of all options, with their sections before them, in the schema's order.
@@ -37,8 +37,8 @@
         names.push(name.to_owned());
         return;
     };
-    for (step, below) in properties {
-        collect(below, &join(name, step), names);
+    for (key, subschema) in properties {
+        collect(subschema, &join(name, key), names);
     }
 }
 
@@ -60,11 +60,11 @@
     }
 }
 
-/// The name of `step` within `section`.
-pub fn join(section: &str, step: &str) -> String {
+/// The name of `key` within `section`.
+pub fn join(section: &str, key: &str) -> String {
     if section.is_empty() {
-        step.to_owned()
+        key.to_owned()
     } else {
-        format!("{section}.{step}")
+        format!("{section}.{key}")
     }
 }
--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -36,20 +36,20 @@
     }
 
     /// What may be shown of it.
-    fn shown(&self) -> &'static str {
+    fn redacted(&self) -> &'static str {
         if self.is_empty() { "" } else { HIDDEN }
     }
 }
 
 impl fmt::Debug for Secret {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(self.shown())
+        formatter.write_str(self.redacted())
     }
 }
 
 impl Serialize for Secret {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.serialize_str(self.shown())
+        serializer.serialize_str(self.redacted())
     }
 }
 
--- a/crates/settings/tests/document.rs
+++ b/crates/settings/tests/document.rs
@@ -8,7 +8,7 @@
 use settings::load::parse;
 use settings::print::effective;
 
-const MINE: &str = r#"{
+const SETTINGS: &str = r#"{
   "identity": {"name": "entry-1", "zone": "a"},
   "operators": {"key": "0123456789abcdef"},
   "peers": {
@@ -43,13 +43,13 @@
     for option in settings::schema::options(&schema) {
         let part = settings::schema::option(&schema, &option).unwrap();
         assert!(!settings::schema::description(part).is_empty(), "{option}");
-        assert!(!settings::expect::takes(part).is_empty(), "{option}");
+        assert!(!settings::expect::accepted(part).is_empty(), "{option}");
     }
 }
 
 #[test]
 fn effective_settings_can_be_read_again_but_for_their_keys() {
-    let loaded = parse("entry.jsonc", MINE).unwrap();
+    let loaded = parse("entry.jsonc", SETTINGS).unwrap();
     let text = effective(&loaded);
     assert!(!text.contains("0123456789abcdef") && !text.contains("fedcba9876543210"));
     assert!(text.contains("(line 6)\n    \"fan_out\": 5,"), "{text}");
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_setting_is_explained_with_its_value_and_origin() {
-    let loaded = parse("entry.jsonc", MINE).unwrap();
+    let loaded = parse("entry.jsonc", SETTINGS).unwrap();
     let text = explain("peers.fan_out", Some(&loaded)).unwrap();
     assert_eq!(
         text,
--- a/crates/settings/tests/load.rs
+++ b/crates/settings/tests/load.rs
@@ -7,7 +7,7 @@
 use settings::load::parse;
 
 /// The least that a file must set.
-const LEAST: &str = r#"{
+const MINIMAL: &str = r#"{
   // an entry of zone a
   "identity": {"name": "entry-1", "zone": "a"},
   "operators": {"listen": "127.0.0.1:0", "key": "0123456789abcdef"},
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_file_with_comments_and_the_least_options_is_sound() {
-    let loaded = parse("entry.jsonc", LEAST).unwrap();
+    let loaded = parse("entry.jsonc", MINIMAL).unwrap();
     assert_eq!(loaded.settings.identity.zone, "a");
     assert_eq!(loaded.settings.operators.listen.port(), 0);
     assert_eq!(loaded.settings.operators.key.reveal(), "0123456789abcdef");
@@ -67,17 +67,17 @@
 #[test]
 fn each_item_of_a_list_is_checked() {
     let seeds = "\"peers\": {\"seeds\": [\n\"127.0.0.1:1\",\n\"nowhere\"],";
-    let text = LEAST.replace("\"peers\": {", seeds);
+    let text = MINIMAL.replace("\"peers\": {", seeds);
     let faults = parse("entry.jsonc", &text).unwrap_err();
     let expected = "entry.jsonc:7: peers.seeds[1]: expected an address such as";
     assert!(lines(&faults)[0].starts_with(expected), "{faults}");
-    let sound = parse("entry.jsonc", &text.replace("nowhere", "127.0.0.1:2")).unwrap();
-    assert_eq!(sound.settings.peers.seeds.len(), 2);
+    let loaded = parse("entry.jsonc", &text.replace("nowhere", "127.0.0.1:2")).unwrap();
+    assert_eq!(loaded.settings.peers.seeds.len(), 2);
 }
 
 #[test]
 fn an_unknown_name_alone_is_a_warning() {
-    let text = LEAST.replace("\"identity\"", "\"later\": {}, \"identity\"");
+    let text = MINIMAL.replace("\"identity\"", "\"later\": {}, \"identity\"");
     let loaded = parse("entry.jsonc", &text).unwrap();
     assert_eq!(
         lines(&loaded.warnings),
@@ -88,9 +88,9 @@
 #[test]
 fn an_unknown_name_is_a_fault_for_a_strict_check() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("strict.jsonc");
-    fs::write(&path, LEAST).unwrap();
+    fs::write(&path, MINIMAL).unwrap();
     assert!(settings::read_strict(&path).is_ok());
-    let text = LEAST.replace("\"identity\"", "\"identiti\": {}, \"identity\"");
+    let text = MINIMAL.replace("\"identity\"", "\"identiti\": {}, \"identity\"");
     fs::write(&path, text).unwrap();
     let faults = settings::read_strict(&path).unwrap_err();
     assert!(lines(&faults)[0].ends_with("did you mean 'identity'?"));
@@ -111,7 +111,7 @@
 
 #[test]
 fn keys_are_never_shown() {
-    let settings = parse("entry.jsonc", LEAST).unwrap().settings;
+    let settings = parse("entry.jsonc", MINIMAL).unwrap().settings;
     let shown = format!("{settings:?}") + &serde_json::to_string(&settings).unwrap();
     assert!(!shown.contains("0123456789abcdef"));
     assert!(!shown.contains("fedcba9876543210"));
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -65,10 +65,10 @@
     settings: Settings,
     waiting: VecDeque<Insert>,
     /// When the oldest waiting insert has waited long enough.
-    due: Time,
+    flush_at: Time,
     sent: BTreeMap<call::Id, Vec<Insert>>,
     /// After an answer that named no row: how many rows the next transaction may hold.
-    limit: usize,
+    max_rows: usize,
     next_call: u64,
     name: SmolStr,
 }
@@ -78,9 +78,9 @@
     pub fn new(name: SmolStr, settings: Settings) -> Batch {
         Batch {
             waiting: VecDeque::new(),
-            due: Time::ZERO,
+            flush_at: Time::ZERO,
             sent: BTreeMap::new(),
-            limit: settings.rows,
+            max_rows: settings.rows,
             next_call: 0,
             name,
             settings,
@@ -90,18 +90,18 @@
     /// Adds an insert; refuses it at once if too many wait.
     pub fn insert(&mut self, now: Time, insert: Insert, effects: &mut Vec<Effect>) {
         if self.waiting.len() >= self.settings.queue {
-            effects.push(done(&insert, Outcome::Unavailable));
+            effects.push(done_effect(&insert, Outcome::Unavailable));
             return;
         }
         if self.waiting.is_empty() {
-            self.due = now + self.settings.linger;
+            self.flush_at = now + self.settings.linger;
         }
         self.waiting.push_back(insert);
         self.poll(now, effects);
     }
 
     /// Takes the outcome of a transaction.
-    pub fn answered(
+    pub fn handle_outcome(
         &mut self,
         now: Time,
         id: call::Id,
@@ -114,19 +114,19 @@
         match outcome {
             Outcome::Conflict(failed) => self.split(now, inserts, failed, effects),
             outcome => {
-                self.limit = self.settings.rows;
+                self.max_rows = self.settings.rows;
                 for insert in &inserts {
-                    effects.push(done(insert, outcome.clone()));
+                    effects.push(done_effect(insert, outcome.clone()));
                 }
             }
         }
         self.poll(now, effects);
     }
 
-    /// Sends what is due.
+    /// Sends what is flush_at.
     pub fn poll(&mut self, now: Time, effects: &mut Vec<Effect>) {
         while self.may_send(now) {
-            let inserts = self.take();
+            let inserts = self.take_rows();
             if inserts.is_empty() {
                 return;
             }
@@ -140,19 +140,19 @@
 
     /// When [`Batch::poll`] wants to be called next.
     pub fn next_wake(&self) -> Option<Time> {
-        let waits = !self.waiting.is_empty() && self.sent.len() < self.settings.concurrent;
-        waits.then_some(self.due)
+        let can_send_later = !self.waiting.is_empty() && self.sent.len() < self.settings.concurrent;
+        can_send_later.then_some(self.flush_at)
     }
 
     fn may_send(&self, now: Time) -> bool {
         let full = self.waiting.len() >= self.settings.rows;
         !self.waiting.is_empty()
             && self.sent.len() < self.settings.concurrent
-            && (full || now >= self.due)
+            && (full || now >= self.flush_at)
     }
 
     /// The next rows, no address twice: the second insert of a row waits for the first one's end.
-    fn take(&mut self) -> Vec<Insert> {
+    fn take_rows(&mut self) -> Vec<Insert> {
         let mut addresses: BTreeSet<Address> = self
             .sent
             .values()
@@ -162,7 +162,7 @@
         let mut taken = Vec::new();
         let mut kept = VecDeque::new();
         for insert in std::mem::take(&mut self.waiting) {
-            if taken.len() < self.limit && addresses.insert(insert.address.clone()) {
+            if taken.len() < self.max_rows && addresses.insert(insert.address.clone()) {
                 taken.push(insert);
             } else {
                 kept.push_back(insert);
@@ -197,25 +197,25 @@
         effects: &mut Vec<Effect>,
     ) {
         let mut failed: BTreeMap<Address, Option<Row>> = failed.into_iter().collect();
-        let named = inserts
+        let names_rows = inserts
             .iter()
             .any(|insert| failed.contains_key(&insert.address));
-        if !named && inserts.len() == 1 {
-            effects.push(done(&inserts[0], Outcome::Conflict(Vec::new())));
+        if !names_rows && inserts.len() == 1 {
+            effects.push(done_effect(&inserts[0], Outcome::Conflict(Vec::new())));
             return;
         }
         // A service that doesn't name the rows makes us look for them by halves.
-        self.limit = if named {
+        self.max_rows = if names_rows {
             self.settings.rows
         } else {
             inserts.len() / 2
         };
-        self.due = now;
+        self.flush_at = now;
         for insert in inserts.into_iter().rev() {
             match failed.remove(&insert.address) {
                 Some(row) => {
                     let conflict = Outcome::Conflict(vec![(insert.address.clone(), row)]);
-                    effects.push(done(&insert, conflict));
+                    effects.push(done_effect(&insert, conflict));
                 }
                 None => self.waiting.push_front(insert),
             }
@@ -223,7 +223,7 @@
     }
 }
 
-fn done(insert: &Insert, outcome: Outcome) -> Effect {
+fn done_effect(insert: &Insert, outcome: Outcome) -> Effect {
     Effect::Done {
         ticket: insert.ticket,
         outcome,
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -32,7 +32,7 @@
         Priority::Summary,
     ];
 
-    /// Part of a full purse that must remain after a call of this priority.
+    /// Part of a full bucket that must remain after a call of this priority.
     const fn reserve(self) -> f64 {
         match self {
             Priority::Lease => f64::NEG_INFINITY,
@@ -48,16 +48,16 @@
 pub struct Budget {
     settings: Settings,
     members: usize,
-    reads: Purse,
-    writes: Purse,
+    reads: TokenBucket,
+    writes: TokenBucket,
 }
 
 /// Calls of one kind that are saved up.
 #[derive(Clone, Copy, Debug)]
-struct Purse {
+struct TokenBucket {
     /// Never above the burst; renewals may take it below zero.
-    saved: f64,
-    filled: Time,
+    tokens: f64,
+    refilled_at: Time,
 }
 
 impl Budget {
@@ -66,73 +66,73 @@
         let mut budget = Budget {
             settings,
             members: 1,
-            reads: Purse::default(),
-            writes: Purse::default(),
+            reads: TokenBucket::default(),
+            writes: TokenBucket::default(),
         };
-        budget.reads.saved = budget.burst(budget.share(settings.reads_per_second));
-        budget.writes.saved = budget.burst(budget.share(settings.writes_per_second));
+        budget.reads.tokens = budget.burst(budget.share(settings.reads_per_second));
+        budget.writes.tokens = budget.burst(budget.share(settings.writes_per_second));
         budget
     }
 
     /// How many live entries share the service.
     pub fn set_members(&mut self, now: Time, members: usize) {
-        self.fill(now);
+        self.refill(now);
         self.members = members.max(1);
-        self.fill(now);
+        self.refill(now);
     }
 
     /// Whether a call may be made now; if so it is paid for.
     pub fn take(&mut self, now: Time, call: &Call, priority: Priority) -> bool {
-        self.fill(now);
+        self.refill(now);
         let rate = match call {
             Call::Transact(_) => self.settings.writes_per_second,
             _ => self.settings.reads_per_second,
         };
-        let least = self.burst(self.share(rate)) * priority.reserve() + 1.0;
-        let purse = match call {
+        let required = self.burst(self.share(rate)) * priority.reserve() + 1.0;
+        let bucket = match call {
             Call::Transact(_) => &mut self.writes,
             _ => &mut self.reads,
         };
-        if purse.saved < least {
+        if bucket.tokens < required {
             return false;
         }
-        purse.saved -= 1.0;
+        bucket.tokens -= 1.0;
         true
     }
 
-    fn fill(&mut self, now: Time) {
+    fn refill(&mut self, now: Time) {
         let reads = self.share(self.settings.reads_per_second);
         let writes = self.share(self.settings.writes_per_second);
-        let (most_reads, most_writes) = (self.burst(reads), self.burst(writes));
-        self.reads.fill(now, reads, most_reads);
-        self.writes.fill(now, writes, most_writes);
+        let (read_capacity, write_capacity) = (self.burst(reads), self.burst(writes));
+        self.reads.refill(now, reads, read_capacity);
+        self.writes.refill(now, writes, write_capacity);
     }
 
     /// This entry's share of a limit, calls a second.
     fn share(&self, limit: f64) -> f64 {
-        limit * self.settings.shared / self.members as f64
+        limit * self.settings.shared_fraction / self.members as f64
     }
 
     /// Most calls saved up at this rate.
     fn burst(&self, rate: f64) -> f64 {
         let seconds = self.settings.burst.as_millis() as f64 / 1_000.0;
-        (rate * seconds).max(self.settings.least_burst)
+        (rate * seconds).max(self.settings.min_burst)
     }
 }
 
-impl Default for Purse {
-    fn default() -> Purse {
-        Purse {
-            saved: 0.0,
-            filled: Time::ZERO,
+impl Default for TokenBucket {
+    fn default() -> TokenBucket {
+        TokenBucket {
+            tokens: 0.0,
+            refilled_at: Time::ZERO,
         }
     }
 }
 
-impl Purse {
-    fn fill(&mut self, now: Time, rate: f64, most: f64) {
-        let seconds = now.since(self.filled).as_millis() as f64 / 1_000.0;
-        self.saved = (self.saved + rate * seconds).min(most);
-        self.filled = now;
+impl TokenBucket {
+    fn refill(&mut self, now: Time, rate: f64, capacity: f64) {
+        let seconds = now.since(self.refilled_at).as_millis() as f64 / 1_000.0;
+        self.tokens = (self.tokens + rate * seconds).min(capacity);
+        self.refilled_at = now;
     }
 }
--- a/crates/store/src/configs/budget.rs
+++ b/crates/store/src/configs/budget.rs
@@ -10,11 +10,11 @@
     /// Reads a second that the service takes from all entries.
     pub reads_per_second: f64,
     /// Part of the limits that is shared out; the rest covers entries that count fewer members.
-    pub shared: f64,
+    pub shared_fraction: f64,
     /// What may be saved up while nothing is asked, as a time's worth of the share.
     pub burst: Span,
     /// Least that may be saved up, calls: without it a small share never affords a first call.
-    pub least_burst: f64,
+    pub min_burst: f64,
     /// Calls of one priority that may wait.
     pub queue: usize,
 }
@@ -24,9 +24,9 @@
         Settings {
             writes_per_second: 300.0,
             reads_per_second: 2_000.0,
-            shared: 0.8,
+            shared_fraction: 0.8,
             burst: Span::from_seconds(2),
-            least_burst: 4.0,
+            min_burst: 4.0,
             queue: 1_024,
         }
     }
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -75,7 +75,7 @@
     /// Makes one call. Never fails otherwise than by its outcome.
     pub async fn call(&self, call: &Call) -> Outcome {
         match call {
-            Call::Get { address: at } => self.get(at).await,
+            Call::Get { address } => self.get(address).await,
             Call::Scan {
                 table,
                 prefix,
@@ -115,8 +115,12 @@
         }
     }
 
-    async fn get(&self, at: &Address) -> Outcome {
-        let path = format!("/tables/{}/rows/{}", escape(&at.table), escape(&at.key));
+    async fn get(&self, address: &Address) -> Outcome {
+        let path = format!(
+            "/tables/{}/rows/{}",
+            escape(&address.table),
+            escape(&address.key)
+        );
         let Ok(answer) = self.exchange(Method::GET, &path, Bytes::new()).await else {
             return Outcome::Unavailable;
         };
@@ -176,7 +180,7 @@
                     Failure::Lost
                 }
             })?;
-            whole(response).await.map_err(|_| Failure::Lost)
+            read_body(response).await.map_err(|_| Failure::Lost)
         };
         match tokio::time::timeout(self.timeout, exchange).await {
             Ok(result) => result,
@@ -213,7 +217,7 @@
 }
 
 /// Reads the whole body, up to the limit.
-async fn whole(response: Response<Incoming>) -> anyhow::Result<Answer> {
+async fn read_body(response: Response<Incoming>) -> anyhow::Result<Answer> {
     let status = response.status();
     let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
         .collect()
@@ -247,11 +251,11 @@
 
 /// The form of a failed check in an outcome.
 fn failed_row(failed: Failed) -> (Address, Option<Row>) {
-    let at = Address {
+    let address = Address {
         table: failed.table,
         key: failed.key,
     };
-    (at, failed.row)
+    (address, failed.row)
 }
 
 /// Percent-encodes everything but unreserved characters, so that a key is one path segment.
--- a/crates/store/src/fake.rs
+++ b/crates/store/src/fake.rs
@@ -77,11 +77,11 @@
             return Outcome::Unavailable;
         }
         if fault == Fault::LostCall {
-            return lost(call);
+            return timeout_outcome(call);
         }
         let outcome = self.serve(call);
         if fault == Fault::LostAnswer {
-            return lost(call);
+            return timeout_outcome(call);
         }
         outcome
     }
@@ -101,9 +101,9 @@
 
     fn serve(&mut self, call: &Call) -> Outcome {
         match call {
-            Call::Get { address: at } => {
+            Call::Get { address } => {
                 self.reads += 1;
-                Outcome::Row(self.rows.get(at).cloned())
+                Outcome::Row(self.rows.get(address).cloned())
             }
             Call::Scan {
                 table,
@@ -125,8 +125,8 @@
         let mut rows: Vec<Row> = self
             .rows
             .iter()
-            .filter(|(at, _)| at.table == table)
-            .filter(|(at, _)| at.key.starts_with(prefix) && at.key.as_str() > after)
+            .filter(|(address, _)| address.table == table)
+            .filter(|(address, _)| address.key.starts_with(prefix) && address.key.as_str() > after)
             .map(|(_, row)| row.clone())
             .take(limit + 1)
             .collect();
@@ -168,7 +168,7 @@
 }
 
 /// What the sender of a call sees when no answer comes.
-fn lost(call: &Call) -> Outcome {
+fn timeout_outcome(call: &Call) -> Outcome {
     match call {
         Call::Transact(_) => Outcome::Unknown,
         _ => Outcome::Unavailable,
--- a/crates/store/src/health.rs
+++ b/crates/store/src/health.rs
@@ -3,13 +3,13 @@
 use clock::Time;
 
 /// Failed calls in a row from which on the service is taken to be out of reach. One alone may be a lost answer.
-const FAILURES: u32 = 2;
+const MIN_CONSECUTIVE_FAILURES: u32 = 2;
 
 /// How calls of the service have ended lately.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     /// Since when calls fail, if the last one did.
-    failing: Option<Time>,
+    failing_since: Option<Time>,
     /// Failed calls since the last answer.
     failures: u32,
 }
@@ -18,17 +18,19 @@
     /// A call failed; whether it is the first one since an answer.
     pub fn record_failure(&mut self, now: Time) -> bool {
         self.failures = self.failures.saturating_add(1);
-        self.failing.replace(self.failing.unwrap_or(now)).is_none()
+        self.failing_since
+            .replace(self.failing_since.unwrap_or(now))
+            .is_none()
     }
 
     /// A call was answered; since when calls had failed, if they had.
     pub fn record_answer(&mut self) -> Option<Time> {
         self.failures = 0;
-        self.failing.take()
+        self.failing_since.take()
     }
 
     /// Whether the service is out of reach.
     pub fn is_unavailable(&self) -> bool {
-        self.failures >= FAILURES
+        self.failures >= MIN_CONSECUTIVE_FAILURES
     }
 }
--- a/crates/store/src/throttle.rs
+++ b/crates/store/src/throttle.rs
@@ -12,14 +12,14 @@
 use crate::configs::budget::Settings;
 
 /// Time between two looks at the budget while calls wait.
-const RETRY: Span = Span::from_millis(20);
+const RETRY_INTERVAL: Span = Span::from_millis(20);
 
 /// Waiting calls, each with whatever names its asker.
 #[derive(Clone, Debug)]
 pub struct Throttle<T> {
     budget: Budget,
     waiting: BTreeMap<Priority, VecDeque<(T, Call)>>,
-    limit: usize,
+    max_queued: usize,
 }
 
 impl<T> Throttle<T> {
@@ -28,7 +28,7 @@
         Throttle {
             budget: Budget::new(settings),
             waiting: BTreeMap::new(),
-            limit: settings.queue,
+            max_queued: settings.queue,
         }
     }
 
@@ -39,12 +39,12 @@
 
     /// Adds a call; gives it back if too many wait, so that its asker is told at once that it was
     /// not made.
-    pub fn push(&mut self, priority: Priority, asker: T, call: Call) -> Option<(T, Call)> {
+    pub fn push(&mut self, priority: Priority, requester: T, call: Call) -> Option<(T, Call)> {
         let queue = self.waiting.entry(priority).or_default();
-        if queue.len() >= self.limit {
-            return Some((asker, call));
+        if queue.len() >= self.max_queued {
+            return Some((requester, call));
         }
-        queue.push_back((asker, call));
+        queue.push_back((requester, call));
         None
     }
 
@@ -63,7 +63,7 @@
 
     /// When [`Throttle::pop`] wants to be called next; none while nothing waits.
     pub fn next_wake(&self, now: Time) -> Option<Time> {
-        let waits = self.waiting.values().any(|queue| !queue.is_empty());
-        waits.then(|| now + RETRY)
+        let has_waiting = self.waiting.values().any(|queue| !queue.is_empty());
+        has_waiting.then(|| now + RETRY_INTERVAL)
     }
 }
--- a/crates/store/tests/batch.rs
+++ b/crates/store/tests/batch.rs
@@ -29,26 +29,26 @@
     }
 }
 
-/// Carries out all calls at once and collects the ends of inserts.
-fn carry_out(batch: &mut Batch, now: Time, table: &mut Table, effects: Vec<Effect>) -> Ends {
-    let mut ends = Ends::default();
+/// Carries out all calls at once and collects the outcomes of inserts.
+fn execute(batch: &mut Batch, now: Time, table: &mut Table, effects: Vec<Effect>) -> Outcomes {
+    let mut outcomes = Outcomes::default();
     let mut open = effects;
     while let Some(effect) = open.pop() {
         match effect {
             Effect::Store { id, call } => {
                 let outcome = table.apply(&call);
-                batch.answered(now, id, outcome, &mut open);
+                batch.handle_outcome(now, id, outcome, &mut open);
             }
             Effect::Done { ticket, outcome } => {
-                assert_eq!(ends.0.insert(ticket, outcome), None, "ended twice");
+                assert_eq!(outcomes.0.insert(ticket, outcome), None, "ended twice");
             }
         }
     }
-    ends
+    outcomes
 }
 
 #[derive(Debug, Default)]
-struct Ends(BTreeMap<Ticket, Outcome>);
+struct Outcomes(BTreeMap<Ticket, Outcome>);
 
 #[test]
 fn many_inserts_take_few_transactions() {
@@ -62,12 +62,13 @@
             &mut effects,
         );
     }
-    let mut ends = carry_out(&mut batch, Time::ZERO, &mut table, effects);
+    let mut outcomes = execute(&mut batch, Time::ZERO, &mut table, effects);
     let mut effects = Vec::new();
     batch.poll(Time::from_millis(4), &mut effects);
-    ends.0
-        .extend(carry_out(&mut batch, Time::ZERO, &mut table, effects).0);
-    assert_eq!(ends.0.len(), 256);
+    outcomes
+        .0
+        .extend(execute(&mut batch, Time::ZERO, &mut table, effects).0);
+    assert_eq!(outcomes.0.len(), 256);
     assert!(table.served().1 <= 5, "{:?}", table.served());
 }
 
@@ -80,19 +81,19 @@
     let mut effects = Vec::new();
     batch.insert(Time::ZERO, insert(1, "same"), &mut effects);
     batch.poll(Time::from_millis(4), &mut effects);
-    carry_out(&mut batch, Time::ZERO, &mut table, effects);
+    execute(&mut batch, Time::ZERO, &mut table, effects);
 
     let mut effects = Vec::new();
     for (ticket, key) in [(2, "a"), (3, "same"), (4, "b"), (5, "b")] {
         batch.insert(Time::ZERO, insert(ticket, key), &mut effects);
     }
     batch.poll(Time::from_millis(4), &mut effects);
-    let ends = carry_out(&mut batch, Time::from_millis(4), &mut table, effects);
-    let committed = |ticket| matches!(ends.0[&Ticket(ticket)], Outcome::Committed(_));
+    let outcomes = execute(&mut batch, Time::from_millis(4), &mut table, effects);
+    let committed = |ticket| matches!(outcomes.0[&Ticket(ticket)], Outcome::Committed(_));
     assert!(committed(2) && committed(4));
     for (ticket, token) in [(3, 1), (5, 4)] {
-        let Outcome::Conflict(rows) = &ends.0[&Ticket(ticket)] else {
-            panic!("{ends:?}")
+        let Outcome::Conflict(rows) = &outcomes.0[&Ticket(ticket)] else {
+            panic!("{outcomes:?}")
         };
         let row = rows[0].1.as_ref().expect("no row");
         assert_eq!(row.value, json!({ "token": token }));
@@ -118,29 +119,31 @@
         };
         let mut batch = Batch::new("e1".into(), settings);
         let mut now = Time::ZERO;
-        let mut ends = Ends::default();
+        let mut outcomes = Outcomes::default();
         for (ticket, (key, fault, wait)) in steps.iter().enumerate() {
             let faults = [Fault::Down, Fault::LostCall, Fault::LostAnswer];
             if let Some(fault) = faults.get(usize::from(*fault)) {
                 table.push_fault(*fault);
             }
             let mut effects = Vec::new();
-            let one = insert(ticket as u64, &format!("k{key}"));
-            batch.insert(now, one, &mut effects);
+            let row = insert(ticket as u64, &format!("k{key}"));
+            batch.insert(now, row, &mut effects);
             if *wait {
                 now = now + Span::from_millis(5);
                 batch.poll(now, &mut effects);
             }
-            ends.0
-                .extend(carry_out(&mut batch, now, &mut table, effects).0);
+            outcomes
+                .0
+                .extend(execute(&mut batch, now, &mut table, effects).0);
         }
         let mut effects = Vec::new();
-        let late = now + Span::from_seconds(1);
-        batch.poll(late, &mut effects);
-        ends.0
-            .extend(carry_out(&mut batch, late, &mut table, effects).0);
-        prop_assert_eq!(ends.0.len(), steps.len());
-        for (ticket, outcome) in &ends.0 {
+        let end = now + Span::from_seconds(1);
+        batch.poll(end, &mut effects);
+        outcomes
+            .0
+            .extend(execute(&mut batch, end, &mut table, effects).0);
+        prop_assert_eq!(outcomes.0.len(), steps.len());
+        for (ticket, outcome) in &outcomes.0 {
             let key = format!("k{}", steps[ticket.0 as usize].0);
             let row = table.row("intents", &key);
             let ours = row.is_some_and(|row| row.value == json!({ "token": ticket.0 }));
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -21,7 +21,7 @@
 
 /// Calls of each kind that `members` entries make together in a minute when all want to make as many
 /// as they can, a second.
-fn together(members: usize) -> (f64, f64) {
+fn total_rates(members: usize) -> (f64, f64) {
     let mut throttle = Throttle::new(Settings::default());
     throttle.set_members(Time::ZERO, members);
     let (mut reads, mut writes) = (0, 0);
@@ -37,14 +37,17 @@
             }
         }
     }
-    let all = members as f64 / 60.0;
-    (f64::from(reads) * all, f64::from(writes) * all)
+    let minute_rate = members as f64 / 60.0;
+    (
+        f64::from(reads) * minute_rate,
+        f64::from(writes) * minute_rate,
+    )
 }
 
 #[test]
 fn the_total_stays_under_the_limits_however_many_entries() {
     for members in [8, 64, 840] {
-        let (reads, writes) = together(members);
+        let (reads, writes) = total_rates(members);
         assert!(reads <= 2_000.0, "{members} members: {reads} reads/s");
         assert!(writes <= 300.0, "{members} members: {writes} writes/s");
     }
@@ -63,7 +66,10 @@
         while throttle.pop(now).is_some() {}
         if step % 200 == 0 {
             throttle.push(Priority::Lease, "renewal", write());
-            assert_eq!(throttle.pop(now).map(|(asker, _)| asker), Some("renewal"));
+            assert_eq!(
+                throttle.pop(now).map(|(requester, _)| requester),
+                Some("renewal")
+            );
         }
     }
 }
--- a/crates/store/tests/driver.rs
+++ b/crates/store/tests/driver.rs
@@ -34,7 +34,7 @@
     address
 }
 
-fn at() -> Address {
+fn address() -> Address {
     Address {
         table: "leases".into(),
         key: "fleet/thesis 1".into(),
@@ -49,9 +49,9 @@
     )
 }
 
-async fn both(answer: &str) -> (Outcome, Outcome) {
+async fn read_and_write(answer: &str) -> (Outcome, Outcome) {
     let driver = Driver::new(&service(answer.to_owned()).await, TIMEOUT);
-    let read = driver.call(&Call::Get { address: at() }).await;
+    let read = driver.call(&Call::Get { address: address() }).await;
     let write = driver.call(&Call::Transact(Transaction::default())).await;
     (read, write)
 }
@@ -59,21 +59,21 @@
 #[tokio::test]
 async fn answers_are_read() {
     let found = answer("200 OK", r#"{"key":"k","value":[1],"revision":7}"#);
-    let (read, _) = both(&found).await;
+    let (read, _) = read_and_write(&found).await;
     let Outcome::Row(Some(row)) = read else {
         panic!("{read:?}")
     };
     assert_eq!((row.revision, row.value), (7, json!([1])));
 
-    let (read, _) = both(&answer("404 Not Found", "")).await;
+    let (read, _) = read_and_write(&answer("404 Not Found", "")).await;
     assert_eq!(read, Outcome::Row(None));
 
     let committed = answer("200 OK", r#"{"revision":9}"#);
-    assert_eq!(both(&committed).await.1, Outcome::Committed(9));
+    assert_eq!(read_and_write(&committed).await.1, Outcome::Committed(9));
 
     let failed = r#"{"failed":[{"table":"leases","key":"fleet/thesis 1","row":null}]}"#;
-    let (_, write) = both(&answer("409 Conflict", failed)).await;
-    assert_eq!(write, Outcome::Conflict(vec![(at(), None)]));
+    let (_, write) = read_and_write(&answer("409 Conflict", failed)).await;
+    assert_eq!(write, Outcome::Conflict(vec![(address(), None)]));
 }
 
 /// An operator's change is sent; the service applies it and the answer is lost: cut, late, or
@@ -83,7 +83,7 @@
     let cut = "HTTP/1.1 200 OK\r\ncontent-length: 14\r\n\r\n{\"rev";
     let gateway = answer("502 Bad Gateway", "");
     for answer in [cut, &gateway, ""] {
-        let (read, write) = both(answer).await;
+        let (read, write) = read_and_write(answer).await;
         assert_eq!(read, Outcome::Unavailable, "{answer}");
         assert_eq!(write, Outcome::Unknown, "{answer}");
     }
@@ -95,7 +95,7 @@
 async fn a_service_that_is_down_did_nothing() {
     let down = answer("503 Service Unavailable", "");
     assert_eq!(
-        both(&down).await,
+        read_and_write(&down).await,
         (Outcome::Unavailable, Outcome::Unavailable)
     );
 
