--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,7 +1,7 @@
 //! Monotonic time in milliseconds.
 //!
-//! Every state machine of the workspace takes the time as an argument of type [`Time`], so that
-//! tests drive it in virtual time. Only the daemons and clients hold a [`Clock`].
+//! State machines take the current [`Time`] as an argument, so that tests can run them in virtual time. Only
+//! daemons and clients read a [`Clock`].
 
 use std::fmt;
 use std::ops::Add;
@@ -11,9 +11,9 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// A point in time: milliseconds since the start of the process (or of the virtual run).
+/// A point in time: milliseconds since the start of the process or of the simulation.
 ///
-/// Points of two processes are never compared with each other.
+/// Times of different processes are not comparable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(u64);
 
@@ -21,17 +21,17 @@
     /// The start of the process.
     pub const ZERO: Time = Time(0);
 
-    /// The point `millis` milliseconds after the start.
+    /// Creates the time `millis` milliseconds after the start.
     pub const fn from_millis(millis: u64) -> Time {
         Time(millis)
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the start.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// The time passed since `earlier`, or zero if `earlier` lies in the future.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than this time.
     pub const fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -56,35 +56,35 @@
 pub struct Span(u64);
 
 impl Span {
-    /// No time at all.
+    /// An empty span.
     pub const ZERO: Span = Span(0);
 
-    /// A span of `millis` milliseconds.
+    /// Creates a span of `millis` milliseconds.
     pub const fn from_millis(millis: u64) -> Span {
         Span(millis)
     }
 
-    /// A span of `seconds` seconds.
+    /// Creates a span of `seconds` seconds.
     pub const fn from_seconds(seconds: u64) -> Span {
         Span(seconds * 1_000)
     }
 
-    /// Its length in milliseconds.
+    /// Returns the length in milliseconds.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// This span taken `factor` times.
+    /// Returns the span multiplied by `factor`.
     pub const fn times(self, factor: u64) -> Span {
         Span(self.0.saturating_mul(factor))
     }
 
-    /// This span multiplied by a ratio; negative ratios count as zero.
+    /// Returns the span multiplied by `ratio`; a negative ratio counts as zero.
     pub fn scaled(self, ratio: f64) -> Span {
         Span((self.0 as f64 * ratio).max(0.0) as u64)
     }
 
-    /// The standard library's form, for timers of the shell.
+    /// Converts the span for timers of the standard library and the runtime.
     pub const fn as_duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -112,30 +112,31 @@
     }
 }
 
-/// The monotonic clock of one process. It goes on while the instance is suspended.
+/// Monotonic clock of a process that also advances while the instance is suspended.
 ///
-/// The standard library's `Instant` stands still then: a lease counted by it seems to hold after a
-/// suspension that outlasted its term, and two holders act. The boot clock counts the suspended time.
+/// The standard library's `Instant` stops during a suspension. A lease measured by it would seem
+/// valid after its term had passed, and two holders would act. The boot-time clock includes
+/// suspensions.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
 }
 
 impl Clock {
-    /// A clock that reads zero now.
+    /// Starts a clock at zero.
     pub fn start() -> Clock {
         Clock {
             start: since_boot(),
         }
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         Time(since_boot().saturating_sub(self.start).as_millis() as u64)
     }
 }
 
-/// Time since the instance was booted, suspensions included.
+/// Returns the time since boot, including suspensions.
 fn since_boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec.unsigned_abs() as u32)
--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Arithmetic on points and spans never wraps.
+//! Saturating arithmetic of times and spans.
 
 use clock::Span;
 use clock::Time;
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! The port for health, readiness and metrics.
+//! Admin port: health, readiness and metrics.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -18,12 +18,12 @@
 use prometheus::TextEncoder;
 use tokio::net::TcpListener;
 
-/// What the port tells.
+/// State that the port exposes.
 #[derive(Clone)]
 pub struct Admin {
     /// Whether the entry admits requests.
     pub ready: Rc<Cell<bool>>,
-    /// Metrics.
+    /// Registry of all metrics.
     pub registry: Registry,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Admin {
-    /// Answers one question.
+    /// Answers one request.
     fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         match request.uri().path() {
             "/healthz" => text(StatusCode::OK, "alive\n"),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// All metrics in the customary text form.
+    /// Encodes all metrics in the Prometheus text format.
     fn metrics(&self) -> Vec<u8> {
         let mut buffer = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buffer);
@@ -67,7 +67,7 @@
     }
 }
 
-/// A plain text answer.
+/// Creates a plain text response.
 fn text(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
--- a/crates/daemon/src/attempt_end.rs
+++ b/crates/daemon/src/attempt_end.rs
@@ -1,12 +1,12 @@
-//! Failures of exchanges with backend servers, as the scheduler sees them.
+//! Converts failures of backend exchanges into ends of attempts.
 
 use back::failure::Failure;
 use policy::job::End;
 
-/// How an attempt ended that failed so.
+/// Returns how an attempt with this failure ended.
 ///
-/// "Not started" is said only where no byte was handed on or the server said so itself: the verdict
-/// "not run" rests on it.
+/// The verdict "not run" relies on `NotStarted`, so it is returned only if no byte was sent or the server
+/// itself reported that it did not start the request.
 pub fn end_of(failure: &Failure) -> End {
     match failure {
         Failure::NotSent | Failure::NotStarted => End::NotStarted,
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -1,4 +1,4 @@
-//! Answers callers: each call becomes an event, a task of its own where needed, and an answer.
+//! Handles calls from callers: turns each into an event for the reducer and, if needed, a task.
 
 use std::rc::Rc;
 
@@ -31,7 +31,7 @@
 use crate::output::Output;
 use crate::plain::PlainFlight;
 
-/// Answers the callers of one entry.
+/// Handler for the callers of one entry.
 pub struct Callers {
     shared: Rc<Shared>,
     incarnation: Incarnation,
@@ -39,7 +39,7 @@
 }
 
 impl Callers {
-    /// Answers in the name of this incarnation; `tickets` seals the tickets it gives out.
+    /// Creates a handler for this incarnation; `tickets` seals the tickets that it issues.
     pub fn new(shared: Rc<Shared>, incarnation: Incarnation, tickets: Signer) -> Callers {
         Callers {
             shared,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The name of a new request.
+    /// Returns the identifier of a new request.
     fn new_id(&self) -> Id {
         Id {
             incarnation: self.incarnation,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Opens a model call.
+    /// Starts the task of a model call.
     fn start_model_call(&self, credentials: Credentials, chat: Chat) -> Pending {
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
@@ -69,7 +69,7 @@
         await_response(answer)
     }
 
-    /// Opens a plain call.
+    /// Starts the task of a plain call.
     fn start_plain_call(&self, credentials: Credentials, call: Plain) -> Pending {
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
@@ -81,7 +81,7 @@
         await_response(answer)
     }
 
-    /// Tells the reducer of a request; what it commands comes through the channel.
+    /// Announces a request to the reducer and returns the channel for its commands.
     fn open(&self, id: Id, arrival: Arrival) -> mpsc::UnboundedReceiver<entry::effect::Command> {
         let (sender, commands) = mpsc::unbounded_channel();
         self.shared.link.send(Message::Open {
@@ -92,7 +92,7 @@
         commands
     }
 
-    /// Asks the reducer which entries to use.
+    /// Asks the reducer which entries the caller should use.
     fn addresses(&self, key: Option<SmolStr>, prefix: Option<u64>) -> Pending {
         let (reply, answer) = oneshot::channel();
         self.shared
@@ -137,18 +137,18 @@
     }
 }
 
-/// The answer once its task has given one.
+/// Awaits the response of a call's task.
 fn await_response(answer: oneshot::Receiver<Response<Payload>>) -> Pending {
     Box::pin(async move { answer.await.unwrap_or_else(|_| stopped_response()) })
 }
 
-/// The answer when the process stops under the call.
+/// Creates the response to a call that was open when the process stopped.
 fn stopped_response() -> Response<Payload> {
     let refusal = Refusal::may_have_run(Reason::Leaving, "this entry has stopped");
     answer::refused("", &refusal)
 }
 
-/// A model call as the reducer sees it.
+/// Converts a model call for the reducer.
 fn model_arrival(credentials: &Credentials, chat: &Chat) -> Arrival {
     Arrival {
         key: credentials.key.clone(),
@@ -166,7 +166,7 @@
     }
 }
 
-/// A plain call as the reducer sees it.
+/// Converts a plain call for the reducer.
 fn plain_arrival(credentials: &Credentials, call: &Plain) -> Arrival {
     let mut hasher = Xxh3::new();
     for part in [
@@ -193,20 +193,24 @@
     }
 }
 
-/// The answer to a question for addresses.
+/// Creates the response with addresses and tickets.
 fn addresses_answer(addresses: &Addresses, seal: &Signer) -> Response<Payload> {
     let entries: Vec<_> = addresses
         .entries
         .iter()
-        .map(|one| {
+        .map(|entry| {
             json!({
-                "address": one.address.as_str(),
-                "zone": one.zone.as_str(),
-                "weight": one.weight,
+                "address": entry.address.as_str(),
+                "zone": entry.zone.as_str(),
+                "weight": entry.weight,
             })
         })
         .collect();
-    let tickets: Vec<String> = addresses.tickets.iter().map(|one| seal.sign(one)).collect();
+    let tickets: Vec<String> = addresses
+        .tickets
+        .iter()
+        .map(|ticket| seal.sign(ticket))
+        .collect();
     answer::json_answer(&json!({
         "addresses": entries,
         "ttl_ms": addresses.ttl.as_millis(),
--- a/crates/daemon/src/fleet_port.rs
+++ b/crates/daemon/src/fleet_port.rs
@@ -1,7 +1,7 @@
-//! Carries a leader's orders to engines and its wishes to the cloud.
+//! Sends a leader's orders to engines and its instance requests to the cloud.
 //!
-//! A lease is checked again where the effect leaves: an order that waited in this process past the end
-//! of its lease is dropped.
+//! The lease is checked again just before sending: an order that was queued past the end of its lease is
+//! dropped.
 
 use std::rc::Rc;
 
@@ -23,18 +23,18 @@
 
 use crate::link::Link;
 
-/// HTTP status by which the cloud says that it has none.
+/// HTTP status with which the cloud reports that it has no capacity.
 const NO_CAPACITY_STATUS: u16 = 409;
 
-/// HTTP status by which an engine refuses an old fencing number.
+/// HTTP status with which an engine rejects a stale fencing number.
 const STALE_FENCE_STATUS: u16 = 409;
 
-/// The way to engines' orders and the cloud.
+/// Client for engines' orders and the cloud.
 #[derive(Clone)]
 pub struct FleetPort {
-    /// For answers.
+    /// Channel to the event loop, for answers.
     pub link: Rc<Link>,
-    /// To engines and the cloud.
+    /// HTTP client for engines and the cloud.
     pub client: HttpClient,
     /// `host:port` of the cloud.
     pub cloud: SmolStr,
@@ -43,7 +43,7 @@
 }
 
 impl FleetPort {
-    /// Reads what an engine serves.
+    /// Reads an engine's current target and load.
     pub fn read_engine(&self, deployment: SmolStr, engine: SmolStr, address: SmolStr) {
         let port = self.clone();
         tokio::task::spawn_local(async move {
@@ -69,7 +69,7 @@
         });
     }
 
-    /// Sends an order.
+    /// Sends an order to an engine.
     pub fn order_engine(
         &self,
         deployment: SmolStr,
@@ -109,7 +109,8 @@
         });
     }
 
-    /// Asks the cloud for an instance. No answer is taken for neither: the wish is forgotten in time.
+    /// Requests an instance. An unanswered request counts as neither granted nor refused; the
+    /// reducer expires it.
     pub fn start_instance(
         &self,
         deployment: SmolStr,
@@ -142,7 +143,7 @@
         });
     }
 
-    /// Gives an instance back once its work had time to end or move.
+    /// Releases an instance after a delay in which its work can finish or move.
     pub fn stop_instance(&self, id: SmolStr, delay: Span, lease_end: Time) {
         let port = self.clone();
         tokio::task::spawn_local(async move {
@@ -165,7 +166,7 @@
     }
 }
 
-/// A market's name in the cloud's terms.
+/// Returns the cloud API's name of a market.
 pub fn market_name(market: Market) -> &'static str {
     match market {
         Market::Reclaimable => "reclaimable",
@@ -173,7 +174,7 @@
     }
 }
 
-/// The market of that name.
+/// Parses the cloud API's name of a market; an unknown name means reclaimable.
 pub fn market_of(name: &str) -> Market {
     match name {
         "on-demand" => Market::OnDemand,
--- a/crates/daemon/src/flight.rs
+++ b/crates/daemon/src/flight.rs
@@ -1,6 +1,6 @@
-//! The task of one open model call: starts, resumes and moves its engine stream and relays it.
+//! Task of one open model call: starts, resumes and moves its engine stream and relays it.
 //!
-//! `opening` asks engines for streams, `engine_events` takes what they say.
+//! `opening` opens engine streams, `engine_events` handles their events.
 
 mod engine_events;
 mod opening;
@@ -36,16 +36,17 @@
 use crate::link::Message;
 use crate::output::Output;
 
-/// How often tokens passed on are reported: the reducer needs counts, not chunks.
+/// Interval at which forwarded tokens are reported; the reducer needs counts, not chunks.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What tasks of requests share.
+/// State shared by the tasks of all requests.
 pub struct Shared {
-    /// The way to the loop.
+    /// Channel to the event loop.
     pub link: Rc<Link>,
-    /// The way to backend servers.
+    /// HTTP client for backend servers.
     pub client: HttpClient,
-    /// Seals resume words.
+
+    /// Seals resume tokens.
     pub seal: Signer,
 }
 
@@ -60,59 +61,59 @@
     relay: Sequencer,
     phase: Phase,
     running: Option<Attempt>,
-    /// Tokens passed on since the last report.
+    /// Tokens forwarded since the last report.
     unreported: u32,
-    /// Longest time between two tokens since the last report.
+    /// Longest gap between two tokens since the last report.
     worst_gap: Span,
-    /// When the last token was passed on.
+    /// When the last token was forwarded.
     last_token: Option<Instant>,
-    /// Tokens passed on by this task.
+    /// Tokens forwarded by this task.
     forwarded: u64,
 }
 
-/// The attempt that runs.
+/// The running attempt.
 #[derive(Clone)]
 struct Attempt {
-    /// Number of the attempt here.
+    /// Number of the attempt at this entry.
     attempt: u32,
-    /// The engine's stream.
+    /// The engine's identifier of the stream.
     stream: Stream,
     endpoint: Endpoint,
     account: SmolStr,
-    /// The caller's offset of that stream's first token.
+    /// Offset of the stream's first token in the caller's answer.
     base: u64,
     source: Source,
 }
 
-/// How the stream that is read now was asked for.
+/// How the current stream was opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Source {
-    /// Started or moved by this task, or read from since.
+    /// Started or moved by this task, or has delivered a token since it was reopened.
     Fresh,
-    /// Source for again after a cut, and nothing came since.
+    /// Reopened after it broke; no token received since.
     Retried,
-    /// Taken over from another entry, and nothing came since.
+    /// Taken over from another entry; no token received since.
     Adopted,
 }
 
-/// What the task waits for from the engine.
+/// What the task awaits from the engine.
 enum Phase {
-    /// Nothing.
+    /// No stream is open.
     Idle,
-    /// A stream to begin.
+    /// A stream is being opened.
     Opening(Pin<Box<dyn Future<Output = Opened>>>),
-    /// The next chunk.
+    /// The stream is being read.
     Reading(Events),
 }
 
-/// How opening a stream ended.
+/// Result of opening a stream.
 struct Opened {
     events: Result<Events, Failure>,
-    /// Set when the stream was moved.
+    /// How the stream was moved; `None` if it was started or resumed.
     moved: Option<Transfer>,
 }
 
-/// Whether the task goes on.
+/// Whether the task continues.
 #[derive(PartialEq, Eq)]
 enum Flow {
     Continue,
@@ -120,7 +121,8 @@
 }
 
 impl Flight {
-    /// A call that the reducer is told of by now. `next` is the offset that the caller wants first.
+    /// Creates the task of a call already announced to the reducer. `next` is the first offset that
+    /// the caller wants.
     pub fn new(
         shared: Rc<Shared>,
         origin: Id,
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Serves the call to its end.
+    /// Serves the call until it ends.
     pub async fn run(mut self) {
         let mut report = tokio::time::interval(REPORT_INTERVAL);
         report.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -175,7 +177,7 @@
         self.shared.link.send(Message::Closed { serial });
     }
 
-    /// Does what the reducer wants.
+    /// Executes a command of the reducer.
     async fn execute(&mut self, command: Command) -> Flow {
         match command {
             Command::Refuse(refusal) => {
@@ -227,7 +229,7 @@
         Flow::Continue
     }
 
-    /// The answer was cut between its last token and its end: nothing is left to be computed.
+    /// Finishes an answer that broke off after its last token but before its end; nothing is left to compute.
     async fn finish_complete(&mut self, stream: Stream) -> Flow {
         self.shared.link.event(Event::Attempt {
             serial: self.serial,
@@ -241,7 +243,7 @@
         Flow::Break
     }
 
-    /// The sealed word with which the caller can come back to the running stream.
+    /// Returns the sealed token with which the caller can resume the running stream.
     fn resume_token(&self) -> String {
         let Some(running) = &self.running else {
             return String::new();
@@ -257,7 +259,7 @@
         })
     }
 
-    /// Stops the engine's work on a call that nobody waits for.
+    /// Cancels the engine's work on a call whose answer is no longer needed.
     fn cancel_stream(&mut self) {
         let Some(running) = self.running.take() else {
             return;
@@ -269,7 +271,7 @@
         });
     }
 
-    /// Reports the tokens passed on since the last report.
+    /// Reports the tokens forwarded since the last report.
     fn report_tokens(&mut self) {
         if self.unreported > 0 {
             let tokens = std::mem::take(&mut self.unreported);
@@ -284,7 +286,7 @@
         self.report(Report::Ended { end, tokens: 0 });
     }
 
-    /// Reports on the running attempt.
+    /// Sends a report on the running attempt.
     fn report(&self, report: Report) {
         let attempt = self.running.as_ref().map_or(0, |running| running.attempt);
         self.shared.link.event(Event::Attempt {
@@ -295,14 +297,14 @@
     }
 }
 
-/// What the engine said.
+/// Event of an engine's stream.
 enum EngineEvent {
     Opened(Opened),
     Chunk(Result<Chunk, Failure>),
 }
 
 impl Phase {
-    /// Waits for the engine's next word; for ever if none is to come.
+    /// Awaits the next event of the stream; pending forever if none is open.
     async fn next(&mut self) -> EngineEvent {
         match self {
             Phase::Idle => std::future::pending().await,
--- a/crates/daemon/src/flight/engine_events.rs
+++ b/crates/daemon/src/flight/engine_events.rs
@@ -1,4 +1,4 @@
-//! Takes what an engine says: that the stream has begun, its tokens, its end, its failure.
+//! Handles events of an engine's stream: opened, token, end and failure.
 
 use std::time::Instant;
 
@@ -22,7 +22,7 @@
 use crate::flight::Source;
 
 impl Flight {
-    /// Takes the engine's next word.
+    /// Handles the next event.
     pub(super) async fn handle_event(&mut self, event: EngineEvent) -> Flow {
         match event {
             EngineEvent::Opened(opened) => self.handle_opened(opened).await,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The stream has begun, or could not.
+    /// Handles the result of opening a stream.
     async fn handle_opened(&mut self, opened: Opened) -> Flow {
         self.phase = Phase::Idle;
         match (opened.events, opened.moved) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The stream could not be moved: its replica runs prompt and tokens so far again.
+    /// Reruns the prompt and the tokens so far on the new replica, because the stream could not be moved.
     fn rerun(&mut self) {
         let Some(running) = self.running.clone() else {
             return;
@@ -80,15 +80,15 @@
         self.start(running.stream, running.endpoint, 0, running.account);
     }
 
-    /// A start or a resume failed.
+    /// Handles a failed start or resume.
     async fn handle_open_failure(&mut self, failure: &Failure) -> Flow {
         let source = self
             .running
             .as_ref()
-            .map_or(Source::Fresh, |one| one.source);
+            .map_or(Source::Fresh, |running| running.source);
         match (source, failure) {
             (Source::Adopted, _) => self.report(Report::AttachFailed),
-            // It ran there before the cut, so "not sent" speaks of the question alone.
+            // The request ran there before the stream broke, so `NotSent` applies to the resume call alone.
             (Source::Retried, Failure::NotSent | Failure::Broken) => self.report_end(End::Crashed),
             (Source::Retried, _) => self.report_end(End::Failed),
             (Source::Fresh, Failure::Answered { status, .. }) if (400..500).contains(status) => {
@@ -103,8 +103,8 @@
         Flow::Continue
     }
 
-    /// The stream broke: ask the same engine for it again once, since a cut connection alone costs
-    /// nothing to mend, before the attempt counts as failed.
+    /// Handles a broken stream: reopens it once at the same engine before the attempt counts as
+    /// failed, because a lost connection alone loses no work.
     fn handle_broken_stream(&mut self, failure: &Failure) {
         self.phase = Phase::Idle;
         let Some(mut running) = self.running.clone() else {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Passes a token on, if it is the next one.
+    /// Forwards a token if it is the next one.
     async fn forward_token(&mut self, engine_offset: u64, data: Bytes) -> Flow {
         let Some(running) = &mut self.running else {
             return Flow::Continue;
--- a/crates/daemon/src/flight/opening.rs
+++ b/crates/daemon/src/flight/opening.rs
@@ -1,4 +1,4 @@
-//! Asks engines for the call's stream: starts it, goes on reading it, moves it.
+//! Opens the call's stream at an engine: starts, resumes or moves it.
 
 use back::engine::Engine;
 use back::events::Events;
@@ -16,7 +16,7 @@
 use crate::flight::Source;
 
 impl Flight {
-    /// Starts the call, behind what was passed on already.
+    /// Starts a stream that continues after the tokens already forwarded.
     pub(super) fn start(
         &mut self,
         stream: Stream,
@@ -46,7 +46,7 @@
         }));
     }
 
-    /// Goes on reading a stream that an engine holds.
+    /// Resumes reading a stream that an engine holds.
     pub(super) fn attach(&mut self, running: Attempt) {
         self.relay.begin_attempt(running.attempt, running.base);
         let offset = self.relay.next().saturating_sub(running.base);
@@ -63,7 +63,7 @@
         }));
     }
 
-    /// Moves the running stream, by its KV cache or by running it again.
+    /// Moves the running stream by transferring its KV cache or by rerunning it.
     pub(super) fn move_to(&mut self, stream: Stream, endpoint: Endpoint, how: Transfer) {
         let Some(old) = self.running.clone() else {
             return;
@@ -88,7 +88,7 @@
                 Transfer::Rerun => Err(Failure::NotSent),
             };
             if events.is_err() {
-                // Neither engine is to go on with it: it is run again from here.
+                // The call is about to be rerun, so neither engine may continue the stream.
                 let _ = from.cancel(old.stream).await;
                 let _ = to.cancel(stream).await;
             }
@@ -99,7 +99,7 @@
         }));
     }
 
-    /// The body for the engine: the caller's own, or one that goes on behind what was passed on.
+    /// Returns the request body: the caller's own, or one that continues after the forwarded tokens.
     fn body(&self) -> Bytes {
         if self.forwarded == 0 {
             return self.chat.body.clone();
@@ -110,7 +110,7 @@
     }
 }
 
-/// Takes a stream's KV cache from one engine to another and goes on reading there.
+/// Transfers a stream's KV cache to another engine and resumes reading there.
 async fn transfer(
     from: &Engine<'_>,
     old: Stream,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
 //! The entry daemon: carries events into the reducer and effects out of it.
 //!
-//! One loop on one thread ([`shell`]) owns the reducer. Tasks on the same thread do the I/O: one for
-//! each open request ([`flight`]), and a few that poll the platform. They tell the loop what happened
-//! through [`link::Link`] and never touch the reducer.
+//! A single-threaded event loop ([`shell`]) owns the reducer. Tasks on the same thread do the I/O:
+//! one for each open request ([`flight`]), and a few that poll the platform. They send events to
+//! the loop through [`link::Link`] and never access the reducer.
 
 pub mod admin;
 pub mod attempt_end;
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -1,4 +1,4 @@
-//! The way from the I/O tasks to the loop that owns the reducer.
+//! Channel from the I/O tasks to the event loop that owns the reducer.
 
 use std::cell::Cell;
 
@@ -15,66 +15,66 @@
 use tokio::sync::oneshot;
 use verdict::Refusal;
 
-/// What tasks tell the loop.
+/// Message from a task to the loop.
 pub enum Message {
-    /// Something happened that nobody waits for.
+    /// An event that needs no reply.
     Event(Event),
-    /// A request arrived; its task takes commands from now on.
+    /// A request arrived; its task accepts commands from now on.
     Open {
-        /// Its serial.
+        /// Serial number of the request.
         serial: u64,
-        /// What it asks for.
+        /// The request.
         arrival: Arrival,
-        /// The way to its task.
+        /// Channel to the request's task.
         commands: mpsc::UnboundedSender<Command>,
     },
-    /// A request's task is over.
+    /// A request's task has ended.
     Closed {
-        /// Its serial.
+        /// Serial number of the request.
         serial: u64,
     },
-    /// A caller asks for addresses.
+    /// A caller asks which entries to use.
     Addresses {
-        /// Its key.
+        /// API key of the caller.
         key: Option<SmolStr>,
-        /// Prefix hash of its next request.
+        /// Prefix hash of the caller's next request.
         prefix: Option<u64>,
-        /// The way back.
+        /// Receives the addresses.
         reply: oneshot::Sender<Addresses>,
     },
-    /// A caller wants a request cancelled.
+    /// A caller cancels a request.
     Cancel {
-        /// Its key.
+        /// API key of the caller.
         key: Option<SmolStr>,
-        /// The request's name.
+        /// Identifier of the request.
         request: SmolStr,
-        /// The way back; none when it was done.
+        /// Receives the refusal, or `None` if the request was cancelled.
         reply: oneshot::Sender<Option<Refusal>>,
     },
-    /// A peer asks for a ticket to be spent.
+    /// A peer asks to spend a ticket.
     Spend {
-        /// The ticket.
+        /// The ticket to spend.
         ticket: Ticket,
-        /// The way back.
+        /// Receives the ledger's answer.
         reply: oneshot::Sender<Answer>,
     },
-    /// A peer hands its ledgers on.
+    /// A peer hands its ledgers over.
     Inherit {
-        /// What it hands on.
+        /// The ledgers.
         estates: Vec<Estate>,
-        /// The way back.
+        /// Receives the incarnation that accepted the ledgers, or `None` if they were declined.
         reply: oneshot::Sender<Option<Incarnation>>,
     },
 }
 
-/// A task's end of the way. Cheap to share within the thread.
+/// Sending half of the channel, shared by the tasks of the thread.
 pub struct Link {
     messages: mpsc::UnboundedSender<Message>,
     next_serial: Cell<u64>,
 }
 
 impl Link {
-    /// A way, and the loop's end of it.
+    /// Creates the channel and returns both halves.
     pub fn new() -> (Link, mpsc::UnboundedReceiver<Message>) {
         let (messages, receiver) = mpsc::unbounded_channel();
         let link = Link {
@@ -84,17 +84,17 @@
         (link, receiver)
     }
 
-    /// Tells the loop something. After the loop's end nobody listens, and nothing needs to.
+    /// Sends a message; ignored after the loop has ended.
     pub fn send(&self, message: Message) {
         let _ = self.messages.send(message);
     }
 
-    /// Tells the loop that something happened.
+    /// Sends an event that needs no reply.
     pub fn event(&self, event: Event) {
         self.send(Message::Event(event));
     }
 
-    /// The serial of a new request.
+    /// Returns the serial number of a new request.
     pub fn serial(&self) -> u64 {
         let serial = self.next_serial.get();
         self.next_serial.set(serial + 1);
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,19 +1,19 @@
-//! Writes the reducer's lines to the log, and sets the log's form.
+//! Initializes the log and writes the reducer's lines to it.
 
 use entry::line::Line;
 use log::LevelFilter;
 
-/// Sets the log up: one line of key=value pairs an event, on the standard error.
+/// Initializes the log: one line of key=value pairs per event on standard error.
 pub fn init(level: LevelFilter) {
     let built = env_logger::Builder::new()
         .filter_level(level)
         .format(line::text::format)
         .try_init();
-    // A second entry in the same process, as in the demo, shares the first one's log.
+    // Further entries in the same process, as in the demo, share the first one's log.
     drop(built);
 }
 
-/// Writes one line.
+/// Writes one line for an entry.
 pub fn write(entry: &str, line: &Line) {
     line::text::send(line, Some(entry));
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Checks the settings; prints them if that is asked for.
+/// Checks the settings, and prints them on request.
 fn show(arguments: &Arguments) -> ExitCode {
     match settings::load::read_strict(&arguments.settings) {
         Ok(loaded) if arguments.print => {
@@ -51,7 +51,7 @@
             ExitCode::SUCCESS
         }
         Ok(_) => {
-            println!("{}: sound", arguments.settings.display());
+            println!("{}: valid", arguments.settings.display());
             ExitCode::SUCCESS
         }
         Err(faults) => {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Explains one option, with its value where there is a sound settings file.
+/// Explains one option, including its value if the settings file is valid.
 fn explain(path: &Path, option: &str) -> ExitCode {
     let loaded = settings::read(path).ok();
     match settings::explain::explain(option, loaded.as_ref()) {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Metrics by opentelemetry, scraped from the admin port.
+//! OpenTelemetry metrics, scraped from the admin port.
 //!
-//! Counts are taken from the reducer's own log lines, so that log and metrics never disagree.
+//! Counters are derived from the reducer's log lines, so that log and metrics always agree.
 
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::Registry;
 
-/// Bounds of the latency histograms, milliseconds: around the targets of 61 and 480 ms and beyond.
+/// Buckets of the latency histograms in milliseconds; 61 and 480 ms are the latency targets.
 const LATENCY_BOUNDS: [f64; 12] = [
     10.0, 30.0, 61.0, 120.0, 240.0, 480.0, 1_000.0, 2_000.0, 5_000.0, 10_000.0, 60_000.0, 600_000.0,
 ];
 
-/// The instruments of one entry.
+/// Instruments of one entry.
 pub struct Metrics {
-    /// Kept: instruments fall silent without their provider.
+    /// Keeps the instruments alive; they record nothing once their provider is dropped.
     _provider: SdkMeterProvider,
     events: Counter<u64>,
     refusals: Counter<u64>,
@@ -40,7 +40,7 @@
 }
 
 impl Metrics {
-    /// Instruments that show in `registry`.
+    /// Creates the instruments and registers them in `registry`.
     pub fn new(registry: &Registry) -> Result<Metrics> {
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Counts what one step did.
+    /// Records the effects and the duration of one reducer step.
     pub fn record_step(&self, effects: &[Effect], elapsed: Duration) {
         self.busy.add(elapsed.as_secs_f64(), &[]);
         for effect in effects {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Shows how the entry stands.
+    /// Records the entry's current state.
     pub fn record_vitals(&self, stats: &Stats) {
         self.open.record(stats.open_requests, &[]);
         self.version.record(stats.version, &[]);
@@ -111,7 +111,7 @@
         self.store.record(u64::from(stats.store_available), &[]);
     }
 
-    /// Counts one line.
+    /// Counts one log line.
     fn count_line(&self, line: &Line) {
         self.events.add(1, &[KeyValue::new("event", line.event)]);
         match line.event {
@@ -132,12 +132,12 @@
     }
 }
 
-/// A field of a line as a label.
+/// Returns a field of a line as a label.
 fn label(line: &Line, name: &'static str) -> KeyValue {
     KeyValue::new(name, line.field(name).to_owned())
 }
 
-/// A field of a line as a number.
+/// Returns a field of a line as a number.
 fn number(line: &Line, name: &str) -> f64 {
     line.field(name).parse().unwrap_or(0.0)
 }
--- a/crates/daemon/src/output.rs
+++ b/crates/daemon/src/output.rs
@@ -1,4 +1,4 @@
-//! Where the answer of one model call goes: first its head, then a stream or one whole body.
+//! Response to one model call: its head, then a stream of events or a single body.
 
 use std::time::Duration;
 
@@ -12,34 +12,34 @@
 use tokio::sync::oneshot;
 use verdict::Refusal;
 
-/// Chunks that may wait for a slow caller before the engine's stream is held back.
+/// Maximum chunks buffered for a slow caller before the engine's stream is paused.
 const MAX_QUEUED_CHUNKS: usize = 1_024;
 
-/// How long a caller may leave its stream unread.
+/// Timeout for a caller to read from its stream.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The caller's side of one model call.
+/// Response to one model call.
 pub struct Output {
     request: String,
     stage: Stage,
-    /// Text of the answer so far, as the engine's chunks; needed to run it again elsewhere.
+    /// Chunks of the answer so far, which a rerun elsewhere needs as text.
     chunks: Vec<Bytes>,
-    /// Whether the caller wants events.
+    /// Whether the caller asked for a stream of events.
     stream: bool,
 }
 
-/// How far the answer has come.
+/// Progress of the response.
 enum Stage {
-    /// The caller waits for the head.
+    /// The head has not been sent.
     Head(oneshot::Sender<Response<Payload>>),
-    /// The caller reads events.
+    /// The caller reads a stream of events.
     Events(mpsc::Sender<Bytes>),
-    /// Nothing more can be said.
+    /// The response has ended.
     Ended,
 }
 
 impl Output {
-    /// An answer that has not begun.
+    /// Creates a response that has not begun.
     pub fn new(request: String, stream: bool, head: oneshot::Sender<Response<Payload>>) -> Output {
         Output {
             request,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Waits until the caller is gone.
+    /// Waits until the caller disconnects.
     pub async fn closed(&mut self) {
         match &mut self.stage {
             Stage::Head(head) => head.closed().await,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Gives the head of a stream, or on a stream that has begun the new resume word.
+    /// Sends the head of a stream, or the new resume token if the stream has begun.
     pub async fn begin_stream(&mut self, token: &str) {
         if !self.stream {
             return;
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Passes one chunk on.
+    /// Sends one chunk.
     pub async fn send_chunk(&mut self, offset: u64, data: Bytes) {
         if self.stream {
             let text = String::from_utf8_lossy(&data);
@@ -82,7 +82,7 @@
         self.chunks.push(data);
     }
 
-    /// Ends a whole answer.
+    /// Finishes a complete answer.
     pub async fn finish(&mut self) {
         if self.stream {
             self.send(answer::done_event()).await;
@@ -103,7 +103,7 @@
         self.respond(response);
     }
 
-    /// Gives the final word on a request that isn't answered in full.
+    /// Ends the response with a refusal.
     pub async fn refuse(&mut self, refusal: &Refusal) {
         if let Stage::Events(_) = &self.stage {
             self.send(answer::error_event(&self.request, refusal)).await;
@@ -113,25 +113,25 @@
         self.respond(answer::refused(&self.request, refusal));
     }
 
-    /// Ends the stream here; it goes on at `address`.
+    /// Ends the stream with a redirect to `address`.
     pub async fn hand_off(&mut self, address: &str, token: &str) {
         self.send(answer::continue_event(address, token)).await;
         self.stage = Stage::Ended;
     }
 
-    /// The answer's text so far.
+    /// Returns the text of the answer so far.
     pub fn text(&self) -> String {
         self.chunks.iter().map(content_of).collect()
     }
 
-    /// Answers a caller that waits for the head.
+    /// Sends a complete response if the head has not been sent.
     fn respond(&mut self, response: Response<Payload>) {
         if let Stage::Head(waiting) = std::mem::replace(&mut self.stage, Stage::Ended) {
             let _ = waiting.send(response);
         }
     }
 
-    /// Sends bytes of the stream. A caller that leaves them unread for too long counts as gone.
+    /// Sends bytes of the stream; a caller that doesn't read them in time counts as disconnected.
     async fn send(&mut self, bytes: Bytes) {
         let Stage::Events(events) = &self.stage else {
             return;
@@ -143,7 +143,7 @@
     }
 }
 
-/// The text of one chunk.
+/// Returns the text of one chunk.
 fn content_of(data: &Bytes) -> String {
     let value: Value = serde_json::from_slice(data).unwrap_or_default();
     let content = value["choices"][0]["delta"]["content"].as_str();
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other entries: carries what the reducer says to them, and tells it what they say.
+//! Connects the reducer to other entries in both directions.
 
 use std::rc::Rc;
 
@@ -20,7 +20,7 @@
 use crate::link::Link;
 use crate::link::Message;
 
-/// The way to other entries. Nothing waits for it: words come back as events.
+/// Client of other entries. Never blocks the caller; answers arrive as events.
 pub struct Peers {
     link: Rc<Link>,
     client: client::Peers,
@@ -29,7 +29,7 @@
 }
 
 impl Peers {
-    /// Calls peers in the name of `incarnation`; `tickets` seals tickets on their way.
+    /// Creates a client for `incarnation`; `tickets` seals the tickets that it sends.
     pub fn new(
         link: Rc<Link>,
         client: client::Peers,
@@ -55,7 +55,7 @@
         });
     }
 
-    /// Hands ledgers on to a peer.
+    /// Hands ledgers over to a peer.
     pub fn offer_estates(&self, address: SmolStr, estates: Vec<Estate>) {
         let client = self.client.clone();
         let link = Rc::clone(&self.link);
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Sends a digest; its loss does no harm.
+    /// Sends a digest; a lost one is superseded by the next.
     pub fn send_digest(&self, address: SmolStr, digest: Digest) {
         let client = self.client.clone();
         tokio::task::spawn_local(async move {
@@ -75,7 +75,7 @@
         });
     }
 
-    /// Sends a message about the configuration; its loss does no harm.
+    /// Sends a message of the configuration protocol; the protocol tolerates its loss.
     pub fn send_configure(&self, address: SmolStr, message: ConfigMessage) {
         let client = self.client.clone();
         let incarnation = self.incarnation;
@@ -90,14 +90,14 @@
     }
 }
 
-/// Answers peers.
+/// Handles calls from peers.
 pub struct PeerHandler {
     link: Rc<Link>,
     tickets: Signer,
 }
 
 impl PeerHandler {
-    /// Answers by asking the loop; `tickets` opens tickets.
+    /// Creates a handler that forwards calls to the event loop; `tickets` unseals tickets.
     pub fn new(link: Rc<Link>, tickets: Signer) -> PeerHandler {
         PeerHandler { link, tickets }
     }
--- a/crates/daemon/src/plain.rs
+++ b/crates/daemon/src/plain.rs
@@ -1,4 +1,4 @@
-//! The task of one open call of a plain service.
+//! Task of one open call of a plain service.
 
 use std::rc::Rc;
 
@@ -30,7 +30,7 @@
 }
 
 impl PlainFlight {
-    /// A call that the reducer is told of by now.
+    /// Creates the task of a call already announced to the reducer.
     pub fn new(
         shared: Rc<Shared>,
         serial: u64,
@@ -54,11 +54,11 @@
         }
     }
 
-    /// Serves the call to its end.
+    /// Serves the call until it ends.
     ///
-    /// A caller that goes away doesn't stop a call that was handed on: its outcome is still wanted. The
-    /// task then stays until the reducer, which may just have handed the call on, has dropped it; were
-    /// it to end at once, such a call would stay open with nobody to report its end.
+    /// A disconnected caller doesn't stop a dispatched call: its outcome is still needed. The task
+    /// waits until the reducer drops it, because the reducer may just have dispatched the call;
+    /// otherwise such a call would stay open with no task to report its end.
     pub async fn run(mut self) {
         let mut caller_gone = false;
         let response = loop {
@@ -107,7 +107,7 @@
         self.report(attempt, Report::Ended { end, tokens: 0 });
     }
 
-    /// Reports on an attempt.
+    /// Sends a report on an attempt.
     fn report(&self, attempt: u32, report: Report) {
         self.shared.link.event(Event::Attempt {
             serial: self.serial,
@@ -117,7 +117,7 @@
     }
 }
 
-/// The service's answer as it is given to the caller.
+/// Converts the service's answer for the caller.
 fn response_of(served: Answer) -> Response<Payload> {
     let mut response = Response::new(answer::whole(served.body));
     *response.status_mut() = served.status;
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! Polls the instance list, the reclaim notices and the engines' load.
+//! Polls the instance list, reclaim notices and prices, and the engines' load and cache events.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,27 +25,27 @@
 use crate::fleet_port::market_of;
 use crate::link::Link;
 
-/// What an entry of the list is called that serves as one of us.
+/// Kind of an entry in the instance list.
 const ENTRY_KIND: &str = "entry";
 
-/// What a model engine is called in the list.
+/// Kind of a model engine in the instance list.
 const ENGINE_KIND: &str = "engine";
 
-/// What an instance is called in the list that gets no new work.
+/// State of an instance in the list that must get no new work.
 const LEAVING_STATE: &str = "leaving";
 
-/// Time between two readings of the prices.
+/// Interval between two reads of the prices.
 const PRICES_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Millionths of the currency in one.
+/// Millionths in one unit of the currency.
 const MICROS_PER_UNIT: f64 = 1_000_000.0;
 
-/// The last cache event positions of each engine.
+/// Sequence number of the last cache event received from each engine.
 type CachePositions = Rc<RefCell<BTreeMap<SmolStr, u64>>>;
 
 /// Polls the platform until the future is dropped.
 ///
-/// `own` is the address that callers connect to here: the list tells by it which instance is ours.
+/// `own` is the advertised caller address of this entry, which identifies its instance in the list.
 pub async fn poll(
     link: Rc<Link>,
     client: HttpClient,
@@ -72,7 +72,7 @@
         if let Ok(notices) = cloud.notices(last_notice).await {
             last_notice = notices
                 .iter()
-                .map(|one| one.seq)
+                .map(|notice| notice.seq)
                 .fold(last_notice, u64::max);
             let notices = notices.iter().map(notice_of).collect();
             link.event(Event::NoticesRead(notices));
@@ -81,22 +81,28 @@
             report_own_instance(&link, &instances, &own);
             poll_loads(&link, &client, &instances);
             poll_caches(&link, &client, &instances, &positions);
-            let entries = instances.iter().filter(|one| one.kind == ENTRY_KIND);
-            let addresses = entries.map(|one| one.address.clone()).collect();
+            let entries = instances
+                .iter()
+                .filter(|instance| instance.kind == ENTRY_KIND);
+            let addresses = entries.map(|instance| instance.address.clone()).collect();
             link.event(Event::EntriesRead(addresses));
-            let backends = instances.iter().filter(|one| one.kind != ENTRY_KIND);
+            let backends = instances
+                .iter()
+                .filter(|instance| instance.kind != ENTRY_KIND);
             link.event(Event::InstancesRead(
-                backends.map(|one| instance_of(one, &prices)).collect(),
+                backends
+                    .map(|instance| instance_of(instance, &prices))
+                    .collect(),
             ));
         }
     }
 }
 
-/// Tells what the list says of our own instance.
+/// Reports this entry's own instance.
 fn report_own_instance(link: &Rc<Link>, instances: &[back::cloud::Instance], own: &str) {
     let ours = instances
         .iter()
-        .find(|one| one.kind == ENTRY_KIND && one.address == own);
+        .find(|instance| instance.kind == ENTRY_KIND && instance.address == own);
     if let Some(instance) = ours {
         link.event(Event::OwnInstanceRead {
             incarnation: instance.incarnation.clone(),
@@ -105,9 +111,12 @@
     }
 }
 
-/// Asks every engine for its load, side by side.
+/// Reads the load of every engine concurrently.
 fn poll_loads(link: &Rc<Link>, client: &HttpClient, instances: &[back::cloud::Instance]) {
-    for instance in instances.iter().filter(|one| one.kind == ENGINE_KIND) {
+    for instance in instances
+        .iter()
+        .filter(|instance| instance.kind == ENGINE_KIND)
+    {
         let link = Rc::clone(link);
         let client = client.clone();
         let address = instance.address.clone();
@@ -124,16 +133,23 @@
     }
 }
 
-/// Asks every engine what its cache holds since it was last asked.
+/// Reads the new cache events of every engine concurrently.
 fn poll_caches(
     link: &Rc<Link>,
     client: &HttpClient,
     instances: &[back::cloud::Instance],
     positions: &CachePositions,
 ) {
-    let listed = |name: &SmolStr| instances.iter().any(|one| one.incarnation == *name);
+    let listed = |name: &SmolStr| {
+        instances
+            .iter()
+            .any(|instance| instance.incarnation == *name)
+    };
     positions.borrow_mut().retain(|name, _| listed(name));
-    for instance in instances.iter().filter(|one| one.kind == ENGINE_KIND) {
+    for instance in instances
+        .iter()
+        .filter(|instance| instance.kind == ENGINE_KIND)
+    {
         let link = Rc::clone(link);
         let client = client.clone();
         let positions = Rc::clone(positions);
@@ -161,7 +177,7 @@
     }
 }
 
-/// A cache event as the reducer sees it.
+/// Converts a cache event for the reducer.
 fn cached_of(event: &CacheEvent) -> Option<CacheUpdate> {
     Some(CacheUpdate {
         sequence: event.seq,
@@ -170,7 +186,7 @@
     })
 }
 
-/// An engine's load as the reducer sees it.
+/// Converts an engine's load for the reducer.
 fn report_of(load: &Load) -> replica::Report {
     replica::Report {
         running: load.running,
@@ -180,7 +196,7 @@
     }
 }
 
-/// An instance as the reducer sees it.
+/// Converts an instance for the reducer.
 fn instance_of(instance: &back::cloud::Instance, prices: &[Price]) -> Instance {
     Instance {
         id: instance.id.clone(),
@@ -205,7 +221,7 @@
     }
 }
 
-/// A price as the reducer sees it; what an instance carries is the deployment's to say.
+/// Converts a price for the reducer; each deployment determines an instance's capacity itself.
 fn offer_of(price: &Price) -> Offer {
     Offer {
         kind: Kind {
@@ -218,7 +234,7 @@
     }
 }
 
-/// A notice as the reducer sees it.
+/// Converts a reclaim notice for the reducer.
 fn notice_of(notice: &back::cloud::Notice) -> Notice {
     Notice {
         incarnation: notice.incarnation.clone(),
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts one entry: settings, sockets, tasks, loop.
+//! Starts one entry: settings, sockets, tasks and event loop.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -47,13 +47,13 @@
 use crate::shell::PendingReplies;
 use crate::shell::Shell;
 
-/// Operators' calls that may wait for the loop.
+/// Maximum operators' calls queued for the event loop.
 const MAX_QUEUED_CALLS: usize = 64;
 
-/// Longest time for the last words of answers to reach their callers.
+/// Maximum time to deliver the ends of answers to callers at shutdown.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The sockets of one entry, bound.
+/// Bound sockets of one entry.
 pub struct Sockets {
     callers: TcpListener,
     admin: TcpListener,
@@ -61,20 +61,20 @@
     peers: TcpListener,
 }
 
-/// Where an entry is to be reached.
+/// Addresses of an entry's bound sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
-    /// Callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Health, readiness and metrics.
+    /// Address of health, readiness and metrics.
     pub admin: SocketAddr,
-    /// Operators.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Other entries.
+    /// Address for other entries.
     pub peers: SocketAddr,
 }
 
-/// Runs an entry by its settings file until it is stopped.
+/// Runs the entry of a settings file until it is stopped.
 pub fn run(path: &Path) -> Result<()> {
     let loaded = settings::read(path)?;
     logs::init(loaded.settings.logs.level.filter());
@@ -98,8 +98,8 @@
     })
 }
 
-/// Serves on bound sockets until a stop is done. Runs within a `LocalSet`; each word on `stops` asks
-/// for a stop, `true` for one without grace.
+/// Serves on bound sockets until a requested stop completes. Must run within a `LocalSet`. Each message on
+/// `stops` requests a stop; `true` skips the grace period.
 pub async fn serve(
     settings: Settings,
     sockets: Sockets,
@@ -197,7 +197,7 @@
         pending: PendingReplies::default(),
     };
     shell.run(messages, calls, stops).await;
-    // The last words of answers may still be on their way to callers.
+    // The ends of answers may still be on their way to callers.
     let _ = end.send(true);
     let _ = tokio::time::timeout(DRAIN_TIMEOUT, front).await;
     for task in tasks {
@@ -207,7 +207,7 @@
 }
 
 impl Sockets {
-    /// Binds all sockets that the settings name.
+    /// Binds all sockets of the settings.
     pub async fn bind(settings: &Settings) -> Result<Sockets> {
         Ok(Sockets {
             callers: listen(settings.callers.listen).await?,
@@ -217,7 +217,7 @@
         })
     }
 
-    /// What was bound.
+    /// Returns the bound addresses.
     pub fn bound(&self) -> Result<Bound> {
         Ok(Bound {
             callers: self.callers.local_addr()?,
@@ -235,14 +235,14 @@
         .with_context(|| format!("can't listen on {address}"))
 }
 
-/// Serves operators; a failure there leaves the rest of the entry alone.
+/// Serves operators; a failure doesn't affect the rest of the entry.
 async fn serve_operators(listener: TcpListener, key: String, calls: ops::Calls) {
     if let Err(error) = ops::serve(listener, &key, calls).await {
         log::error!(event = "operators_port_failed", error = error.to_string().as_str(); "");
     }
 }
 
-/// Passes signals on: the first asks for a graceful stop, the second hurries it.
+/// Forwards SIGTERM: the first requests a graceful stop, the second skips the grace period.
 async fn watch_signals(stop: mpsc::UnboundedSender<bool>) {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return;
@@ -254,7 +254,7 @@
     }
 }
 
-/// Who this entry is.
+/// Determines the identity of this entry.
 fn identity_of(settings: &Settings, bound: &Bound) -> Result<Identity> {
     let callers = settings.callers.advertise.unwrap_or(bound.callers);
     let peers = settings.peers.advertise.unwrap_or(bound.peers);
@@ -267,7 +267,7 @@
     })
 }
 
-/// The reducer's part of the settings.
+/// Derives the reducer's settings.
 fn entry_settings(settings: &Settings) -> entry::configs::entry::Settings {
     entry::configs::entry::Settings {
         address_ttl: Span::from_millis(settings.callers.address_ttl_ms),
@@ -278,7 +278,7 @@
             .peers
             .seeds
             .iter()
-            .map(|one| one.to_smolstr())
+            .map(|seed| seed.to_smolstr())
             .collect(),
         store: store::configs::budget::Settings {
             writes_per_second: f64::from(settings.platform.writes_per_second),
@@ -290,7 +290,7 @@
     }
 }
 
-/// The settings of leases and digests.
+/// Derives the settings of leases and gossip.
 fn member_settings(settings: &Settings) -> member::configs::membership::Settings {
     let leases = &settings.leases;
     member::configs::membership::Settings {
@@ -303,7 +303,7 @@
     }
 }
 
-/// The callers' limits.
+/// Derives the limits for callers.
 fn limit_of(settings: &Settings) -> Limit {
     let callers = &settings.callers;
     Limit {
@@ -315,18 +315,18 @@
     }
 }
 
-/// `HOST:PORT` of an address that may be written as a URL.
+/// Returns `HOST:PORT` of an address that may be written as a URL.
 fn host_of(url: &str) -> SmolStr {
     SmolStr::from(url.trim_start_matches("http://").trim_end_matches('/'))
 }
 
-/// Wall clock, milliseconds since 1970.
+/// Returns the wall clock time in milliseconds since 1970.
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-/// A number from the system's source of randomness.
+/// Returns a random number from the operating system.
 fn random_u64() -> Result<u64> {
-    getrandom::u64().map_err(|error| anyhow::anyhow!("no randomness: {error}"))
+    getrandom::u64().map_err(|error| anyhow::anyhow!("can't get random bytes: {error}"))
 }
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -1,4 +1,4 @@
-//! The one loop: takes messages, steps the reducer, carries its effects out.
+//! The event loop: receives messages, steps the reducer and carries out its effects.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -29,10 +29,10 @@
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 
-/// How often the reducer is told that time has passed.
+/// Interval of the reducer's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The loop's state.
+/// State of the event loop.
 pub struct Shell {
     /// Name of the entry, for the log.
     pub name: SmolStr,
@@ -40,25 +40,25 @@
     pub clock: Clock,
     /// The reducer.
     pub entry: Entry,
-    /// For tasks that the loop starts.
+    /// Channel to this loop, for tasks that it starts.
     pub link: Rc<Link>,
-    /// The table service.
+    /// Client of the table service.
     pub store: Rc<Driver>,
-    /// Other entries.
+    /// Client of other entries.
     pub peers: Peers,
-    /// Engines' orders and the cloud.
+    /// Client for engines' orders and the cloud.
     pub fleet: FleetPort,
-    /// What is counted.
+    /// Metrics of the entry.
     pub metrics: Metrics,
-    /// What the admin port says.
+    /// Readiness that the admin port reports.
     pub ready: Rc<Cell<bool>>,
-    /// Tasks of open requests.
+    /// Channels to the tasks of open requests, by serial number.
     pub flights: HashMap<u64, mpsc::UnboundedSender<Command>>,
-    /// Who waits for an answer of the reducer.
+    /// Requests that await an answer of the reducer.
     pub pending: PendingReplies,
 }
 
-/// Those who wait for an answer, by number.
+/// Reply channels by the identifier of their request.
 #[derive(Default)]
 pub struct PendingReplies {
     next: u64,
@@ -70,7 +70,7 @@
 }
 
 impl PendingReplies {
-    /// A number not used before.
+    /// Returns an unused identifier.
     fn next_id(&mut self) -> u64 {
         self.next += 1;
         self.next
@@ -78,7 +78,7 @@
 }
 
 impl Shell {
-    /// Runs lease_end the reducer has nothing left to do.
+    /// Runs until the reducer requests the exit.
     pub async fn run(
         mut self,
         mut messages: mpsc::UnboundedReceiver<Message>,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Takes one event; gives whether the process may end.
+    /// Steps the reducer with one event; returns whether the process may exit.
     fn step(&mut self, event: Event) -> bool {
         let mut effects = Vec::new();
         let now = self.clock.now();
@@ -125,7 +125,7 @@
         exit
     }
 
-    /// The event of a message; notes who waits for what follows.
+    /// Converts a message to an event and registers its reply channel.
     fn event_of(&mut self, message: Message) -> Option<Event> {
         match message {
             Message::Event(event) => Some(event),
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The event of an operator's call.
+    /// Converts an operator's call to an event and registers its reply channel.
     fn operator(&mut self, call: ops::Call) -> Event {
         let number = self.pending.next_id();
         self.pending.operators.insert(number, call.reply);
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Carries one effect out, without waiting for anything.
+    /// Carries out one effect without blocking.
     fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Flight { serial, command } => {
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Sends a call to the table service; its outcome comes back as an event.
+    /// Starts a call to the table service; its outcome arrives as an event.
     fn call_store(&self, id: store::call::Id, call: store::call::Call) {
         let link = Rc::clone(&self.link);
         let store = Rc::clone(&self.store);
--- a/crates/line/src/lib.rs
+++ b/crates/line/src/lib.rs
@@ -1,4 +1,4 @@
-//! One line of the log: an event with its fields.
+//! A structured log event.
 
 pub mod text;
 
@@ -8,21 +8,21 @@
 use smol_str::SmolStr;
 use smol_str::ToSmolStr;
 
-/// An event worth a line. Holds no key and no prompt text.
+/// A log event with its fields. Contains no key and no prompt text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// How much it matters.
+    /// Severity of the event.
     pub level: Level,
-    /// What happened, in snake case.
+    /// Name of the event, in snake case.
     pub event: &'static str,
-    /// Names and values, in order.
+    /// Names and values of the fields, in order.
     pub fields: Vec<(&'static str, SmolStr)>,
-    /// Whether it tells of the ordinary course of one request: under load such lines go first.
+    /// Whether the event is part of an ordinary request; such lines are the first to be dropped under load.
     pub routine: bool,
 }
 
 impl Line {
-    /// An event of the ordinary course.
+    /// Creates an event of normal operation.
     pub fn info(event: &'static str) -> Line {
         Line {
             level: Level::Info,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// An event that only matters when looking for a fault.
+    /// Creates an event that is only of interest for debugging.
     pub fn debug(event: &'static str) -> Line {
         Line {
             level: Level::Debug,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// An event that an operator may have to act on.
+    /// Creates an event that an operator may have to act on.
     pub fn warn(event: &'static str) -> Line {
         Line {
             level: Level::Warn,
@@ -48,19 +48,19 @@
         }
     }
 
-    /// The same line, to be left out first when there are too many.
+    /// Marks the event as routine.
     pub fn routine(mut self) -> Line {
         self.routine = true;
         self
     }
 
-    /// The value of a field; empty if there is none of that name.
+    /// Returns the value of a field, or an empty text if there is none.
     pub fn field(&self, name: &str) -> &str {
         let found = self.fields.iter().find(|(known, _)| *known == name);
         found.map_or("", |(_, value)| value.as_str())
     }
 
-    /// The same line with one more field.
+    /// Adds a field.
     pub fn with(mut self, name: &'static str, value: impl Display) -> Line {
         self.fields.push((name, value.to_smolstr()));
         self
--- a/crates/line/src/text.rs
+++ b/crates/line/src/text.rs
@@ -1,4 +1,4 @@
-//! The text form of the log: one line of key=value pairs an event.
+//! Text format of the log: one line of key=value pairs per event.
 
 use std::io::Write;
 
@@ -11,19 +11,19 @@
 
 use crate::Line;
 
-/// The name under which a record carries a line that is in its final form already.
+/// Key under which a record contains an already formatted line.
 const FORMATTED_LINE: &str = "line";
 
-/// Writes one record as text, for the log's formatter.
+/// Formats a record; passed to the logger as its formatter.
 pub fn format<W: Write>(output: &mut W, record: &Record) -> std::io::Result<()> {
     let mut fields = Fields::default();
-    // Collecting text can't fail; a value that can't be shown would only be missing from its line.
+    // The visitor never fails; a value that can't be formatted would only be missing from its line.
     let _ = record.key_values().visit(&mut fields);
     let level = level_name(record.level());
     writeln!(output, "level={level}{}", fields.text)
 }
 
-/// Hands the line to the process's log; `entry` names the entry it is about, where a process may hold several.
+/// Sends the line to the process's logger; `entry` names its entry in a process with several entries.
 pub fn send(line: &Line, entry: Option<&str>) {
     let mut fields = Fields::default();
     fields.add("event", line.event);
@@ -53,14 +53,14 @@
     }
 }
 
-/// Fields of a line, as text.
+/// Formatted fields of a line.
 #[derive(Default)]
 struct Fields {
     text: String,
 }
 
 impl Fields {
-    /// Adds one field; values with blanks or quotes are quoted.
+    /// Appends a field; values with whitespace, control characters or quotes are quoted.
     fn add(&mut self, name: &str, value: &str) {
         self.text.push(' ');
         self.text.push_str(name);
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls peers.
+//! Client side of the calls between entries.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -29,22 +29,22 @@
 use crate::receiver::Charge;
 use crate::server::reader_options;
 
-/// Connections to peers, opened when needed. Cheap to clone; lives on one thread.
+/// Connections to peers, opened on demand. Cheap to clone; not `Send`.
 #[derive(Clone)]
 pub struct Peers {
     key: Key,
     limit: Limit,
     connections: Rc<RefCell<HashMap<SmolStr, entry::Client>>>,
-    /// Addresses to which a connection is being made.
+    /// Addresses to which a connection is being opened.
     connecting: Rc<RefCell<HashSet<SmolStr>>>,
 }
 
-/// No answer came: what was asked for may have happened.
+/// A call without an answer; the peer may still have carried it out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error(pub String);
 
 impl Peers {
-    /// No connections yet.
+    /// Creates a client without open connections.
     pub fn new(key: Key, limit: Limit) -> Peers {
         Peers {
             key,
@@ -60,7 +60,9 @@
         let mut request = entry.spend_request();
         request.get().set_ticket(ticket);
         let response = self.answer(address, request.send().promise).await?;
-        let answer = response.get().and_then(|one| Ok(one.get_answer()?));
+        let answer = response
+            .get()
+            .and_then(|response| Ok(response.get_answer()?));
         Ok(match answer.map_err(to_error)? {
             peer_capnp::Answer::Granted => Answer::Granted,
             peer_capnp::Answer::Spent => Answer::Spent,
@@ -68,7 +70,7 @@
         })
     }
 
-    /// Hands ledgers on; gives the incarnation that took them, or none when the peer didn't.
+    /// Hands ledgers over; returns the incarnation that accepted them, or `None` if the peer declined.
     pub async fn inherit(
         &self,
         address: &SmolStr,
@@ -86,8 +88,8 @@
 
     /// Sends a digest.
     ///
-    /// One that finds a connection on its way is lost: the next one says more. Each would else make a
-    /// connection of its own, and a peer that is slow to take one would get hundreds.
+    /// Fails while a connection is being opened: the next digest is newer. Otherwise each digest would open a
+    /// connection of its own, and a peer that is slow to accept would get hundreds.
     pub async fn digest(&self, address: &SmolStr, digest: &Digest) -> Result<(), Error> {
         let entry = self.ready_entry(address).await?;
         let mut request = entry.digest_request();
@@ -96,7 +98,7 @@
         Ok(())
     }
 
-    /// Sends a message about the configuration.
+    /// Sends a message of the configuration protocol.
     pub async fn configure(
         &self,
         address: &SmolStr,
@@ -111,9 +113,9 @@
         Ok(())
     }
 
-    /// Asks the peer at `address` to charge an account's quota for all entries.
+    /// Asks the peer at `address` to charge an account's fleet-wide quota.
     ///
-    /// One that finds a connection on its way has no answer: another entry decides meanwhile.
+    /// Fails while a connection is being opened; the caller then asks another entry.
     pub async fn charge(
         &self,
         address: &SmolStr,
@@ -136,7 +138,7 @@
         })
     }
 
-    /// Gives back what a peer granted.
+    /// Returns tokens that a peer granted.
     pub async fn refund(&self, address: &SmolStr, bucket: u64, tokens: u64) -> Result<(), Error> {
         let entry = self.ready_entry(address).await?;
         let mut request = entry.refund_request();
@@ -146,15 +148,15 @@
         Ok(())
     }
 
-    /// The peer at `address`, unless a connection to it is on its way.
+    /// Returns the peer at `address`, or an error while a connection to it is being opened.
     async fn ready_entry(&self, address: &SmolStr) -> Result<entry::Client, Error> {
         if self.connecting.borrow().contains(address) {
-            return Err(Error(String::from("a connection is on its way")));
+            return Err(Error(String::from("a connection is being opened")));
         }
         self.entry(address).await
     }
 
-    /// Waits for an answer. A connection that failed or fell silent is not used again.
+    /// Waits for an answer; drops the connection on failure or timeout.
     async fn answer<T>(
         &self,
         address: &SmolStr,
@@ -167,7 +169,7 @@
         result
     }
 
-    /// The peer at `address`, over a connection that both sides have proved.
+    /// Returns the peer at `address`, over a mutually authenticated connection.
     async fn entry(&self, address: &SmolStr) -> Result<entry::Client, Error> {
         if let Some(entry) = self.connections.borrow().get(address) {
             return Ok(entry.clone());
@@ -181,7 +183,7 @@
         Ok(entry)
     }
 
-    /// Opens a connection and goes through both proofs.
+    /// Opens a connection and performs the handshake.
     async fn connect(&self, address: &SmolStr) -> Result<entry::Client, capnp::Error> {
         let socket = TcpStream::connect(address.as_str()).await?;
         socket.set_nodelay(true)?;
@@ -204,7 +206,7 @@
         self.authenticate(&door).await
     }
 
-    /// Checks the callee's proof and gives our own.
+    /// Verifies the callee's proof and sends the caller's.
     async fn authenticate(&self, door: &door::Client) -> Result<entry::Client, capnp::Error> {
         let ours = proof::nonce()?;
         let mut greet = door.greet_request();
@@ -225,7 +227,7 @@
     }
 }
 
-/// Waits for something, but not longer than `limit`.
+/// Awaits a future for at most `limit`.
 async fn with_timeout<T>(
     limit: Span,
     future: impl Future<Output = Result<T, capnp::Error>>,
@@ -236,7 +238,7 @@
     }
 }
 
-/// A failed call as a lost one.
+/// Converts a failure of the RPC library.
 fn to_error(error: capnp::Error) -> Error {
     Error(error.to_string())
 }
--- a/crates/peer/src/configs/limit.rs
+++ b/crates/peer/src/configs/limit.rs
@@ -1,17 +1,17 @@
-//! Time and size of what peers say.
+//! Timeouts and size limits of connections between entries.
 
 use clock::Span;
 
 /// Bounds on connections between entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
-    /// Longest time for a connection to come about, both proofs included.
+    /// Timeout for opening a connection, including both proofs.
     pub handshake: Span,
-    /// Longest time for a call to be answered.
+    /// Timeout for the answer to a call.
     pub call: Span,
-    /// Most connections that are open at once from peers: an entry that adds up counts has one of each.
+    /// Maximum connections from peers; an entry that aggregates counts has one from every other entry.
     pub connections: usize,
-    /// Largest message, bytes.
+    /// Maximum size of a message in bytes.
     pub message_bytes: usize,
 }
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,9 +1,8 @@
 //! Messages between entries over capnp-rpc.
 //!
-//! A connection begins with a [`proof`] by each side that it holds the entries' common key; only then
-//! does the callee give out the capability that the calls go through. Every call has a time limit,
-//! and a call without an answer is told apart from one that was answered: it is lost, and what it
-//! asked for may have happened.
+//! A connection begins with a [`proof`] by each side that it holds the entries' shared key; only then does
+//! the callee return the capability on which calls are made. Every call has a timeout. A call without an
+//! answer is an error of its own, since the peer may have carried it out.
 
 pub mod client;
 pub mod configs;
--- a/crates/peer/src/receiver.rs
+++ b/crates/peer/src/receiver.rs
@@ -1,4 +1,4 @@
-//! The border to whoever answers peers.
+//! Interface that the server calls on behalf of peers.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,41 +10,41 @@
 use request::ledger::Estate;
 use smol_str::SmolStr;
 
-/// An answer to come; none when it can't be given.
+/// A future answer; `None` if it can't be given.
 pub type Pending<T> = Pin<Box<dyn Future<Output = Option<T>>>>;
 
-/// The answer to a charge.
+/// Answer to a quota charge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Charge {
-    /// It was made.
+    /// The tokens were charged.
     Granted {
-        /// Names what was charged.
+        /// Identifies the bucket that was charged.
         bucket: u64,
     },
-    /// The quota has no room.
+    /// The quota is exhausted.
     Exceeded {
-        /// When to come back.
+        /// Time after which a retry may succeed.
         retry_after: Span,
     },
 }
 
-/// Answers peers that have proved themselves.
+/// Handles calls from authenticated peers.
 pub trait Receiver {
-    /// Spends a sealed ticket, if it may be.
+    /// Spends a sealed ticket if it is unspent.
     fn spend(&self, ticket: SmolStr) -> Pending<Answer>;
 
-    /// Takes ledgers over; gives the incarnation that holds them from now on.
+    /// Accepts ledgers; returns the incarnation that holds them from now on.
     fn inherit(&self, estates: Vec<Estate>) -> Pending<Incarnation>;
 
-    /// Takes a digest.
+    /// Handles a gossip digest.
     fn digest(&self, digest: Digest);
 
-    /// Takes a message about the configuration.
+    /// Handles a message of the configuration protocol.
     fn configure(&self, from: u64, message: Vec<u8>);
 
-    /// Charges the quota of an account for all entries.
+    /// Charges an account's fleet-wide quota.
     fn charge(&self, account: u64, tokens: u64) -> Pending<Charge>;
 
-    /// Takes back what [`Receiver::charge`] granted.
+    /// Returns tokens that [`Receiver::charge`] granted.
     fn refund(&self, bucket: u64, tokens: u64);
 }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers peers.
+//! Server side of the calls between entries.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,13 +26,13 @@
 use crate::receiver::Charge;
 use crate::receiver::Receiver;
 
-/// Pause after a connection could not be accepted.
+/// Delay before the next `accept` after a failed one.
 const ACCEPT_PAUSE: Span = Span::from_millis(10);
 
-/// Bytes of a word in the size limits of the message library.
+/// Size of a Cap'n Proto word in bytes.
 const WORD_BYTES: usize = 8;
 
-/// Serves peers until the future is dropped. Runs within a `LocalSet`.
+/// Serves peers until the future is dropped. Must run within a `LocalSet`.
 pub async fn serve(listener: TcpListener, key: Key, limit: Limit, receiver: Rc<dyn Receiver>) {
     let mut connections = JoinSet::new();
     loop {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Serves one connection; one that doesn't prove itself in time is closed.
+/// Serves one connection; closes it if the peer doesn't authenticate in time.
 async fn connection(socket: TcpStream, key: Key, limit: Limit, receiver: Rc<dyn Receiver>) {
     let authenticated = Rc::new(Cell::new(false));
     let door = Door {
@@ -86,14 +86,14 @@
     }
 }
 
-/// Size limits of messages.
+/// Returns the library's options with the size limit of messages.
 pub(crate) fn reader_options(limit: &Limit) -> ReaderOptions {
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(limit.message_bytes / WORD_BYTES));
     options
 }
 
-/// What a connection gets before it has proved itself.
+/// Bootstrap capability; an unauthenticated connection has no other.
 struct Door {
     key: Key,
     receiver: Rc<dyn Receiver>,
@@ -101,7 +101,7 @@
     nonces: Cell<Option<Nonces>>,
 }
 
-/// Both sides' nonces.
+/// Nonces of both sides.
 #[derive(Clone, Copy)]
 struct Nonces {
     caller: [u8; NONCE_BYTES],
@@ -130,7 +130,7 @@
         params: door::EnterParams,
         mut results: door::EnterResults,
     ) -> Result<(), capnp::Error> {
-        // Each pair of nonces is good for one try.
+        // A pair of nonces is valid for one attempt.
         let nonces = self.nonces.take();
         let proof = params.get()?.get_proof()?;
         let authenticated = nonces.is_some_and(|nonces| {
@@ -149,7 +149,7 @@
     }
 }
 
-/// The entry, to a peer that has proved itself.
+/// Capability of an authenticated peer.
 struct AuthenticatedEntry {
     receiver: Rc<dyn Receiver>,
 }
@@ -234,12 +234,12 @@
     }
 }
 
-/// The failure of a call whose answer can't be given.
+/// Creates the error of a call that can't be answered.
 fn no_answer() -> capnp::Error {
     capnp::Error::failed(String::from("this entry is stopping"))
 }
 
-/// A ledger's word on the wire.
+/// Converts a ledger's answer to its wire type.
 fn to_wire(answer: request::ledger::Answer) -> Answer {
     match answer {
         request::ledger::Answer::Granted => Answer::Granted,
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Two entries on loopback: who gets in, what is said, what counts as lost.
+//! Two entries on loopback: authentication, all calls, timeouts and reconnects.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 
 const KEY: &str = "a key that all entries share";
 
-/// An entry that notes what it hears; it answers tickets unless it was told to be silent.
+/// Records what it receives; answers ticket requests unless `silent`.
 #[derive(Default)]
 struct RecordingReceiver {
     digests: RefCell<Vec<Digest>>,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Starts an entry; gives its address.
+/// Starts an entry and returns its address.
 async fn serve(receiver: Rc<RecordingReceiver>, limit: Limit) -> SmolStr {
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = socket.local_addr().expect("an address").to_smolstr();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn peers_say_all_that_there_is_to_say() {
+fn every_call_reaches_the_peer() {
     run(async {
         let receiver = Rc::new(RecordingReceiver::default());
         let address = serve(Rc::clone(&receiver), Limit::default()).await;
@@ -134,9 +134,10 @@
     });
 }
 
-/// A stranger who reached the peer port would spend callers' tickets or hand over false ledgers.
+/// Without authentication, anyone who reaches the peer port could spend callers' tickets or inject
+/// false ledgers.
 #[test]
-fn who_doesnt_hold_the_key_gets_nothing() {
+fn a_caller_without_the_key_is_rejected() {
     run(async {
         let receiver = Rc::new(RecordingReceiver::default());
         let address = serve(Rc::clone(&receiver), Limit::default()).await;
@@ -147,9 +148,9 @@
     });
 }
 
-/// A receipt would be filed twice if the word of a silent peer were taken for "not spent".
+/// If a timeout counted as "not spent", a ticket could be spent twice.
 #[test]
-fn a_word_that_does_not_come_is_lost() {
+fn a_missing_answer_is_an_error() {
     run(async {
         let limit = Limit {
             call: Span::from_millis(50),
@@ -173,11 +174,11 @@
     });
 }
 
-/// A peer is replaced at the same address: the connection to the old one must not be used for ever.
+/// Guards against reusing a dead connection after a peer was replaced at the same address.
 #[test]
-fn a_broken_connection_is_opened_anew() {
+fn a_broken_connection_is_reopened() {
     run(async {
-        // Both servers hold the same socket, so that nobody else accepted the port in between.
+        // Both servers share one listening socket, so that no other process can take the port in between.
         let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         socket.set_nonblocking(true).expect("a socket");
         let address = socket.local_addr().expect("an address").to_smolstr();
@@ -197,17 +198,17 @@
     });
 }
 
-/// Serves on a socket that is bound already.
+/// Serves on an already bound socket.
 async fn serve_on(socket: std::net::TcpListener) {
     let socket = TcpListener::from_std(socket).expect("a socket of the runtime");
     let receiver = Rc::new(RecordingReceiver::default());
     peer::server::serve(socket, Key::new(KEY), Limit::default(), receiver).await;
 }
 
-/// One entry adds up the counts of 300 and has a connection of each: those beyond the 256th were closed, and their
-/// counts were missing in every sum.
+/// An entry that aggregates counts of 300 entries has a connection from each. A limit of 256 closed the rest,
+/// so that their counts were missing from every sum.
 #[test]
-fn an_entry_takes_a_connection_of_each_of_many() {
+fn an_entry_accepts_hundreds_of_connections() {
     run(async {
         let receiver = Rc::new(RecordingReceiver::default());
         let address = serve(Rc::clone(&receiver), Limit::default()).await;
--- a/crates/settings/examples/document.rs
+++ b/crates/settings/examples/document.rs
@@ -1,4 +1,4 @@
-//! Writes docs/SETTINGS.md and docs/settings.schema.json from the structs.
+//! Generates docs/SETTINGS.md and docs/settings.schema.json from the settings structs.
 //!
 //! `cargo run -p settings --example document`
 
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Compares a settings file with the schema and names every fault with its line.
+//! Validates a settings file against the schema and reports every fault with its line.
 
 use std::collections::BTreeMap;
 
@@ -14,24 +14,24 @@
 use crate::fault::Fault;
 use crate::schema::join;
 
-/// How alike two names must be for "did you mean", 0 to 1: the usual bound for Jaro-Winkler, which
-/// admits a slip of a letter or two in a word of ours and no other word.
+/// Minimum Jaro-Winkler similarity for "did you mean", 0 to 1: the usual bound, which admits one or two wrong
+/// letters in a name.
 const MIN_SIMILARITY: f64 = 0.8;
 
-/// What the walk through one file found.
+/// Result of checking one file.
 #[derive(Debug, Default)]
 pub struct Findings {
-    /// What forbids a start.
+    /// Faults that prevent a start.
     pub faults: Vec<Fault>,
-    /// Unknown names: they forbid nothing, so that an older version starts with a newer file.
+    /// Unknown names; not faults, so that an older version starts with a newer file.
     pub warnings: Vec<Fault>,
-    /// The line of each option that is set.
+    /// Line of each option that is set.
     pub lines: BTreeMap<String, usize>,
-    /// The settings as far as they are valid.
+    /// The valid part of the settings.
     pub value: Value,
 }
 
-/// Reads the syntax: JSON with comments and trailing commas, nothing looser.
+/// Parses JSON with comments and trailing commas, and no other extensions.
 pub fn parse<'a>(file: &str, text: &'a str) -> Result<ParseResult<'a>, Fault> {
     let options = ParseOptions {
         allow_loose_object_property_names: false,
@@ -50,7 +50,7 @@
     })
 }
 
-/// Walks the file beside the schema.
+/// Checks the parsed file against the schema.
 pub fn check(file: &str, text: &str, root: Option<&ast::Value<'_>>, schema: &Value) -> Findings {
     let mut checker = Checker {
         file,
@@ -64,7 +64,7 @@
     checker.findings
 }
 
-/// The state of one checker.
+/// State of one check.
 struct Checker<'a> {
     file: &'a str,
     text: &'a str,
@@ -72,7 +72,7 @@
 }
 
 impl Checker<'_> {
-    /// Checks one value; gives it as JSON if it is valid.
+    /// Checks one value; returns it as JSON if it is valid.
     fn node(&mut self, node: &ast::Value<'_>, schema: &Value, name: &str) -> Option<Value> {
         let schema = variant(node, schema);
         if schema.get("properties").is_some() {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Checks an object name by name.
+    /// Checks the properties of an object.
     fn section(&mut self, node: &ast::Value<'_>, schema: &Value, name: &str) -> Option<Value> {
         let ast::Value::Object(object) = node else {
             let message = format!("expected an object, found {}", describe(node));
@@ -129,7 +129,7 @@
         Some(Value::Object(valid))
     }
 
-    /// Checks a list item by item.
+    /// Checks the elements of a list.
     fn list(&mut self, node: &ast::Value<'_>, subschema: &Value, name: &str) -> Option<Value> {
         let ast::Value::Array(array) = node else {
             let message = format!("expected a list, found {}", describe(node));
@@ -146,7 +146,7 @@
         Some(Value::Array(valid))
     }
 
-    /// Notes a fault at a byte of the file.
+    /// Records a fault at a byte offset of the file.
     fn fault(&mut self, offset: usize, option: &str, message: String) {
         let fault = Fault {
             file: self.file.to_owned(),
@@ -158,7 +158,7 @@
         self.findings.faults.push(fault);
     }
 
-    /// Notes an unknown name.
+    /// Records an unknown name.
     fn unknown(&mut self, line: usize, option: String, suggestion: Option<String>) {
         self.findings.warnings.push(Fault {
             file: self.file.to_owned(),
@@ -169,14 +169,14 @@
         });
     }
 
-    /// The line of a byte, from 1.
+    /// Returns the line of a byte offset, starting at 1.
     fn line(&self, offset: usize) -> usize {
         let before = self.text.as_bytes().iter().take(offset);
         1 + before.filter(|byte| **byte == b'\n').count()
     }
 }
 
-/// The known name that is most like `name`, if one is like it at all.
+/// Returns the known name most similar to `name`, if one is similar enough.
 pub fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
     known
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
@@ -185,7 +185,7 @@
         .map(|(_, candidate)| candidate.to_owned())
 }
 
-/// The variant of a tagged union that the value's `type` names; the schema itself if it is none.
+/// Returns the variant of a tagged union that matches the value's `type`, or the schema itself.
 fn variant<'s>(node: &ast::Value<'_>, schema: &'s Value) -> &'s Value {
     let Some(variants) = schema.get("oneOf").and_then(Value::as_array) else {
         return schema;
@@ -200,13 +200,13 @@
     variants.iter().find(named).unwrap_or(schema)
 }
 
-/// A list of names in the schema.
+/// Returns a list of names in the schema.
 fn names<'s>(schema: &'s Value, list: &str) -> impl Iterator<Item = &'s str> {
     let names = schema.get(list).and_then(Value::as_array);
     names.into_iter().flatten().filter_map(Value::as_str)
 }
 
-/// The value as JSON.
+/// Converts the value to JSON.
 fn to_json(node: &ast::Value<'_>) -> Value {
     match node {
         ast::Value::StringLit(text) => Value::String(text.value.clone().into_owned()),
@@ -217,7 +217,7 @@
     }
 }
 
-/// What stands there, in words. Texts aren't repeated: one of them may be a key.
+/// Describes a value for a message. Texts aren't repeated, since one of them may be a key.
 fn describe(node: &ast::Value<'_>) -> String {
     match node {
         ast::Value::StringLit(_) => "another text".to_owned(),
--- a/crates/settings/src/configs/admin.rs
+++ b/crates/settings/src/configs/admin.rs
@@ -1,4 +1,4 @@
-//! The port of health checks and metrics.
+//! Settings of the port for health checks and metrics.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -7,11 +7,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The port of `/healthz`, `/readyz` and `/metrics`.
+/// The port for `/healthz`, `/readyz` and `/metrics`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Admin {
-    /// Address to listen on. Port 0 takes a free one; the entry logs which.
+    /// Address to listen on. Port 0 selects a free port, which the entry logs.
     #[schemars(extend("format" = "socket-address"))]
     pub listen: SocketAddr,
 }
--- a/crates/settings/src/configs/callers.rs
+++ b/crates/settings/src/configs/callers.rs
@@ -1,4 +1,4 @@
-//! The port of callers and its limits.
+//! Settings of the port for callers.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -7,35 +7,35 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The port on which callers are served, and its limits.
+/// The port for callers and its limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Callers {
-    /// Address to listen on. Port 0 takes a free one; the entry logs which.
+    /// Address to listen on. Port 0 selects a free port, which the entry logs.
     #[schemars(extend("format" = "socket-address"))]
     pub listen: SocketAddr,
-    /// Address that callers are told to connect to; the bound one when absent.
+    /// Address that callers connect to; defaults to the bound address.
     #[schemars(extend("format" = "socket-address"))]
     pub advertise: Option<SocketAddr>,
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's headers in bytes.
     #[schemars(range(min = 1024, max = 1048576))]
     pub max_header_bytes: u32,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     #[schemars(range(min = 1024, max = 1073741824))]
     pub max_body_bytes: u64,
-    /// Most connections open at once; further ones are closed as they come.
+    /// Maximum open connections; further ones are closed immediately.
     #[schemars(range(min = 1, max = 1000000))]
     pub max_connections: u32,
-    /// Time allowed for a request's head to arrive, milliseconds.
+    /// Timeout for receiving a request's headers, in milliseconds.
     #[schemars(range(min = 100, max = 600000))]
     pub header_timeout_ms: u64,
-    /// Time allowed for a request's body to arrive, milliseconds.
+    /// Timeout for receiving a request's body, in milliseconds.
     #[schemars(range(min = 100, max = 3600000))]
     pub body_timeout_ms: u64,
-    /// Time allowed for a request from its arrival to the end of its answer, milliseconds.
+    /// Timeout for a request from its arrival to the end of its answer, in milliseconds.
     #[schemars(range(min = 1000, max = 86400000))]
     pub request_timeout_ms: u64,
-    /// How long a caller may keep an address answer, milliseconds.
+    /// Time for which callers may cache the list of addresses, in milliseconds.
     #[schemars(range(min = 100, max = 3600000))]
     pub address_ttl_ms: u64,
 }
--- a/crates/settings/src/configs/gateway.rs
+++ b/crates/settings/src/configs/gateway.rs
@@ -1,4 +1,4 @@
-//! Requests passed on as they come, by routes that the platform's operator keeps.
+//! Settings of the gateway mode.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -8,9 +8,9 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Requests passed on as they come, by routes in the platform's table service.
+/// Gateway mode: passes requests on unchanged, by routes in the platform's table service.
 ///
-/// With it on, the operators' port isn't opened: configuration is read from the table service alone.
+/// In this mode, the operators' port isn't opened: configuration is read from the table service alone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Gateway {
@@ -19,47 +19,48 @@
     /// Address of the port on which callers ask which entries to use.
     #[schemars(extend("format" = "socket-address"))]
     pub directory_listen: SocketAddr,
-    /// Address of the port on which metrics are read; none while absent.
+    /// Address of the port for metrics; it isn't opened if absent.
     #[schemars(extend("format" = "socket-address"))]
     pub metrics_listen: Option<SocketAddr>,
-    /// Processor cores that this entry has, as a decimal number such as `0.25`. Entries with more are named to
-    /// more callers.
+    /// Processor cores of this entry, as a decimal number such as `0.25`. Entries with more cores are
+    /// returned to more callers.
     pub processor: SmolStr,
-    /// Megabits a second that this entry's own link carries, as a decimal number such as `10`. Counts for other
-    /// entries leave only as fast as keeps the link free for requests.
+    /// Bandwidth of this entry's link in megabits per second, as a decimal number such as `10`. Counts for
+    /// other entries are sent only as fast as leaves the link free for requests.
     pub link_mbps: SmolStr,
-    /// Entries that are expected to run; fewer known ones are taken for silent.
+    /// Expected number of entries; if fewer are known, the others count as unresponsive.
     #[schemars(range(min = 1, max = 100000))]
     pub entries: u32,
-    /// Repeats allowed for each hundred requests, over all entries.
+    /// Retries allowed per hundred requests, over all entries.
     #[schemars(range(min = 0, max = 1000))]
     pub repeats_percent: u32,
-    /// Repeats allowed besides in one window, over all entries.
+    /// Additional retries allowed per window, over all entries.
     #[schemars(range(min = 0, max = 1000000))]
     pub repeats_allowed: u32,
-    /// What the platform lets pass beyond an account's quota in one window, in the quota's unit.
+    /// Usage beyond an account's quota that the platform tolerates per window, in the quota's unit.
     pub quota_allowance: u64,
-    /// Part of an account's quota that the platform lets pass besides, as a decimal number such as `0.1`.
+    /// Fraction of an account's quota that the platform tolerates in addition, as a decimal number
+    /// such as `0.1`.
     pub quota_overrun: SmolStr,
-    /// Least time for which the holder of a duty must stay the holder, milliseconds.
+    /// Minimum time for which the holder of a duty keeps it, in milliseconds.
     #[schemars(range(min = 500, max = 600000))]
     pub duty_term_ms: u64,
-    /// Calls of the platform that one entry makes for all.
+    /// Duties that one entry performs on behalf of all.
     pub duties: Vec<Duty>,
-    /// Length of a window of usage, milliseconds.
+    /// Length of a usage window, in milliseconds.
     #[schemars(range(min = 1000, max = 3600000))]
     pub usage_window_ms: u64,
-    /// Time after a window's end by which its usage must be reported, milliseconds.
+    /// Time after the end of a window by which its usage must be reported, in milliseconds.
     #[schemars(range(min = 1000, max = 3600000))]
     pub usage_delay_ms: u64,
 }
 
-/// What one entry does for all.
+/// A duty that one entry performs on behalf of all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(extend("type" = "string"))]
 pub enum Duty {
-    /// Reports how many requests of each account began to run.
+    /// Reports how many requests of each account started.
     Usage,
     /// Orders replicas.
     Replicas,
--- a/crates/settings/src/configs/leases.rs
+++ b/crates/settings/src/configs/leases.rs
@@ -1,4 +1,4 @@
-//! Time limits of leases in the table service.
+//! Settings of leases in the table service.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Leases {
-    /// How long a renewal holds, counted from before it was sent, milliseconds.
+    /// Time for which a renewal is valid, counted from before it was sent, in milliseconds.
     #[schemars(range(min = 500, max = 600000))]
     pub term_ms: u64,
-    /// How much longer others wait, against clocks that run unequally, milliseconds.
+    /// Additional time that other entries wait, to allow for clock drift, in milliseconds.
     #[schemars(range(min = 50, max = 600000))]
     pub margin_ms: u64,
-    /// Time between two renewals, milliseconds.
+    /// Interval between renewals, in milliseconds.
     #[schemars(range(min = 100, max = 600000))]
     pub renew_interval_ms: u64,
 }
--- a/crates/settings/src/configs/logs.rs
+++ b/crates/settings/src/configs/logs.rs
@@ -1,15 +1,15 @@
-//! What is logged.
+//! Settings of the log.
 
 use log::LevelFilter;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The log: one line of key=value pairs an event, on the standard error.
+/// The log: one line of key=value pairs per event on standard error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Logs {
-    /// Least severity that is logged.
+    /// Minimum severity of the events to log.
     pub level: Level,
 }
 
@@ -18,20 +18,20 @@
 #[serde(rename_all = "kebab-case")]
 #[schemars(extend("type" = "string"))]
 pub enum Level {
-    /// Something failed that the entry could not make good.
+    /// Failures that the entry could not recover from.
     Error,
-    /// Something failed that the entry made good.
+    /// Failures that the entry recovered from.
     Warn,
     /// Starts, stops and changes.
     Info,
-    /// Each request.
+    /// Every request.
     Debug,
-    /// Each effect.
+    /// Every effect.
     Trace,
 }
 
 impl Level {
-    /// The log's filter for this level.
+    /// Returns the log's filter for this level.
     pub const fn filter(self) -> LevelFilter {
         match self {
             Level::Error => LevelFilter::Error,
--- a/crates/settings/src/configs/mod.rs
+++ b/crates/settings/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! One file a feature: its options, their meaning and their defaults.
+//! Options, descriptions and defaults, one module for each section.
 
 pub mod admin;
 pub mod callers;
--- a/crates/settings/src/configs/operators.rs
+++ b/crates/settings/src/configs/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port.
+//! Settings of the port for operators.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
 
 use crate::secret::Secret;
 
-/// The operators' gRPC port.
+/// The gRPC port for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Operators {
-    /// Address to listen on. Port 0 takes a free one; the entry logs which.
+    /// Address to listen on. Port 0 selects a free port, which the entry logs.
     #[schemars(extend("format" = "socket-address"))]
     pub listen: SocketAddr,
-    /// Key that every operator's call carries, 16 characters or more. Must be set; never printed.
+    /// Key that authenticates operators' calls, at least 16 characters. Must be set; never printed.
     #[schemars(length(min = 16, max = 1024))]
     pub key: Secret,
 }
--- a/crates/settings/src/configs/peers.rs
+++ b/crates/settings/src/configs/peers.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other.
+//! Settings of communication between entries.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -12,32 +12,32 @@
 
 use crate::secret::Secret;
 
-/// The port between entries and what is told there.
+/// The port for other entries, and gossip between entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Peers {
-    /// Address to listen on. Port 0 takes a free one; the entry logs which.
+    /// Address to listen on. Port 0 selects a free port, which the entry logs.
     #[schemars(extend("format" = "socket-address"))]
     pub listen: SocketAddr,
-    /// Address that other entries are told to connect to; the bound one when absent.
+    /// Address that other entries connect to; defaults to the bound address.
     #[schemars(extend("format" = "socket-address"))]
     pub advertise: Option<SocketAddr>,
-    /// Key by which entries prove themselves to each other, 16 characters or more, the same at
-    /// every entry. Must be set; never printed.
+    /// Key with which entries authenticate each other, at least 16 characters, the same at every
+    /// entry. Must be set; never printed.
     #[schemars(length(min = 16, max = 1024))]
     pub key: Secret,
-    /// Peer addresses of other entries to try while the table service can't be read at start.
+    /// Peer addresses of other entries to try if the table service can't be read at start.
     #[schemars(schema_with = "addresses")]
     pub seeds: Vec<SocketAddr>,
-    /// To how many other entries each digest is sent.
+    /// Number of other entries to which each digest is sent.
     #[schemars(range(min = 1, max = 64))]
     pub fan_out: u32,
-    /// Time between two digests, milliseconds.
+    /// Interval between digests, in milliseconds.
     #[schemars(range(min = 50, max = 60000))]
     pub digest_interval_ms: u64,
 }
 
-/// The schema of a list of addresses.
+/// Returns the schema of a list of addresses.
 fn addresses(_: &mut SchemaGenerator) -> Schema {
     json_schema!({
         "type": "array",
--- a/crates/settings/src/configs/platform.rs
+++ b/crates/settings/src/configs/platform.rs
@@ -1,11 +1,11 @@
-//! The platform's services and the share of them that this entry may use.
+//! Settings of the platform's services.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// The platform's services and this entry's share of their capacity.
+/// The platform's services and their limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Platform {
@@ -15,16 +15,16 @@
     /// Address of the cloud API and the instance list, `http://HOST:PORT`. Must be set.
     #[schemars(extend("format" = "http-address"))]
     pub cloud: SmolStr,
-    /// Time allowed for one call, milliseconds; afterwards its outcome counts as unknown.
+    /// Timeout for one call, in milliseconds; after it, the call's outcome counts as unknown.
     #[schemars(range(min = 50, max = 60000))]
     pub timeout_ms: u64,
-    /// Reads a second that the table service takes from all entries together; each uses its share.
+    /// Reads per second that the table service accepts from all entries together; each uses its share.
     #[schemars(range(min = 1, max = 1000000))]
     pub reads_per_second: u32,
-    /// Writes a second that the table service takes from all entries together; each uses its share.
+    /// Writes per second that the table service accepts from all entries together; each uses its share.
     #[schemars(range(min = 1, max = 1000000))]
     pub writes_per_second: u32,
-    /// Time between two reads of the instance list and the notices, milliseconds.
+    /// Interval between reads of the instance list and the reclaim notices, in milliseconds.
     #[schemars(range(min = 50, max = 60000))]
     pub instances_interval_ms: u64,
 }
--- a/crates/settings/src/configs/shutdown.rs
+++ b/crates/settings/src/configs/shutdown.rs
@@ -1,14 +1,14 @@
-//! How a planned stop goes.
+//! Settings of a planned stop.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A planned stop (SIGTERM). A second signal hurries it.
+/// A planned stop (SIGTERM). A second signal skips the grace period.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Shutdown {
-    /// Time in which requests may finish here before they are handed to a peer, milliseconds.
+    /// Grace period in which requests may finish here before they are handed to a peer, in milliseconds.
     #[schemars(range(min = 0, max = 3600000))]
     pub grace_ms: u64,
 }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! The page of settings and the schema for editors, drawn from the structs.
+//! Generates the settings page and the schema for editors from the structs.
 
 use std::fmt::Write;
 
@@ -7,13 +7,13 @@
 use crate::expect;
 use crate::schema;
 
-/// The schema as it is committed for editors.
+/// Returns the schema file for editors.
 pub fn schema_file() -> String {
     let schema = schema::schema();
     serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
 }
 
-/// The page of settings.
+/// Returns the settings page.
 pub fn page() -> String {
     let schema = schema::schema();
     let mut text = String::from(INTRODUCTION);
@@ -35,18 +35,18 @@
     text
 }
 
-/// What the page says before the tables.
+/// Introduction of the settings page.
 const INTRODUCTION: &str = "# Settings of an entry
 
-`dogwoodspurd --settings FILE` reads one file of JSON with comments (and trailing commas). Every fault
-is reported at once, with file, line and what was expected; with a fault the entry doesn't start. An
-unknown name is a warning at start, so that an older version starts with a newer file, and a fault for
-`--check`. `--print` shows the effective settings and where each was set; `explain SETTING` explains
-one option or a section. Keys are never shown.
+`dogwoodspurd --settings FILE` reads one file of JSON with comments and trailing commas. All faults are
+reported at once, each with its file, line and expected value; a file with faults prevents the start.
+An unknown name is a warning at start, so that an older version starts with a newer file, and a fault
+for `--check`. `--print` prints the effective settings and their origins; `--explain OPTION` explains
+one option or section. Keys are never printed.
 
-Editors offer names and values from [settings.schema.json](settings.schema.json): put
-`\"$schema\": \"PATH/settings.schema.json\"` at the head of the file.
+Editors complete and check options by [settings.schema.json](settings.schema.json): put
+`\"$schema\": \"PATH/settings.schema.json\"` at the top of the file.
 
-This page is drawn from `crates/settings/src/configs` by `cargo run -p settings --example document`;
-a test compares them.
+This page is generated from `crates/settings/src/configs` by `cargo run -p settings --example document`;
+a test checks that it is up to date.
 ";
--- a/crates/settings/src/expect.rs
+++ b/crates/settings/src/expect.rs
@@ -1,10 +1,10 @@
-//! What the schema wants of one value, in values.
+//! Checks single values against the schema and describes what it accepts.
 
 use std::net::SocketAddr;
 
 use serde_json::Value;
 
-/// What the schema wants in place of `value`; nothing if the value is sound.
+/// Describes what the schema expects instead of `value`; `None` if the value is valid.
 pub fn expected(value: &Value, schema: &Value) -> Option<String> {
     let optional = types(schema).any(|kind| kind == "null");
     if value.is_null() && optional {
@@ -26,15 +26,15 @@
     }
 }
 
-/// The types that the schema admits.
+/// Returns the types that the schema accepts.
 fn types(schema: &Value) -> impl Iterator<Item = &str> {
     let kind = schema.get("type");
-    let one = kind.and_then(Value::as_str);
-    let several = kind.and_then(Value::as_array).into_iter().flatten();
-    one.into_iter().chain(several.filter_map(Value::as_str))
+    let single = kind.and_then(Value::as_str);
+    let multiple = kind.and_then(Value::as_array).into_iter().flatten();
+    single.into_iter().chain(multiple.filter_map(Value::as_str))
 }
 
-/// The tags of a tagged union.
+/// Returns the tags of a tagged union.
 fn tags(schema: &Value) -> Option<Vec<&str>> {
     let variants = schema.get("oneOf").and_then(Value::as_array)?;
     let tag = |variant: &'_ Value| variant.pointer("/properties/type/const").is_some();
@@ -46,7 +46,7 @@
     Some(tags.filter_map(Value::as_str).collect())
 }
 
-/// The words of an enumeration.
+/// Returns the values of an enumeration.
 pub fn values(schema: &Value) -> Option<Vec<&str>> {
     if let Some(values) = schema.get("enum").and_then(Value::as_array) {
         return Some(values.iter().filter_map(Value::as_str).collect());
@@ -68,7 +68,7 @@
     Some(bounds(min, max))
 }
 
-/// Bounds of a whole number, in values.
+/// Describes the bounds of a whole number.
 fn bounds(min: u64, max: u64) -> String {
     if max == u64::MAX {
         return "a whole number".to_owned();
@@ -76,7 +76,7 @@
     format!("a whole number from {min} to {max}")
 }
 
-/// The greatest number of the type.
+/// Returns the largest number of the type.
 fn max_of_type(schema: &Value) -> u64 {
     match schema.get("format").and_then(Value::as_str) {
         Some("uint32") => u64::from(u32::MAX),
@@ -84,7 +84,7 @@
     }
 }
 
-/// Checks a text, its length and its form.
+/// Checks the length and the format of a text.
 fn string(value: &Value, schema: &Value) -> Option<String> {
     let Some(text) = value.as_str() else {
         return Some(format_name(schema).to_owned());
@@ -104,7 +104,7 @@
     (!valid).then(|| format_name(schema).to_owned())
 }
 
-/// What an option takes, in values.
+/// Describes the values that an option accepts.
 pub fn accepted(schema: &Value) -> String {
     if let Some(items) = schema.get("items") {
         return format!("a list, each {}", accepted(items));
@@ -116,7 +116,7 @@
     accepted
 }
 
-/// The form that the schema wants of a text, in values.
+/// Describes the format that the schema expects of a text.
 pub fn format_name(schema: &Value) -> &'static str {
     match schema.get("format").and_then(Value::as_str) {
         Some("socket-address") => "an address such as \"127.0.0.1:8000\" or \"[::1]:8000\"",
@@ -126,13 +126,13 @@
     }
 }
 
-/// Whether it is `http://IP:PORT`.
+/// Returns whether the text is `http://IP:PORT`.
 fn is_http_address(text: &str) -> bool {
     text.strip_prefix("http://")
         .is_some_and(|rest| rest.parse::<SocketAddr>().is_ok())
 }
 
-/// Whether it may name an entry or a zone.
+/// Returns whether the text is a valid name of an entry or a zone.
 fn is_name(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
     (1..=63).contains(&text.len()) && text.bytes().all(is_allowed)
--- a/crates/settings/src/explain.rs
+++ b/crates/settings/src/explain.rs
@@ -1,4 +1,4 @@
-//! One setting explained, for `dogwoodspurd explain SETTING`.
+//! Explains one option, for `dogwoodspurd --explain OPTION`.
 
 use std::fmt::Write;
 
@@ -9,9 +9,9 @@
 use crate::expect;
 use crate::schema;
 
-/// What an option means, takes and is; `Err` says that there is none of that name.
+/// Returns the meaning, accepted values and default of an option, or an error if it doesn't exist.
 ///
-/// `loaded` adds the effective value and where it was set. The name of a section explains all its
+/// `loaded` adds the effective value and where it was set. The name of a section explains all of its
 /// options.
 pub fn explain(name: &str, loaded: Option<&Loaded>) -> Result<String, String> {
     let schema = schema::schema();
@@ -33,7 +33,7 @@
     Err(format!("no setting '{name}'{hint}"))
 }
 
-/// Whether the option is the named one or lies in the named section.
+/// Returns whether the option is the named one or belongs to the named section.
 fn is_within(option: &str, name: &str) -> bool {
     option == name
         || option
@@ -41,7 +41,7 @@
             .is_some_and(|rest| rest.starts_with('.'))
 }
 
-/// Appends one option.
+/// Appends the explanation of one option.
 fn write_option(text: &mut String, schema: &Value, option: &str, loaded: Option<&Loaded>) {
     let Some(part) = schema::option(schema, option) else {
         return;
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,24 +1,24 @@
-//! What is wrong with a settings file.
+//! Faults of a settings file.
 
 use std::fmt;
 
-/// One thing wrong with a settings file.
+/// A fault in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The file, as it was named.
+    /// Path of the file, as given.
     pub file: String,
-    /// Line in it, from 1.
+    /// Line in the file, starting at 1.
     pub line: usize,
-    /// The option, such as `callers.listen`; empty for the file as a whole.
+    /// Option such as `callers.listen`; empty for the whole file.
     pub option: String,
-    /// What was expected and what stands there.
+    /// What was expected and what was found.
     pub message: String,
-    /// A known name near the unknown one.
+    /// Known name similar to the unknown one.
     pub did_you_mean: Option<String>,
 }
 
 impl Fault {
-    /// A fault of the file as a whole.
+    /// Creates a fault of the whole file.
     pub fn whole(file: &str, message: String) -> Fault {
         Fault {
             file: file.to_owned(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// Everything that is wrong with a settings file, in the order of its lines.
+/// All faults of a settings file, ordered by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of an entry: reading, checking, schema and documentation.
+//! Settings of an entry: loading, validation, schema and documentation.
 //!
-//! The structs in [`configs`] are the one source: the schema is drawn from them, the file is checked
-//! against the schema, and the page for operators is drawn from it too.
+//! The structs in [`configs`] are the single source: the schema is generated from them, files are validated
+//! against the schema, and the settings page is generated from it.
 
 pub mod check;
 pub mod configs;
@@ -42,15 +42,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct Settings {
-    /// Who this entry is.
+    /// Identity of this entry.
     pub identity: Identity,
-    /// The port of callers.
+    /// The port for callers.
     pub callers: Callers,
-    /// The port of health checks and metrics.
+    /// The port for health checks and metrics.
     pub admin: Admin,
-    /// The operators' port.
+    /// The port for operators.
     pub operators: Operators,
-    /// The port between entries.
+    /// The port for other entries.
     pub peers: Peers,
     /// The platform's services.
     pub platform: Platform,
@@ -58,8 +58,8 @@
     pub leases: Leases,
     /// A planned stop.
     pub shutdown: Shutdown,
-    /// What is logged.
+    /// The log.
     pub logs: Logs,
-    /// Requests passed on by routes.
+    /// Gateway mode.
     pub gateway: Gateway,
 }
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads a settings file.
+//! Loads a settings file.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -12,19 +12,19 @@
 use crate::rules;
 use crate::schema;
 
-/// Settings as read from a file.
+/// Settings loaded from a file.
 #[derive(Clone, Debug)]
 pub struct Loaded {
     /// The effective settings.
     pub settings: Settings,
-    /// Unknown names, to be logged at start; `--check` counts them as faults.
+    /// Unknown names, to be logged at start; `--check` treats them as faults.
     pub warnings: Faults,
-    /// The line of each option that the file sets.
+    /// Line of each option that the file sets.
     pub lines: BTreeMap<String, usize>,
 }
 
 impl Loaded {
-    /// Where an option's value comes from: `line 7` or `default`.
+    /// Returns the origin of an option's value: `line 7` or `default`.
     pub fn origin(&self, option: &str) -> String {
         match self.lines.get(option) {
             Some(line) => format!("line {line}"),
@@ -33,12 +33,12 @@
     }
 }
 
-/// Reads a file and keeps the settings alone; unknown names in it are passed over.
+/// Loads a file and returns only its settings; unknown names are ignored.
 pub fn load(path: impl AsRef<Path>) -> Result<Settings, Faults> {
     read(path).map(|loaded| loaded.settings)
 }
 
-/// Reads a file with all that is known of it, or names everything that forbids a start.
+/// Loads a file, or returns all faults that prevent a start.
 pub fn read(path: impl AsRef<Path>) -> Result<Loaded, Faults> {
     let path = path.as_ref();
     let file = path.display().to_string();
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reads a file for `--check`: unknown names are faults too.
+/// Loads a file for `--check`, which treats unknown names as faults.
 pub fn read_strict(path: impl AsRef<Path>) -> Result<Loaded, Faults> {
     let loaded = read(path)?;
     if loaded.warnings.0.is_empty() {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reads the text of a file.
+/// Parses and validates the text of a file.
 pub fn parse(file: &str, text: &str) -> Result<Loaded, Faults> {
     let tree = check::parse(file, text).map_err(|fault| Faults(vec![fault]))?;
     let schema = schema::schema();
@@ -80,7 +80,7 @@
     }
 }
 
-/// Fills the structs with what is sound; the rest keeps its default.
+/// Deserializes the valid part of the file; other options keep their defaults.
 fn settings(file: &str, findings: &mut Findings) -> Option<Settings> {
     match serde_json::from_value(findings.value.clone()) {
         Ok(settings) => Some(settings),
@@ -91,7 +91,7 @@
     }
 }
 
-/// Adds the broken rules, but for options that have a fault of their own already.
+/// Adds violated rules, except for options that already have a fault.
 fn add_violations(file: &str, settings: &Settings, findings: &mut Findings) {
     for violation in rules::violations(settings) {
         if findings
@@ -110,7 +110,7 @@
     }
 }
 
-/// Everything found, in the order of the lines: with a fault, unknown names are part of the report.
+/// Returns all faults and unknown names, ordered by line.
 fn report(findings: Findings) -> Faults {
     let mut faults = findings.faults;
     faults.extend(findings.warnings);
--- a/crates/settings/src/print.rs
+++ b/crates/settings/src/print.rs
@@ -1,4 +1,4 @@
-//! Effective settings as text, for `dogwoodspurd --print`.
+//! Prints effective settings, for `dogwoodspurd --print`.
 
 use std::fmt::Write;
 
@@ -7,9 +7,9 @@
 use crate::Loaded;
 use crate::schema;
 
-/// The effective settings as JSON with comments: each option with its meaning and where it was set.
+/// Formats the effective settings as JSON with comments: each option with its description and origin.
 ///
-/// Keys show only whether they are set, so that the text can be passed on.
+/// Keys show only whether they are set, so that the text can be shared.
 pub fn effective(loaded: &Loaded) -> String {
     let schema = schema::schema();
     let values = serde_json::to_value(&loaded.settings).unwrap_or_default();
@@ -35,7 +35,7 @@
     text
 }
 
-/// The properties of a part of the schema.
+/// Returns the properties of a part of the schema.
 fn properties(schema: &Value) -> impl Iterator<Item = (&String, &Value)> {
     schema
         .get("properties")
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -1,17 +1,17 @@
-//! What options must be among themselves, beyond what the schema says of each.
+//! Rules across options, beyond the schema of each one.
 
 use crate::Settings;
 
-/// A rule that the settings break.
+/// A rule that the settings violate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The option to change.
+    /// Option to change.
     pub option: &'static str,
     /// What was expected.
     pub message: String,
 }
 
-/// All rules that the settings break.
+/// Returns all rules that the settings violate.
 pub fn violations(settings: &Settings) -> Vec<Violation> {
     let mut violations = Vec::new();
     required(settings, &mut violations);
@@ -20,7 +20,7 @@
     violations
 }
 
-/// Options without a sensible default.
+/// Checks that options without a sensible default are set.
 fn required(settings: &Settings, violations: &mut Vec<Violation>) {
     let options = [
         ("identity.name", settings.identity.name.is_empty()),
@@ -49,7 +49,8 @@
     }
 }
 
-/// A lease must outlast the time to its renewal by the margin, else it lapses while all is well.
+/// Checks that leases are renewed before they expire: the interval must be shorter than the term
+/// minus the margin.
 fn leases(settings: &Settings, violations: &mut Vec<Violation>) {
     let leases = &settings.leases;
     let limit = leases.term_ms.saturating_sub(leases.margin_ms);
@@ -64,7 +65,7 @@
     }
 }
 
-/// No two ports on one address, and what is advertised must be reachable.
+/// Checks that no two ports share an address and that advertised addresses are reachable.
 fn addresses(settings: &Settings, violations: &mut Vec<Violation>) {
     let listeners = [
         ("callers.listen", settings.callers.listen),
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,11 +1,11 @@
-//! The schema of the settings file, drawn from the structs.
+//! JSON schema of the settings file, generated from the structs.
 
 use schemars::generate::SchemaSettings;
 use serde_json::Value;
 
 use crate::Settings;
 
-/// The schema of the whole file, without references, so that it can be walked beside the file.
+/// Returns the schema of the whole file with inlined references, so that it can be traversed with the file.
 pub fn schema() -> Value {
     SchemaSettings::draft2020_12()
         .for_deserialize()
@@ -15,7 +15,7 @@
         .to_value()
 }
 
-/// The option's part of the schema; the whole for an empty name.
+/// Returns the schema of an option or section; the whole schema for an empty name.
 pub fn option<'a>(schema: &'a Value, name: &str) -> Option<&'a Value> {
     if name.is_empty() {
         return Some(schema);
@@ -24,14 +24,14 @@
         .try_fold(schema, |part, key| part.get("properties")?.get(key))
 }
 
-/// Names of all options, with their sections before them, in the schema's order.
+/// Returns the qualified names of all options in the schema's order.
 pub fn options(schema: &Value) -> Vec<String> {
     let mut names = Vec::new();
     collect(schema, "", &mut names);
     names
 }
 
-/// Appends the options below `part`.
+/// Appends the qualified names of the options in `part`.
 fn collect(part: &Value, name: &str, names: &mut Vec<String>) {
     let Some(properties) = part.get("properties").and_then(Value::as_object) else {
         names.push(name.to_owned());
@@ -42,7 +42,7 @@
     }
 }
 
-/// What an option or a section means, in one line.
+/// Returns the description of an option or section in one line.
 pub fn description(part: &Value) -> String {
     let text = part
         .get("description")
@@ -51,7 +51,7 @@
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// An option's default as it would be written; a word where there is none.
+/// Returns an option's default as it would be written, or `none`.
 pub fn default(part: &Value) -> String {
     match part.get("default") {
         None | Some(Value::Null) => "none".to_owned(),
@@ -60,7 +60,7 @@
     }
 }
 
-/// The name of `key` within `section`.
+/// Returns the qualified name of `key` in `section`.
 pub fn join(section: &str, key: &str) -> String {
     if section.is_empty() {
         key.to_owned()
--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -1,4 +1,4 @@
-//! A key that never shows in logs or printed settings.
+//! A key that is never shown in logs or printed settings.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -11,10 +11,10 @@
 use serde::Serializer;
 use smol_str::SmolStr;
 
-/// What is shown in place of a key.
+/// Placeholder shown instead of a key.
 const HIDDEN: &str = "(hidden)";
 
-/// A key. Printing it or writing it as JSON shows only whether one is set.
+/// A key. Formatting or serializing it shows only whether one is set.
 #[derive(Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(SmolStr);
@@ -25,17 +25,17 @@
         Secret(key.into())
     }
 
-    /// The key itself.
+    /// Returns the key itself.
     pub fn reveal(&self) -> &str {
         &self.0
     }
 
-    /// Whether none is set.
+    /// Returns whether no key is set.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// What may be shown of it.
+    /// Returns the placeholder if a key is set.
     fn redacted(&self) -> &'static str {
         if self.is_empty() { "" } else { HIDDEN }
     }
--- a/crates/settings/tests/document.rs
+++ b/crates/settings/tests/document.rs
@@ -1,4 +1,4 @@
-//! What is drawn from the structs: the page, the schema, effective settings, explanations.
+//! Output generated from the structs: page, schema, effective settings and explanations.
 
 use std::fs;
 use std::path::Path;
@@ -18,7 +18,7 @@
   "platform": {"table_service": "http://127.0.0.1:7000", "cloud": "http://127.0.0.1:7001"}
 }"#;
 
-/// A committed page.
+/// Reads a committed file of `docs`.
 fn committed(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../docs")
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_committed_page_and_schema_are_those_of_the_structs() {
+fn the_committed_page_and_schema_are_up_to_date() {
     let hint = "run: cargo run -p settings --example document";
     assert_eq!(committed("SETTINGS.md"), document::page(), "{hint}");
     assert_eq!(
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn effective_settings_can_be_read_again_but_for_their_keys() {
+fn printed_settings_can_be_loaded_again() {
     let loaded = parse("entry.jsonc", SETTINGS).unwrap();
     let text = effective(&loaded);
     assert!(!text.contains("0123456789abcdef") && !text.contains("fedcba9876543210"));
@@ -69,7 +69,7 @@
     let text = explain("peers.fan_out", Some(&loaded)).unwrap();
     assert_eq!(
         text,
-        "peers.fan_out\n  To how many other entries each digest is sent.\n  \
+        "peers.fan_out\n  Number of other entries to which each digest is sent.\n  \
          takes:   a whole number from 1 to 64\n  default: `3`\n  is:      5 (line 6)\n"
     );
     assert!(
--- a/crates/settings/tests/load.rs
+++ b/crates/settings/tests/load.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file, sound and unsound.
+//! Loading valid and invalid settings files.
 
 use std::fs;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use settings::Faults;
 use settings::load::parse;
 
-/// The least that a file must set.
+/// The options without a default.
 const MINIMAL: &str = r#"{
   // an entry of zone a
   "identity": {"name": "entry-1", "zone": "a"},
@@ -15,13 +15,13 @@
   "platform": {"table_service": "http://127.0.0.1:7000", "cloud": "http://127.0.0.1:7001"},
 }"#;
 
-/// The lines of a report.
+/// Formats each fault as one line.
 fn lines(faults: &Faults) -> Vec<String> {
     faults.0.iter().map(|fault| fault.to_string()).collect()
 }
 
 #[test]
-fn a_file_with_comments_and_the_least_options_is_sound() {
+fn a_file_with_comments_and_the_required_options_is_valid() {
     let loaded = parse("entry.jsonc", MINIMAL).unwrap();
     assert_eq!(loaded.settings.identity.zone, "a");
     assert_eq!(loaded.settings.operators.listen.port(), 0);
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,10 +1,9 @@
-//! Group commit of inserts that have nothing to do with each other.
+//! Group commit of independent inserts.
 //!
-//! The load pattern: many requests a second each need one row inserted before they run, and the
-//! service takes a few hundred transactions a second. Without grouping, requests beyond that number
-//! are refused. Rows that are asked for at about the same time go into one transaction. A row that
-//! exists already fails the whole transaction and is named in its answer; only its own caller is told
-//! of the conflict, and the others go into the next transaction.
+//! Many requests per second each need one row inserted before they run, but the service accepts only a few
+//! hundred transactions per second and refuses the rest. Rows that arrive close together therefore share one
+//! transaction. A row that already exists fails the whole transaction and is listed in the answer: only its
+//! own caller gets the conflict, and the other rows go into the next transaction.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,56 +24,57 @@
 use crate::call::Write;
 use crate::configs::batch::Settings;
 
-/// Names one insert; chosen by the embedder.
+/// Identifies an insert; assigned by the embedder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// One row to be inserted if it is absent.
+/// A row to insert if it doesn't exist.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Insert {
-    /// Given back with the outcome.
+    /// Returned with the outcome.
     pub ticket: Ticket,
-    /// Which row.
+    /// Address of the row.
     pub address: Address,
-    /// Its value; carries the writer's own token, by which a lost answer is read back.
+    /// Value of the row; contains the writer's own token, so that a read after a lost answer
+    /// identifies the writer.
     pub value: Value,
 }
 
-/// What the embedder is to do.
+/// Action for the embedder to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Make a store call.
+    /// Makes a store call.
     Store {
-        /// Given back with its outcome.
+        /// Returned with the outcome.
         id: call::Id,
-        /// The call.
+        /// The call to make.
         call: Call,
     },
-    /// An insert has ended: committed, in conflict with the row given, unavailable or unknown.
+    /// Completes an insert: committed, in conflict with an existing row, unavailable or unknown.
     Done {
-        /// Which.
+        /// Identifies the insert.
         ticket: Ticket,
-        /// How.
+        /// Outcome of the insert.
         outcome: Outcome,
     },
 }
 
-/// The inserts that wait and those on their way.
+/// Queued inserts and transactions in flight.
 #[derive(Clone, Debug)]
 pub struct Batch {
     settings: Settings,
     waiting: VecDeque<Insert>,
-    /// When the oldest waiting insert has waited long enough.
+    /// When a partial batch is sent.
     flush_at: Time,
     sent: BTreeMap<call::Id, Vec<Insert>>,
-    /// After an answer that named no row: how many rows the next transaction may hold.
+    /// Maximum rows of the next transaction; halved after a conflict that listed no row.
     max_rows: usize,
     next_call: u64,
     name: SmolStr,
 }
 
 impl Batch {
-    /// Nothing waits. `name` appears in the service's log.
+    /// Creates an empty batch. `name` appears in the service's log.
     pub fn new(name: SmolStr, settings: Settings) -> Batch {
         Batch {
             waiting: VecDeque::new(),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Adds an insert; refuses it at once if too many wait.
+    /// Queues an insert; refuses it immediately if the queue is full.
     pub fn insert(&mut self, now: Time, insert: Insert, effects: &mut Vec<Effect>) {
         if self.waiting.len() >= self.settings.queue {
             effects.push(done_effect(&insert, Outcome::Unavailable));
@@ -100,7 +100,7 @@
         self.poll(now, effects);
     }
 
-    /// Takes the outcome of a transaction.
+    /// Handles the outcome of a transaction.
     pub fn handle_outcome(
         &mut self,
         now: Time,
@@ -123,7 +123,7 @@
         self.poll(now, effects);
     }
 
-    /// Sends what is flush_at.
+    /// Sends batches that are full or due.
     pub fn poll(&mut self, now: Time, effects: &mut Vec<Effect>) {
         while self.may_send(now) {
             let inserts = self.take_rows();
@@ -138,7 +138,7 @@
         }
     }
 
-    /// When [`Batch::poll`] wants to be called next.
+    /// Returns when [`Batch::poll`] should be called next.
     pub fn next_wake(&self) -> Option<Time> {
         let can_send_later = !self.waiting.is_empty() && self.sent.len() < self.settings.concurrent;
         can_send_later.then_some(self.flush_at)
@@ -151,7 +151,7 @@
             && (full || now >= self.flush_at)
     }
 
-    /// The next rows, no address twice: the second insert of a row waits for the first one's end.
+    /// Takes the next rows from the queue; an address in flight or already taken stays queued.
     fn take_rows(&mut self) -> Vec<Insert> {
         let mut addresses: BTreeSet<Address> = self
             .sent
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Ends the inserts whose rows exist and sends the others again: nothing of them was written.
+    /// Completes the inserts whose rows exist and requeues the others, since nothing was written.
     fn split(
         &mut self,
         now: Time,
@@ -204,7 +204,7 @@
             effects.push(done_effect(&inserts[0], Outcome::Conflict(Vec::new())));
             return;
         }
-        // A service that doesn't name the rows makes us look for them by halves.
+        // If the service doesn't list the rows, halving the batch finds them.
         self.max_rows = if names_rows {
             self.settings.rows
         } else {
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -1,30 +1,30 @@
-//! One entry's share of what the service takes.
+//! Rate limit of one entry's calls to the table service.
 //!
-//! The load pattern: many entries call one service that takes several hundred writes and two
-//! thousand reads a second. Without shares, a burst at one entry, or the return of all after an
-//! outage, takes the service down for leases and configuration as well. Each entry saves up calls at
-//! its share's rate and spends them; what is less urgent must leave some for what is more.
+//! All entries share one service with limits on reads and writes per second. Without per-entry
+//! limits, a burst at one entry, or the reconnect of all entries after an outage, overloads the
+//! service for leases and configuration as well. Each entry has a token bucket that refills at its
+//! share of the limits; less urgent calls must leave part of the bucket for more urgent ones.
 
 use clock::Time;
 
 use crate::call::Call;
 use crate::configs::budget::Settings;
 
-/// What a call is for, the most urgent first.
+/// Purpose of a call, in descending order of urgency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Renewals: late, they cost the right to act. Never made to wait, only counted.
+    /// Lease renewals: a late one costs the lease, so they are counted but never delayed.
     Lease,
-    /// The configuration: its bound is in seconds.
+    /// Configuration, which must propagate within seconds.
     Config,
-    /// Intent rows: a caller waits for each.
+    /// Intent rows, each of which a caller waits for.
     Intent,
-    /// Summaries and other records that can wait.
+    /// Summaries and other records that can be delayed.
     Summary,
 }
 
 impl Priority {
-    /// All, the most urgent first.
+    /// All priorities, the most urgent first.
     pub const ALL: [Priority; 4] = [
         Priority::Lease,
         Priority::Config,
@@ -32,7 +32,7 @@
         Priority::Summary,
     ];
 
-    /// Part of a full bucket that must remain after a call of this priority.
+    /// Returns the fraction of a full bucket that must remain after a call of this priority.
     const fn reserve(self) -> f64 {
         match self {
             Priority::Lease => f64::NEG_INFINITY,
@@ -43,7 +43,7 @@
     }
 }
 
-/// What this entry may spend.
+/// Token buckets for this entry's reads and writes.
 #[derive(Clone, Debug)]
 pub struct Budget {
     settings: Settings,
@@ -52,16 +52,17 @@
     writes: TokenBucket,
 }
 
-/// Calls of one kind that are saved up.
+/// Token bucket for one kind of call.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
-    /// Never above the burst; renewals may take it below zero.
+    /// Available tokens: at most the burst; lease renewals may take it below zero.
     tokens: f64,
     refilled_at: Time,
 }
 
 impl Budget {
-    /// The whole service's budget until it is told how many members share it; purses start full.
+    /// Creates full buckets for the whole service; [`Budget::set_members`] reduces them to this
+    /// entry's share.
     pub fn new(settings: Settings) -> Budget {
         let mut budget = Budget {
             settings,
@@ -74,14 +75,14 @@
         budget
     }
 
-    /// How many live entries share the service.
+    /// Sets the number of live entries that share the service.
     pub fn set_members(&mut self, now: Time, members: usize) {
         self.refill(now);
         self.members = members.max(1);
         self.refill(now);
     }
 
-    /// Whether a call may be made now; if so it is paid for.
+    /// Takes a token for a call; returns whether the call may be made now.
     pub fn take(&mut self, now: Time, call: &Call, priority: Priority) -> bool {
         self.refill(now);
         let rate = match call {
@@ -108,12 +109,12 @@
         self.writes.refill(now, writes, write_capacity);
     }
 
-    /// This entry's share of a limit, calls a second.
+    /// Returns this entry's share of a limit, calls per second.
     fn share(&self, limit: f64) -> f64 {
         limit * self.settings.shared_fraction / self.members as f64
     }
 
-    /// Most calls saved up at this rate.
+    /// Returns the capacity of a bucket with this refill rate.
     fn burst(&self, rate: f64) -> f64 {
         let seconds = self.settings.burst.as_millis() as f64 / 1_000.0;
         (rate * seconds).max(self.settings.min_burst)
--- a/crates/store/src/call.rs
+++ b/crates/store/src/call.rs
@@ -1,48 +1,48 @@
-//! Calls of the table service as data, so that state machines can ask for them as effects.
+//! Table service calls as data, so that state machines can emit them as effects.
 
 use serde::Deserialize;
 use serde::Serialize;
 use serde_json::Value;
 use smol_str::SmolStr;
 
-/// Names one open call of one state machine; the embedder maps it to its own numbering.
+/// Identifies a call in flight within one state machine; the embedder maps it to its own numbering.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u64);
 
-/// One call.
+/// A call of the table service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
     /// Reads one row.
     Get {
-        /// Table and key.
+        /// Address of the row.
         address: Address,
     },
     /// Reads rows in key order.
     Scan {
-        /// Table.
+        /// Table to scan.
         table: SmolStr,
-        /// Only keys that begin so.
+        /// Prefix of the keys to return.
         prefix: SmolStr,
-        /// Only keys after this one; empty for the start.
+        /// Key after which to start; empty to start at the first one.
         after: SmolStr,
-        /// Most rows to return.
+        /// Maximum number of rows to return.
         limit: u32,
     },
-    /// All checks hold and all writes happen, or none.
+    /// Applies all writes if all checks hold, otherwise none.
     Transact(Transaction),
 }
 
-/// Names one row.
+/// Address of a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Address {
-    /// Table.
+    /// Name of the table.
     pub table: SmolStr,
     /// Key within the table.
     pub key: SmolStr,
 }
 
 impl Address {
-    /// The row `key` of `table`.
+    /// Creates the address of row `key` in `table`.
     pub fn new(table: impl Into<SmolStr>, key: impl Into<SmolStr>) -> Address {
         Address {
             table: table.into(),
@@ -54,63 +54,63 @@
 /// A conditional write of several rows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Names the attempt in the service's log.
+    /// Identifies the transaction in the service's log.
     pub token: SmolStr,
-    /// What must hold.
+    /// Conditions that must all hold.
     pub checks: Vec<Check>,
-    /// What is then written.
+    /// Writes to apply if they do.
     pub writes: Vec<Write>,
 }
 
-/// One condition: the row is at this revision, or absent where `revision` is.
+/// A condition on one row: its revision, or its absence.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Check {
-    /// Which row.
+    /// Address of the row.
     #[serde(flatten)]
     pub address: Address,
-    /// Its revision; none wants the row absent.
+    /// Expected revision; `None` if the row must not exist.
     pub revision: Option<u64>,
 }
 
-/// One write; a null value deletes the row.
+/// A write of one row; a null value deletes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Write {
-    /// Which row.
+    /// Address of the row.
     #[serde(flatten)]
     pub address: Address,
-    /// Its new value.
+    /// New value of the row.
     pub value: Value,
 }
 
-/// A row as the service holds it.
+/// A stored row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its key.
+    /// Key within the table.
     pub key: SmolStr,
-    /// Its value.
+    /// Value of the row.
     pub value: Value,
-    /// The revision that wrote it.
+    /// Revision of the transaction that last wrote the row.
     pub revision: u64,
 }
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The row, if there is one.
+    /// Row that was read, if it exists.
     Row(Option<Row>),
-    /// Rows, and whether more follow.
+    /// Rows that a scan returned.
     Rows {
-        /// In key order.
+        /// Rows in key order.
         rows: Vec<Row>,
-        /// Whether the limit cut the list.
+        /// Whether the limit truncated the result.
         more: bool,
     },
-    /// The transaction took effect at this revision.
+    /// The transaction committed at this revision.
     Committed(u64),
-    /// A check failed; nothing was written. The rows as they are, for each failed check.
+    /// A check failed and nothing was written; contains the current row of each failed check.
     Conflict(Vec<(Address, Option<Row>)>),
-    /// The service is down or refused the call: nothing happened.
+    /// The service is down or refused the call; nothing was changed.
     Unavailable,
-    /// No answer came: a transaction may have taken effect.
+    /// No answer was received; a transaction may have committed.
     Unknown,
 }
--- a/crates/store/src/configs/batch.rs
+++ b/crates/store/src/configs/batch.rs
@@ -2,16 +2,16 @@
 
 use clock::Span;
 
-/// Bounds of one group commit.
+/// Limits of a group commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Most rows in one transaction.
+    /// Maximum rows in one transaction.
     pub rows: usize,
-    /// How long the first row waits for others.
+    /// Maximum time that a row waits for others to share its transaction.
     pub linger: Span,
-    /// Transactions on their way at once.
+    /// Maximum transactions in flight.
     pub concurrent: usize,
-    /// Rows that may wait; more are refused at once.
+    /// Maximum queued rows; more are refused immediately.
     pub queue: usize,
 }
 
--- a/crates/store/src/configs/budget.rs
+++ b/crates/store/src/configs/budget.rs
@@ -2,20 +2,20 @@
 
 use clock::Span;
 
-/// The service's limits and how they are shared.
+/// Limits of the service and how entries share them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Transactions a second that the service takes from all entries.
+    /// Transactions per second that the service accepts from all entries.
     pub writes_per_second: f64,
-    /// Reads a second that the service takes from all entries.
+    /// Reads per second that the service accepts from all entries.
     pub reads_per_second: f64,
-    /// Part of the limits that is shared out; the rest covers entries that count fewer members.
+    /// Fraction of the limits that entries share; the rest covers entries that undercount the members.
     pub shared_fraction: f64,
-    /// What may be saved up while nothing is asked, as a time's worth of the share.
+    /// Capacity of a bucket, as the time it takes to fill.
     pub burst: Span,
-    /// Least that may be saved up, calls: without it a small share never affords a first call.
+    /// Minimum capacity of a bucket in calls; a small share could otherwise never afford the first call.
     pub min_burst: f64,
-    /// Calls of one priority that may wait.
+    /// Maximum queued calls of one priority.
     pub queue: usize,
 }
 
--- a/crates/store/src/configs/mod.rs
+++ b/crates/store/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of this crate's parts and their defaults.
+//! Settings of this crate's modules and their defaults.
 
 pub mod batch;
 pub mod budget;
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -1,9 +1,9 @@
-//! Carries calls to the platform over HTTP.
+//! HTTP client of the table service and the object store.
 //!
-//! What an outcome may claim decides whether a writer may try again. "Nothing happened"
-//! ([`Outcome::Unavailable`]) is said only where no byte of a transaction can have reached the
-//! service or the service said so itself; every other failure of a transaction is
-//! [`Outcome::Unknown`]. A read that failed changed nothing, so it is always `Unavailable`.
+//! The outcome tells a writer whether it may retry. [`Outcome::Unavailable`] ("nothing happened") is returned
+//! for a transaction only if no byte of it can have reached the service or the service itself refused it; any
+//! other failure of a transaction is [`Outcome::Unknown`]. A failed read changes nothing, so it is always
+//! `Unavailable`.
 
 use std::time::Duration;
 
@@ -31,10 +31,10 @@
 use crate::call::Row;
 use crate::call::Transaction;
 
-/// Largest answer that is read; a row or object beyond it counts as a failed call.
+/// Maximum size of an answer in bytes; a call with a larger one fails.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// A client of one table service and object store.
+/// A client of a table service and its object store.
 #[derive(Clone, Debug)]
 pub struct Driver {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -42,26 +42,26 @@
     timeout: Duration,
 }
 
-/// Why no usable answer came.
+/// Why a call has no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Failure {
     /// No byte of the call was sent.
     NotSent,
-    /// The call was sent; its answer was cut, late or malformed.
+    /// The call was sent, but its answer was truncated, late or malformed.
     Lost,
 }
 
-/// A whole answer.
+/// A complete HTTP response.
 struct Answer {
     status: StatusCode,
     body: Bytes,
 }
 
 impl Driver {
-    /// A client of the service at `address` (`IP:PORT`) that waits `timeout` for each answer.
+    /// Creates a client of the service at `address` (`IP:PORT`) with a timeout for each call.
     pub fn new(address: &str, timeout: Duration) -> Driver {
-        // The pool sends a request again by itself only if its connection was found closed before
-        // the first byte was written, so this never repeats a transaction.
+        // The pool retries a request only if its connection turned out to be closed before the first byte was
+        // written, so it never repeats a transaction.
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .build_http();
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Makes one call. Never fails otherwise than by its outcome.
+    /// Makes one call; every failure is an [`Outcome`].
     pub async fn call(&self, call: &Call) -> Outcome {
         match call {
             Call::Get { address } => self.get(address).await,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Stores an object; writing the same bytes again does no harm.
+    /// Stores an object; idempotent for the same bytes.
     pub async fn put_object(&self, key: &str, body: Bytes) -> anyhow::Result<()> {
         let path = format!("/objects/{}", escape(key));
         match self.exchange(Method::PUT, &path, body).await {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Reads an object, if there is one.
+    /// Reads an object; returns `None` if it doesn't exist.
     pub async fn get_object(&self, key: &str) -> anyhow::Result<Option<Bytes>> {
         let path = format!("/objects/{}", escape(key));
         match self.exchange(Method::GET, &path, Bytes::new()).await {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// One request and its whole answer within the timeout.
+    /// Sends a request and reads its complete response within the timeout.
     async fn exchange(&self, method: Method, path: &str, body: Bytes) -> Result<Answer, Failure> {
         let request = Request::builder()
             .method(method)
@@ -189,26 +189,26 @@
     }
 }
 
-/// The body of a scan's answer.
+/// Response body of a scan.
 #[derive(Deserialize)]
 struct Page {
     rows: Vec<Row>,
     more: bool,
 }
 
-/// The body of a committed transaction's answer.
+/// Response body of a committed transaction.
 #[derive(Deserialize)]
 struct Commit {
     revision: u64,
 }
 
-/// The body of a refused transaction's answer.
+/// Response body of a transaction with failed checks.
 #[derive(Deserialize)]
 struct Refused {
     failed: Vec<Failed>,
 }
 
-/// One check that did not hold.
+/// A check that did not hold.
 #[derive(Deserialize)]
 struct Failed {
     table: SmolStr,
@@ -216,7 +216,7 @@
     row: Option<Row>,
 }
 
-/// Reads the whole body, up to the limit.
+/// Reads the complete response body, up to [`MAX_ANSWER_BYTES`].
 async fn read_body(response: Response<Incoming>) -> anyhow::Result<Answer> {
     let status = response.status();
     let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
@@ -228,10 +228,10 @@
     Ok(Answer { status, body })
 }
 
-/// What the service's answer to a transaction says.
+/// Converts the response to a transaction.
 ///
-/// A client error (4xx) is the service's word that it refused the call; any other answer that can't
-/// be read, a gateway's 502 for instance, says nothing of the effect.
+/// A client error (4xx) means that the service refused the call. Any other unreadable response, such as a
+/// gateway's 502, leaves open whether the transaction committed.
 fn transaction_outcome(answer: &Answer) -> Outcome {
     match answer.status {
         StatusCode::OK => match serde_json::from_slice::<Commit>(&answer.body) {
@@ -249,7 +249,7 @@
     }
 }
 
-/// The form of a failed check in an outcome.
+/// Converts a failed check for [`Outcome::Conflict`].
 fn failed_row(failed: Failed) -> (Address, Option<Row>) {
     let address = Address {
         table: failed.table,
@@ -258,7 +258,7 @@
     (address, failed.row)
 }
 
-/// Percent-encodes everything but unreserved characters, so that a key is one path segment.
+/// Percent-encodes everything but unreserved characters, so that a key is a single path segment.
 fn escape(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/store/src/fake.rs
+++ b/crates/store/src/fake.rs
@@ -1,4 +1,4 @@
-//! An in-memory table service for tests of state machines, with faults in a given order.
+//! An in-memory table service with injected faults, for tests of state machines.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -13,25 +13,25 @@
 use crate::call::Transaction;
 use crate::revision::Revision;
 
-/// What goes wrong with one call.
+/// Fault to inject into a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The service says it is down.
+    /// The service answers that it is unavailable.
     Down,
-    /// The call never arrives; its sender sees a timeout.
+    /// The request is lost; the sender times out.
     LostCall,
-    /// The call takes effect; its sender sees a timeout.
+    /// The request is applied but its answer is lost; the sender times out.
     LostAnswer,
 }
 
-/// The whole service.
+/// State of the fake service.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: BTreeMap<Address, Row>,
-    /// The newest one, packed.
+    /// Latest revision, packed.
     revision: u64,
     down: bool,
     faults: VecDeque<Fault>,
@@ -40,18 +40,18 @@
 }
 
 impl Table {
-    /// An empty service that works.
+    /// Creates an empty service without faults.
     pub fn new() -> Table {
         Table::default()
     }
 
-    /// Takes the service down or up again.
+    /// Sets whether the service is down.
     pub fn set_down(&mut self, down: bool) {
         self.down = down;
     }
 
-    /// Comes back from a copy, as the service of the next era: what was acknowledged since is gone, and numbers are given
-    /// out again.
+    /// Restores a backup in a new era: writes acknowledged since the backup are lost, and their
+    /// revision numbers are assigned again.
     pub fn restore(&mut self, copy: &Table) {
         let era = Revision::unpacked(self.revision).era + 1;
         let restored = |revision: u64| {
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Queues a fault: each call takes one from the queue.
+    /// Queues a fault; each call consumes one.
     pub fn push_fault(&mut self, fault: Fault) {
         self.faults.push_back(fault);
     }
 
-    /// Carries out one call and says what its sender sees.
+    /// Applies a call and returns the outcome that its sender sees.
     pub fn apply(&mut self, call: &Call) -> Outcome {
         let fault = self.faults.pop_front().unwrap_or_default();
         if self.down || fault == Fault::Down {
@@ -86,7 +86,7 @@
         outcome
     }
 
-    /// The row at an address, without a call.
+    /// Returns a row without counting a read.
     pub fn row(&self, table: &str, key: &str) -> Option<&Row> {
         self.rows.get(&Address {
             table: SmolStr::from(table),
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Reads and transactions served so far.
+    /// Returns the numbers of reads and transactions served so far.
     pub fn served(&self) -> (u64, u64) {
         (self.reads, self.writes)
     }
@@ -167,7 +167,7 @@
     }
 }
 
-/// What the sender of a call sees when no answer comes.
+/// Returns the outcome of a call without an answer.
 fn timeout_outcome(call: &Call) -> Outcome {
     match call {
         Call::Transact(_) => Outcome::Unknown,
--- a/crates/store/src/health.rs
+++ b/crates/store/src/health.rs
@@ -1,21 +1,21 @@
-//! Whether the table service answers this process.
+//! Tracks whether the table service is available to this process.
 
 use clock::Time;
 
-/// Failed calls in a row from which on the service is taken to be out of reach. One alone may be a lost answer.
+/// Consecutive failures after which the service counts as unavailable; a single one may be a lost answer.
 const MIN_CONSECUTIVE_FAILURES: u32 = 2;
 
-/// How calls of the service have ended lately.
+/// Recent outcomes of calls to the service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    /// Since when calls fail, if the last one did.
+    /// Time of the first of the consecutive failures.
     failing_since: Option<Time>,
-    /// Failed calls since the last answer.
+    /// Consecutive failures since the last answer.
     failures: u32,
 }
 
 impl Health {
-    /// A call failed; whether it is the first one since an answer.
+    /// Records a failed call; returns whether it is the first since the last answer.
     pub fn record_failure(&mut self, now: Time) -> bool {
         self.failures = self.failures.saturating_add(1);
         self.failing_since
@@ -23,13 +23,13 @@
             .is_none()
     }
 
-    /// A call was answered; since when calls had failed, if they had.
+    /// Records an answered call; returns when calls began to fail, if they had.
     pub fn record_answer(&mut self) -> Option<Time> {
         self.failures = 0;
         self.failing_since.take()
     }
 
-    /// Whether the service is out of reach.
+    /// Returns whether the service counts as unavailable.
     pub fn is_unavailable(&self) -> bool {
         self.failures >= MIN_CONSECUTIVE_FAILURES
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform's table service and object store: typed calls, budget and HTTP driver.
+//! The platform's table service and object store: typed calls, rate limits and HTTP driver.
 //!
-//! State machines ask for a [`call::Call`] as data and are handed its [`call::Outcome`] later; only
-//! [`driver::Driver`] does I/O. [`throttle::Throttle`] keeps an entry within its [`budget::Budget`],
-//! its share of the service; [`batch::Batch`] puts single-row inserts together. [`fake::Table`] and
-//! [`queue::Queue`] serve tests.
+//! State machines emit a [`call::Call`] as data and receive its [`call::Outcome`] later; only
+//! [`driver::Driver`] does I/O. [`throttle::Throttle`] queues calls until the entry's rate limit, a
+//! [`budget::Budget`], permits them; [`batch::Batch`] groups single-row inserts; [`health::Health`] tracks
+//! whether the service is available. [`fake::Table`] and [`queue::Queue`] are for tests.
 
 pub mod backoff;
 pub mod batch;
--- a/crates/store/src/queue.rs
+++ b/crates/store/src/queue.rs
@@ -1,10 +1,10 @@
-//! A queue in virtual time, for tests that drive state machines.
+//! An event queue in virtual time, for tests of state machines.
 
 use std::collections::BTreeMap;
 
 use clock::Time;
 
-/// Things that will happen, in the order of their times and, at one time, of their arrival.
+/// Scheduled events, ordered by time and then by insertion.
 #[derive(Clone, Debug)]
 pub struct Queue<T> {
     items: BTreeMap<(Time, u64), T>,
@@ -21,13 +21,13 @@
 }
 
 impl<T> Queue<T> {
-    /// Adds something that happens at `at`.
+    /// Schedules an event.
     pub fn push(&mut self, at: Time, item: T) {
         self.items.insert((at, self.next), item);
         self.next += 1;
     }
 
-    /// Takes the first thing if it happens at `until` or before.
+    /// Removes and returns the first event if it is due by `until`.
     pub fn pop(&mut self, until: Time) -> Option<(Time, T)> {
         let entry = self.items.first_entry()?;
         let at = entry.key().0;
--- a/crates/store/src/revision.rs
+++ b/crates/store/src/revision.rs
@@ -1,28 +1,28 @@
-//! Revisions of rows, through all eras of the table service.
+//! Revisions of rows across eras of the table service.
 //!
-//! Failure guarded against: the service comes back from a copy some seconds old and gives numbers out again. By number
-//! alone new rows would count as old ones, and a check could hold on a row that its writer never saw.
+//! A service restored from a backup assigns revision numbers again. Compared by number alone, new rows would
+//! look like old ones, and a check could pass on a row that its writer never read.
 
-/// Bits of a packed revision below the era.
+/// Bits of a packed revision that hold the number; the era is above them.
 const NUMBER_BITS: u32 = 48;
 const NUMBER_MASK: u64 = (1 << NUMBER_BITS) - 1;
 
-/// Where a change stands. Packed into a number, a later era always counts more.
+/// A revision qualified by its era. In packed form, a later era always compares greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision {
-    /// Rises each time that the service has lost what it had acknowledged; below 65,536.
+    /// Incremented whenever the service has lost acknowledged writes; less than 65,536.
     pub era: u64,
-    /// The service's own number, which rises within an era.
+    /// The service's own number, which increases within an era.
     pub number: u64,
 }
 
 impl Revision {
-    /// The form in which revisions are kept and compared.
+    /// Packs the revision into the form that is stored and compared.
     pub const fn packed(self) -> u64 {
         self.era << NUMBER_BITS | self.number & NUMBER_MASK
     }
 
-    /// The parts of a packed revision.
+    /// Unpacks a revision.
     pub const fn unpacked(packed: u64) -> Revision {
         Revision {
             era: packed >> NUMBER_BITS,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether one packed revision is of an older era than another.
+    /// Returns whether one packed revision is from an older era than another.
     pub const fn is_of_older_era(packed: u64, than: u64) -> bool {
         Revision::unpacked(packed).era < Revision::unpacked(than).era
     }
--- a/crates/store/src/throttle.rs
+++ b/crates/store/src/throttle.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for their turn within the budget, the most urgent first.
+//! Rate-limited queue of calls, the most urgent first.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,10 +11,10 @@
 use crate::call::Call;
 use crate::configs::budget::Settings;
 
-/// Time between two looks at the budget while calls wait.
+/// Interval at which queued calls check the budget again.
 const RETRY_INTERVAL: Span = Span::from_millis(20);
 
-/// Waiting calls, each with whatever names its asker.
+/// Queued calls, each with its requester's identifier.
 #[derive(Clone, Debug)]
 pub struct Throttle<T> {
     budget: Budget,
@@ -23,7 +23,7 @@
 }
 
 impl<T> Throttle<T> {
-    /// Nothing waits.
+    /// Creates an empty queue.
     pub fn new(settings: Settings) -> Throttle<T> {
         Throttle {
             budget: Budget::new(settings),
@@ -32,13 +32,13 @@
         }
     }
 
-    /// How many live entries share the service.
+    /// Sets the number of live entries that share the service.
     pub fn set_members(&mut self, now: Time, members: usize) {
         self.budget.set_members(now, members);
     }
 
-    /// Adds a call; gives it back if too many wait, so that its asker is told at once that it was
-    /// not made.
+    /// Queues a call, or returns it if the queue of its priority is full, so that the requester learns
+    /// immediately that it was not made.
     pub fn push(&mut self, priority: Priority, requester: T, call: Call) -> Option<(T, Call)> {
         let queue = self.waiting.entry(priority).or_default();
         if queue.len() >= self.max_queued {
@@ -48,7 +48,7 @@
         None
     }
 
-    /// The next call that may be made now.
+    /// Returns the next call that the budget permits now.
     pub fn pop(&mut self, now: Time) -> Option<(T, Call)> {
         for (priority, queue) in &mut self.waiting {
             let Some((_, call)) = queue.front() else {
@@ -61,7 +61,7 @@
         None
     }
 
-    /// When [`Throttle::pop`] wants to be called next; none while nothing waits.
+    /// Returns when [`Throttle::pop`] should be called next, or `None` if the queue is empty.
     pub fn next_wake(&self, now: Time) -> Option<Time> {
         let has_waiting = self.waiting.values().any(|queue| !queue.is_empty());
         has_waiting.then(|| now + RETRY_INTERVAL)
--- a/crates/store/tests/batch.rs
+++ b/crates/store/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Inserts of many callers in few transactions.
+//! Group commit of inserts from many callers.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Carries out all calls at once and collects the outcomes of inserts.
+/// Carries out all calls and collects the outcomes of the inserts.
 fn execute(batch: &mut Batch, now: Time, table: &mut Table, effects: Vec<Effect>) -> Outcomes {
     let mut outcomes = Outcomes::default();
     let mut open = effects;
@@ -72,10 +72,10 @@
     assert!(table.served().1 <= 5, "{:?}", table.served());
 }
 
-/// A caller repeats a request whose intent row exists. Other callers' requests in the same
-/// transaction are not refused because of it.
+/// A repeated request conflicts with its own intent row; other requests in the same transaction must not be
+/// refused because of it.
 #[test]
-fn the_conflict_of_one_caller_fails_no_other() {
+fn a_conflict_fails_only_its_own_caller() {
     let mut table = Table::new();
     let mut batch = Batch::new("e1".into(), Settings::default());
     let mut effects = Vec::new();
@@ -100,10 +100,10 @@
     }
 }
 
-/// Under faults in any order, every insert ends once, and its end is true: committed rows carry the
-/// caller's token, and a row whose insert was "unavailable" never does.
+/// Under any sequence of faults, each insert completes exactly once with a true outcome: a committed row has
+/// the caller's token, and an unavailable or conflicting insert never does.
 #[test]
-fn every_insert_ends_once_and_truly() {
+fn every_insert_completes_once_with_a_true_outcome() {
     let config = Config {
         cases: 256,
         rng_seed: RngSeed::Fixed(11),
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Shares of the service under load.
+//! Rate limits under load.
 
 use clock::Span;
 use clock::Time;
@@ -19,8 +19,8 @@
     }
 }
 
-/// Calls of each kind that `members` entries make together in a minute when all want to make as many
-/// as they can, a second.
+/// Returns the reads and writes per second of `members` entries together, averaged over a minute in
+/// which each makes as many calls as it can.
 fn total_rates(members: usize) -> (f64, f64) {
     let mut throttle = Throttle::new(Settings::default());
     throttle.set_members(Time::ZERO, members);
@@ -53,8 +53,8 @@
     }
 }
 
-/// Summaries and intent rows want far more than there is. Renewals must not wait behind them, or the
-/// entry loses its lease because it is busy.
+/// Summaries and intent rows exceed the budget. A renewal queued behind them would be late, and the
+/// entry would lose its lease under load.
 #[test]
 fn renewals_do_not_wait_behind_anything() {
     let mut throttle = Throttle::new(Settings::default());
@@ -74,7 +74,7 @@
     }
 }
 
-/// A write that can't wait because too many do is given back, so that its caller is told at once.
+/// A call that exceeds the queue is returned, so that its caller gets an immediate refusal.
 #[test]
 fn a_full_queue_gives_the_call_back() {
     let settings = Settings {
--- a/crates/store/tests/driver.rs
+++ b/crates/store/tests/driver.rs
@@ -1,4 +1,4 @@
-//! What the HTTP driver claims of a call, met by a service that misbehaves.
+//! Outcomes that the HTTP driver reports for a misbehaving service.
 
 #![allow(clippy::unwrap_used)] // the lint exempts test functions but not the helpers beside them
 
@@ -16,7 +16,7 @@
 
 const TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A service that answers every connection's first request with `answer`, then closes it.
+/// Starts a service that answers the first request of each connection with `answer`, then closes it.
 async fn service(answer: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -41,7 +41,7 @@
     }
 }
 
-/// A whole answer with this status line and body.
+/// Formats a complete response.
 fn answer(status: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n{body}",
@@ -76,8 +76,8 @@
     assert_eq!(write, Outcome::Conflict(vec![(address(), None)]));
 }
 
-/// An operator's change is sent; the service applies it and the answer is lost: cut, late, or
-/// replaced by a gateway's own error. Whoever sent it must not be told that nothing happened.
+/// A write is applied, but its answer is lost: truncated, late or replaced by a gateway's error.
+/// The sender must not conclude that nothing happened.
 #[tokio::test]
 async fn a_lost_answer_to_a_write_is_unknown() {
     let cut = "HTTP/1.1 200 OK\r\ncontent-length: 14\r\n\r\n{\"rev";
@@ -89,8 +89,8 @@
     }
 }
 
-/// The service is down: it says so by 503, or nothing listens at its address. Both mean that the
-/// write did not happen, so that the caller can be told "not run" at once.
+/// A service that answers 503 or refuses the connection has not applied the write, so the caller can be told
+/// "not run" immediately.
 #[tokio::test]
 async fn a_service_that_is_down_did_nothing() {
     let down = answer("503 Service Unavailable", "");
--- a/crates/verdict/src/lib.rs
+++ b/crates/verdict/src/lib.rs
@@ -1,7 +1,7 @@
-//! Whether a request may have run, and why it was refused.
+//! Whether a refused request may have run, and why it was refused.
 //!
-//! Every end of a request that is not a whole answer carries a [`Refusal`]. Its [`Verdict`] is what
-//! a caller may rely on when it decides whether to send a non-idempotent request again.
+//! Every request that ends without a complete answer ends with a [`Refusal`]. Callers rely on its
+//! [`Verdict`] to decide whether they may retry a non-idempotent request.
 
 use std::fmt;
 
@@ -10,20 +10,20 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// What is known of a request's execution.
+/// What is known about a request's execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// The request ran and its whole answer was given.
+    /// The request ran and was answered completely.
     Done,
-    /// No byte of the request reached a backend server, or that server said it did not start it.
+    /// No byte of the request reached a backend server, or the server reported that it did not start it.
     NotRun,
-    /// The request was handed on and its end is not known.
+    /// The request was sent to a backend server and its outcome is unknown.
     MayHaveRun,
 }
 
 impl Verdict {
-    /// The form used in headers and logs.
+    /// Returns the form used in headers and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Verdict::Done => "done",
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Reads the form that [`Verdict::as_str`] gives.
+    /// Parses the form that [`Verdict::as_str`] returns.
     pub fn parse(text: &str) -> Option<Verdict> {
         match text {
             "done" => Some(Verdict::Done),
@@ -49,31 +49,31 @@
     }
 }
 
-/// Why a request was not answered in full.
+/// Why a request was not answered completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
     /// The request is malformed.
     Malformed,
-    /// The request is larger than the limit.
+    /// The request exceeds a size limit.
     TooLarge,
-    /// The key is missing or belongs to no account.
+    /// The API key is missing or belongs to no account.
     Unauthorized,
-    /// The account may not use what it asked for.
+    /// The account may not use the requested resource.
     Forbidden,
-    /// No such deployment, stream or path.
+    /// The deployment, stream or path doesn't exist.
     Unknown,
-    /// The account is over its own limit.
+    /// The account exceeds its own limit.
     OverLimit,
     /// The latency target can't be met now.
     Overloaded,
-    /// No backend server is there to run it.
+    /// No backend server is available.
     NoBackend,
-    /// This entry is leaving.
+    /// This entry is shutting down.
     Leaving,
-    /// This entry does not yet hold a configuration, or may no longer rely on it.
+    /// This entry has no configuration yet, or its configuration is too old to rely on.
     NotReady,
-    /// The table service did not answer and the request depends on it.
+    /// The request depends on the table service, which did not answer.
     StoreUnavailable,
     /// The ticket or idempotency key was used before.
     Repeated,
@@ -81,14 +81,14 @@
     Quarantined,
     /// The backend server failed while it ran the request.
     BackendFailed,
-    /// The time allowed for the request has passed.
+    /// The request's timeout has expired.
     TimedOut,
-    /// The caller cancelled it.
+    /// The caller cancelled the request.
     Cancelled,
 }
 
 impl Reason {
-    /// The form used in bodies and logs.
+    /// Returns the form used in response bodies and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Reason::Malformed => "malformed",
@@ -117,21 +117,21 @@
     }
 }
 
-/// The final word on a request that was not answered in full.
+/// Result of a request that was not answered completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why.
+    /// Why it was refused.
     pub reason: Reason,
-    /// When coming back helps; absent where it doesn't.
+    /// Time after which a retry may succeed; `None` if a retry doesn't help.
     pub retry_after: Option<Span>,
-    /// One sentence for a person; holds no key and no prompt text.
+    /// One sentence for the caller; contains no key and no prompt text.
     pub message: SmolStr,
 }
 
 impl Refusal {
-    /// A refusal of a request that did not run.
+    /// Creates the refusal of a request that did not run.
     pub fn not_run(reason: Reason, message: impl Into<SmolStr>) -> Refusal {
         Refusal {
             verdict: Verdict::NotRun,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The end of a request that was handed on and whose outcome is not known.
+    /// Creates the refusal of a request that was sent and whose outcome is unknown.
     pub fn may_have_run(reason: Reason, message: impl Into<SmolStr>) -> Refusal {
         Refusal {
             verdict: Verdict::MayHaveRun,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The same refusal with a time to come back after.
+    /// Sets the time after which a retry may succeed.
     pub fn with_retry_after(mut self, span: Span) -> Refusal {
         self.retry_after = Some(span);
         self
