--- a/crates/daemon/src/flight/opening.rs
+++ b/crates/daemon/src/flight/opening.rs
@@ -64,7 +64,7 @@
     }
 
     /// Moves the running stream by transferring its KV cache or by rerunning it.
-    pub(super) fn move_to(&mut self, stream: Stream, endpoint: Endpoint, how: Transfer) {
+    pub(super) fn move_to(&mut self, stream: Stream, endpoint: Endpoint, transfer: Transfer) {
         let Some(old) = self.running.clone() else {
             return;
         };
@@ -83,8 +83,8 @@
         self.phase = Phase::Opening(Box::pin(async move {
             let from = Engine::new(&client, &old.endpoint.address);
             let to = Engine::new(&client, &endpoint.address);
-            let events = match how {
-                Transfer::Kv => transfer(&from, old.stream, &to, stream, offset).await,
+            let events = match transfer {
+                Transfer::Kv => transfer_kv(&from, old.stream, &to, stream, offset).await,
                 Transfer::Rerun => Err(Failure::NotSent),
             };
             if events.is_err() {
@@ -94,7 +94,7 @@
             }
             Opened {
                 events,
-                moved: Some(how),
+                moved: Some(transfer),
             }
         }));
     }
@@ -111,7 +111,7 @@
 }
 
 /// Transfers a stream's KV cache to another engine and resumes reading there.
-async fn transfer(
+async fn transfer_kv(
     from: &Engine<'_>,
     old: Stream,
     to: &Engine<'_>,
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -102,7 +102,7 @@
     }
 
     /// Records the entry's current state.
-    pub fn record_vitals(&self, stats: &Stats) {
+    pub fn record_stats(&self, stats: &Stats) {
         self.open.record(stats.open_requests, &[]);
         self.version.record(stats.version, &[]);
         self.members.record(stats.members, &[]);
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -45,7 +45,7 @@
     }
 
     /// Asks a peer to spend a ticket.
-    pub fn ask_spend(&self, serial: u64, address: SmolStr, ticket: Ticket) {
+    pub fn request_spend(&self, serial: u64, address: SmolStr, ticket: Ticket) {
         let client = self.client.clone();
         let link = Rc::clone(&self.link);
         let sealed = self.tickets.sign(&ticket);
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -161,7 +161,7 @@
             let events: Vec<CacheUpdate> = read
                 .unwrap_or_default()
                 .iter()
-                .filter_map(cached_of)
+                .filter_map(cache_update_of)
                 .collect();
             let Some(last) = events.last() else {
                 return;
@@ -178,7 +178,7 @@
 }
 
 /// Converts a cache event for the reducer.
-fn cached_of(event: &CacheEvent) -> Option<CacheUpdate> {
+fn cache_update_of(event: &CacheEvent) -> Option<CacheUpdate> {
     Some(CacheUpdate {
         sequence: event.seq,
         prefix: u64::from_str_radix(&event.prefix, 16).ok()?,
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -115,7 +115,7 @@
         if tick {
             let stats = self.entry.stats(now);
             self.ready.set(stats.ready);
-            self.metrics.record_vitals(&stats);
+            self.metrics.record_stats(&stats);
         }
         let mut exit = false;
         for effect in effects {
@@ -170,10 +170,10 @@
 
     /// Converts an operator's call to an event and registers its reply channel.
     fn operator(&mut self, call: ops::Call) -> Event {
-        let number = self.pending.next_id();
-        self.pending.operators.insert(number, call.reply);
+        let id = self.pending.next_id();
+        self.pending.operators.insert(id, call.reply);
         Event::Operator {
-            call: number,
+            call: id,
             request: call.request,
         }
     }
@@ -217,7 +217,7 @@
                 serial,
                 address,
                 ticket,
-            } => self.peers.ask_spend(serial, address, ticket),
+            } => self.peers.request_spend(serial, address, ticket),
             Effect::OfferEstates { address, estates } => self.peers.offer_estates(address, estates),
             Effect::SendDigest { address, digest } => self.peers.send_digest(address, digest),
             Effect::SendConfigure { address, message } => {
--- a/crates/settings/tests/document.rs
+++ b/crates/settings/tests/document.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn every_option_has_a_description_and_takes_something() {
+fn every_option_has_a_description_and_accepted_values() {
     let schema = settings::schema::schema();
     for option in settings::schema::options(&schema) {
         let part = settings::schema::option(&schema, &option).unwrap();
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -63,10 +63,10 @@
 #[derive(Clone, Debug)]
 pub struct Batch {
     settings: Settings,
-    waiting: VecDeque<Insert>,
+    queued: VecDeque<Insert>,
     /// When a partial batch is sent.
     flush_at: Time,
-    sent: BTreeMap<call::Id, Vec<Insert>>,
+    in_flight: BTreeMap<call::Id, Vec<Insert>>,
     /// Maximum rows of the next transaction; halved after a conflict that listed no row.
     max_rows: usize,
     next_call: u64,
@@ -77,9 +77,9 @@
     /// Creates an empty batch. `name` appears in the service's log.
     pub fn new(name: SmolStr, settings: Settings) -> Batch {
         Batch {
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             flush_at: Time::ZERO,
-            sent: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             max_rows: settings.rows,
             next_call: 0,
             name,
@@ -89,14 +89,14 @@
 
     /// Queues an insert; refuses it immediately if the queue is full.
     pub fn insert(&mut self, now: Time, insert: Insert, effects: &mut Vec<Effect>) {
-        if self.waiting.len() >= self.settings.queue {
+        if self.queued.len() >= self.settings.queue {
             effects.push(done_effect(&insert, Outcome::Unavailable));
             return;
         }
-        if self.waiting.is_empty() {
+        if self.queued.is_empty() {
             self.flush_at = now + self.settings.linger;
         }
-        self.waiting.push_back(insert);
+        self.queued.push_back(insert);
         self.poll(now, effects);
     }
 
@@ -108,7 +108,7 @@
         outcome: Outcome,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(inserts) = self.sent.remove(&id) else {
+        let Some(inserts) = self.in_flight.remove(&id) else {
             return;
         };
         match outcome {
@@ -133,42 +133,42 @@
             let id = call::Id(self.next_call);
             self.next_call += 1;
             let call = Call::Transact(self.transaction(&inserts));
-            self.sent.insert(id, inserts);
+            self.in_flight.insert(id, inserts);
             effects.push(Effect::Store { id, call });
         }
     }
 
     /// Returns when [`Batch::poll`] should be called next.
     pub fn next_wake(&self) -> Option<Time> {
-        let can_send_later = !self.waiting.is_empty() && self.sent.len() < self.settings.concurrent;
-        can_send_later.then_some(self.flush_at)
+        let can_send = !self.queued.is_empty() && self.in_flight.len() < self.settings.concurrent;
+        can_send.then_some(self.flush_at)
     }
 
     fn may_send(&self, now: Time) -> bool {
-        let full = self.waiting.len() >= self.settings.rows;
-        !self.waiting.is_empty()
-            && self.sent.len() < self.settings.concurrent
+        let full = self.queued.len() >= self.settings.rows;
+        !self.queued.is_empty()
+            && self.in_flight.len() < self.settings.concurrent
             && (full || now >= self.flush_at)
     }
 
     /// Takes the next rows from the queue; an address in flight or already taken stays queued.
     fn take_rows(&mut self) -> Vec<Insert> {
         let mut addresses: BTreeSet<Address> = self
-            .sent
+            .in_flight
             .values()
             .flatten()
             .map(|insert| insert.address.clone())
             .collect();
         let mut taken = Vec::new();
         let mut kept = VecDeque::new();
-        for insert in std::mem::take(&mut self.waiting) {
+        for insert in std::mem::take(&mut self.queued) {
             if taken.len() < self.max_rows && addresses.insert(insert.address.clone()) {
                 taken.push(insert);
             } else {
                 kept.push_back(insert);
             }
         }
-        self.waiting = kept;
+        self.queued = kept;
         taken
     }
 
@@ -217,7 +217,7 @@
                     let conflict = Outcome::Conflict(vec![(insert.address.clone(), row)]);
                     effects.push(done_effect(&insert, conflict));
                 }
-                None => self.waiting.push_front(insert),
+                None => self.queued.push_front(insert),
             }
         }
     }
--- a/crates/store/src/throttle.rs
+++ b/crates/store/src/throttle.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Throttle<T> {
     budget: Budget,
-    waiting: BTreeMap<Priority, VecDeque<(T, Call)>>,
+    queued: BTreeMap<Priority, VecDeque<(T, Call)>>,
     max_queued: usize,
 }
 
@@ -27,7 +27,7 @@
     pub fn new(settings: Settings) -> Throttle<T> {
         Throttle {
             budget: Budget::new(settings),
-            waiting: BTreeMap::new(),
+            queued: BTreeMap::new(),
             max_queued: settings.queue,
         }
     }
@@ -40,7 +40,7 @@
     /// Queues a call, or returns it if the queue of its priority is full, so that the requester learns
     /// immediately that it was not made.
     pub fn push(&mut self, priority: Priority, requester: T, call: Call) -> Option<(T, Call)> {
-        let queue = self.waiting.entry(priority).or_default();
+        let queue = self.queued.entry(priority).or_default();
         if queue.len() >= self.max_queued {
             return Some((requester, call));
         }
@@ -50,7 +50,7 @@
 
     /// Returns the next call that the budget permits now.
     pub fn pop(&mut self, now: Time) -> Option<(T, Call)> {
-        for (priority, queue) in &mut self.waiting {
+        for (priority, queue) in &mut self.queued {
             let Some((_, call)) = queue.front() else {
                 continue;
             };
@@ -63,7 +63,7 @@
 
     /// Returns when [`Throttle::pop`] should be called next, or `None` if the queue is empty.
     pub fn next_wake(&self, now: Time) -> Option<Time> {
-        let has_waiting = self.waiting.values().any(|queue| !queue.is_empty());
-        has_waiting.then(|| now + RETRY_INTERVAL)
+        let has_queued = self.queued.values().any(|queue| !queue.is_empty());
+        has_queued.then(|| now + RETRY_INTERVAL)
     }
 }
--- a/crates/store/tests/batch.rs
+++ b/crates/store/tests/batch.rs
@@ -32,15 +32,15 @@
 /// Carries out all calls and collects the outcomes of the inserts.
 fn execute(batch: &mut Batch, now: Time, table: &mut Table, effects: Vec<Effect>) -> Outcomes {
     let mut outcomes = Outcomes::default();
-    let mut open = effects;
-    while let Some(effect) = open.pop() {
+    let mut pending = effects;
+    while let Some(effect) = pending.pop() {
         match effect {
             Effect::Store { id, call } => {
                 let outcome = table.apply(&call);
-                batch.handle_outcome(now, id, outcome, &mut open);
+                batch.handle_outcome(now, id, outcome, &mut pending);
             }
             Effect::Done { ticket, outcome } => {
-                assert_eq!(outcomes.0.insert(ticket, outcome), None, "ended twice");
+                assert_eq!(outcomes.0.insert(ticket, outcome), None, "completed twice");
             }
         }
     }
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -37,11 +37,8 @@
             }
         }
     }
-    let minute_rate = members as f64 / 60.0;
-    (
-        f64::from(reads) * minute_rate,
-        f64::from(writes) * minute_rate,
-    )
+    let scale = members as f64 / 60.0;
+    (f64::from(reads) * scale, f64::from(writes) * scale)
 }
 
 #[test]
@@ -76,7 +73,7 @@
 
 /// A call that exceeds the queue is returned, so that its caller gets an immediate refusal.
 #[test]
-fn a_full_queue_gives_the_call_back() {
+fn a_full_queue_returns_the_call() {
     let settings = Settings {
         queue: 2,
         ..Settings::default()
