--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -52,7 +52,7 @@
     fn new_id(&self) -> Id {
         Id {
             incarnation: self.incarnation,
-            serial: self.shared.link.serial(),
+            serial: self.shared.link.next_serial(),
         }
     }
 
@@ -62,7 +62,7 @@
         let (head, answer) = oneshot::channel();
         let output = Output::new(id.to_string(), chat.stream, head);
         let arrival = model_arrival(&credentials, &chat);
-        let commands = self.open(id, arrival);
+        let commands = self.announce(id, arrival);
         let shared = Rc::clone(&self.shared);
         let flight = Flight::new(shared, id, chat, credentials.offset, commands, output);
         tokio::task::spawn_local(flight.run());
@@ -74,7 +74,7 @@
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
         let arrival = plain_arrival(&credentials, &call);
-        let commands = self.open(id, arrival);
+        let commands = self.announce(id, arrival);
         let shared = Rc::clone(&self.shared);
         let flight = PlainFlight::new(shared, id.serial, id.to_string(), call, commands, head);
         tokio::task::spawn_local(flight.run());
@@ -82,7 +82,11 @@
     }
 
     /// Announces a request to the reducer and returns the channel for its commands.
-    fn open(&self, id: Id, arrival: Arrival) -> mpsc::UnboundedReceiver<entry::effect::Command> {
+    fn announce(
+        &self,
+        id: Id,
+        arrival: Arrival,
+    ) -> mpsc::UnboundedReceiver<entry::effect::Command> {
         let (sender, commands) = mpsc::unbounded_channel();
         self.shared.link.send(Message::Open {
             serial: id.serial,
--- a/crates/daemon/src/fleet_port.rs
+++ b/crates/daemon/src/fleet_port.rs
@@ -162,7 +162,7 @@
     }
 
     fn notify(&self, deployment: SmolStr, event: FleetEvent) {
-        self.link.event(Event::Fleet { deployment, event });
+        self.link.send_event(Event::Fleet { deployment, event });
     }
 }
 
--- a/crates/daemon/src/flight.rs
+++ b/crates/daemon/src/flight.rs
@@ -160,7 +160,7 @@
                     None => Flow::Break,
                 },
                 () = self.output.closed() => {
-                    self.shared.link.event(Event::CallerDisconnected { serial: self.serial });
+                    self.shared.link.send_event(Event::CallerDisconnected { serial: self.serial });
                     Flow::Break
                 }
                 event = self.phase.next() => self.handle_event(event).await,
@@ -231,7 +231,7 @@
 
     /// Finishes an answer that broke off after its last token but before its end; nothing is left to compute.
     async fn finish_complete(&mut self, stream: Stream) -> Flow {
-        self.shared.link.event(Event::Attempt {
+        self.shared.link.send_event(Event::Attempt {
             serial: self.serial,
             attempt: stream.attempt,
             report: Report::Ended {
@@ -289,7 +289,7 @@
     /// Sends a report on the running attempt.
     fn report(&self, report: Report) {
         let attempt = self.running.as_ref().map_or(0, |running| running.attempt);
-        self.shared.link.event(Event::Attempt {
+        self.shared.link.send_event(Event::Attempt {
             serial: self.serial,
             attempt,
             report,
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -90,12 +90,12 @@
     }
 
     /// Sends an event that needs no reply.
-    pub fn event(&self, event: Event) {
+    pub fn send_event(&self, event: Event) {
         self.send(Message::Event(event));
     }
 
     /// Returns the serial number of a new request.
-    pub fn serial(&self) -> u64 {
+    pub fn next_serial(&self) -> u64 {
         let serial = self.next_serial.get();
         self.next_serial.set(serial + 1);
         serial
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -51,7 +51,7 @@
         let sealed = self.tickets.sign(&ticket);
         tokio::task::spawn_local(async move {
             let answer = client.spend(&address, &sealed).await.ok();
-            link.event(Event::SpendAnswered { serial, answer });
+            link.send_event(Event::SpendAnswered { serial, answer });
         });
     }
 
@@ -61,7 +61,7 @@
         let link = Rc::clone(&self.link);
         tokio::task::spawn_local(async move {
             let heir = client.inherit(&address, &estates).await.unwrap_or(None);
-            link.event(Event::EstatesAccepted { heir });
+            link.send_event(Event::EstatesAccepted { heir });
         });
     }
 
@@ -127,12 +127,12 @@
     }
 
     fn digest(&self, digest: Digest) {
-        self.link.event(Event::DigestReceived(digest));
+        self.link.send_event(Event::DigestReceived(digest));
     }
 
     fn configure(&self, from: u64, message: Vec<u8>) {
         match serde_json::from_slice(&message) {
-            Ok(message) => self.link.event(Event::ConfigureReceived {
+            Ok(message) => self.link.send_event(Event::ConfigureReceived {
                 from: Incarnation(from),
                 message,
             }),
--- a/crates/daemon/src/plain.rs
+++ b/crates/daemon/src/plain.rs
@@ -67,7 +67,7 @@
                 command = self.commands.recv() => command,
                 () = self.head.closed(), if !caller_gone => {
                     caller_gone = true;
-                    self.shared.link.event(Event::CallerDisconnected { serial: self.serial });
+                    self.shared.link.send_event(Event::CallerDisconnected { serial: self.serial });
                     continue;
                 }
             };
@@ -109,7 +109,7 @@
 
     /// Sends a report on an attempt.
     fn report(&self, attempt: u32, report: Report) {
-        self.shared.link.event(Event::Attempt {
+        self.shared.link.send_event(Event::Attempt {
             serial: self.serial,
             attempt,
             report,
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -65,7 +65,7 @@
         if Instant::now() >= next_prices
             && let Ok(newest) = cloud.prices().await
         {
-            link.event(Event::PricesRead(newest.iter().map(offer_of).collect()));
+            link.send_event(Event::PricesRead(newest.iter().map(offer_of).collect()));
             prices = newest;
             next_prices = Instant::now() + PRICES_INTERVAL;
         }
@@ -75,7 +75,7 @@
                 .map(|notice| notice.seq)
                 .fold(last_notice, u64::max);
             let notices = notices.iter().map(notice_of).collect();
-            link.event(Event::NoticesRead(notices));
+            link.send_event(Event::NoticesRead(notices));
         }
         if let Ok(instances) = cloud.instances().await {
             report_own_instance(&link, &instances, &own);
@@ -85,11 +85,11 @@
                 .iter()
                 .filter(|instance| instance.kind == ENTRY_KIND);
             let addresses = entries.map(|instance| instance.address.clone()).collect();
-            link.event(Event::EntriesRead(addresses));
+            link.send_event(Event::EntriesRead(addresses));
             let backends = instances
                 .iter()
                 .filter(|instance| instance.kind != ENTRY_KIND);
-            link.event(Event::InstancesRead(
+            link.send_event(Event::InstancesRead(
                 backends
                     .map(|instance| instance_of(instance, &prices))
                     .collect(),
@@ -104,7 +104,7 @@
         .iter()
         .find(|instance| instance.kind == ENTRY_KIND && instance.address == own);
     if let Some(instance) = ours {
-        link.event(Event::OwnInstanceRead {
+        link.send_event(Event::OwnInstanceRead {
             incarnation: instance.incarnation.clone(),
             leaving: instance.state == LEAVING_STATE,
         });
@@ -124,7 +124,7 @@
         tokio::task::spawn_local(async move {
             if let Ok(load) = Engine::new(&client, &address).load().await {
                 let report = report_of(&load);
-                link.event(Event::LoadRead {
+                link.send_event(Event::LoadRead {
                     incarnation,
                     report,
                 });
@@ -169,7 +169,7 @@
             positions
                 .borrow_mut()
                 .insert(incarnation.clone(), last.sequence);
-            link.event(Event::CacheRead {
+            link.send_event(Event::CacheRead {
                 incarnation,
                 events,
             });
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -247,10 +247,10 @@
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return;
     };
-    let mut hurry = false;
+    let mut immediate = false;
     while terminate.recv().await.is_some() {
-        let _ = stop.send(hurry);
-        hurry = true;
+        let _ = stop.send(immediate);
+        immediate = true;
     }
 }
 
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -90,7 +90,7 @@
         loop {
             let event = tokio::select! {
                 Some(message) = messages.recv() => self.event_of(message),
-                Some(call) = calls.recv() => Some(self.operator(call)),
+                Some(call) = calls.recv() => Some(self.operator_event(call)),
                 Some(immediate) = stops.recv() => Some(Event::StopRequested { immediate }),
                 _ = tick.tick() => Some(Event::Tick),
                 else => return,
@@ -169,7 +169,7 @@
     }
 
     /// Converts an operator's call to an event and registers its reply channel.
-    fn operator(&mut self, call: ops::Call) -> Event {
+    fn operator_event(&mut self, call: ops::Call) -> Event {
         let id = self.pending.next_id();
         self.pending.operators.insert(id, call.reply);
         Event::Operator {
@@ -262,7 +262,7 @@
         let store = Rc::clone(&self.store);
         tokio::task::spawn_local(async move {
             let outcome = store.call(&call).await;
-            link.event(Event::Store { id, outcome });
+            link.send_event(Event::Store { id, outcome });
         });
     }
 }
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -59,7 +59,7 @@
         let entry = self.entry(address).await?;
         let mut request = entry.spend_request();
         request.get().set_ticket(ticket);
-        let response = self.answer(address, request.send().promise).await?;
+        let response = self.await_answer(address, request.send().promise).await?;
         let answer = response
             .get()
             .and_then(|response| Ok(response.get_answer()?));
@@ -80,10 +80,10 @@
         let bytes = serde_json::to_vec(estates).map_err(|error| Error(error.to_string()))?;
         let mut request = entry.inherit_request();
         request.get().set_estates(&bytes);
-        let response = self.answer(address, request.send().promise).await?;
+        let response = self.await_answer(address, request.send().promise).await?;
         let response = response.get().map_err(to_error)?;
-        let by = Incarnation(response.get_by());
-        Ok(response.get_taken().then_some(by))
+        let heir = Incarnation(response.get_by());
+        Ok(response.get_taken().then_some(heir))
     }
 
     /// Sends a digest.
@@ -94,7 +94,7 @@
         let entry = self.ready_entry(address).await?;
         let mut request = entry.digest_request();
         wire::digest::write(digest, request.get().init_digest());
-        self.answer(address, request.send().promise).await?;
+        self.await_answer(address, request.send().promise).await?;
         Ok(())
     }
 
@@ -109,7 +109,7 @@
         let mut request = entry.configure_request();
         request.get().set_from(from.0);
         request.get().set_message(message);
-        self.answer(address, request.send().promise).await?;
+        self.await_answer(address, request.send().promise).await?;
         Ok(())
     }
 
@@ -126,7 +126,7 @@
         let mut request = entry.charge_request();
         request.get().set_account(account);
         request.get().set_tokens(tokens);
-        let response = self.answer(address, request.send().promise).await?;
+        let response = self.await_answer(address, request.send().promise).await?;
         let response = response.get().map_err(to_error)?;
         Ok(match response.get_granted() {
             true => Charge::Granted {
@@ -144,7 +144,7 @@
         let mut request = entry.refund_request();
         request.get().set_bucket(bucket);
         request.get().set_tokens(tokens);
-        self.answer(address, request.send().promise).await?;
+        self.await_answer(address, request.send().promise).await?;
         Ok(())
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Waits for an answer; drops the connection on failure or timeout.
-    async fn answer<T>(
+    async fn await_answer<T>(
         &self,
         address: &SmolStr,
         answer: impl Future<Output = Result<T, capnp::Error>>,
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -58,7 +58,7 @@
         findings: Findings::default(),
     };
     checker.findings.value = match root {
-        Some(node) => checker.node(node, schema, "").unwrap_or_default(),
+        Some(node) => checker.check_value(node, schema, "").unwrap_or_default(),
         None => Value::Object(serde_json::Map::new()),
     };
     checker.findings
@@ -73,30 +73,30 @@
 
 impl Checker<'_> {
     /// Checks one value; returns it as JSON if it is valid.
-    fn node(&mut self, node: &ast::Value<'_>, schema: &Value, name: &str) -> Option<Value> {
+    fn check_value(&mut self, node: &ast::Value<'_>, schema: &Value, name: &str) -> Option<Value> {
         let schema = variant(node, schema);
         if schema.get("properties").is_some() {
-            return self.section(node, schema, name);
+            return self.check_object(node, schema, name);
         }
         if let Some(subschema) = schema.get("items") {
-            return self.list(node, subschema, name);
+            return self.check_list(node, subschema, name);
         }
         let value = to_json(node);
         match expected(&value, schema) {
             None => Some(value),
             Some(expected) => {
                 let message = format!("expected {expected}, found {}", describe(node));
-                self.fault(node.start(), name, message);
+                self.add_fault(node.start(), name, message);
                 None
             }
         }
     }
 
     /// Checks the properties of an object.
-    fn section(&mut self, node: &ast::Value<'_>, schema: &Value, name: &str) -> Option<Value> {
+    fn check_object(&mut self, node: &ast::Value<'_>, schema: &Value, name: &str) -> Option<Value> {
         let ast::Value::Object(object) = node else {
             let message = format!("expected an object, found {}", describe(node));
-            self.fault(node.start(), name, message);
+            self.add_fault(node.start(), name, message);
             return None;
         };
         let known = schema.get("properties").and_then(Value::as_object)?;
@@ -104,53 +104,58 @@
         for property in &object.properties {
             let key = property.name.as_str();
             let option = join(name, key);
-            let line = self.line(property.start());
+            let line = self.line_at(property.start());
             if key == "$schema" && name.is_empty() {
                 continue;
             }
             let Some(subschema) = known.get(key) else {
                 let suggestion = nearest(key, known.keys().map(String::as_str));
-                self.unknown(line, option, suggestion);
+                self.add_warning(line, option, suggestion);
                 continue;
             };
             if self.findings.lines.insert(option.clone(), line).is_some() {
-                self.fault(property.start(), &option, "it is set twice".to_owned());
+                self.add_fault(property.start(), &option, "it is set twice".to_owned());
             }
-            if let Some(value) = self.node(&property.value, subschema, &option) {
+            if let Some(value) = self.check_value(&property.value, subschema, &option) {
                 valid.insert(key.to_owned(), value);
             }
         }
         for key in names(schema, "required") {
             let option = join(name, key);
             if object.get(key).is_none() {
-                self.fault(node.start(), &option, "it must be set".to_owned());
+                self.add_fault(node.start(), &option, "it must be set".to_owned());
             }
         }
         Some(Value::Object(valid))
     }
 
     /// Checks the elements of a list.
-    fn list(&mut self, node: &ast::Value<'_>, subschema: &Value, name: &str) -> Option<Value> {
+    fn check_list(
+        &mut self,
+        node: &ast::Value<'_>,
+        subschema: &Value,
+        name: &str,
+    ) -> Option<Value> {
         let ast::Value::Array(array) = node else {
             let message = format!("expected a list, found {}", describe(node));
-            self.fault(node.start(), name, message);
+            self.add_fault(node.start(), name, message);
             return None;
         };
         let mut valid = Vec::new();
         for (index, element) in array.elements.iter().enumerate() {
             let option = format!("{name}[{index}]");
-            let line = self.line(element.start());
+            let line = self.line_at(element.start());
             self.findings.lines.insert(option.clone(), line);
-            valid.extend(self.node(element, subschema, &option));
+            valid.extend(self.check_value(element, subschema, &option));
         }
         Some(Value::Array(valid))
     }
 
     /// Records a fault at a byte offset of the file.
-    fn fault(&mut self, offset: usize, option: &str, message: String) {
+    fn add_fault(&mut self, offset: usize, option: &str, message: String) {
         let fault = Fault {
             file: self.file.to_owned(),
-            line: self.line(offset),
+            line: self.line_at(offset),
             option: option.to_owned(),
             message,
             did_you_mean: None,
@@ -159,7 +164,7 @@
     }
 
     /// Records an unknown name.
-    fn unknown(&mut self, line: usize, option: String, suggestion: Option<String>) {
+    fn add_warning(&mut self, line: usize, option: String, suggestion: Option<String>) {
         self.findings.warnings.push(Fault {
             file: self.file.to_owned(),
             line,
@@ -170,7 +175,7 @@
     }
 
     /// Returns the line of a byte offset, starting at 1.
-    fn line(&self, offset: usize) -> usize {
+    fn line_at(&self, offset: usize) -> usize {
         let before = self.text.as_bytes().iter().take(offset);
         1 + before.filter(|byte| **byte == b'\n').count()
     }
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -66,7 +66,7 @@
     let tree = check::parse(file, text).map_err(|fault| Faults(vec![fault]))?;
     let schema = schema::schema();
     let mut findings = check::check(file, text, tree.value.as_ref(), &schema);
-    let settings = settings(file, &mut findings);
+    let settings = deserialize(file, &mut findings);
     if let Some(settings) = &settings {
         add_violations(file, settings, &mut findings);
     }
@@ -76,12 +76,12 @@
             warnings: Faults(findings.warnings),
             lines: findings.lines,
         }),
-        _ => Err(report(findings)),
+        _ => Err(all_faults(findings)),
     }
 }
 
 /// Deserializes the valid part of the file; other options keep their defaults.
-fn settings(file: &str, findings: &mut Findings) -> Option<Settings> {
+fn deserialize(file: &str, findings: &mut Findings) -> Option<Settings> {
     match serde_json::from_value(findings.value.clone()) {
         Ok(settings) => Some(settings),
         Err(error) => {
@@ -111,7 +111,7 @@
 }
 
 /// Returns all faults and unknown names, ordered by line.
-fn report(findings: Findings) -> Faults {
+fn all_faults(findings: Findings) -> Faults {
     let mut faults = findings.faults;
     faults.extend(findings.warnings);
     faults.sort_by_key(|fault| fault.line);
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -14,14 +14,14 @@
 /// Returns all rules that the settings violate.
 pub fn violations(settings: &Settings) -> Vec<Violation> {
     let mut violations = Vec::new();
-    required(settings, &mut violations);
-    leases(settings, &mut violations);
-    addresses(settings, &mut violations);
+    check_required(settings, &mut violations);
+    check_leases(settings, &mut violations);
+    check_addresses(settings, &mut violations);
     violations
 }
 
 /// Checks that options without a sensible default are set.
-fn required(settings: &Settings, violations: &mut Vec<Violation>) {
+fn check_required(settings: &Settings, violations: &mut Vec<Violation>) {
     let options = [
         ("identity.name", settings.identity.name.is_empty()),
         ("identity.zone", settings.identity.zone.is_empty()),
@@ -51,7 +51,7 @@
 
 /// Checks that leases are renewed before they expire: the interval must be shorter than the term
 /// minus the margin.
-fn leases(settings: &Settings, violations: &mut Vec<Violation>) {
+fn check_leases(settings: &Settings, violations: &mut Vec<Violation>) {
     let leases = &settings.leases;
     let limit = leases.term_ms.saturating_sub(leases.margin_ms);
     if leases.renew_interval_ms >= limit {
@@ -66,7 +66,7 @@
 }
 
 /// Checks that no two ports share an address and that advertised addresses are reachable.
-fn addresses(settings: &Settings, violations: &mut Vec<Violation>) {
+fn check_addresses(settings: &Settings, violations: &mut Vec<Violation>) {
     let listeners = [
         ("callers.listen", settings.callers.listen),
         ("admin.listen", settings.admin.listen),
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -112,7 +112,7 @@
             return;
         };
         match outcome {
-            Outcome::Conflict(failed) => self.split(now, inserts, failed, effects),
+            Outcome::Conflict(failed) => self.handle_conflict(now, inserts, failed, effects),
             outcome => {
                 self.max_rows = self.settings.rows;
                 for insert in &inserts {
@@ -132,7 +132,7 @@
             }
             let id = call::Id(self.next_call);
             self.next_call += 1;
-            let call = Call::Transact(self.transaction(&inserts));
+            let call = Call::Transact(self.build_transaction(&inserts));
             self.in_flight.insert(id, inserts);
             effects.push(Effect::Store { id, call });
         }
@@ -172,7 +172,7 @@
         taken
     }
 
-    fn transaction(&self, inserts: &[Insert]) -> Transaction {
+    fn build_transaction(&self, inserts: &[Insert]) -> Transaction {
         let check = |insert: &Insert| Check {
             address: insert.address.clone(),
             revision: None,
@@ -189,7 +189,7 @@
     }
 
     /// Completes the inserts whose rows exist and requeues the others, since nothing was written.
-    fn split(
+    fn handle_conflict(
         &mut self,
         now: Time,
         inserts: Vec<Insert>,
