--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -52,7 +52,7 @@
     fn new_id(&self) -> Id {
         Id {
             incarnation: self.incarnation,
-            serial: self.shared.link.next_serial(),
+            serial: self.shared.link.allocate_serial(),
         }
     }
 
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -94,8 +94,8 @@
         self.send(Message::Event(event));
     }
 
-    /// Returns the serial number of a new request.
-    pub fn next_serial(&self) -> u64 {
+    /// Allocates the serial number of a new request.
+    pub fn allocate_serial(&self) -> u64 {
         let serial = self.next_serial.get();
         self.next_serial.set(serial + 1);
         serial
