--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -1,4 +1,4 @@
-//! Answers callers: each call becomes an event, a task of its own where needed, and an answer.
+//! Handles calls from callers: turns each into an event for the reducer and, if needed, a task.
 
 use std::rc::Rc;
 
@@ -31,7 +31,7 @@
 use crate::output::Output;
 use crate::plain::PlainFlight;
 
-/// Answers the callers of one entry.
+/// Handler for the callers of one entry.
 pub struct Callers {
     shared: Rc<Shared>,
     incarnation: Incarnation,
@@ -39,7 +39,7 @@
 }
 
 impl Callers {
-    /// Answers in the name of this incarnation; `tickets` seals the tickets it gives out.
+    /// Creates a handler for this incarnation; `tickets` seals the tickets that it issues.
     pub fn new(shared: Rc<Shared>, incarnation: Incarnation, tickets: Signer) -> Callers {
         Callers {
             shared,
@@ -48,41 +48,45 @@
         }
     }
 
-    /// The name of a new request.
+    /// Returns the identifier of a new request.
     fn new_id(&self) -> Id {
         Id {
             incarnation: self.incarnation,
-            serial: self.shared.link.serial(),
+            serial: self.shared.link.allocate_serial(),
         }
     }
 
-    /// Opens a model call.
-    fn model(&self, credentials: Credentials, chat: Chat) -> Pending {
+    /// Starts the task of a model call.
+    fn start_model_call(&self, credentials: Credentials, chat: Chat) -> Pending {
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
         let output = Output::new(id.to_string(), chat.stream, head);
         let arrival = model_arrival(&credentials, &chat);
-        let commands = self.open(id, arrival);
+        let commands = self.announce(id, arrival);
         let shared = Rc::clone(&self.shared);
         let flight = Flight::new(shared, id, chat, credentials.offset, commands, output);
         tokio::task::spawn_local(flight.run());
-        pending(answer)
+        await_response(answer)
     }
 
-    /// Opens a plain call.
-    fn plain(&self, credentials: Credentials, call: Plain) -> Pending {
+    /// Starts the task of a plain call.
+    fn start_plain_call(&self, credentials: Credentials, call: Plain) -> Pending {
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
         let arrival = plain_arrival(&credentials, &call);
-        let commands = self.open(id, arrival);
+        let commands = self.announce(id, arrival);
         let shared = Rc::clone(&self.shared);
         let flight = PlainFlight::new(shared, id.serial, id.to_string(), call, commands, head);
         tokio::task::spawn_local(flight.run());
-        pending(answer)
+        await_response(answer)
     }
 
-    /// Tells the reducer of a request; what it commands comes through the channel.
-    fn open(&self, id: Id, arrival: Arrival) -> mpsc::UnboundedReceiver<entry::effect::Command> {
+    /// Announces a request to the reducer and returns the channel for its commands.
+    fn announce(
+        &self,
+        id: Id,
+        arrival: Arrival,
+    ) -> mpsc::UnboundedReceiver<entry::effect::Command> {
         let (sender, commands) = mpsc::unbounded_channel();
         self.shared.link.send(Message::Open {
             serial: id.serial,
@@ -92,7 +96,7 @@
         commands
     }
 
-    /// Asks the reducer which entries to use.
+    /// Asks the reducer which entries the caller should use.
     fn addresses(&self, key: Option<SmolStr>, prefix: Option<u64>) -> Pending {
         let (reply, answer) = oneshot::channel();
         self.shared
@@ -102,7 +106,7 @@
         Box::pin(async move {
             match answer.await {
                 Ok(addresses) => addresses_answer(&addresses, &seal),
-                Err(_) => stopped(),
+                Err(_) => stopped_response(),
             }
         })
     }
@@ -120,7 +124,7 @@
             match answer.await {
                 Ok(None) => answer::json_answer(&json!({"cancelled": name})),
                 Ok(Some(refusal)) => answer::refused(&name, &refusal),
-                Err(_) => stopped(),
+                Err(_) => stopped_response(),
             }
         })
     }
@@ -130,25 +134,25 @@
     fn handle(&self, credentials: Credentials, call: Call) -> Pending {
         match call {
             Call::Addresses { prefix } => self.addresses(credentials.key, prefix),
-            Call::Model(chat) => self.model(credentials, chat),
-            Call::Plain(call) => self.plain(credentials, call),
+            Call::Model(chat) => self.start_model_call(credentials, chat),
+            Call::Plain(call) => self.start_plain_call(credentials, call),
             Call::Cancel { request } => self.cancel(credentials.key, request),
         }
     }
 }
 
-/// The answer once its task has given one.
-fn pending(answer: oneshot::Receiver<Response<Payload>>) -> Pending {
-    Box::pin(async move { answer.await.unwrap_or_else(|_| stopped()) })
+/// Awaits the response of a call's task.
+fn await_response(answer: oneshot::Receiver<Response<Payload>>) -> Pending {
+    Box::pin(async move { answer.await.unwrap_or_else(|_| stopped_response()) })
 }
 
-/// The answer when the process stops under the call.
-fn stopped() -> Response<Payload> {
+/// Creates the response to a call that was open when the process stopped.
+fn stopped_response() -> Response<Payload> {
     let refusal = Refusal::may_have_run(Reason::Leaving, "this entry has stopped");
     answer::refused("", &refusal)
 }
 
-/// A model call as the reducer sees it.
+/// Converts a model call for the reducer.
 fn model_arrival(credentials: &Credentials, chat: &Chat) -> Arrival {
     Arrival {
         key: credentials.key.clone(),
@@ -166,7 +170,7 @@
     }
 }
 
-/// A plain call as the reducer sees it.
+/// Converts a plain call for the reducer.
 fn plain_arrival(credentials: &Credentials, call: &Plain) -> Arrival {
     let mut hasher = Xxh3::new();
     for part in [
@@ -193,20 +197,24 @@
     }
 }
 
-/// The answer to a question for addresses.
+/// Creates the response with addresses and tickets.
 fn addresses_answer(addresses: &Addresses, seal: &Signer) -> Response<Payload> {
     let entries: Vec<_> = addresses
         .entries
         .iter()
-        .map(|one| {
+        .map(|entry| {
             json!({
-                "address": one.address.as_str(),
-                "zone": one.zone.as_str(),
-                "weight": one.weight,
+                "address": entry.address.as_str(),
+                "zone": entry.zone.as_str(),
+                "weight": entry.weight,
             })
         })
         .collect();
-    let tickets: Vec<String> = addresses.tickets.iter().map(|one| seal.sign(one)).collect();
+    let tickets: Vec<String> = addresses
+        .tickets
+        .iter()
+        .map(|ticket| seal.sign(ticket))
+        .collect();
     answer::json_answer(&json!({
         "addresses": entries,
         "ttl_ms": addresses.ttl.as_millis(),
--- a/crates/daemon/src/fleet_port.rs
+++ b/crates/daemon/src/fleet_port.rs
@@ -1,7 +1,7 @@
-//! Carries a leader's orders to engines and its wishes to the cloud.
+//! Sends a leader's orders to engines and its instance requests to the cloud.
 //!
-//! A lease is checked again where the effect leaves: an order that waited in this process past the end
-//! of its lease is dropped.
+//! The lease is checked again just before sending: an order that was queued past the end of its lease is
+//! dropped.
 
 use std::rc::Rc;
 
@@ -23,18 +23,18 @@
 
 use crate::link::Link;
 
-/// HTTP status by which the cloud says that it has none.
-const NO_CAPACITY: u16 = 409;
+/// HTTP status with which the cloud reports that it has no capacity.
+const NO_CAPACITY_STATUS: u16 = 409;
 
-/// HTTP status by which an engine refuses an old fencing number.
-const OLD_FENCE: u16 = 409;
+/// HTTP status with which an engine rejects a stale fencing number.
+const STALE_FENCE_STATUS: u16 = 409;
 
-/// The way to engines' orders and the cloud.
+/// Client for engines' orders and the cloud.
 #[derive(Clone)]
 pub struct FleetPort {
-    /// For answers.
+    /// Channel to the event loop, for answers.
     pub link: Rc<Link>,
-    /// To engines and the cloud.
+    /// HTTP client for engines and the cloud.
     pub client: HttpClient,
     /// `host:port` of the cloud.
     pub cloud: SmolStr,
@@ -43,12 +43,12 @@
 }
 
 impl FleetPort {
-    /// Reads what an engine serves.
-    pub fn read(&self, deployment: SmolStr, engine: SmolStr, address: SmolStr) {
+    /// Reads an engine's current target and load.
+    pub fn read_engine(&self, deployment: SmolStr, engine: SmolStr, address: SmolStr) {
         let port = self.clone();
         tokio::task::spawn_local(async move {
-            let at = Engine::new(&port.client, &address);
-            let (Ok(standing), Ok(load)) = (at.standing().await, at.load().await) else {
+            let client = Engine::new(&port.client, &address);
+            let (Ok(standing), Ok(load)) = (client.standing().await, client.load().await) else {
                 return;
             };
             let target = Target {
@@ -58,7 +58,7 @@
                 role: standing.target.role,
             };
             let running = load.running + load.waiting;
-            port.tell(
+            port.notify(
                 deployment,
                 FleetEvent::EngineRead {
                     engine,
@@ -69,8 +69,8 @@
         });
     }
 
-    /// Sends an order.
-    pub fn order(
+    /// Sends an order to an engine.
+    pub fn order_engine(
         &self,
         deployment: SmolStr,
         engine: SmolStr,
@@ -90,27 +90,28 @@
                 version: target.version,
                 role: target.role,
             };
-            let at = Engine::new(&port.client, &address);
-            if let Err(Failure::Answered { status, .. }) = at.order(fence, &target).await
-                && status == OLD_FENCE
+            let client = Engine::new(&port.client, &address);
+            if let Err(Failure::Answered { status, .. }) = client.order(fence, &target).await
+                && status == STALE_FENCE_STATUS
             {
-                let higher = at
+                let current = client
                     .standing()
                     .await
                     .map_or(fence + 1, |standing| standing.fence);
-                port.tell(
+                port.notify(
                     deployment,
                     FleetEvent::EngineRefused {
                         engine,
-                        fence: higher,
+                        fence: current,
                     },
                 );
             }
         });
     }
 
-    /// Asks the cloud for an instance. No answer is taken for neither: the wish is forgotten in time.
-    pub fn start(
+    /// Requests an instance. An unanswered request counts as neither granted nor refused; the
+    /// reducer expires it.
+    pub fn start_instance(
         &self,
         deployment: SmolStr,
         token: SmolStr,
@@ -131,9 +132,9 @@
                 pool,
             };
             match Cloud::new(&port.client, &port.cloud).start(&wish).await {
-                Ok(_) => port.tell(deployment, FleetEvent::Granted { token }),
-                Err(Failure::Answered { status, .. }) if status == NO_CAPACITY => {
-                    port.tell(deployment, FleetEvent::Refused { token });
+                Ok(_) => port.notify(deployment, FleetEvent::Granted { token }),
+                Err(Failure::Answered { status, .. }) if status == NO_CAPACITY_STATUS => {
+                    port.notify(deployment, FleetEvent::Refused { token });
                 }
                 Err(failure) => {
                     log::warn!(event = "wish_unanswered", failure = failure.as_str(); "");
@@ -142,8 +143,8 @@
         });
     }
 
-    /// Gives an instance back once its work had time to end or move.
-    pub fn stop(&self, id: SmolStr, delay: Span, lease_end: Time) {
+    /// Releases an instance after a delay in which its work can finish or move.
+    pub fn stop_instance(&self, id: SmolStr, delay: Span, lease_end: Time) {
         let port = self.clone();
         tokio::task::spawn_local(async move {
             if port.clock.now() >= lease_end {
@@ -160,12 +161,12 @@
         });
     }
 
-    fn tell(&self, deployment: SmolStr, event: FleetEvent) {
-        self.link.event(Event::Fleet { deployment, event });
+    fn notify(&self, deployment: SmolStr, event: FleetEvent) {
+        self.link.send_event(Event::Fleet { deployment, event });
     }
 }
 
-/// A market's name in the cloud's terms.
+/// Returns the cloud API's name of a market.
 pub fn market_name(market: Market) -> &'static str {
     match market {
         Market::Reclaimable => "reclaimable",
@@ -173,7 +174,7 @@
     }
 }
 
-/// The market of that name.
+/// Parses the cloud API's name of a market; an unknown name means reclaimable.
 pub fn market_of(name: &str) -> Market {
     match name {
         "on-demand" => Market::OnDemand,
--- a/crates/daemon/src/flight.rs
+++ b/crates/daemon/src/flight.rs
@@ -1,9 +1,9 @@
-//! The task of one open model call: starts, resumes and moves its engine stream and relays it.
+//! Task of one open model call: starts, resumes and moves its engine stream and relays it.
 //!
-//! `opening` asks engines for streams, `words` takes what they say.
+//! `opening` opens engine streams, `engine_events` handles their events.
 
+mod engine_events;
 mod opening;
-mod words;
 
 use std::future::Future;
 use std::pin::Pin;
@@ -36,16 +36,17 @@
 use crate::link::Message;
 use crate::output::Output;
 
-/// How often tokens passed on are reported: the reducer needs counts, not chunks.
-const REPORT_TIME: Duration = Duration::from_millis(250);
+/// Interval at which forwarded tokens are reported; the reducer needs counts, not chunks.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What tasks of requests share.
+/// State shared by the tasks of all requests.
 pub struct Shared {
-    /// The way to the loop.
+    /// Channel to the event loop.
     pub link: Rc<Link>,
-    /// The way to backend servers.
+    /// HTTP client for backend servers.
     pub client: HttpClient,
-    /// Seals resume words.
+
+    /// Seals resume tokens.
     pub seal: Signer,
 }
 
@@ -59,68 +60,69 @@
     output: Output,
     relay: Sequencer,
     phase: Phase,
-    running: Option<Running>,
-    /// Tokens passed on since the last report.
+    running: Option<Attempt>,
+    /// Tokens forwarded since the last report.
     unreported: u32,
-    /// Longest time between two tokens since the last report.
+    /// Longest gap between two tokens since the last report.
     worst_gap: Span,
-    /// When the last token was passed on.
+    /// When the last token was forwarded.
     last_token: Option<Instant>,
-    /// Tokens passed on by this task.
-    passed: u64,
+    /// Tokens forwarded by this task.
+    forwarded: u64,
 }
 
-/// The attempt that runs.
+/// The running attempt.
 #[derive(Clone)]
-struct Running {
-    /// Number of the attempt here.
+struct Attempt {
+    /// Number of the attempt at this entry.
     attempt: u32,
-    /// The engine's stream.
+    /// The engine's identifier of the stream.
     stream: Stream,
     endpoint: Endpoint,
     account: SmolStr,
-    /// The caller's offset of that stream's first token.
+    /// Offset of the stream's first token in the caller's answer.
     base: u64,
-    how: Asked,
+    source: Source,
 }
 
-/// How the stream that is read now was asked for.
+/// How the current stream was opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Asked {
-    /// Started or moved by this task, or read from since.
+enum Source {
+    /// Started or moved by this task, or has delivered a token since it was reopened.
     Fresh,
-    /// Asked for again after a cut, and nothing came since.
-    Again,
-    /// Taken over from another entry, and nothing came since.
+    /// Reopened after it broke; no token received since.
+    Retried,
+    /// Taken over from another entry; no token received since.
     Adopted,
 }
 
-/// What the task waits for from the engine.
+/// What the task awaits from the engine.
 enum Phase {
-    /// Nothing.
+    /// No stream is open.
     Idle,
-    /// A stream to begin.
+    /// A stream is being opened.
     Opening(Pin<Box<dyn Future<Output = Opened>>>),
-    /// The next chunk.
+    /// The stream is being read.
     Reading(Events),
 }
 
-/// How opening a stream ended.
+/// Result of opening a stream.
 struct Opened {
     events: Result<Events, Failure>,
-    /// Set when the stream was moved.
+    /// How the stream was moved; `None` if it was started or resumed.
     moved: Option<Transfer>,
 }
 
-/// Whether the task goes on.
+/// Whether the task continues.
 #[derive(PartialEq, Eq)]
 enum Flow {
-    On,
-    Over,
+    Continue,
+    Break,
 }
 
 impl Flight {
-    /// A call that the reducer is told of by now. `next` is the offset that the caller wants first.
+    /// Creates the task of a call already announced to the reducer. `next` is the first offset that
+    /// the caller wants.
     pub fn new(
         shared: Rc<Shared>,
         origin: Id,
@@ -142,32 +144,32 @@
             unreported: 0,
             worst_gap: Span::ZERO,
             last_token: None,
-            passed: 0,
+            forwarded: 0,
         }
     }
 
-    /// Serves the call to its end.
+    /// Serves the call until it ends.
     pub async fn run(mut self) {
-        let mut report = tokio::time::interval(REPORT_TIME);
+        let mut report = tokio::time::interval(REPORT_INTERVAL);
         report.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let flow = tokio::select! {
                 biased;
                 command = self.commands.recv() => match command {
-                    Some(command) => self.command(command).await,
-                    None => Flow::Over,
+                    Some(command) => self.execute(command).await,
+                    None => Flow::Break,
                 },
                 () = self.output.closed() => {
-                    self.shared.link.event(Event::CallerDisconnected { serial: self.serial });
-                    Flow::Over
+                    self.shared.link.send_event(Event::CallerDisconnected { serial: self.serial });
+                    Flow::Break
                 }
-                word = self.phase.next() => self.word(word).await,
+                event = self.phase.next() => self.handle_event(event).await,
                 _ = report.tick() => {
                     self.report_tokens();
-                    Flow::On
+                    Flow::Continue
                 }
             };
-            if flow == Flow::Over {
+            if flow == Flow::Break {
                 break;
             }
         }
@@ -175,23 +177,23 @@
         self.shared.link.send(Message::Closed { serial });
     }
 
-    /// Does what the reducer wants.
-    async fn command(&mut self, command: Command) -> Flow {
+    /// Executes a command of the reducer.
+    async fn execute(&mut self, command: Command) -> Flow {
         match command {
             Command::Refuse(refusal) => {
-                self.give_up_stream();
+                self.cancel_stream();
                 self.output.refuse(&refusal).await;
-                return Flow::Over;
+                return Flow::Break;
             }
-            Command::Drop => return Flow::Over,
+            Command::Drop => return Flow::Break,
             Command::Stop => {
-                self.give_up_stream();
+                self.cancel_stream();
                 self.phase = Phase::Idle;
             }
             Command::HandOff { address } => {
-                let token = self.token();
+                let token = self.resume_token();
                 self.output.hand_off(&address, &token).await;
-                return Flow::Over;
+                return Flow::Break;
             }
             Command::Start {
                 stream,
@@ -199,8 +201,8 @@
                 priority,
                 account,
             } => {
-                if self.passed >= u64::from(self.chat.max_new_tokens) {
-                    return self.whole(stream).await;
+                if self.forwarded >= u64::from(self.chat.max_new_tokens) {
+                    return self.finish_complete(stream).await;
                 }
                 self.start(stream, endpoint, priority, account);
             }
@@ -210,13 +212,13 @@
                 endpoint,
                 base,
                 account,
-            } => self.attach(Running {
+            } => self.attach(Attempt {
                 attempt,
                 stream,
                 endpoint,
                 account,
                 base,
-                how: Asked::Adopted,
+                source: Source::Adopted,
             }),
             Command::Move {
                 stream,
@@ -224,12 +226,12 @@
                 transfer,
             } => self.move_to(stream, endpoint, transfer),
         }
-        Flow::On
+        Flow::Continue
     }
 
-    /// The answer was cut between its last token and its end: nothing is left to be computed.
-    async fn whole(&mut self, stream: Stream) -> Flow {
-        self.shared.link.event(Event::Attempt {
+    /// Finishes an answer that broke off after its last token but before its end; nothing is left to compute.
+    async fn finish_complete(&mut self, stream: Stream) -> Flow {
+        self.shared.link.send_event(Event::Attempt {
             serial: self.serial,
             attempt: stream.attempt,
             report: Report::Ended {
@@ -237,12 +239,12 @@
                 tokens: std::mem::take(&mut self.unreported),
             },
         });
-        self.output.done().await;
-        Flow::Over
+        self.output.finish().await;
+        Flow::Break
     }
 
-    /// The sealed word with which the caller can come back to the running stream.
-    fn token(&self) -> String {
+    /// Returns the sealed token with which the caller can resume the running stream.
+    fn resume_token(&self) -> String {
         let Some(running) = &self.running else {
             return String::new();
         };
@@ -257,8 +259,8 @@
         })
     }
 
-    /// Stops the engine's work on a call that nobody waits for.
-    fn give_up_stream(&mut self) {
+    /// Cancels the engine's work on a call whose answer is no longer needed.
+    fn cancel_stream(&mut self) {
         let Some(running) = self.running.take() else {
             return;
         };
@@ -269,7 +271,7 @@
         });
     }
 
-    /// Reports the tokens passed on since the last report.
+    /// Reports the tokens forwarded since the last report.
     fn report_tokens(&mut self) {
         if self.unreported > 0 {
             let tokens = std::mem::take(&mut self.unreported);
@@ -284,10 +286,10 @@
         self.report(Report::Ended { end, tokens: 0 });
     }
 
-    /// Reports on the running attempt.
+    /// Sends a report on the running attempt.
     fn report(&self, report: Report) {
         let attempt = self.running.as_ref().map_or(0, |running| running.attempt);
-        self.shared.link.event(Event::Attempt {
+        self.shared.link.send_event(Event::Attempt {
             serial: self.serial,
             attempt,
             report,
@@ -295,19 +297,19 @@
     }
 }
 
-/// What the engine said.
-enum Word {
+/// Event of an engine's stream.
+enum EngineEvent {
     Opened(Opened),
     Chunk(Result<Chunk, Failure>),
 }
 
 impl Phase {
-    /// Waits for the engine's next word; for ever if none is to come.
-    async fn next(&mut self) -> Word {
+    /// Awaits the next event of the stream; pending forever if none is open.
+    async fn next(&mut self) -> EngineEvent {
         match self {
             Phase::Idle => std::future::pending().await,
-            Phase::Opening(opening) => Word::Opened(opening.await),
-            Phase::Reading(events) => Word::Chunk(events.next().await),
+            Phase::Opening(opening) => EngineEvent::Opened(opening.await),
+            Phase::Reading(events) => EngineEvent::Chunk(events.next().await),
         }
     }
 }
--- a/crates/daemon/src/flight/opening.rs
+++ b/crates/daemon/src/flight/opening.rs
@@ -1,4 +1,4 @@
-//! Asks engines for the call's stream: starts it, goes on reading it, moves it.
+//! Opens the call's stream at an engine: starts, resumes or moves it.
 
 use back::engine::Engine;
 use back::events::Events;
@@ -9,14 +9,14 @@
 use request::id::Stream;
 use smol_str::SmolStr;
 
-use crate::flight::Asked;
+use crate::flight::Attempt;
 use crate::flight::Flight;
 use crate::flight::Opened;
 use crate::flight::Phase;
-use crate::flight::Running;
+use crate::flight::Source;
 
 impl Flight {
-    /// Starts the call, behind what was passed on already.
+    /// Starts a stream that continues after the tokens already forwarded.
     pub(super) fn start(
         &mut self,
         stream: Stream,
@@ -26,13 +26,13 @@
     ) {
         let base = self.relay.next();
         self.relay.begin_attempt(stream.attempt, base);
-        self.running = Some(Running {
+        self.running = Some(Attempt {
             attempt: stream.attempt,
             stream,
             endpoint: endpoint.clone(),
             account,
             base,
-            how: Asked::Fresh,
+            source: Source::Fresh,
         });
         let body = self.body();
         let client = self.shared.client.clone();
@@ -46,8 +46,8 @@
         }));
     }
 
-    /// Goes on reading a stream that an engine holds.
-    pub(super) fn attach(&mut self, running: Running) {
+    /// Resumes reading a stream that an engine holds.
+    pub(super) fn attach(&mut self, running: Attempt) {
         self.relay.begin_attempt(running.attempt, running.base);
         let offset = self.relay.next().saturating_sub(running.base);
         let stream = running.stream;
@@ -63,55 +63,55 @@
         }));
     }
 
-    /// Moves the running stream, by its KV cache or by running it again.
-    pub(super) fn move_to(&mut self, stream: Stream, endpoint: Endpoint, how: Transfer) {
+    /// Moves the running stream by transferring its KV cache or by rerunning it.
+    pub(super) fn move_to(&mut self, stream: Stream, endpoint: Endpoint, transfer: Transfer) {
         let Some(old) = self.running.clone() else {
             return;
         };
         let base = old.base;
         let offset = self.relay.next().saturating_sub(base);
         self.relay.begin_attempt(stream.attempt, base);
-        self.running = Some(Running {
+        self.running = Some(Attempt {
             attempt: stream.attempt,
             stream,
             endpoint: endpoint.clone(),
             account: old.account,
             base,
-            how: Asked::Fresh,
+            source: Source::Fresh,
         });
         let client = self.shared.client.clone();
         self.phase = Phase::Opening(Box::pin(async move {
             let from = Engine::new(&client, &old.endpoint.address);
             let to = Engine::new(&client, &endpoint.address);
-            let events = match how {
-                Transfer::Kv => transfer(&from, old.stream, &to, stream, offset).await,
+            let events = match transfer {
+                Transfer::Kv => transfer_kv(&from, old.stream, &to, stream, offset).await,
                 Transfer::Rerun => Err(Failure::NotSent),
             };
             if events.is_err() {
-                // Neither engine is to go on with it: it is run again from here.
+                // The call is about to be rerun, so neither engine may continue the stream.
                 let _ = from.cancel(old.stream).await;
                 let _ = to.cancel(stream).await;
             }
             Opened {
                 events,
-                moved: Some(how),
+                moved: Some(transfer),
             }
         }));
     }
 
-    /// The body for the engine: the caller's own, or one that goes on behind what was passed on.
+    /// Returns the request body: the caller's own, or one that continues after the forwarded tokens.
     fn body(&self) -> Bytes {
-        if self.passed == 0 {
+        if self.forwarded == 0 {
             return self.chat.body.clone();
         }
         let mut text = self.chat.text_so_far.clone().unwrap_or_default();
         text.push_str(&self.output.text());
-        self.chat.continued_body(&text, self.passed)
+        self.chat.continued_body(&text, self.forwarded)
     }
 }
 
-/// Takes a stream's KV cache from one engine to another and goes on reading there.
-async fn transfer(
+/// Transfers a stream's KV cache to another engine and resumes reading there.
+async fn transfer_kv(
     from: &Engine<'_>,
     old: Stream,
     to: &Engine<'_>,
--- a/crates/daemon/src/output.rs
+++ b/crates/daemon/src/output.rs
@@ -1,4 +1,4 @@
-//! Where the answer of one model call goes: first its head, then a stream or one whole body.
+//! Response to one model call: its head, then a stream of events or a single body.
 
 use std::time::Duration;
 
@@ -12,34 +12,34 @@
 use tokio::sync::oneshot;
 use verdict::Refusal;
 
-/// Chunks that may wait for a slow caller before the engine's stream is held back.
-const CHUNKS_WAITING: usize = 1_024;
+/// Maximum chunks buffered for a slow caller before the engine's stream is paused.
+const MAX_QUEUED_CHUNKS: usize = 1_024;
 
-/// How long a caller may leave its stream unread.
-const UNREAD_TIME: Duration = Duration::from_secs(60);
+/// Timeout for a caller to read from its stream.
+const UNREAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The caller's side of one model call.
+/// Response to one model call.
 pub struct Output {
     request: String,
     stage: Stage,
-    /// Text of the answer so far, as the engine's chunks; needed to run it again elsewhere.
+    /// Chunks of the answer so far, which a rerun elsewhere needs as text.
     chunks: Vec<Bytes>,
-    /// Whether the caller wants events.
+    /// Whether the caller asked for a stream of events.
     stream: bool,
 }
 
-/// How far the answer has come.
+/// Progress of the response.
 enum Stage {
-    /// The caller waits for the head.
+    /// The head has not been sent.
     Head(oneshot::Sender<Response<Payload>>),
-    /// The caller reads events.
+    /// The caller reads a stream of events.
     Events(mpsc::Sender<Bytes>),
-    /// Nothing more can be said.
-    Over,
+    /// The response has ended.
+    Ended,
 }
 
 impl Output {
-    /// An answer that has not begun.
+    /// Creates a response that has not begun.
     pub fn new(request: String, stream: bool, head: oneshot::Sender<Response<Payload>>) -> Output {
         Output {
             request,
@@ -49,32 +49,32 @@
         }
     }
 
-    /// Waits until the caller is gone.
+    /// Waits until the caller disconnects.
     pub async fn closed(&mut self) {
         match &mut self.stage {
             Stage::Head(head) => head.closed().await,
             Stage::Events(events) => events.closed().await,
-            Stage::Over => {}
+            Stage::Ended => {}
         }
     }
 
-    /// Gives the head of a stream, or on a stream that has begun the new resume word.
-    pub async fn begin(&mut self, token: &str) {
+    /// Sends the head of a stream, or the new resume token if the stream has begun.
+    pub async fn begin_stream(&mut self, token: &str) {
         if !self.stream {
             return;
         }
         if let Stage::Events(_) = &self.stage {
             return self.send(answer::resume_event(token)).await;
         }
-        let (sender, receiver) = mpsc::channel(CHUNKS_WAITING);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
         let head = answer::stream_head(&self.request, token, receiver);
         if let Stage::Head(waiting) = std::mem::replace(&mut self.stage, Stage::Events(sender)) {
             let _ = waiting.send(head);
         }
     }
 
-    /// Passes one chunk on.
-    pub async fn chunk(&mut self, offset: u64, data: Bytes) {
+    /// Sends one chunk.
+    pub async fn send_chunk(&mut self, offset: u64, data: Bytes) {
         if self.stream {
             let text = String::from_utf8_lossy(&data);
             self.send(answer::chunk_event(offset, &text)).await;
@@ -82,11 +82,11 @@
         self.chunks.push(data);
     }
 
-    /// Ends a whole answer.
-    pub async fn done(&mut self) {
+    /// Finishes a complete answer.
+    pub async fn finish(&mut self) {
         if self.stream {
             self.send(answer::done_event()).await;
-            self.stage = Stage::Over;
+            self.stage = Stage::Ended;
             return;
         }
         let body = json!({
@@ -103,47 +103,47 @@
         self.respond(response);
     }
 
-    /// Gives the final word on a request that isn't answered in full.
+    /// Ends the response with a refusal.
     pub async fn refuse(&mut self, refusal: &Refusal) {
         if let Stage::Events(_) = &self.stage {
             self.send(answer::error_event(&self.request, refusal)).await;
-            self.stage = Stage::Over;
+            self.stage = Stage::Ended;
             return;
         }
         self.respond(answer::refused(&self.request, refusal));
     }
 
-    /// Ends the stream here; it goes on at `address`.
+    /// Ends the stream with a redirect to `address`.
     pub async fn hand_off(&mut self, address: &str, token: &str) {
         self.send(answer::continue_event(address, token)).await;
-        self.stage = Stage::Over;
+        self.stage = Stage::Ended;
     }
 
-    /// The answer's text so far.
+    /// Returns the text of the answer so far.
     pub fn text(&self) -> String {
         self.chunks.iter().map(content_of).collect()
     }
 
-    /// Answers a caller that waits for the head.
+    /// Sends a complete response if the head has not been sent.
     fn respond(&mut self, response: Response<Payload>) {
-        if let Stage::Head(waiting) = std::mem::replace(&mut self.stage, Stage::Over) {
+        if let Stage::Head(waiting) = std::mem::replace(&mut self.stage, Stage::Ended) {
             let _ = waiting.send(response);
         }
     }
 
-    /// Sends bytes of the stream. A caller that leaves them unread for too long counts as gone.
+    /// Sends bytes of the stream; a caller that doesn't read them in time counts as disconnected.
     async fn send(&mut self, bytes: Bytes) {
         let Stage::Events(events) = &self.stage else {
             return;
         };
-        let sent = tokio::time::timeout(UNREAD_TIME, events.send(bytes)).await;
+        let sent = tokio::time::timeout(UNREAD_TIMEOUT, events.send(bytes)).await;
         if sent.is_err() {
-            self.stage = Stage::Over;
+            self.stage = Stage::Ended;
         }
     }
 }
 
-/// The text of one chunk.
+/// Returns the text of one chunk.
 fn content_of(data: &Bytes) -> String {
     let value: Value = serde_json::from_slice(data).unwrap_or_default();
     let content = value["choices"][0]["delta"]["content"].as_str();
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other entries: carries what the reducer says to them, and tells it what they say.
+//! Connects the reducer to other entries in both directions.
 
 use std::rc::Rc;
 
@@ -20,85 +20,90 @@
 use crate::link::Link;
 use crate::link::Message;
 
-/// The way to other entries. Nothing waits for it: words come back as events.
+/// Client of other entries. Never blocks the caller; answers arrive as events.
 pub struct Peers {
     link: Rc<Link>,
     client: client::Peers,
-    me: Incarnation,
+    incarnation: Incarnation,
     tickets: Rc<Signer>,
 }
 
 impl Peers {
-    /// Calls peers in the name of `me`; `tickets` seals tickets on their way.
-    pub fn new(link: Rc<Link>, client: client::Peers, me: Incarnation, tickets: Signer) -> Peers {
+    /// Creates a client for `incarnation`; `tickets` seals the tickets that it sends.
+    pub fn new(
+        link: Rc<Link>,
+        client: client::Peers,
+        incarnation: Incarnation,
+        tickets: Signer,
+    ) -> Peers {
         Peers {
             link,
             client,
-            me,
+            incarnation,
             tickets: Rc::new(tickets),
         }
     }
 
     /// Asks a peer to spend a ticket.
-    pub fn ask_spend(&self, serial: u64, address: SmolStr, ticket: Ticket) {
+    pub fn request_spend(&self, serial: u64, address: SmolStr, ticket: Ticket) {
         let client = self.client.clone();
         let link = Rc::clone(&self.link);
         let sealed = self.tickets.sign(&ticket);
         tokio::task::spawn_local(async move {
             let answer = client.spend(&address, &sealed).await.ok();
-            link.event(Event::SpendAnswered { serial, answer });
+            link.send_event(Event::SpendAnswered { serial, answer });
         });
     }
 
-    /// Hands ledgers on to a peer.
-    pub fn offer(&self, address: SmolStr, estates: Vec<Estate>) {
+    /// Hands ledgers over to a peer.
+    pub fn offer_estates(&self, address: SmolStr, estates: Vec<Estate>) {
         let client = self.client.clone();
         let link = Rc::clone(&self.link);
         tokio::task::spawn_local(async move {
             let heir = client.inherit(&address, &estates).await.unwrap_or(None);
-            link.event(Event::EstatesAccepted { heir });
+            link.send_event(Event::EstatesAccepted { heir });
         });
     }
 
-    /// Sends a digest; its loss does no harm.
+    /// Sends a digest; a lost one is superseded by the next.
     pub fn send_digest(&self, address: SmolStr, digest: Digest) {
         let client = self.client.clone();
         tokio::task::spawn_local(async move {
-            if let Err(lost) = client.digest(&address, &digest).await {
-                log::debug!(event = "digest_lost", peer = address.as_str(), error = lost.0.as_str(); "");
+            if let Err(error) = client.digest(&address, &digest).await {
+                log::debug!(event = "digest_lost", peer = address.as_str(), error = error.0.as_str(); "");
             }
         });
     }
 
-    /// Sends a message about the configuration; its loss does no harm.
+    /// Sends a message of the configuration protocol; the protocol tolerates its loss.
     pub fn send_configure(&self, address: SmolStr, message: ConfigMessage) {
         let client = self.client.clone();
-        let me = self.me;
+        let incarnation = self.incarnation;
         tokio::task::spawn_local(async move {
             let Ok(bytes) = serde_json::to_vec(&message) else {
                 return;
             };
-            if let Err(lost) = client.configure(&address, me, &bytes).await {
-                log::debug!(event = "configure_lost", peer = address.as_str(), error = lost.0.as_str(); "");
+            if let Err(error) = client.configure(&address, incarnation, &bytes).await {
+                log::debug!(event = "configure_lost", peer = address.as_str(), error = error.0.as_str(); "");
             }
         });
     }
 }
 
-/// Answers peers.
-pub struct Answering {
+/// Handles calls from peers.
+pub struct PeerHandler {
     link: Rc<Link>,
     tickets: Signer,
 }
 
-impl Answering {
-    /// Answers by asking the loop; `tickets` opens tickets.
-    pub fn new(link: Rc<Link>, tickets: Signer) -> Answering {
-        Answering { link, tickets }
+impl PeerHandler {
+    /// Creates a handler that forwards calls to the event loop; `tickets` unseals tickets.
+    pub fn new(link: Rc<Link>, tickets: Signer) -> PeerHandler {
+        PeerHandler { link, tickets }
     }
 }
 
-impl Receiver for Answering {
+impl Receiver for PeerHandler {
     fn spend(&self, ticket: SmolStr) -> Pending<Answer> {
         let (reply, answer) = oneshot::channel();
         if let Some(ticket) = self.tickets.verify(&ticket) {
@@ -122,12 +127,12 @@
     }
 
     fn digest(&self, digest: Digest) {
-        self.link.event(Event::DigestReceived(digest));
+        self.link.send_event(Event::DigestReceived(digest));
     }
 
     fn configure(&self, from: u64, message: Vec<u8>) {
         match serde_json::from_slice(&message) {
-            Ok(message) => self.link.event(Event::ConfigureReceived {
+            Ok(message) => self.link.send_event(Event::ConfigureReceived {
                 from: Incarnation(from),
                 message,
             }),
--- a/crates/daemon/src/plain.rs
+++ b/crates/daemon/src/plain.rs
@@ -1,4 +1,4 @@
-//! The task of one open call of a plain service.
+//! Task of one open call of a plain service.
 
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::ends::end_of;
+use crate::attempt_end::end_of;
 use crate::flight::Shared;
 use crate::link::Message;
 
@@ -30,7 +30,7 @@
 }
 
 impl PlainFlight {
-    /// A call that the reducer is told of by now.
+    /// Creates the task of a call already announced to the reducer.
     pub fn new(
         shared: Rc<Shared>,
         serial: u64,
@@ -54,20 +54,20 @@
         }
     }
 
-    /// Serves the call to its end.
+    /// Serves the call until it ends.
     ///
-    /// A caller that goes away doesn't stop a call that was handed on: its outcome is still wanted. The
-    /// task then stays until the reducer, which may just have handed the call on, has dropped it; were
-    /// it to end at once, such a call would stay open with nobody to report its end.
+    /// A disconnected caller doesn't stop a dispatched call: its outcome is still needed. The task
+    /// waits until the reducer drops it, because the reducer may just have dispatched the call;
+    /// otherwise such a call would stay open with no task to report its end.
     pub async fn run(mut self) {
-        let mut gone = false;
+        let mut caller_gone = false;
         let response = loop {
             let command = tokio::select! {
                 biased;
                 command = self.commands.recv() => command,
-                () = self.head.closed(), if !gone => {
-                    gone = true;
-                    self.shared.link.event(Event::CallerDisconnected { serial: self.serial });
+                () = self.head.closed(), if !caller_gone => {
+                    caller_gone = true;
+                    self.shared.link.send_event(Event::CallerDisconnected { serial: self.serial });
                     continue;
                 }
             };
@@ -84,10 +84,10 @@
                         plain::call(&self.shared.client, &endpoint.address, self.call.clone())
                             .await;
                     match called {
-                        Ok(whole) => {
+                        Ok(served) => {
                             self.report(attempt, Report::Head);
                             self.report_end(attempt, End::Finished);
-                            break Some(answer::done(&self.request, response_of(whole)));
+                            break Some(answer::done(&self.request, response_of(served)));
                         }
                         Err(failure) => self.report_end(attempt, end_of(&failure)),
                     }
@@ -107,9 +107,9 @@
         self.report(attempt, Report::Ended { end, tokens: 0 });
     }
 
-    /// Reports on an attempt.
+    /// Sends a report on an attempt.
     fn report(&self, attempt: u32, report: Report) {
-        self.shared.link.event(Event::Attempt {
+        self.shared.link.send_event(Event::Attempt {
             serial: self.serial,
             attempt,
             report,
@@ -117,10 +117,10 @@
     }
 }
 
-/// The service's answer as it is given to the caller.
-fn response_of(whole: Answer) -> Response<Payload> {
-    let mut response = Response::new(answer::whole(whole.body));
-    *response.status_mut() = whole.status;
-    *response.headers_mut() = whole.headers;
+/// Converts the service's answer for the caller.
+fn response_of(served: Answer) -> Response<Payload> {
+    let mut response = Response::new(answer::whole(served.body));
+    *response.status_mut() = served.status;
+    *response.headers_mut() = served.headers;
     response
 }
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -1,4 +1,4 @@
-//! The one loop: takes messages, steps the reducer, carries its effects out.
+//! The event loop: receives messages, steps the reducer and carries out its effects.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -29,10 +29,10 @@
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 
-/// How often the reducer is told that time has passed.
-const TICK_TIME: Duration = Duration::from_millis(20);
+/// Interval of the reducer's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The loop's state.
+/// State of the event loop.
 pub struct Shell {
     /// Name of the entry, for the log.
     pub name: SmolStr,
@@ -40,57 +40,57 @@
     pub clock: Clock,
     /// The reducer.
     pub entry: Entry,
-    /// For tasks that the loop starts.
+    /// Channel to this loop, for tasks that it starts.
     pub link: Rc<Link>,
-    /// The table service.
+    /// Client of the table service.
     pub store: Rc<Driver>,
-    /// Other entries.
+    /// Client of other entries.
     pub peers: Peers,
-    /// Engines' orders and the cloud.
+    /// Client for engines' orders and the cloud.
     pub fleet: FleetPort,
-    /// What is counted.
+    /// Metrics of the entry.
     pub metrics: Metrics,
-    /// What the admin port says.
+    /// Readiness that the admin port reports.
     pub ready: Rc<Cell<bool>>,
-    /// Tasks of open requests.
+    /// Channels to the tasks of open requests, by serial number.
     pub flights: HashMap<u64, mpsc::UnboundedSender<Command>>,
-    /// Who waits for an answer of the reducer.
-    pub askers: Askers,
+    /// Requests that await an answer of the reducer.
+    pub pending: PendingReplies,
 }
 
-/// Those who wait for an answer, by number.
+/// Reply channels by the identifier of their request.
 #[derive(Default)]
-pub struct Askers {
+pub struct PendingReplies {
     next: u64,
     addresses: HashMap<u64, oneshot::Sender<Addresses>>,
     cancels: HashMap<u64, oneshot::Sender<Option<Refusal>>>,
     operators: HashMap<u64, oneshot::Sender<Result<Reply, Fault>>>,
     spends: HashMap<u64, oneshot::Sender<Answer>>,
-    heirs: HashMap<u64, oneshot::Sender<Option<Incarnation>>>,
+    inherits: HashMap<u64, oneshot::Sender<Option<Incarnation>>>,
 }
 
-impl Askers {
-    /// A number not used before.
-    fn number(&mut self) -> u64 {
+impl PendingReplies {
+    /// Returns an unused identifier.
+    fn next_id(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
 }
 
 impl Shell {
-    /// Runs lease_end the reducer has nothing left to do.
+    /// Runs until the reducer requests the exit.
     pub async fn run(
         mut self,
         mut messages: mpsc::UnboundedReceiver<Message>,
         mut calls: mpsc::Receiver<ops::Call>,
         mut stops: mpsc::UnboundedReceiver<bool>,
     ) {
-        let mut tick = tokio::time::interval(TICK_TIME);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let event = tokio::select! {
                 Some(message) = messages.recv() => self.event_of(message),
-                Some(call) = calls.recv() => Some(self.operator(call)),
+                Some(call) = calls.recv() => Some(self.operator_event(call)),
                 Some(immediate) = stops.recv() => Some(Event::StopRequested { immediate }),
                 _ = tick.tick() => Some(Event::Tick),
                 else => return,
@@ -104,18 +104,18 @@
         }
     }
 
-    /// Takes one event; gives whether the process may end.
+    /// Steps the reducer with one event; returns whether the process may exit.
     fn step(&mut self, event: Event) -> bool {
         let mut effects = Vec::new();
         let now = self.clock.now();
         let tick = matches!(event, Event::Tick);
-        let begun = Instant::now();
+        let started = Instant::now();
         self.entry.step(now, event, &mut effects);
-        self.metrics.stepped(&effects, begun.elapsed());
+        self.metrics.record_step(&effects, started.elapsed());
         if tick {
             let stats = self.entry.stats(now);
             self.ready.set(stats.ready);
-            self.metrics.show(&stats);
+            self.metrics.record_stats(&stats);
         }
         let mut exit = false;
         for effect in effects {
@@ -125,7 +125,7 @@
         exit
     }
 
-    /// The event of a message; notes who waits for what follows.
+    /// Converts a message to an event and registers its reply channel.
     fn event_of(&mut self, message: Message) -> Option<Event> {
         match message {
             Message::Event(event) => Some(event),
@@ -142,8 +142,8 @@
                 None
             }
             Message::Addresses { key, prefix, reply } => {
-                let call = self.askers.number();
-                self.askers.addresses.insert(call, reply);
+                let call = self.pending.next_id();
+                self.pending.addresses.insert(call, reply);
                 Some(Event::AddressesRequested { call, key, prefix })
             }
             Message::Cancel {
@@ -151,34 +151,34 @@
                 request,
                 reply,
             } => {
-                let call = self.askers.number();
-                self.askers.cancels.insert(call, reply);
+                let call = self.pending.next_id();
+                self.pending.cancels.insert(call, reply);
                 Some(Event::CancelRequested { call, key, request })
             }
             Message::Spend { ticket, reply } => {
-                let call = self.askers.number();
-                self.askers.spends.insert(call, reply);
+                let call = self.pending.next_id();
+                self.pending.spends.insert(call, reply);
                 Some(Event::SpendRequested { call, ticket })
             }
             Message::Inherit { estates, reply } => {
-                let call = self.askers.number();
-                self.askers.heirs.insert(call, reply);
+                let call = self.pending.next_id();
+                self.pending.inherits.insert(call, reply);
                 Some(Event::EstatesOffered { call, estates })
             }
         }
     }
 
-    /// The event of an operator's call.
-    fn operator(&mut self, call: ops::Call) -> Event {
-        let number = self.askers.number();
-        self.askers.operators.insert(number, call.reply);
+    /// Converts an operator's call to an event and registers its reply channel.
+    fn operator_event(&mut self, call: ops::Call) -> Event {
+        let id = self.pending.next_id();
+        self.pending.operators.insert(id, call.reply);
         Event::Operator {
-            call: number,
+            call: id,
             request: call.request,
         }
     }
 
-    /// Carries one effect out, without waiting for anything.
+    /// Carries out one effect without blocking.
     fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Flight { serial, command } => {
@@ -187,29 +187,29 @@
                 }
             }
             Effect::Addresses { call, answer } => {
-                if let Some(reply) = self.askers.addresses.remove(&call) {
+                if let Some(reply) = self.pending.addresses.remove(&call) {
                     let _ = reply.send(answer);
                 }
             }
             Effect::CancelAnswer { call, refusal } => {
-                if let Some(reply) = self.askers.cancels.remove(&call) {
+                if let Some(reply) = self.pending.cancels.remove(&call) {
                     let _ = reply.send(refusal);
                 }
             }
             Effect::Operator { call, reply } => {
-                if let Some(waiting) = self.askers.operators.remove(&call) {
+                if let Some(waiting) = self.pending.operators.remove(&call) {
                     let _ = waiting.send(reply);
                 }
             }
             Effect::Store { id, call } => self.call_store(id, call),
             Effect::Log(line) => logs::write(&self.name, &line),
             Effect::SpendAnswer { call, answer } => {
-                if let Some(reply) = self.askers.spends.remove(&call) {
+                if let Some(reply) = self.pending.spends.remove(&call) {
                     let _ = reply.send(answer);
                 }
             }
             Effect::EstatesAccepted { call, heir } => {
-                if let Some(reply) = self.askers.heirs.remove(&call) {
+                if let Some(reply) = self.pending.inherits.remove(&call) {
                     let _ = reply.send(heir);
                 }
             }
@@ -217,8 +217,8 @@
                 serial,
                 address,
                 ticket,
-            } => self.peers.ask_spend(serial, address, ticket),
-            Effect::OfferEstates { address, estates } => self.peers.offer(address, estates),
+            } => self.peers.request_spend(serial, address, ticket),
+            Effect::OfferEstates { address, estates } => self.peers.offer_estates(address, estates),
             Effect::SendDigest { address, digest } => self.peers.send_digest(address, digest),
             Effect::SendConfigure { address, message } => {
                 self.peers.send_configure(address, message);
@@ -227,7 +227,7 @@
                 deployment,
                 engine,
                 address,
-            } => self.fleet.read(deployment, engine, address),
+            } => self.fleet.read_engine(deployment, engine, address),
             Effect::OrderEngine {
                 deployment,
                 engine,
@@ -237,30 +237,32 @@
                 lease_end,
             } => self
                 .fleet
-                .order(deployment, engine, address, fence, target, lease_end),
+                .order_engine(deployment, engine, address, fence, target, lease_end),
             Effect::StartInstance {
                 deployment,
                 token,
                 kind,
                 pool,
                 lease_end,
-            } => self.fleet.start(deployment, token, kind, pool, lease_end),
+            } => self
+                .fleet
+                .start_instance(deployment, token, kind, pool, lease_end),
             Effect::StopInstance {
                 id,
                 delay,
                 lease_end,
-            } => self.fleet.stop(id, delay, lease_end),
+            } => self.fleet.stop_instance(id, delay, lease_end),
             Effect::Exit => {}
         }
     }
 
-    /// Sends a call to the table service; its outcome comes back as an event.
+    /// Starts a call to the table service; its outcome arrives as an event.
     fn call_store(&self, id: store::call::Id, call: store::call::Call) {
         let link = Rc::clone(&self.link);
         let store = Rc::clone(&self.store);
         tokio::task::spawn_local(async move {
             let outcome = store.call(&call).await;
-            link.event(Event::Store { id, outcome });
+            link.send_event(Event::Store { id, outcome });
         });
     }
 }
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls peers.
+//! Client side of the calls between entries.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -27,161 +27,163 @@
 use crate::proof::Key;
 use crate::proof::Side;
 use crate::receiver::Charge;
-use crate::server::options_of;
+use crate::server::reader_options;
 
-/// Connections to peers, opened when needed. Cheap to clone; lives on one thread.
+/// Connections to peers, opened on demand. Cheap to clone; not `Send`.
 #[derive(Clone)]
 pub struct Peers {
     key: Key,
     limit: Limit,
-    open: Rc<RefCell<HashMap<SmolStr, entry::Client>>>,
-    /// Addresses to which a connection is being made.
-    coming: Rc<RefCell<HashSet<SmolStr>>>,
+    connections: Rc<RefCell<HashMap<SmolStr, entry::Client>>>,
+    /// Addresses to which a connection is being opened.
+    connecting: Rc<RefCell<HashSet<SmolStr>>>,
 }
 
-/// No answer came: what was asked for may have happened.
+/// A call without an answer; the peer may still have carried it out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lost(pub String);
+pub struct Error(pub String);
 
 impl Peers {
-    /// No connections yet.
+    /// Creates a client without open connections.
     pub fn new(key: Key, limit: Limit) -> Peers {
         Peers {
             key,
             limit,
-            open: Rc::default(),
-            coming: Rc::default(),
+            connections: Rc::default(),
+            connecting: Rc::default(),
         }
     }
 
     /// Asks the peer at `address` to spend a sealed ticket.
-    pub async fn spend(&self, address: &SmolStr, ticket: &str) -> Result<Answer, Lost> {
+    pub async fn spend(&self, address: &SmolStr, ticket: &str) -> Result<Answer, Error> {
         let entry = self.entry(address).await?;
         let mut request = entry.spend_request();
         request.get().set_ticket(ticket);
-        let response = self.answer(address, request.send().promise).await?;
-        let answer = response.get().and_then(|one| Ok(one.get_answer()?));
-        Ok(match answer.map_err(lost)? {
+        let response = self.await_answer(address, request.send().promise).await?;
+        let answer = response
+            .get()
+            .and_then(|response| Ok(response.get_answer()?));
+        Ok(match answer.map_err(to_error)? {
             peer_capnp::Answer::Granted => Answer::Granted,
             peer_capnp::Answer::Spent => Answer::Spent,
             peer_capnp::Answer::Unknown => Answer::Unknown,
         })
     }
 
-    /// Hands ledgers on; gives the incarnation that took them, or none when the peer didn't.
+    /// Hands ledgers over; returns the incarnation that accepted them, or `None` if the peer declined.
     pub async fn inherit(
         &self,
         address: &SmolStr,
         estates: &[Estate],
-    ) -> Result<Option<Incarnation>, Lost> {
+    ) -> Result<Option<Incarnation>, Error> {
         let entry = self.entry(address).await?;
-        let bytes = serde_json::to_vec(estates).map_err(|error| Lost(error.to_string()))?;
+        let bytes = serde_json::to_vec(estates).map_err(|error| Error(error.to_string()))?;
         let mut request = entry.inherit_request();
         request.get().set_estates(&bytes);
-        let response = self.answer(address, request.send().promise).await?;
-        let response = response.get().map_err(lost)?;
-        let by = Incarnation(response.get_by());
-        Ok(response.get_taken().then_some(by))
+        let response = self.await_answer(address, request.send().promise).await?;
+        let response = response.get().map_err(to_error)?;
+        let heir = Incarnation(response.get_by());
+        Ok(response.get_taken().then_some(heir))
     }
 
     /// Sends a digest.
     ///
-    /// One that finds a connection on its way is lost: the next one says more. Each would else make a
-    /// connection of its own, and a peer that is slow to take one would get hundreds.
-    pub async fn digest(&self, address: &SmolStr, digest: &Digest) -> Result<(), Lost> {
+    /// Fails while a connection is being opened: the next digest is newer. Otherwise each digest would open a
+    /// connection of its own, and a peer that is slow to accept would get hundreds.
+    pub async fn digest(&self, address: &SmolStr, digest: &Digest) -> Result<(), Error> {
         let entry = self.ready_entry(address).await?;
         let mut request = entry.digest_request();
         wire::digest::write(digest, request.get().init_digest());
-        self.answer(address, request.send().promise).await?;
+        self.await_answer(address, request.send().promise).await?;
         Ok(())
     }
 
-    /// Sends a message about the configuration.
+    /// Sends a message of the configuration protocol.
     pub async fn configure(
         &self,
         address: &SmolStr,
         from: Incarnation,
         message: &[u8],
-    ) -> Result<(), Lost> {
+    ) -> Result<(), Error> {
         let entry = self.entry(address).await?;
         let mut request = entry.configure_request();
         request.get().set_from(from.0);
         request.get().set_message(message);
-        self.answer(address, request.send().promise).await?;
+        self.await_answer(address, request.send().promise).await?;
         Ok(())
     }
 
-    /// Asks the peer at `address` to charge an account's quota for all entries.
+    /// Asks the peer at `address` to charge an account's fleet-wide quota.
     ///
-    /// One that finds a connection on its way has no answer: another entry decides meanwhile.
+    /// Fails while a connection is being opened; the caller then asks another entry.
     pub async fn charge(
         &self,
         address: &SmolStr,
         account: u64,
         tokens: u64,
-    ) -> Result<Charge, Lost> {
+    ) -> Result<Charge, Error> {
         let entry = self.ready_entry(address).await?;
         let mut request = entry.charge_request();
         request.get().set_account(account);
         request.get().set_tokens(tokens);
-        let response = self.answer(address, request.send().promise).await?;
-        let response = response.get().map_err(lost)?;
+        let response = self.await_answer(address, request.send().promise).await?;
+        let response = response.get().map_err(to_error)?;
         Ok(match response.get_granted() {
             true => Charge::Granted {
                 bucket: response.get_bucket(),
             },
-            false => Charge::Short {
-                after: Span::from_millis(response.get_retry_ms()),
+            false => Charge::Exceeded {
+                retry_after: Span::from_millis(response.get_retry_ms()),
             },
         })
     }
 
-    /// Gives back what a peer granted.
-    pub async fn refund(&self, address: &SmolStr, bucket: u64, tokens: u64) -> Result<(), Lost> {
+    /// Returns tokens that a peer granted.
+    pub async fn refund(&self, address: &SmolStr, bucket: u64, tokens: u64) -> Result<(), Error> {
         let entry = self.ready_entry(address).await?;
         let mut request = entry.refund_request();
         request.get().set_bucket(bucket);
         request.get().set_tokens(tokens);
-        self.answer(address, request.send().promise).await?;
+        self.await_answer(address, request.send().promise).await?;
         Ok(())
     }
 
-    /// The peer at `address`, unless a connection to it is on its way.
-    async fn ready_entry(&self, address: &SmolStr) -> Result<entry::Client, Lost> {
-        if self.coming.borrow().contains(address) {
-            return Err(Lost(String::from("a connection is on its way")));
+    /// Returns the peer at `address`, or an error while a connection to it is being opened.
+    async fn ready_entry(&self, address: &SmolStr) -> Result<entry::Client, Error> {
+        if self.connecting.borrow().contains(address) {
+            return Err(Error(String::from("a connection is being opened")));
         }
         self.entry(address).await
     }
 
-    /// Waits for an answer. A connection that failed or fell silent is not used again.
-    async fn answer<T>(
+    /// Waits for an answer; drops the connection on failure or timeout.
+    async fn await_answer<T>(
         &self,
         address: &SmolStr,
         answer: impl Future<Output = Result<T, capnp::Error>>,
-    ) -> Result<T, Lost> {
-        let result = within(self.limit.call, answer).await;
+    ) -> Result<T, Error> {
+        let result = with_timeout(self.limit.call, answer).await;
         if result.is_err() {
-            self.open.borrow_mut().remove(address);
+            self.connections.borrow_mut().remove(address);
         }
         result
     }
 
-    /// The peer at `address`, over a connection that both sides have proved.
-    async fn entry(&self, address: &SmolStr) -> Result<entry::Client, Lost> {
-        if let Some(entry) = self.open.borrow().get(address) {
+    /// Returns the peer at `address`, over a mutually authenticated connection.
+    async fn entry(&self, address: &SmolStr) -> Result<entry::Client, Error> {
+        if let Some(entry) = self.connections.borrow().get(address) {
             return Ok(entry.clone());
         }
-        self.coming.borrow_mut().insert(address.clone());
-        let entry = within(self.limit.greeting, self.connect(address)).await;
-        self.coming.borrow_mut().remove(address);
+        self.connecting.borrow_mut().insert(address.clone());
+        let entry = with_timeout(self.limit.handshake, self.connect(address)).await;
+        self.connecting.borrow_mut().remove(address);
         let entry = entry?;
-        let mut open = self.open.borrow_mut();
-        open.insert(address.clone(), entry.clone());
+        let mut connections = self.connections.borrow_mut();
+        connections.insert(address.clone(), entry.clone());
         Ok(entry)
     }
 
-    /// Opens a connection and goes through both proofs.
+    /// Opens a connection and performs the handshake.
     async fn connect(&self, address: &SmolStr) -> Result<entry::Client, capnp::Error> {
         let socket = TcpStream::connect(address.as_str()).await?;
         socket.set_nodelay(true)?;
@@ -190,29 +192,29 @@
             futures::io::BufReader::new(reader),
             futures::io::BufWriter::new(writer),
             rpc_twoparty_capnp::Side::Client,
-            options_of(&self.limit),
+            reader_options(&self.limit),
         );
         let mut system = RpcSystem::new(Box::new(network), None);
         let door: door::Client = system.bootstrap(rpc_twoparty_capnp::Side::Server);
-        let (open, gone) = (Rc::downgrade(&self.open), address.clone());
+        let (connections, closed) = (Rc::downgrade(&self.connections), address.clone());
         tokio::task::spawn_local(async move {
             let _ = system.await;
-            if let Some(open) = open.upgrade() {
-                open.borrow_mut().remove(&gone);
+            if let Some(connections) = connections.upgrade() {
+                connections.borrow_mut().remove(&closed);
             }
         });
-        self.enter(&door).await
+        self.authenticate(&door).await
     }
 
-    /// Checks the callee's proof and gives our own.
-    async fn enter(&self, door: &door::Client) -> Result<entry::Client, capnp::Error> {
+    /// Verifies the callee's proof and sends the caller's.
+    async fn authenticate(&self, door: &door::Client) -> Result<entry::Client, capnp::Error> {
         let ours = proof::nonce()?;
         let mut greet = door.greet_request();
         greet.get().set_nonce(&ours);
-        let greeted = greet.send().promise.await?;
-        let greeted = greeted.get()?;
-        let theirs = greeted.get_nonce()?;
-        let proof = greeted.get_proof()?;
+        let greeting = greet.send().promise.await?;
+        let greeting = greeting.get()?;
+        let theirs = greeting.get_nonce()?;
+        let proof = greeting.get_proof()?;
         if !self.key.check(Side::Callee, &ours, theirs, proof) {
             return Err(capnp::Error::failed(String::from(
                 "the callee isn't an entry",
@@ -225,18 +227,18 @@
     }
 }
 
-/// Waits for something, but not longer than `limit`.
-async fn within<T>(
+/// Awaits a future for at most `limit`.
+async fn with_timeout<T>(
     limit: Span,
     future: impl Future<Output = Result<T, capnp::Error>>,
-) -> Result<T, Lost> {
+) -> Result<T, Error> {
     match tokio::time::timeout(limit.as_duration(), future).await {
-        Ok(result) => result.map_err(lost),
-        Err(_) => Err(Lost(format!("no answer within {limit}"))),
+        Ok(result) => result.map_err(to_error),
+        Err(_) => Err(Error(format!("no answer within {limit}"))),
     }
 }
 
-/// A failed call as a lost one.
-fn lost(error: capnp::Error) -> Lost {
-    Lost(error.to_string())
+/// Converts a failure of the RPC library.
+fn to_error(error: capnp::Error) -> Error {
+    Error(error.to_string())
 }
--- a/crates/settings/src/expect.rs
+++ b/crates/settings/src/expect.rs
@@ -1,10 +1,10 @@
-//! What the schema wants of one value, in words.
+//! Checks single values against the schema and describes what it accepts.
 
 use std::net::SocketAddr;
 
 use serde_json::Value;
 
-/// What the schema wants in place of `value`; nothing if the value is sound.
+/// Describes what the schema expects instead of `value`; `None` if the value is valid.
 pub fn expected(value: &Value, schema: &Value) -> Option<String> {
     let optional = types(schema).any(|kind| kind == "null");
     if value.is_null() && optional {
@@ -13,9 +13,9 @@
     if let Some(tags) = tags(schema) {
         return Some(format!("an object whose \"type\" is {}", tags.join(" or ")));
     }
-    if let Some(words) = words(schema) {
-        let sound = value.as_str().is_some_and(|word| words.contains(&word));
-        return (!sound).then(|| format!("one of {}", words.join(", ")));
+    if let Some(values) = values(schema) {
+        let valid = value.as_str().is_some_and(|value| values.contains(&value));
+        return (!valid).then(|| format!("one of {}", values.join(", ")));
     }
     let kind = types(schema).find(|kind| *kind != "null").unwrap_or("");
     match kind {
@@ -26,15 +26,15 @@
     }
 }
 
-/// The types that the schema admits.
+/// Returns the types that the schema accepts.
 fn types(schema: &Value) -> impl Iterator<Item = &str> {
     let kind = schema.get("type");
-    let one = kind.and_then(Value::as_str);
-    let several = kind.and_then(Value::as_array).into_iter().flatten();
-    one.into_iter().chain(several.filter_map(Value::as_str))
+    let single = kind.and_then(Value::as_str);
+    let multiple = kind.and_then(Value::as_array).into_iter().flatten();
+    single.into_iter().chain(multiple.filter_map(Value::as_str))
 }
 
-/// The tags of a tagged union.
+/// Returns the tags of a tagged union.
 fn tags(schema: &Value) -> Option<Vec<&str>> {
     let variants = schema.get("oneOf").and_then(Value::as_array)?;
     let tag = |variant: &'_ Value| variant.pointer("/properties/type/const").is_some();
@@ -46,78 +46,78 @@
     Some(tags.filter_map(Value::as_str).collect())
 }
 
-/// The words of an enumeration.
-pub fn words(schema: &Value) -> Option<Vec<&str>> {
-    if let Some(words) = schema.get("enum").and_then(Value::as_array) {
-        return Some(words.iter().filter_map(Value::as_str).collect());
+/// Returns the values of an enumeration.
+pub fn values(schema: &Value) -> Option<Vec<&str>> {
+    if let Some(values) = schema.get("enum").and_then(Value::as_array) {
+        return Some(values.iter().filter_map(Value::as_str).collect());
     }
     let variants = schema.get("oneOf").and_then(Value::as_array)?;
-    let words = variants.iter().filter_map(|variant| variant.get("const"));
-    Some(words.filter_map(Value::as_str).collect())
+    let values = variants.iter().filter_map(|variant| variant.get("const"));
+    Some(values.filter_map(Value::as_str).collect())
 }
 
 /// Checks a whole number and its bounds.
 fn integer(value: &Value, schema: &Value) -> Option<String> {
-    let least = schema.get("minimum").and_then(Value::as_u64).unwrap_or(0);
-    let most = schema.get("maximum").and_then(Value::as_u64);
-    let most = most.unwrap_or_else(|| greatest(schema));
+    let min = schema.get("minimum").and_then(Value::as_u64).unwrap_or(0);
+    let max = schema.get("maximum").and_then(Value::as_u64);
+    let max = max.unwrap_or_else(|| max_of_type(schema));
     let number = value.as_u64();
-    if number.is_some_and(|number| (least..=most).contains(&number)) {
+    if number.is_some_and(|number| (min..=max).contains(&number)) {
         return None;
     }
-    Some(bounds(least, most))
+    Some(bounds(min, max))
 }
 
-/// Bounds of a whole number, in words.
-fn bounds(least: u64, most: u64) -> String {
-    if most == u64::MAX {
+/// Describes the bounds of a whole number.
+fn bounds(min: u64, max: u64) -> String {
+    if max == u64::MAX {
         return "a whole number".to_owned();
     }
-    format!("a whole number from {least} to {most}")
+    format!("a whole number from {min} to {max}")
 }
 
-/// The greatest number of the type.
-fn greatest(schema: &Value) -> u64 {
+/// Returns the largest number of the type.
+fn max_of_type(schema: &Value) -> u64 {
     match schema.get("format").and_then(Value::as_str) {
         Some("uint32") => u64::from(u32::MAX),
         _ => u64::MAX,
     }
 }
 
-/// Checks a text, its length and its form.
+/// Checks the length and the format of a text.
 fn string(value: &Value, schema: &Value) -> Option<String> {
     let Some(text) = value.as_str() else {
-        return Some(form(schema).to_owned());
+        return Some(format_name(schema).to_owned());
     };
-    let least = schema.get("minLength").and_then(Value::as_u64).unwrap_or(0);
-    let most = schema.get("maxLength").and_then(Value::as_u64);
-    let most = most.unwrap_or(u64::MAX);
-    if !(least..=most).contains(&(text.chars().count() as u64)) {
-        return Some(format!("{least} to {most} characters"));
+    let min = schema.get("minLength").and_then(Value::as_u64).unwrap_or(0);
+    let max = schema.get("maxLength").and_then(Value::as_u64);
+    let max = max.unwrap_or(u64::MAX);
+    if !(min..=max).contains(&(text.chars().count() as u64)) {
+        return Some(format!("{min} to {max} characters"));
     }
-    let sound = match schema.get("format").and_then(Value::as_str) {
+    let valid = match schema.get("format").and_then(Value::as_str) {
         Some("socket-address") => text.parse::<SocketAddr>().is_ok(),
         Some("http-address") => is_http_address(text),
         Some("name") => is_name(text),
         _ => true,
     };
-    (!sound).then(|| form(schema).to_owned())
+    (!valid).then(|| format_name(schema).to_owned())
 }
 
-/// What an option takes, in words.
-pub fn takes(schema: &Value) -> String {
+/// Describes the values that an option accepts.
+pub fn accepted(schema: &Value) -> String {
     if let Some(items) = schema.get("items") {
-        return format!("a list, each {}", takes(items));
+        return format!("a list, each {}", accepted(items));
     }
-    let wanted = expected(&Value::Array(Vec::new()), schema).unwrap_or_default();
+    let accepted = expected(&Value::Array(Vec::new()), schema).unwrap_or_default();
     if types(schema).any(|kind| kind == "null") {
-        return format!("{wanted}, or null");
+        return format!("{accepted}, or null");
     }
-    wanted
+    accepted
 }
 
-/// The form that the schema wants of a text, in words.
-pub fn form(schema: &Value) -> &'static str {
+/// Describes the format that the schema expects of a text.
+pub fn format_name(schema: &Value) -> &'static str {
     match schema.get("format").and_then(Value::as_str) {
         Some("socket-address") => "an address such as \"127.0.0.1:8000\" or \"[::1]:8000\"",
         Some("http-address") => "an address such as \"http://127.0.0.1:7000\"",
@@ -126,14 +126,14 @@
     }
 }
 
-/// Whether it is `http://IP:PORT`.
+/// Returns whether the text is `http://IP:PORT`.
 fn is_http_address(text: &str) -> bool {
     text.strip_prefix("http://")
         .is_some_and(|rest| rest.parse::<SocketAddr>().is_ok())
 }
 
-/// Whether it may name an entry or a zone.
+/// Returns whether the text is a valid name of an entry or a zone.
 fn is_name(text: &str) -> bool {
-    let good = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    (1..=63).contains(&text.len()) && text.bytes().all(good)
+    let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    (1..=63).contains(&text.len()) && text.bytes().all(is_allowed)
 }
--- a/crates/settings/src/explain.rs
+++ b/crates/settings/src/explain.rs
@@ -1,4 +1,4 @@
-//! One setting explained, for `dogwoodspurd explain SETTING`.
+//! Explains one option, for `dogwoodspurd --explain OPTION`.
 
 use std::fmt::Write;
 
@@ -9,9 +9,9 @@
 use crate::expect;
 use crate::schema;
 
-/// What an option means, takes and is; `Err` says that there is none of that name.
+/// Returns the meaning, accepted values and default of an option, or an error if it doesn't exist.
 ///
-/// `loaded` adds the effective value and where it was set. The name of a section explains all its
+/// `loaded` adds the effective value and where it was set. The name of a section explains all of its
 /// options.
 pub fn explain(name: &str, loaded: Option<&Loaded>) -> Result<String, String> {
     let schema = schema::schema();
@@ -21,17 +21,19 @@
         if !text.is_empty() {
             text.push('\n');
         }
-        one(&mut text, &schema, option, loaded);
+        write_option(&mut text, &schema, option, loaded);
     }
     if !text.is_empty() {
         return Ok(text);
     }
-    let near = check::nearest(name, known.iter().map(String::as_str));
-    let hint = near.map_or(String::new(), |near| format!("; did you mean '{near}'?"));
+    let suggestion = check::nearest(name, known.iter().map(String::as_str));
+    let hint = suggestion.map_or(String::new(), |suggestion| {
+        format!("; did you mean '{suggestion}'?")
+    });
     Err(format!("no setting '{name}'{hint}"))
 }
 
-/// Whether the option is the named one or lies in the named section.
+/// Returns whether the option is the named one or belongs to the named section.
 fn is_within(option: &str, name: &str) -> bool {
     option == name
         || option
@@ -39,14 +41,14 @@
             .is_some_and(|rest| rest.starts_with('.'))
 }
 
-/// Appends one option.
-fn one(text: &mut String, schema: &Value, option: &str, loaded: Option<&Loaded>) {
+/// Appends the explanation of one option.
+fn write_option(text: &mut String, schema: &Value, option: &str, loaded: Option<&Loaded>) {
     let Some(part) = schema::option(schema, option) else {
         return;
     };
     let _ = writeln!(text, "{option}");
     let _ = writeln!(text, "  {}", schema::description(part));
-    let _ = writeln!(text, "  takes:   {}", expect::takes(part));
+    let _ = writeln!(text, "  takes:   {}", expect::accepted(part));
     let _ = writeln!(text, "  default: {}", schema::default(part));
     let Some(loaded) = loaded else {
         return;
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -1,27 +1,27 @@
-//! What options must be among themselves, beyond what the schema says of each.
+//! Rules across options, beyond the schema of each one.
 
 use crate::Settings;
 
-/// A rule that the settings break.
+/// A rule that the settings violate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
-    /// The option to change.
+pub struct Violation {
+    /// Option to change.
     pub option: &'static str,
     /// What was expected.
     pub message: String,
 }
 
-/// All rules that the settings break.
-pub fn breaches(settings: &Settings) -> Vec<Breach> {
-    let mut breaches = Vec::new();
-    required(settings, &mut breaches);
-    leases(settings, &mut breaches);
-    addresses(settings, &mut breaches);
-    breaches
+/// Returns all rules that the settings violate.
+pub fn violations(settings: &Settings) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    check_required(settings, &mut violations);
+    check_leases(settings, &mut violations);
+    check_addresses(settings, &mut violations);
+    violations
 }
 
-/// Options without a sensible default.
-fn required(settings: &Settings, breaches: &mut Vec<Breach>) {
+/// Checks that options without a sensible default are set.
+fn check_required(settings: &Settings, violations: &mut Vec<Violation>) {
     let options = [
         ("identity.name", settings.identity.name.is_empty()),
         ("identity.zone", settings.identity.zone.is_empty()),
@@ -41,7 +41,7 @@
     ];
     for (option, absent) in options {
         if absent {
-            breaches.push(Breach {
+            violations.push(Violation {
                 option,
                 message: "it must be set".to_owned(),
             });
@@ -49,34 +49,35 @@
     }
 }
 
-/// A lease must outlast the time to its renewal by the margin, else it lapses while all is well.
-fn leases(settings: &Settings, breaches: &mut Vec<Breach>) {
+/// Checks that leases are renewed before they expire: the interval must be shorter than the term
+/// minus the margin.
+fn check_leases(settings: &Settings, violations: &mut Vec<Violation>) {
     let leases = &settings.leases;
-    let most = leases.term_ms.saturating_sub(leases.margin_ms);
-    if leases.renew_interval_ms >= most {
-        breaches.push(Breach {
+    let limit = leases.term_ms.saturating_sub(leases.margin_ms);
+    if leases.renew_interval_ms >= limit {
+        violations.push(Violation {
             option: "leases.renew_interval_ms",
             message: format!(
-                "expected less than term_ms - margin_ms ({most}), found {}",
+                "expected less than term_ms - margin_ms ({limit}), found {}",
                 leases.renew_interval_ms
             ),
         });
     }
 }
 
-/// No two ports on one address, and what is advertised must be reachable.
-fn addresses(settings: &Settings, breaches: &mut Vec<Breach>) {
-    let listens = [
+/// Checks that no two ports share an address and that advertised addresses are reachable.
+fn check_addresses(settings: &Settings, violations: &mut Vec<Violation>) {
+    let listeners = [
         ("callers.listen", settings.callers.listen),
         ("admin.listen", settings.admin.listen),
         ("operators.listen", settings.operators.listen),
         ("peers.listen", settings.peers.listen),
     ];
-    for (index, (option, address)) in listens.iter().enumerate() {
-        let earlier = listens.iter().take(index);
-        let mut equal = earlier.filter(|(_, other)| other == address && address.port() != 0);
-        if let Some((other, _)) = equal.next() {
-            breaches.push(Breach {
+    for (index, (option, address)) in listeners.iter().enumerate() {
+        let earlier = listeners.iter().take(index);
+        let mut duplicates = earlier.filter(|(_, other)| other == address && address.port() != 0);
+        if let Some((other, _)) = duplicates.next() {
+            violations.push(Violation {
                 option,
                 message: format!("expected another address than that of {other}"),
             });
@@ -90,7 +91,7 @@
         let unusable =
             |address: std::net::SocketAddr| address.port() == 0 || address.ip().is_unspecified();
         if address.is_some_and(unusable) {
-            breaches.push(Breach {
+            violations.push(Violation {
                 option,
                 message: "expected an address that others can connect to".to_owned(),
             });
--- a/crates/settings/tests/document.rs
+++ b/crates/settings/tests/document.rs
@@ -1,4 +1,4 @@
-//! What is drawn from the structs: the page, the schema, effective settings, explanations.
+//! Output generated from the structs: page, schema, effective settings and explanations.
 
 use std::fs;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use settings::load::parse;
 use settings::print::effective;
 
-const MINE: &str = r#"{
+const SETTINGS: &str = r#"{
   "identity": {"name": "entry-1", "zone": "a"},
   "operators": {"key": "0123456789abcdef"},
   "peers": {
@@ -18,7 +18,7 @@
   "platform": {"table_service": "http://127.0.0.1:7000", "cloud": "http://127.0.0.1:7001"}
 }"#;
 
-/// A committed page.
+/// Reads a committed file of `docs`.
 fn committed(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../docs")
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_committed_page_and_schema_are_those_of_the_structs() {
+fn the_committed_page_and_schema_are_up_to_date() {
     let hint = "run: cargo run -p settings --example document";
     assert_eq!(committed("SETTINGS.md"), document::page(), "{hint}");
     assert_eq!(
@@ -38,18 +38,18 @@
 }
 
 #[test]
-fn every_option_has_a_description_and_takes_something() {
+fn every_option_has_a_description_and_accepted_values() {
     let schema = settings::schema::schema();
     for option in settings::schema::options(&schema) {
         let part = settings::schema::option(&schema, &option).unwrap();
         assert!(!settings::schema::description(part).is_empty(), "{option}");
-        assert!(!settings::expect::takes(part).is_empty(), "{option}");
+        assert!(!settings::expect::accepted(part).is_empty(), "{option}");
     }
 }
 
 #[test]
-fn effective_settings_can_be_read_again_but_for_their_keys() {
-    let loaded = parse("entry.jsonc", MINE).unwrap();
+fn printed_settings_can_be_loaded_again() {
+    let loaded = parse("entry.jsonc", SETTINGS).unwrap();
     let text = effective(&loaded);
     assert!(!text.contains("0123456789abcdef") && !text.contains("fedcba9876543210"));
     assert!(text.contains("(line 6)\n    \"fan_out\": 5,"), "{text}");
@@ -65,11 +65,11 @@
 
 #[test]
 fn a_setting_is_explained_with_its_value_and_origin() {
-    let loaded = parse("entry.jsonc", MINE).unwrap();
+    let loaded = parse("entry.jsonc", SETTINGS).unwrap();
     let text = explain("peers.fan_out", Some(&loaded)).unwrap();
     assert_eq!(
         text,
-        "peers.fan_out\n  To how many other entries each digest is sent.\n  \
+        "peers.fan_out\n  Number of other entries to which each digest is sent.\n  \
          takes:   a whole number from 1 to 64\n  default: `3`\n  is:      5 (line 6)\n"
     );
     assert!(
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,10 +1,9 @@
-//! Group commit of inserts that have nothing to do with each other.
+//! Group commit of independent inserts.
 //!
-//! The load pattern: many requests a second each need one row inserted before they run, and the
-//! service takes a few hundred transactions a second. Without grouping, requests beyond that number
-//! are refused. Rows that are asked for at about the same time go into one transaction. A row that
-//! exists already fails the whole transaction and is named in its answer; only its own caller is told
-//! of the conflict, and the others go into the next transaction.
+//! Many requests per second each need one row inserted before they run, but the service accepts only a few
+//! hundred transactions per second and refuses the rest. Rows that arrive close together therefore share one
+//! transaction. A row that already exists fails the whole transaction and is listed in the answer: only its
+//! own caller gets the conflict, and the other rows go into the next transaction.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,160 +24,161 @@
 use crate::call::Write;
 use crate::configs::batch::Settings;
 
-/// Names one insert; chosen by the embedder.
+/// Identifies an insert; assigned by the embedder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// One row to be inserted if it is absent.
+/// A row to insert if it doesn't exist.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Insert {
-    /// Given back with the outcome.
+    /// Returned with the outcome.
     pub ticket: Ticket,
-    /// Which row.
-    pub at: Address,
-    /// Its value; carries the writer's own token, by which a lost answer is read back.
+    /// Address of the row.
+    pub address: Address,
+    /// Value of the row; contains the writer's own token, so that a read after a lost answer
+    /// identifies the writer.
     pub value: Value,
 }
 
-/// What the embedder is to do.
+/// Action for the embedder to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Make a store call.
+    /// Makes a store call.
     Store {
-        /// Given back with its outcome.
+        /// Returned with the outcome.
         id: call::Id,
-        /// The call.
+        /// The call to make.
         call: Call,
     },
-    /// An insert has ended: committed, in conflict with the row given, unavailable or unknown.
+    /// Completes an insert: committed, in conflict with an existing row, unavailable or unknown.
     Done {
-        /// Which.
+        /// Identifies the insert.
         ticket: Ticket,
-        /// How.
+        /// Outcome of the insert.
         outcome: Outcome,
     },
 }
 
-/// The inserts that wait and those on their way.
+/// Queued inserts and transactions in flight.
 #[derive(Clone, Debug)]
 pub struct Batch {
     settings: Settings,
-    waiting: VecDeque<Insert>,
-    /// When the oldest waiting insert has waited long enough.
-    due: Time,
-    sent: BTreeMap<call::Id, Vec<Insert>>,
-    /// After an answer that named no row: how many rows the next transaction may hold.
-    limit: usize,
+    queued: VecDeque<Insert>,
+    /// When a partial batch is sent.
+    flush_at: Time,
+    in_flight: BTreeMap<call::Id, Vec<Insert>>,
+    /// Maximum rows of the next transaction; halved after a conflict that listed no row.
+    max_rows: usize,
     next_call: u64,
     name: SmolStr,
 }
 
 impl Batch {
-    /// Nothing waits. `name` appears in the service's log.
+    /// Creates an empty batch. `name` appears in the service's log.
     pub fn new(name: SmolStr, settings: Settings) -> Batch {
         Batch {
-            waiting: VecDeque::new(),
-            due: Time::ZERO,
-            sent: BTreeMap::new(),
-            limit: settings.rows,
+            queued: VecDeque::new(),
+            flush_at: Time::ZERO,
+            in_flight: BTreeMap::new(),
+            max_rows: settings.rows,
             next_call: 0,
             name,
             settings,
         }
     }
 
-    /// Adds an insert; refuses it at once if too many wait.
+    /// Queues an insert; refuses it immediately if the queue is full.
     pub fn insert(&mut self, now: Time, insert: Insert, effects: &mut Vec<Effect>) {
-        if self.waiting.len() >= self.settings.queue {
-            effects.push(done(&insert, Outcome::Unavailable));
+        if self.queued.len() >= self.settings.queue {
+            effects.push(done_effect(&insert, Outcome::Unavailable));
             return;
         }
-        if self.waiting.is_empty() {
-            self.due = now + self.settings.linger;
+        if self.queued.is_empty() {
+            self.flush_at = now + self.settings.linger;
         }
-        self.waiting.push_back(insert);
+        self.queued.push_back(insert);
         self.poll(now, effects);
     }
 
-    /// Takes the outcome of a transaction.
-    pub fn answered(
+    /// Handles the outcome of a transaction.
+    pub fn handle_outcome(
         &mut self,
         now: Time,
         id: call::Id,
         outcome: Outcome,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(inserts) = self.sent.remove(&id) else {
+        let Some(inserts) = self.in_flight.remove(&id) else {
             return;
         };
         match outcome {
-            Outcome::Conflict(failed) => self.split(now, inserts, failed, effects),
+            Outcome::Conflict(failed) => self.handle_conflict(now, inserts, failed, effects),
             outcome => {
-                self.limit = self.settings.rows;
+                self.max_rows = self.settings.rows;
                 for insert in &inserts {
-                    effects.push(done(insert, outcome.clone()));
+                    effects.push(done_effect(insert, outcome.clone()));
                 }
             }
         }
         self.poll(now, effects);
     }
 
-    /// Sends what is due.
+    /// Sends batches that are full or due.
     pub fn poll(&mut self, now: Time, effects: &mut Vec<Effect>) {
         while self.may_send(now) {
-            let inserts = self.take();
+            let inserts = self.take_rows();
             if inserts.is_empty() {
                 return;
             }
             let id = call::Id(self.next_call);
             self.next_call += 1;
-            let call = Call::Transact(self.transaction(&inserts));
-            self.sent.insert(id, inserts);
+            let call = Call::Transact(self.build_transaction(&inserts));
+            self.in_flight.insert(id, inserts);
             effects.push(Effect::Store { id, call });
         }
     }
 
-    /// When [`Batch::poll`] wants to be called next.
+    /// Returns when [`Batch::poll`] should be called next.
     pub fn next_wake(&self) -> Option<Time> {
-        let waits = !self.waiting.is_empty() && self.sent.len() < self.settings.concurrent;
-        waits.then_some(self.due)
+        let can_send = !self.queued.is_empty() && self.in_flight.len() < self.settings.concurrent;
+        can_send.then_some(self.flush_at)
     }
 
     fn may_send(&self, now: Time) -> bool {
-        let full = self.waiting.len() >= self.settings.rows;
-        !self.waiting.is_empty()
-            && self.sent.len() < self.settings.concurrent
-            && (full || now >= self.due)
+        let full = self.queued.len() >= self.settings.rows;
+        !self.queued.is_empty()
+            && self.in_flight.len() < self.settings.concurrent
+            && (full || now >= self.flush_at)
     }
 
-    /// The next rows, no address twice: the second insert of a row waits for the first one's end.
-    fn take(&mut self) -> Vec<Insert> {
+    /// Takes the next rows from the queue; an address in flight or already taken stays queued.
+    fn take_rows(&mut self) -> Vec<Insert> {
         let mut addresses: BTreeSet<Address> = self
-            .sent
+            .in_flight
             .values()
             .flatten()
-            .map(|insert| insert.at.clone())
+            .map(|insert| insert.address.clone())
             .collect();
         let mut taken = Vec::new();
         let mut kept = VecDeque::new();
-        for insert in std::mem::take(&mut self.waiting) {
-            if taken.len() < self.limit && addresses.insert(insert.at.clone()) {
+        for insert in std::mem::take(&mut self.queued) {
+            if taken.len() < self.max_rows && addresses.insert(insert.address.clone()) {
                 taken.push(insert);
             } else {
                 kept.push_back(insert);
             }
         }
-        self.waiting = kept;
+        self.queued = kept;
         taken
     }
 
-    fn transaction(&self, inserts: &[Insert]) -> Transaction {
+    fn build_transaction(&self, inserts: &[Insert]) -> Transaction {
         let check = |insert: &Insert| Check {
-            at: insert.at.clone(),
+            address: insert.address.clone(),
             revision: None,
         };
         let write = |insert: &Insert| Write {
-            at: insert.at.clone(),
+            address: insert.address.clone(),
             value: insert.value.clone(),
         };
         Transaction {
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Ends the inserts whose rows exist and sends the others again: nothing of them was written.
-    fn split(
+    /// Completes the inserts whose rows exist and requeues the others, since nothing was written.
+    fn handle_conflict(
         &mut self,
         now: Time,
         inserts: Vec<Insert>,
@@ -197,31 +197,33 @@
         effects: &mut Vec<Effect>,
     ) {
         let mut failed: BTreeMap<Address, Option<Row>> = failed.into_iter().collect();
-        let named = inserts.iter().any(|insert| failed.contains_key(&insert.at));
-        if !named && inserts.len() == 1 {
-            effects.push(done(&inserts[0], Outcome::Conflict(Vec::new())));
+        let names_rows = inserts
+            .iter()
+            .any(|insert| failed.contains_key(&insert.address));
+        if !names_rows && inserts.len() == 1 {
+            effects.push(done_effect(&inserts[0], Outcome::Conflict(Vec::new())));
             return;
         }
-        // A service that doesn't name the rows makes us look for them by halves.
-        self.limit = if named {
+        // If the service doesn't list the rows, halving the batch finds them.
+        self.max_rows = if names_rows {
             self.settings.rows
         } else {
             inserts.len() / 2
         };
-        self.due = now;
+        self.flush_at = now;
         for insert in inserts.into_iter().rev() {
-            match failed.remove(&insert.at) {
+            match failed.remove(&insert.address) {
                 Some(row) => {
-                    let conflict = Outcome::Conflict(vec![(insert.at.clone(), row)]);
-                    effects.push(done(&insert, conflict));
+                    let conflict = Outcome::Conflict(vec![(insert.address.clone(), row)]);
+                    effects.push(done_effect(&insert, conflict));
                 }
-                None => self.waiting.push_front(insert),
+                None => self.queued.push_front(insert),
             }
         }
     }
 }
 
-fn done(insert: &Insert, outcome: Outcome) -> Effect {
+fn done_effect(insert: &Insert, outcome: Outcome) -> Effect {
     Effect::Done {
         ticket: insert.ticket,
         outcome,
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -1,30 +1,30 @@
-//! One entry's share of what the service takes.
+//! Rate limit of one entry's calls to the table service.
 //!
-//! The load pattern: many entries call one service that takes several hundred writes and two
-//! thousand reads a second. Without shares, a burst at one entry, or the return of all after an
-//! outage, takes the service down for leases and configuration as well. Each entry saves up calls at
-//! its share's rate and spends them; what is less urgent must leave some for what is more.
+//! All entries share one service with limits on reads and writes per second. Without per-entry
+//! limits, a burst at one entry, or the reconnect of all entries after an outage, overloads the
+//! service for leases and configuration as well. Each entry has a token bucket that refills at its
+//! share of the limits; less urgent calls must leave part of the bucket for more urgent ones.
 
 use clock::Time;
 
 use crate::call::Call;
 use crate::configs::budget::Settings;
 
-/// What a call is for, the most urgent first.
+/// Purpose of a call, in descending order of urgency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Renewals: late, they cost the right to act. Never made to wait, only counted.
+    /// Lease renewals: a late one costs the lease, so they are counted but never delayed.
     Lease,
-    /// The configuration: its bound is in seconds.
+    /// Configuration, which must propagate within seconds.
     Config,
-    /// Intent rows: a caller waits for each.
+    /// Intent rows, each of which a caller waits for.
     Intent,
-    /// Summaries and other records that can wait.
+    /// Summaries and other records that can be delayed.
     Summary,
 }
 
 impl Priority {
-    /// All, the most urgent first.
+    /// All priorities, the most urgent first.
     pub const ALL: [Priority; 4] = [
         Priority::Lease,
         Priority::Config,
@@ -32,7 +32,7 @@
         Priority::Summary,
     ];
 
-    /// Part of a full purse that must remain after a call of this priority.
+    /// Returns the fraction of a full bucket that must remain after a call of this priority.
     const fn reserve(self) -> f64 {
         match self {
             Priority::Lease => f64::NEG_INFINITY,
@@ -43,96 +43,97 @@
     }
 }
 
-/// What this entry may spend.
+/// Token buckets for this entry's reads and writes.
 #[derive(Clone, Debug)]
 pub struct Budget {
     settings: Settings,
     members: usize,
-    reads: Purse,
-    writes: Purse,
+    reads: TokenBucket,
+    writes: TokenBucket,
 }
 
-/// Calls of one kind that are saved up.
+/// Token bucket for one kind of call.
 #[derive(Clone, Copy, Debug)]
-struct Purse {
-    /// Never above the burst; renewals may take it below zero.
-    saved: f64,
-    filled: Time,
+struct TokenBucket {
+    /// Available tokens: at most the burst; lease renewals may take it below zero.
+    tokens: f64,
+    refilled_at: Time,
 }
 
 impl Budget {
-    /// The whole service's budget until it is told how many members share it; purses start full.
+    /// Creates full buckets for the whole service; [`Budget::set_members`] reduces them to this
+    /// entry's share.
     pub fn new(settings: Settings) -> Budget {
         let mut budget = Budget {
             settings,
             members: 1,
-            reads: Purse::default(),
-            writes: Purse::default(),
+            reads: TokenBucket::default(),
+            writes: TokenBucket::default(),
         };
-        budget.reads.saved = budget.burst(budget.share(settings.reads_per_second));
-        budget.writes.saved = budget.burst(budget.share(settings.writes_per_second));
+        budget.reads.tokens = budget.burst(budget.share(settings.reads_per_second));
+        budget.writes.tokens = budget.burst(budget.share(settings.writes_per_second));
         budget
     }
 
-    /// How many live entries share the service.
+    /// Sets the number of live entries that share the service.
     pub fn set_members(&mut self, now: Time, members: usize) {
-        self.fill(now);
+        self.refill(now);
         self.members = members.max(1);
-        self.fill(now);
+        self.refill(now);
     }
 
-    /// Whether a call may be made now; if so it is paid for.
+    /// Takes a token for a call; returns whether the call may be made now.
     pub fn take(&mut self, now: Time, call: &Call, priority: Priority) -> bool {
-        self.fill(now);
+        self.refill(now);
         let rate = match call {
             Call::Transact(_) => self.settings.writes_per_second,
             _ => self.settings.reads_per_second,
         };
-        let least = self.burst(self.share(rate)) * priority.reserve() + 1.0;
-        let purse = match call {
+        let required = self.burst(self.share(rate)) * priority.reserve() + 1.0;
+        let bucket = match call {
             Call::Transact(_) => &mut self.writes,
             _ => &mut self.reads,
         };
-        if purse.saved < least {
+        if bucket.tokens < required {
             return false;
         }
-        purse.saved -= 1.0;
+        bucket.tokens -= 1.0;
         true
     }
 
-    fn fill(&mut self, now: Time) {
+    fn refill(&mut self, now: Time) {
         let reads = self.share(self.settings.reads_per_second);
         let writes = self.share(self.settings.writes_per_second);
-        let (most_reads, most_writes) = (self.burst(reads), self.burst(writes));
-        self.reads.fill(now, reads, most_reads);
-        self.writes.fill(now, writes, most_writes);
+        let (read_capacity, write_capacity) = (self.burst(reads), self.burst(writes));
+        self.reads.refill(now, reads, read_capacity);
+        self.writes.refill(now, writes, write_capacity);
     }
 
-    /// This entry's share of a limit, calls a second.
+    /// Returns this entry's share of a limit, calls per second.
     fn share(&self, limit: f64) -> f64 {
-        limit * self.settings.shared / self.members as f64
+        limit * self.settings.shared_fraction / self.members as f64
     }
 
-    /// Most calls saved up at this rate.
+    /// Returns the capacity of a bucket with this refill rate.
     fn burst(&self, rate: f64) -> f64 {
         let seconds = self.settings.burst.as_millis() as f64 / 1_000.0;
-        (rate * seconds).max(self.settings.least_burst)
+        (rate * seconds).max(self.settings.min_burst)
     }
 }
 
-impl Default for Purse {
-    fn default() -> Purse {
-        Purse {
-            saved: 0.0,
-            filled: Time::ZERO,
+impl Default for TokenBucket {
+    fn default() -> TokenBucket {
+        TokenBucket {
+            tokens: 0.0,
+            refilled_at: Time::ZERO,
         }
     }
 }
 
-impl Purse {
-    fn fill(&mut self, now: Time, rate: f64, most: f64) {
-        let seconds = now.since(self.filled).as_millis() as f64 / 1_000.0;
-        self.saved = (self.saved + rate * seconds).min(most);
-        self.filled = now;
+impl TokenBucket {
+    fn refill(&mut self, now: Time, rate: f64, capacity: f64) {
+        let seconds = now.since(self.refilled_at).as_millis() as f64 / 1_000.0;
+        self.tokens = (self.tokens + rate * seconds).min(capacity);
+        self.refilled_at = now;
     }
 }
--- a/crates/store/src/fake.rs
+++ b/crates/store/src/fake.rs
@@ -1,4 +1,4 @@
-//! An in-memory table service for tests of state machines, with faults in a given order.
+//! An in-memory table service with injected faults, for tests of state machines.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -13,25 +13,25 @@
 use crate::call::Transaction;
 use crate::revision::Revision;
 
-/// What goes wrong with one call.
+/// Fault to inject into a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The service says it is down.
+    /// The service answers that it is unavailable.
     Down,
-    /// The call never arrives; its sender sees a timeout.
+    /// The request is lost; the sender times out.
     LostCall,
-    /// The call takes effect; its sender sees a timeout.
+    /// The request is applied but its answer is lost; the sender times out.
     LostAnswer,
 }
 
-/// The whole service.
+/// State of the fake service.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: BTreeMap<Address, Row>,
-    /// The newest one, packed.
+    /// Latest revision, packed.
     revision: u64,
     down: bool,
     faults: VecDeque<Fault>,
@@ -40,18 +40,18 @@
 }
 
 impl Table {
-    /// An empty service that works.
+    /// Creates an empty service without faults.
     pub fn new() -> Table {
         Table::default()
     }
 
-    /// Takes the service down or up again.
+    /// Sets whether the service is down.
     pub fn set_down(&mut self, down: bool) {
         self.down = down;
     }
 
-    /// Comes back from a copy, as the service of the next era: what was acknowledged since is gone, and numbers are given
-    /// out again.
+    /// Restores a backup in a new era: writes acknowledged since the backup are lost, and their
+    /// revision numbers are assigned again.
     pub fn restore(&mut self, copy: &Table) {
         let era = Revision::unpacked(self.revision).era + 1;
         let restored = |revision: u64| {
@@ -65,28 +65,28 @@
         }
     }
 
-    /// Queues a fault: each call takes one from the queue.
+    /// Queues a fault; each call consumes one.
     pub fn push_fault(&mut self, fault: Fault) {
         self.faults.push_back(fault);
     }
 
-    /// Carries out one call and says what its sender sees.
+    /// Applies a call and returns the outcome that its sender sees.
     pub fn apply(&mut self, call: &Call) -> Outcome {
         let fault = self.faults.pop_front().unwrap_or_default();
         if self.down || fault == Fault::Down {
             return Outcome::Unavailable;
         }
         if fault == Fault::LostCall {
-            return lost(call);
+            return timeout_outcome(call);
         }
         let outcome = self.serve(call);
         if fault == Fault::LostAnswer {
-            return lost(call);
+            return timeout_outcome(call);
         }
         outcome
     }
 
-    /// The row at an address, without a call.
+    /// Returns a row without counting a read.
     pub fn row(&self, table: &str, key: &str) -> Option<&Row> {
         self.rows.get(&Address {
             table: SmolStr::from(table),
@@ -94,16 +94,16 @@
         })
     }
 
-    /// Reads and transactions served so far.
+    /// Returns the numbers of reads and transactions served so far.
     pub fn served(&self) -> (u64, u64) {
         (self.reads, self.writes)
     }
 
     fn serve(&mut self, call: &Call) -> Outcome {
         match call {
-            Call::Get { at } => {
+            Call::Get { address } => {
                 self.reads += 1;
-                Outcome::Row(self.rows.get(at).cloned())
+                Outcome::Row(self.rows.get(address).cloned())
             }
             Call::Scan {
                 table,
@@ -125,8 +125,8 @@
         let mut rows: Vec<Row> = self
             .rows
             .iter()
-            .filter(|(at, _)| at.table == table)
-            .filter(|(at, _)| at.key.starts_with(prefix) && at.key.as_str() > after)
+            .filter(|(address, _)| address.table == table)
+            .filter(|(address, _)| address.key.starts_with(prefix) && address.key.as_str() > after)
             .map(|(_, row)| row.clone())
             .take(limit + 1)
             .collect();
@@ -139,8 +139,13 @@
         let failed: Vec<(Address, Option<Row>)> = transaction
             .checks
             .iter()
-            .filter(|check| self.rows.get(&check.at).map(|row| row.revision) != check.revision)
-            .map(|check| (check.at.clone(), self.rows.get(&check.at).cloned()))
+            .filter(|check| self.rows.get(&check.address).map(|row| row.revision) != check.revision)
+            .map(|check| {
+                (
+                    check.address.clone(),
+                    self.rows.get(&check.address).cloned(),
+                )
+            })
             .collect();
         if !failed.is_empty() {
             return Outcome::Conflict(failed);
@@ -148,22 +153,22 @@
         self.revision += 1;
         for write in &transaction.writes {
             if write.value == Value::Null {
-                self.rows.remove(&write.at);
+                self.rows.remove(&write.address);
                 continue;
             }
             let row = Row {
-                key: write.at.key.clone(),
+                key: write.address.key.clone(),
                 value: write.value.clone(),
                 revision: self.revision,
             };
-            self.rows.insert(write.at.clone(), row);
+            self.rows.insert(write.address.clone(), row);
         }
         Outcome::Committed(self.revision)
     }
 }
 
-/// What the sender of a call sees when no answer comes.
-fn lost(call: &Call) -> Outcome {
+/// Returns the outcome of a call without an answer.
+fn timeout_outcome(call: &Call) -> Outcome {
     match call {
         Call::Transact(_) => Outcome::Unknown,
         _ => Outcome::Unavailable,
--- a/crates/store/src/throttle.rs
+++ b/crates/store/src/throttle.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for their turn within the budget, the most urgent first.
+//! Rate-limited queue of calls, the most urgent first.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,46 +11,46 @@
 use crate::call::Call;
 use crate::configs::budget::Settings;
 
-/// Time between two looks at the budget while calls wait.
-const RETRY: Span = Span::from_millis(20);
+/// Interval at which queued calls check the budget again.
+const RETRY_INTERVAL: Span = Span::from_millis(20);
 
-/// Waiting calls, each with whatever names its asker.
+/// Queued calls, each with its requester's identifier.
 #[derive(Clone, Debug)]
 pub struct Throttle<T> {
     budget: Budget,
-    waiting: BTreeMap<Priority, VecDeque<(T, Call)>>,
-    limit: usize,
+    queued: BTreeMap<Priority, VecDeque<(T, Call)>>,
+    max_queued: usize,
 }
 
 impl<T> Throttle<T> {
-    /// Nothing waits.
+    /// Creates an empty queue.
     pub fn new(settings: Settings) -> Throttle<T> {
         Throttle {
             budget: Budget::new(settings),
-            waiting: BTreeMap::new(),
-            limit: settings.queue,
+            queued: BTreeMap::new(),
+            max_queued: settings.queue,
         }
     }
 
-    /// How many live entries share the service.
+    /// Sets the number of live entries that share the service.
     pub fn set_members(&mut self, now: Time, members: usize) {
         self.budget.set_members(now, members);
     }
 
-    /// Adds a call; gives it back if too many wait, so that its asker is told at once that it was
-    /// not made.
-    pub fn push(&mut self, priority: Priority, asker: T, call: Call) -> Option<(T, Call)> {
-        let queue = self.waiting.entry(priority).or_default();
-        if queue.len() >= self.limit {
-            return Some((asker, call));
+    /// Queues a call, or returns it if the queue of its priority is full, so that the requester learns
+    /// immediately that it was not made.
+    pub fn push(&mut self, priority: Priority, requester: T, call: Call) -> Option<(T, Call)> {
+        let queue = self.queued.entry(priority).or_default();
+        if queue.len() >= self.max_queued {
+            return Some((requester, call));
         }
-        queue.push_back((asker, call));
+        queue.push_back((requester, call));
         None
     }
 
-    /// The next call that may be made now.
+    /// Returns the next call that the budget permits now.
     pub fn pop(&mut self, now: Time) -> Option<(T, Call)> {
-        for (priority, queue) in &mut self.waiting {
+        for (priority, queue) in &mut self.queued {
             let Some((_, call)) = queue.front() else {
                 continue;
             };
@@ -61,9 +61,9 @@
         None
     }
 
-    /// When [`Throttle::pop`] wants to be called next; none while nothing waits.
+    /// Returns when [`Throttle::pop`] should be called next, or `None` if the queue is empty.
     pub fn next_wake(&self, now: Time) -> Option<Time> {
-        let waits = self.waiting.values().any(|queue| !queue.is_empty());
-        waits.then(|| now + RETRY)
+        let has_queued = self.queued.values().any(|queue| !queue.is_empty());
+        has_queued.then(|| now + RETRY_INTERVAL)
     }
 }
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Shares of the service under load.
+//! Rate limits under load.
 
 use clock::Span;
 use clock::Time;
@@ -15,13 +15,13 @@
 
 fn read() -> Call {
     Call::Get {
-        at: Address::new("t", "k"),
+        address: Address::new("t", "k"),
     }
 }
 
-/// Calls of each kind that `members` entries make together in a minute when all want to make as many
-/// as they can, a second.
-fn together(members: usize) -> (f64, f64) {
+/// Returns the reads and writes per second of `members` entries together, averaged over a minute in
+/// which each makes as many calls as it can.
+fn total_rates(members: usize) -> (f64, f64) {
     let mut throttle = Throttle::new(Settings::default());
     throttle.set_members(Time::ZERO, members);
     let (mut reads, mut writes) = (0, 0);
@@ -37,21 +37,21 @@
             }
         }
     }
-    let all = members as f64 / 60.0;
-    (f64::from(reads) * all, f64::from(writes) * all)
+    let scale = members as f64 / 60.0;
+    (f64::from(reads) * scale, f64::from(writes) * scale)
 }
 
 #[test]
 fn the_total_stays_under_the_limits_however_many_entries() {
     for members in [8, 64, 840] {
-        let (reads, writes) = together(members);
+        let (reads, writes) = total_rates(members);
         assert!(reads <= 2_000.0, "{members} members: {reads} reads/s");
         assert!(writes <= 300.0, "{members} members: {writes} writes/s");
     }
 }
 
-/// Summaries and intent rows want far more than there is. Renewals must not wait behind them, or the
-/// entry loses its lease because it is busy.
+/// Summaries and intent rows exceed the budget. A renewal queued behind them would be late, and the
+/// entry would lose its lease under load.
 #[test]
 fn renewals_do_not_wait_behind_anything() {
     let mut throttle = Throttle::new(Settings::default());
@@ -63,14 +63,17 @@
         while throttle.pop(now).is_some() {}
         if step % 200 == 0 {
             throttle.push(Priority::Lease, "renewal", write());
-            assert_eq!(throttle.pop(now).map(|(asker, _)| asker), Some("renewal"));
+            assert_eq!(
+                throttle.pop(now).map(|(requester, _)| requester),
+                Some("renewal")
+            );
         }
     }
 }
 
-/// A write that can't wait because too many do is given back, so that its caller is told at once.
+/// A call that exceeds the queue is returned, so that its caller gets an immediate refusal.
 #[test]
-fn a_full_queue_gives_the_call_back() {
+fn a_full_queue_returns_the_call() {
     let settings = Settings {
         queue: 2,
         ..Settings::default()
--- a/crates/store/tests/driver.rs
+++ b/crates/store/tests/driver.rs
@@ -1,4 +1,4 @@
-//! What the HTTP driver claims of a call, met by a service that misbehaves.
+//! Outcomes that the HTTP driver reports for a misbehaving service.
 
 #![allow(clippy::unwrap_used)] // the lint exempts test functions but not the helpers beside them
 
@@ -16,7 +16,7 @@
 
 const TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A service that answers every connection's first request with `answer`, then closes it.
+/// Starts a service that answers the first request of each connection with `answer`, then closes it.
 async fn service(answer: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -34,14 +34,14 @@
     address
 }
 
-fn at() -> Address {
+fn address() -> Address {
     Address {
         table: "leases".into(),
         key: "fleet/thesis 1".into(),
     }
 }
 
-/// A whole answer with this status line and body.
+/// Formats a complete response.
 fn answer(status: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n{body}",
@@ -49,9 +49,9 @@
     )
 }
 
-async fn both(answer: &str) -> (Outcome, Outcome) {
+async fn read_and_write(answer: &str) -> (Outcome, Outcome) {
     let driver = Driver::new(&service(answer.to_owned()).await, TIMEOUT);
-    let read = driver.call(&Call::Get { at: at() }).await;
+    let read = driver.call(&Call::Get { address: address() }).await;
     let write = driver.call(&Call::Transact(Transaction::default())).await;
     (read, write)
 }
@@ -59,43 +59,43 @@
 #[tokio::test]
 async fn answers_are_read() {
     let found = answer("200 OK", r#"{"key":"k","value":[1],"revision":7}"#);
-    let (read, _) = both(&found).await;
+    let (read, _) = read_and_write(&found).await;
     let Outcome::Row(Some(row)) = read else {
         panic!("{read:?}")
     };
     assert_eq!((row.revision, row.value), (7, json!([1])));
 
-    let (read, _) = both(&answer("404 Not Found", "")).await;
+    let (read, _) = read_and_write(&answer("404 Not Found", "")).await;
     assert_eq!(read, Outcome::Row(None));
 
     let committed = answer("200 OK", r#"{"revision":9}"#);
-    assert_eq!(both(&committed).await.1, Outcome::Committed(9));
+    assert_eq!(read_and_write(&committed).await.1, Outcome::Committed(9));
 
     let failed = r#"{"failed":[{"table":"leases","key":"fleet/thesis 1","row":null}]}"#;
-    let (_, write) = both(&answer("409 Conflict", failed)).await;
-    assert_eq!(write, Outcome::Conflict(vec![(at(), None)]));
+    let (_, write) = read_and_write(&answer("409 Conflict", failed)).await;
+    assert_eq!(write, Outcome::Conflict(vec![(address(), None)]));
 }
 
-/// An operator's change is sent; the service applies it and the answer is lost: cut, late, or
-/// replaced by a gateway's own error. Whoever sent it must not be told that nothing happened.
+/// A write is applied, but its answer is lost: truncated, late or replaced by a gateway's error.
+/// The sender must not conclude that nothing happened.
 #[tokio::test]
 async fn a_lost_answer_to_a_write_is_unknown() {
     let cut = "HTTP/1.1 200 OK\r\ncontent-length: 14\r\n\r\n{\"rev";
     let gateway = answer("502 Bad Gateway", "");
     for answer in [cut, &gateway, ""] {
-        let (read, write) = both(answer).await;
+        let (read, write) = read_and_write(answer).await;
         assert_eq!(read, Outcome::Unavailable, "{answer}");
         assert_eq!(write, Outcome::Unknown, "{answer}");
     }
 }
 
-/// The service is down: it says so by 503, or nothing listens at its address. Both mean that the
-/// write did not happen, so that the caller can be told "not run" at once.
+/// A service that answers 503 or refuses the connection has not applied the write, so the caller can be told
+/// "not run" immediately.
 #[tokio::test]
 async fn a_service_that_is_down_did_nothing() {
     let down = answer("503 Service Unavailable", "");
     assert_eq!(
-        both(&down).await,
+        read_and_write(&down).await,
         (Outcome::Unavailable, Outcome::Unavailable)
     );
 
