--- a/crates/back/src/cloud.rs
+++ b/crates/back/src/cloud.rs
@@ -55,7 +55,7 @@
 
 /// A wish for an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Wish {
+pub struct LaunchRequest {
     /// Names the attempt; a repeat under the same token starts nothing more.
     pub token: SmolStr,
     /// Availability zone.
@@ -110,8 +110,8 @@
     }
 
     /// Asks for an instance.
-    pub async fn start(&self, wish: &Wish) -> Result<Instance, Failure> {
-        let body = serde_json::to_vec(wish).unwrap_or_default();
+    pub async fn start(&self, request: &LaunchRequest) -> Result<Instance, Failure> {
+        let body = serde_json::to_vec(request).unwrap_or_default();
         let exchange = Exchange::new(self.address, Method::POST, "/cloud/instances", ANSWER_TIME)
             .with_body(body);
         read_as(self.client.fetch_json(exchange).await?)
--- a/crates/back/src/engine.rs
+++ b/crates/back/src/engine.rs
@@ -17,7 +17,7 @@
 use crate::failure::Failure;
 use crate::http_client::Exchange;
 use crate::http_client::HttpClient;
-use crate::http_client::read_whole;
+use crate::http_client::read_body;
 
 /// Longest time for short exchanges: load, state, cancel.
 const SHORT_TIME: Duration = Duration::from_secs(2);
@@ -68,7 +68,7 @@
 
 /// What an engine says that it is.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct Standing {
+pub struct State {
     /// What it was last ordered to be.
     pub target: Target,
     /// Whether it has become that.
@@ -174,7 +174,7 @@
     }
 
     /// What the engine is.
-    pub async fn standing(&self) -> Result<Standing, Failure> {
+    pub async fn state(&self) -> Result<State, Failure> {
         let exchange = Exchange::new(self.address, Method::GET, "/v1/state", SHORT_TIME);
         let value = self.client.fetch_json(exchange).await?;
         serde_json::from_value(value).map_err(|_| Failure::Answered {
@@ -190,7 +190,7 @@
     if status.is_success() {
         return Ok(Events::new(response.into_body()));
     }
-    read_whole(response, SHORT_TIME).await?;
+    read_body(response, SHORT_TIME).await?;
     Err(Failure::Answered {
         status: status.as_u16(),
         message: SmolStr::from(status.canonical_reason().unwrap_or("error")),
--- a/crates/back/src/failure.rs
+++ b/crates/back/src/failure.rs
@@ -24,7 +24,7 @@
 
 impl Failure {
     /// Whether the request can't have run there.
-    pub fn surely_not_run(&self) -> bool {
+    pub fn definitely_not_run(&self) -> bool {
         matches!(self, Failure::NotSent | Failure::NotStarted)
     }
 
--- a/crates/back/src/http_client.rs
+++ b/crates/back/src/http_client.rs
@@ -67,7 +67,7 @@
     /// Body.
     pub body: Bytes,
     /// Longest time until the head of the answer.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
 }
 
 impl HttpClient {
@@ -102,7 +102,7 @@
             .map_err(|_| Failure::NotSent)?;
         request.headers_mut().extend(exchange.headers);
         let sending = self.client.request(request);
-        let response = match tokio::time::timeout(exchange.head_time, sending).await {
+        let response = match tokio::time::timeout(exchange.head_timeout, sending).await {
             Ok(Ok(response)) => response,
             Ok(Err(error)) => return Err(classify(&error)),
             Err(_) => return Err(Failure::TimedOut),
@@ -117,10 +117,10 @@
 
     /// Sends a request and reads a successful answer whole.
     pub async fn fetch(&self, exchange: Exchange<'_>) -> Result<Bytes, Failure> {
-        let head_time = exchange.head_time;
+        let head_timeout = exchange.head_timeout;
         let response = self.send(exchange).await?;
         let status = response.status();
-        let bytes = read_whole(response, head_time).await?;
+        let bytes = read_body(response, head_timeout).await?;
         if status.is_success() {
             return Ok(bytes);
         }
@@ -152,7 +152,7 @@
         address: &'a str,
         method: Method,
         path: &'a str,
-        head_time: Duration,
+        head_timeout: Duration,
     ) -> Exchange<'a> {
         Exchange {
             address,
@@ -160,7 +160,7 @@
             path,
             headers: HeaderMap::new(),
             body: Bytes::new(),
-            head_time,
+            head_timeout,
         }
     }
 
@@ -172,7 +172,7 @@
 }
 
 /// Reads an answer's body within time and size.
-pub async fn read_whole(response: Response<Incoming>, time: Duration) -> Result<Bytes, Failure> {
+pub async fn read_body(response: Response<Incoming>, time: Duration) -> Result<Bytes, Failure> {
     let reading = Limited::new(response.into_body(), ANSWER_BYTES).collect();
     match tokio::time::timeout(time, reading).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
--- a/crates/back/src/plain.rs
+++ b/crates/back/src/plain.rs
@@ -11,7 +11,7 @@
 use crate::failure::Failure;
 use crate::http_client::Exchange;
 use crate::http_client::HttpClient;
-use crate::http_client::read_whole;
+use crate::http_client::read_body;
 
 /// Longest time for a plain service to answer.
 const ANSWER_TIME: Duration = Duration::from_secs(60);
@@ -34,7 +34,7 @@
 
 /// The service's whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -44,7 +44,7 @@
 }
 
 /// Passes a call on to the service at `address` and reads its whole answer.
-pub async fn call(client: &HttpClient, address: &str, call: Call) -> Result<Answer, Failure> {
+pub async fn call(client: &HttpClient, address: &str, call: Call) -> Result<Response, Failure> {
     let method = Method::from_bytes(call.method.as_bytes()).map_err(|_| Failure::NotSent)?;
     let mut exchange = Exchange::new(address, method, &call.path, ANSWER_TIME).with_body(call.body);
     exchange.headers = call.headers;
@@ -54,8 +54,8 @@
     for name in CONNECTION_HEADERS {
         headers.remove(name);
     }
-    let body = read_whole(response, ANSWER_TIME).await?;
-    Ok(Answer {
+    let body = read_body(response, ANSWER_TIME).await?;
+    Ok(Response {
         status,
         headers,
         body,
--- a/crates/client/src/address.rs
+++ b/crates/client/src/address.rs
@@ -9,18 +9,18 @@
 use serde::Deserialize;
 use smol_str::SmolStr;
 
-/// Prefix keys whose answers are kept; beyond that the book forgets them all.
-const MAX_KEYS: usize = 256;
+/// Prefix keys whose answers are cached; beyond that the book forgets them all.
+const MAX_CACHED_KEYS: usize = 256;
 
 /// How long an entry that failed is passed over, if no new answer names it before.
-const SHUNNED: Span = Span::from_seconds(5);
+const FAILURE_EXPIRY: Span = Span::from_seconds(5);
 
 /// What an entry answers to `GET /v1/addresses`.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct Answer {
+pub struct Addresses {
     /// The entries to use; with a key, the owner of the prefix comes first.
-    pub addresses: Vec<Place>,
-    /// How long the answer may be kept.
+    pub addresses: Vec<Entry>,
+    /// How long the answer may be cached.
     pub ttl_ms: u64,
     /// Tickets for non-idempotent calls.
     #[serde(default)]
@@ -29,7 +29,7 @@
 
 /// One entry of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct Place {
+pub struct Entry {
     /// Where it listens.
     pub address: SmolStr,
     /// Its availability zone.
@@ -47,7 +47,7 @@
     /// Of the first so many of `known` the settings speak; they are never forgotten.
     configured: usize,
     /// By prefix key; the empty key is the answer without one.
-    answers: HashMap<SmolStr, Kept>,
+    answers: HashMap<SmolStr, CachedAddresses>,
     failed: HashMap<SmolStr, Time>,
     tickets: Vec<Ticket>,
     random: Pcg64Mcg,
@@ -63,12 +63,12 @@
     pub text: SmolStr,
     /// The entry that minted it.
     pub minter: SmolStr,
-    until: Time,
+    expires_at: Time,
 }
 
-struct Kept {
-    places: Vec<Place>,
-    until: Time,
+struct CachedAddresses {
+    entries: Vec<Entry>,
+    expires_at: Time,
 }
 
 impl Book {
@@ -86,71 +86,72 @@
 
     /// The entry to use now; none when the answer is missing, too old, or all of it failed.
     pub fn pick(&mut self, now: Time, key: &str) -> Option<SmolStr> {
-        let kept = self.answers.get(key)?;
-        if now >= kept.until {
+        let cached = self.answers.get(key)?;
+        if now >= cached.expires_at {
             return None;
         }
         let failed = &self.failed;
-        let usable = |place: &&Place| !is_shunned(failed, now, &place.address);
-        let places: Vec<&Place> = kept.places.iter().filter(usable).collect();
+        let usable = |entry: &&Entry| !is_failed(failed, now, &entry.address);
+        let entries: Vec<&Entry> = cached.entries.iter().filter(usable).collect();
         if !key.is_empty() {
-            return places.first().map(|place| place.address.clone());
+            return entries.first().map(|entry| entry.address.clone());
         }
-        weighted(&places, &mut self.random)
+        pick_weighted(&entries, &mut self.random)
     }
 
     /// Whom to ask for addresses, in this order: a random one first, failed ones last.
-    pub fn ask_order(&mut self, now: Time) -> Vec<SmolStr> {
+    pub fn query_order(&mut self, now: Time) -> Vec<SmolStr> {
         let mut order = self.known.clone();
         if order.is_empty() {
             return order;
         }
         let start = self.random.random_range(0..order.len());
         order.rotate_left(start);
-        order.sort_by_key(|address| is_shunned(&self.failed, now, address));
+        order.sort_by_key(|address| is_failed(&self.failed, now, address));
         order
     }
 
     /// Keeps an answer of the entry `from` for its time to live.
-    pub fn keep(&mut self, now: Time, from: &str, key: &str, answer: Answer) {
-        let until = now + Span::from_millis(answer.ttl_ms);
-        self.tickets.retain(|ticket| now < ticket.until);
+    pub fn insert(&mut self, now: Time, from: &str, key: &str, answer: Addresses) {
+        let expires_at = now + Span::from_millis(answer.ttl_ms);
+        self.tickets.retain(|ticket| now < ticket.expires_at);
         self.tickets
             .extend(answer.tickets.into_iter().map(|text| Ticket {
                 text,
                 minter: SmolStr::from(from),
-                until,
+                expires_at,
             }));
         self.known.truncate(self.configured);
-        for place in &answer.addresses {
-            if !self.known.contains(&place.address) {
-                self.known.push(place.address.clone());
+        for entry in &answer.addresses {
+            if !self.known.contains(&entry.address) {
+                self.known.push(entry.address.clone());
             }
         }
-        if self.answers.len() >= MAX_KEYS {
+        if self.answers.len() >= MAX_CACHED_KEYS {
             self.answers.clear();
         }
-        let kept = Kept {
-            places: answer.addresses,
-            until,
+        let cached = CachedAddresses {
+            entries: answer.addresses,
+            expires_at,
         };
-        self.answers.insert(SmolStr::from(key), kept);
+        self.answers.insert(SmolStr::from(key), cached);
     }
 
     /// Passes over an entry for a while, and forgets the tickets that it minted.
-    pub fn shun(&mut self, now: Time, address: &str) {
+    pub fn mark_failed(&mut self, now: Time, address: &str) {
         self.tickets.retain(|ticket| ticket.minter != address);
-        self.failed.insert(SmolStr::from(address), now + SHUNNED);
+        self.failed
+            .insert(SmolStr::from(address), now + FAILURE_EXPIRY);
     }
 
     /// An entry answered.
-    pub fn trust(&mut self, address: &str) {
+    pub fn mark_reachable(&mut self, address: &str) {
         self.failed.remove(address);
     }
 
     /// An unused ticket; each is given out once.
     pub fn take_ticket(&mut self, now: Time) -> Option<Ticket> {
-        self.tickets.retain(|ticket| now < ticket.until);
+        self.tickets.retain(|ticket| now < ticket.expires_at);
         self.tickets.pop()
     }
 
@@ -160,21 +161,21 @@
     }
 }
 
-fn is_shunned(failed: &HashMap<SmolStr, Time>, now: Time, address: &str) -> bool {
+fn is_failed(failed: &HashMap<SmolStr, Time>, now: Time, address: &str) -> bool {
     failed.get(address).is_some_and(|until| now < *until)
 }
 
-fn weighted(places: &[&Place], random: &mut Pcg64Mcg) -> Option<SmolStr> {
-    let total: u32 = places.iter().map(|place| place.weight).sum();
+fn pick_weighted(entries: &[&Entry], random: &mut Pcg64Mcg) -> Option<SmolStr> {
+    let total: u32 = entries.iter().map(|entry| entry.weight).sum();
     if total == 0 {
-        return places.first().map(|place| place.address.clone());
+        return entries.first().map(|entry| entry.address.clone());
     }
     let mut left = random.random_range(0..total);
-    for place in places {
-        if left < place.weight {
-            return Some(place.address.clone());
+    for entry in entries {
+        if left < entry.weight {
+            return Some(entry.address.clone());
         }
-        left -= place.weight;
+        left -= entry.weight;
     }
     None
 }
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -4,7 +4,6 @@
 use http::HeaderMap;
 use http::Method;
 use http::Request;
-use http::Response;
 use http::StatusCode;
 use hyper::body::Incoming;
 use smol_str::SmolStr;
@@ -14,8 +13,8 @@
 use crate::client::Shared;
 use crate::error::Error;
 use crate::error::Kind;
-use crate::retry::Repeat;
-use crate::wire;
+use crate::retry::Policy;
+use crate::transport;
 
 /// One call.
 #[derive(Clone, Debug)]
@@ -29,12 +28,12 @@
     /// Body.
     pub body: Bytes,
     /// How often it may run.
-    pub once: Once,
+    pub delivery: Delivery,
 }
 
 /// How often a call may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Once {
+pub enum Delivery {
     /// More than once does no harm.
     Idempotent,
     /// At most once, by a ticket that the client takes.
@@ -45,7 +44,7 @@
 
 /// A whole answer of a service.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -58,17 +57,17 @@
 
 impl Client {
     /// Calls a service; a call that must not run twice is repeated only if it did not run.
-    pub async fn call(&self, call: &Call) -> Result<Answer, Error> {
+    pub async fn call(&self, call: &Call) -> Result<Response, Error> {
         let shared = &self.shared;
-        let repeat = match call.once {
-            Once::Idempotent => Repeat::Idempotent,
-            Once::Ticket | Once::Key(_) => Repeat::OnlyNotRun,
+        let policy = match call.delivery {
+            Delivery::Idempotent => Policy::Idempotent,
+            Delivery::Ticket | Delivery::Key(_) => Policy::OnlyNotRun,
         };
-        let mut tries = shared.tries(repeat);
+        let mut attempts = shared.attempts(policy);
         loop {
             match attempt(shared, call).await {
                 Ok(answer) => return Ok(answer),
-                Err(error) => shared.after(&mut tries, error).await?,
+                Err(error) => shared.wait_to_retry(&mut attempts, error).await?,
             }
         }
     }
@@ -80,56 +79,59 @@
         let builder = Request::builder().method(Method::DELETE);
         let path = format!("/v1/requests/{request}");
         let response = shared
-            .wire
+            .transport
             .send(&address, builder, &path, Bytes::new())
             .await?;
         if response.status().is_success() {
             return Ok(());
         }
-        let bytes = shared.wire.read(response).await?;
-        Err(wire::refusal(&bytes))
+        let bytes = shared.transport.read(response).await?;
+        Err(transport::refusal(&bytes))
     }
 }
 
-async fn attempt(shared: &Shared, call: &Call) -> Result<Answer, Error> {
+async fn attempt(shared: &Shared, call: &Call) -> Result<Response, Error> {
     let builder = Request::builder().method(call.method.clone());
-    let (address, builder) = match &call.once {
-        Once::Idempotent => (shared.entry("").await?, builder),
-        Once::Key(key) => {
+    let (address, builder) = match &call.delivery {
+        Delivery::Idempotent => (shared.entry("").await?, builder),
+        Delivery::Key(key) => {
             let address = shared.entry("").await?;
-            (address, builder.header(wire::IDEMPOTENCY_KEY, key.as_str()))
+            (
+                address,
+                builder.header(transport::IDEMPOTENCY_KEY, key.as_str()),
+            )
         }
-        Once::Ticket => {
+        Delivery::Ticket => {
             let ticket = shared.ticket().await?.ok_or_else(no_ticket)?;
-            let builder = builder.header(wire::TICKET, ticket.text.as_str());
+            let builder = builder.header(transport::TICKET, ticket.text.as_str());
             (ticket.minter, builder)
         }
     };
     let path = format!("/services/{}{}", call.deployment, call.path);
     let sent = shared
-        .wire
+        .transport
         .send(&address, builder, &path, call.body.clone())
         .await;
-    let response = sent.inspect_err(|_| shared.shun(&address))?;
-    shared.trust(&address);
+    let response = sent.inspect_err(|_| shared.mark_failed(&address))?;
+    shared.mark_reachable(&address);
     finish(shared, response).await
 }
 
-async fn finish(shared: &Shared, response: Response<Incoming>) -> Result<Answer, Error> {
+async fn finish(shared: &Shared, response: http::Response<Incoming>) -> Result<Response, Error> {
     let status = response.status();
     let headers = response.headers().clone();
-    let request = wire::text(&headers, wire::REQUEST);
-    let verdict = Verdict::parse(&wire::text(&headers, wire::VERDICT));
-    let body = shared.wire.read(response).await?;
+    let request = transport::text(&headers, transport::REQUEST);
+    let verdict = Verdict::parse(&transport::text(&headers, transport::VERDICT));
+    let body = shared.transport.read(response).await?;
     if verdict == Some(Verdict::Done) {
-        return Ok(Answer {
+        return Ok(Response {
             status,
             headers,
             body,
             request,
         });
     }
-    Err(wire::refusal(&body))
+    Err(transport::refusal(&body))
 }
 
 fn no_ticket() -> Error {
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -18,16 +18,16 @@
 use smol_str::SmolStr;
 use verdict::Verdict;
 
-use crate::address::Answer;
+use crate::address::Addresses;
 use crate::address::Book;
 use crate::address::Ticket;
 use crate::configs;
 use crate::error::Error;
 use crate::error::Kind;
 use crate::retry;
-use crate::retry::Repeat;
-use crate::wire;
-use crate::wire::Wire;
+use crate::retry::Policy;
+use crate::transport;
+use crate::transport::Transport;
 
 /// Reaches the system for one client account; clones share all they know.
 #[derive(Clone)]
@@ -37,16 +37,16 @@
 
 pub(crate) struct Shared {
     pub(crate) config: configs::Client,
-    pub(crate) wire: Wire,
+    pub(crate) transport: Transport,
     clock: Clock,
     book: Mutex<Book>,
 }
 
-/// Tries of one request so far.
-pub(crate) struct Tries {
+/// Attempts of one request so far.
+pub(crate) struct Attempts {
     since: Time,
     failed: u32,
-    repeat: Repeat,
+    policy: Policy,
 }
 
 impl Client {
@@ -57,7 +57,11 @@
             .unwrap_or_else(|| RandomState::new().hash_one(0));
         let random = Pcg64Mcg::seed_from_u64(seed);
         let shared = Shared {
-            wire: Wire::new(config.key.clone(), config.connect, config.silence),
+            transport: Transport::new(
+                config.key.clone(),
+                config.connect_timeout,
+                config.idle_timeout,
+            ),
             clock: Clock::start(),
             book: Mutex::new(Book::new(config.entries.clone(), random)),
             config,
@@ -73,7 +77,7 @@
     }
 
     /// Asks for addresses anew, whatever is known.
-    pub async fn refresh(&self, key: &str) -> Result<Answer, Error> {
+    pub async fn refresh(&self, key: &str) -> Result<Addresses, Error> {
         self.shared.refresh(key).await
     }
 }
@@ -96,62 +100,75 @@
         Ok(self.book().take_ticket(now))
     }
 
-    pub(crate) fn shun(&self, address: &str) {
+    pub(crate) fn mark_failed(&self, address: &str) {
         let now = self.clock.now();
-        self.book().shun(now, address);
+        self.book().mark_failed(now, address);
     }
 
-    pub(crate) fn trust(&self, address: &str) {
-        self.book().trust(address);
+    pub(crate) fn mark_reachable(&self, address: &str) {
+        self.book().mark_reachable(address);
     }
 
-    pub(crate) fn tries(&self, repeat: Repeat) -> Tries {
-        Tries {
+    pub(crate) fn attempts(&self, policy: Policy) -> Attempts {
+        Attempts {
             since: self.clock.now(),
             failed: 0,
-            repeat,
+            policy,
         }
     }
 
     /// Goes on at once at the entry that the last one named, unless that has led nowhere too often.
-    pub(crate) fn hop(&self, tries: &mut Tries, error: Error) -> Result<(), Error> {
-        tries.failed += 1;
-        if tries.failed >= self.config.tries {
+    pub(crate) fn count_redirect(
+        &self,
+        attempts: &mut Attempts,
+        error: Error,
+    ) -> Result<(), Error> {
+        attempts.failed += 1;
+        if attempts.failed >= self.config.max_attempts {
             return Err(error);
         }
         Ok(())
     }
 
     /// Waits before the next try, or gives the error back when there should be none.
-    pub(crate) async fn after(&self, tries: &mut Tries, error: Error) -> Result<(), Error> {
-        tries.failed += 1;
-        if tries.failed >= self.config.tries {
+    pub(crate) async fn wait_to_retry(
+        &self,
+        attempts: &mut Attempts,
+        error: Error,
+    ) -> Result<(), Error> {
+        attempts.failed += 1;
+        if attempts.failed >= self.config.max_attempts {
             return Err(error);
         }
-        let wait = retry::wait(&error, tries.repeat, tries.failed, self.book().random());
+        let wait = retry::delay(
+            &error,
+            attempts.policy,
+            attempts.failed,
+            self.book().random(),
+        );
         let Some(wait) = wait else { return Err(error) };
-        let spent = self.clock.now().since(tries.since);
-        if spent + wait > self.config.patience {
+        let spent = self.clock.now().since(attempts.since);
+        if spent + wait > self.config.retry_timeout {
             return Err(error);
         }
         tokio::time::sleep(wait.as_duration()).await;
         Ok(())
     }
 
-    async fn refresh(&self, key: &str) -> Result<Answer, Error> {
+    async fn refresh(&self, key: &str) -> Result<Addresses, Error> {
         let now = self.clock.now();
-        let order = self.book().ask_order(now);
+        let order = self.book().query_order(now);
         let mut last = unreachable();
         for address in order {
             match self.ask(&address, key).await {
                 Ok(answer) => {
                     let mut book = self.book();
-                    book.trust(&address);
-                    book.keep(self.clock.now(), &address, key, answer.clone());
+                    book.mark_reachable(&address);
+                    book.insert(self.clock.now(), &address, key, answer.clone());
                     return Ok(answer);
                 }
                 Err(error) => {
-                    self.shun(&address);
+                    self.mark_failed(&address);
                     last = error;
                 }
             }
@@ -161,7 +178,7 @@
         Err(last)
     }
 
-    async fn ask(&self, address: &str, key: &str) -> Result<Answer, Error> {
+    async fn ask(&self, address: &str, key: &str) -> Result<Addresses, Error> {
         let path = if key.is_empty() {
             "/v1/addresses".to_owned()
         } else {
@@ -169,13 +186,13 @@
         };
         let request = Request::builder().method(Method::GET);
         let response = self
-            .wire
+            .transport
             .send(address, request, &path, Bytes::new())
             .await?;
         let status = response.status();
-        let bytes = self.wire.read(response).await?;
+        let bytes = self.transport.read(response).await?;
         if status != StatusCode::OK {
-            return Err(wire::refusal(&bytes));
+            return Err(transport::refusal(&bytes));
         }
         serde_json::from_slice(&bytes).map_err(|_| {
             Error::new(
@@ -196,7 +213,7 @@
     }
 }
 
-impl Tries {
+impl Attempts {
     /// Something was achieved: only failures in a row count.
     pub(crate) fn reset(&mut self, now: Time) {
         self.failed = 0;
--- a/crates/client/src/configs.rs
+++ b/crates/client/src/configs.rs
@@ -11,13 +11,13 @@
     /// Key of the client account.
     pub key: SmolStr,
     /// Time to set up a connection.
-    pub connect: Span,
+    pub connect_timeout: Span,
     /// Silence after which an answer counts as cut; longer than any wait for a first token.
-    pub silence: Span,
+    pub idle_timeout: Span,
     /// Time after which a request that is still refused is given up.
-    pub patience: Span,
+    pub retry_timeout: Span,
     /// Tries in a row without a new chunk, or tries of a call.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Seed of the jitter and of the choice among entries; none takes one from the system.
     pub seed: Option<u64>,
 }
@@ -27,10 +27,10 @@
         Client {
             entries: Vec::new(),
             key: SmolStr::default(),
-            connect: Span::from_seconds(2),
-            silence: Span::from_seconds(20),
-            patience: Span::from_seconds(60),
-            tries: 8,
+            connect_timeout: Span::from_seconds(2),
+            idle_timeout: Span::from_seconds(20),
+            retry_timeout: Span::from_seconds(60),
+            max_attempts: 8,
             seed: None,
         }
     }
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -30,7 +30,7 @@
     /// No known entry could be reached.
     Unreachable,
     /// The connection was lost before the answer was whole.
-    Cut,
+    ConnectionLost,
     /// An answer did not follow the protocol.
     Protocol,
     /// The request itself can't be sent as it is.
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -14,6 +14,6 @@
 mod message;
 pub mod retry;
 pub mod stream;
-pub mod wire;
+pub mod transport;
 
 pub use client::Client;
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -17,14 +17,14 @@
 const JITTER: f64 = 0.25;
 
 /// First wait after a failed connection; doubles with each further one.
-const CONNECT_WAIT: Span = Span::from_millis(50);
+const BASE_BACKOFF: Span = Span::from_millis(50);
 
-/// Most doublings of [`CONNECT_WAIT`]: 1.6 s.
+/// Most doublings of [`BASE_BACKOFF`]: 1.6 s.
 const MAX_DOUBLINGS: u32 = 5;
 
 /// Whether a request may be sent twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Policy {
     /// It may run twice: repeated after any failure that coming back can mend.
     Idempotent,
     /// It must not run twice: repeated on the verdict `NotRun` alone.
@@ -32,8 +32,8 @@
 }
 
 /// The wait before the next try, or none if there should be none.
-pub fn wait(error: &Error, repeat: Repeat, failed: u32, random: &mut Pcg64Mcg) -> Option<Span> {
-    if repeat == Repeat::OnlyNotRun && error.verdict != Verdict::NotRun {
+pub fn delay(error: &Error, policy: Policy, failed: u32, random: &mut Pcg64Mcg) -> Option<Span> {
+    if policy == Policy::OnlyNotRun && error.verdict != Verdict::NotRun {
         return None;
     }
     if let Some(span) = error.retry_after {
@@ -43,7 +43,7 @@
     match error.kind {
         Kind::Refused(Reason::Leaving | Reason::NotReady) => Some(backoff(failed, random)),
         Kind::Refused(_) | Kind::Request => None,
-        Kind::Unreachable | Kind::Cut | Kind::Protocol => Some(backoff(failed, random)),
+        Kind::Unreachable | Kind::ConnectionLost | Kind::Protocol => Some(backoff(failed, random)),
     }
 }
 
@@ -53,6 +53,6 @@
         return Span::ZERO;
     }
     let doublings = (failed - 2).min(MAX_DOUBLINGS);
-    let bound = CONNECT_WAIT.times(1 << doublings);
+    let bound = BASE_BACKOFF.times(1 << doublings);
     bound.scaled(random.random_range(0.5..1.0))
 }
--- a/crates/client/src/stream.rs
+++ b/crates/client/src/stream.rs
@@ -15,15 +15,15 @@
 use verdict::Verdict;
 
 use crate::Client;
-use crate::client::Tries;
+use crate::client::Attempts;
 use crate::error::Error;
 use crate::error::Kind;
 use crate::event::Event;
 use crate::event::Parser;
 use crate::message;
 use crate::message::protocol;
-use crate::retry::Repeat;
-use crate::wire;
+use crate::retry::Policy;
+use crate::transport;
 
 const PATH: &str = "/v1/chat/completions";
 const DONE: &str = "[DONE]";
@@ -42,7 +42,7 @@
     client: Client,
     body: Value,
     key: SmolStr,
-    tries: Tries,
+    attempts: Attempts,
     /// The answer so far, for a continuation where nothing of the stream is left.
     text: String,
     /// Offset of the next chunk to deliver; all below were delivered once.
@@ -53,8 +53,8 @@
     next_entry: Option<SmolStr>,
     source: Option<Source>,
     entry: SmolStr,
-    cuts: u32,
-    moves: u32,
+    reconnects: u32,
+    redirects: u32,
     done: bool,
 }
 
@@ -83,7 +83,7 @@
             client: self.clone(),
             body: Value::Object(fields),
             key: SmolStr::from(key),
-            tries: self.shared.tries(Repeat::Idempotent),
+            attempts: self.shared.attempts(Policy::Idempotent),
             text: String::new(),
             offset: 0,
             token: SmolStr::default(),
@@ -91,8 +91,8 @@
             next_entry: None,
             source: None,
             entry: SmolStr::default(),
-            cuts: 0,
-            moves: 0,
+            reconnects: 0,
+            redirects: 0,
             done: false,
         };
         stream.connect().await?;
@@ -120,7 +120,7 @@
     }
 
     /// The rest of the answer in one piece.
-    pub async fn rest(&mut self) -> Result<String, Error> {
+    pub async fn collect_text(&mut self) -> Result<String, Error> {
         let mut text = String::new();
         while let Some(chunk) = self.next().await {
             text.push_str(&chunk?.text);
@@ -139,13 +139,13 @@
     }
 
     /// How often it was taken up again after a cut.
-    pub fn cuts(&self) -> u32 {
-        self.cuts
+    pub fn reconnects(&self) -> u32 {
+        self.reconnects
     }
 
     /// How often an entry passed it on to another one.
-    pub fn moves(&self) -> u32 {
-        self.moves
+    pub fn redirects(&self) -> u32 {
+        self.redirects
     }
 
     /// Tells the system that the rest is not wanted.
@@ -156,14 +156,14 @@
 
     async fn step(&mut self) -> Result<Step, Error> {
         let Some(source) = &mut self.source else {
-            return Err(cut("the stream was cut"));
+            return Err(connection_lost("the stream was cut"));
         };
         if let Some(event) = source.parser.take() {
             return self.take(event);
         }
-        let bytes = self.client.shared.wire.next(&mut source.body).await?;
+        let bytes = self.client.shared.transport.next(&mut source.body).await?;
         let Some(bytes) = bytes else {
-            return Err(cut("the stream ended before its end"));
+            return Err(connection_lost("the stream ended before its end"));
         };
         let pushed = source.parser.push(&bytes);
         pushed.map_err(|_| protocol("an event is too large"))?;
@@ -172,7 +172,7 @@
 
     fn take(&mut self, event: Event) -> Result<Step, Error> {
         match event.name.as_str() {
-            "error" => Err(wire::refusal(event.data.as_bytes())),
+            "error" => Err(transport::refusal(event.data.as_bytes())),
             "continue" => self.pass_on(&event),
             "resume" => self.moved(&event),
             "" if event.data == DONE => Ok(Step::Done),
@@ -203,12 +203,12 @@
         }
         if offset > self.offset {
             self.source = None;
-            return Err(cut("a chunk is missing"));
+            return Err(connection_lost("a chunk is missing"));
         }
         let text = message::read::<message::Chunk>(event)?.text();
         self.offset += 1;
         self.text.push_str(&text);
-        self.tries.reset(self.client.shared.now());
+        self.attempts.reset(self.client.shared.now());
         Ok(Step::Chunk(Chunk { offset, text }))
     }
 
@@ -218,12 +218,12 @@
         let shared = &self.client.shared;
         match self.next_entry {
             Some(_) => {
-                shared.hop(&mut self.tries, error)?;
-                self.moves += 1;
+                shared.count_redirect(&mut self.attempts, error)?;
+                self.redirects += 1;
             }
             None => {
-                shared.after(&mut self.tries, error).await?;
-                self.cuts += 1;
+                shared.wait_to_retry(&mut self.attempts, error).await?;
+                self.reconnects += 1;
             }
         }
         self.connect().await
@@ -233,7 +233,12 @@
         loop {
             match self.attempt().await {
                 Ok(()) => return Ok(()),
-                Err(error) => self.client.shared.after(&mut self.tries, error).await?,
+                Err(error) => {
+                    self.client
+                        .shared
+                        .wait_to_retry(&mut self.attempts, error)
+                        .await?
+                }
             }
         }
     }
@@ -250,29 +255,29 @@
             .header(http::header::CONTENT_TYPE, "application/json");
         if !self.token.is_empty() {
             builder = builder
-                .header(wire::RESUME, self.token.as_str())
-                .header(wire::OFFSET, self.offset);
+                .header(transport::RESUME, self.token.as_str())
+                .header(transport::OFFSET, self.offset);
         }
         let sent = shared
-            .wire
+            .transport
             .send(&address, builder, PATH, self.bytes())
             .await;
-        let response = sent.inspect_err(|_| shared.shun(&address))?;
-        shared.trust(&address);
+        let response = sent.inspect_err(|_| shared.mark_failed(&address))?;
+        shared.mark_reachable(&address);
         self.entry = address;
         self.accept(response).await
     }
 
     async fn accept(&mut self, response: Response<Incoming>) -> Result<(), Error> {
         if !response.status().is_success() {
-            let bytes = self.client.shared.wire.read(response).await?;
-            return Err(wire::refusal(&bytes));
+            let bytes = self.client.shared.transport.read(response).await?;
+            return Err(transport::refusal(&bytes));
         }
-        let token = wire::text(response.headers(), wire::RESUME);
+        let token = transport::text(response.headers(), transport::RESUME);
         if !token.is_empty() {
             self.token = token;
         }
-        self.request = wire::text(response.headers(), wire::REQUEST);
+        self.request = transport::text(response.headers(), transport::REQUEST);
         self.source = Some(Source {
             body: response.into_body(),
             parser: Parser::default(),
@@ -294,8 +299,8 @@
     }
 }
 
-fn cut(message: &str) -> Error {
-    Error::new(Verdict::MayHaveRun, Kind::Cut, message)
+fn connection_lost(message: &str) -> Error {
+    Error::new(Verdict::MayHaveRun, Kind::ConnectionLost, message)
 }
 
 fn not_an_object() -> Error {
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/transport.rs
@@ -37,31 +37,31 @@
 pub const VERDICT: &str = "x-dogwoodspur-verdict";
 
 const MAX_BODY_BYTES: usize = 64 << 20;
-const IDLE: Duration = Duration::from_secs(30);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Connections to the entries, kept while they are of use.
 #[derive(Clone)]
-pub struct Wire {
+pub struct Transport {
     http: legacy::Client<HttpConnector, Full<Bytes>>,
     key: SmolStr,
-    silence: Duration,
+    idle_timeout: Duration,
 }
 
-impl Wire {
+impl Transport {
     /// No connection yet.
-    pub fn new(key: SmolStr, connect: Span, silence: Span) -> Wire {
+    pub fn new(key: SmolStr, connect_timeout: Span, idle_timeout: Span) -> Transport {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(connect.as_duration()));
+        connector.set_connect_timeout(Some(connect_timeout.as_duration()));
         connector.set_nodelay(true);
         let http = legacy::Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             // A request is repeated by `retry` alone, which knows whether it may be.
             .retry_canceled_requests(false)
             .build(connector);
-        Wire {
+        Transport {
             http,
             key,
-            silence: silence.as_duration(),
+            idle_timeout: idle_timeout.as_duration(),
         }
     }
 
@@ -74,7 +74,7 @@
         body: Bytes,
     ) -> Result<Response<Incoming>, Error> {
         let request = self.request(address, request, path, body)?;
-        let sent = tokio::time::timeout(self.silence, self.http.request(request)).await;
+        let sent = tokio::time::timeout(self.idle_timeout, self.http.request(request)).await;
         match sent {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if error.is_connect() => Err(Error::new(
@@ -82,24 +82,24 @@
                 Kind::Unreachable,
                 "no connection to the entry",
             )),
-            Ok(Err(_)) => Err(cut("the connection was lost before the answer")),
-            Err(_) => Err(cut("no answer within the time allowed")),
+            Ok(Err(_)) => Err(connection_lost("the connection was lost before the answer")),
+            Err(_) => Err(connection_lost("no answer within the time allowed")),
         }
     }
 
     /// The whole body of an answer.
     pub async fn read(&self, response: Response<Incoming>) -> Result<Bytes, Error> {
         let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect();
-        match tokio::time::timeout(self.silence, body).await {
+        match tokio::time::timeout(self.idle_timeout, body).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes()),
-            _ => Err(cut("the connection was lost within the answer")),
+            _ => Err(connection_lost("the connection was lost within the answer")),
         }
     }
 
     /// The next bytes of a streamed answer; none at its end.
     pub async fn next(&self, body: &mut Incoming) -> Result<Option<Bytes>, Error> {
         loop {
-            let frame = tokio::time::timeout(self.silence, body.frame()).await;
+            let frame = tokio::time::timeout(self.idle_timeout, body.frame()).await;
             match frame {
                 Ok(None) => return Ok(None),
                 Ok(Some(Ok(frame))) => {
@@ -107,7 +107,7 @@
                         return Ok(Some(bytes));
                     }
                 }
-                _ => return Err(cut("the connection was lost within the stream")),
+                _ => return Err(connection_lost("the connection was lost within the stream")),
             }
         }
     }
@@ -171,6 +171,6 @@
     value.map(SmolStr::from).unwrap_or_default()
 }
 
-fn cut(message: &str) -> Error {
-    Error::new(Verdict::MayHaveRun, Kind::Cut, message)
+fn connection_lost(message: &str) -> Error {
+    Error::new(Verdict::MayHaveRun, Kind::ConnectionLost, message)
 }
--- a/crates/client/tests/client/call.rs
+++ b/crates/client/tests/client/call.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use client::call::Call;
-use client::call::Once;
+use client::call::Delivery;
 use client::error::Kind;
 use http::Method;
 use smol_str::SmolStr;
@@ -15,13 +15,13 @@
 use crate::fake::done;
 use crate::fake::refusal;
 
-fn receipt(once: Once) -> Call {
+fn receipt(delivery: Delivery) -> Call {
     Call {
         deployment: SmolStr::from("portal"),
         method: Method::POST,
         path: SmolStr::from("/receipts"),
         body: Bytes::from_static(b"{}"),
-        once,
+        delivery,
     }
 }
 
@@ -32,7 +32,7 @@
         let answers = [refusal("not-run", "overloaded", Some(20)), done("filed")];
         let entry = Fake::start(&answers).await;
         let answer = client(&[&entry])
-            .call(&receipt(Once::Ticket))
+            .call(&receipt(Delivery::Ticket))
             .await
             .unwrap();
         assert_eq!(answer.body, "filed");
@@ -49,7 +49,7 @@
     fake::run(async {
         let entry = Fake::start(&[String::new(), done("twice")]).await;
         let error = client(&[&entry])
-            .call(&receipt(Once::Ticket))
+            .call(&receipt(Delivery::Ticket))
             .await
             .unwrap_err();
         assert_eq!(error.verdict, Verdict::MayHaveRun);
@@ -67,7 +67,7 @@
         ];
         let entry = Fake::start(&answers).await;
         let error = client(&[&entry])
-            .call(&receipt(Once::Ticket))
+            .call(&receipt(Delivery::Ticket))
             .await
             .unwrap_err();
         assert_eq!(error.kind, Kind::Refused(Reason::BackendFailed));
@@ -81,7 +81,7 @@
     fake::run(async {
         let entry = Fake::start(&[String::new(), done("record")]).await;
         let answer = client(&[&entry])
-            .call(&receipt(Once::Idempotent))
+            .call(&receipt(Delivery::Idempotent))
             .await
             .unwrap();
         assert_eq!(answer.body, "record");
@@ -94,7 +94,7 @@
     fake::run(async {
         let entry = Fake::start(&[refusal("not-run", "unauthorized", None), done("no")]).await;
         let error = client(&[&entry])
-            .call(&receipt(Once::Idempotent))
+            .call(&receipt(Delivery::Idempotent))
             .await
             .unwrap_err();
         assert_eq!(error.kind, Kind::Refused(Reason::Unauthorized));
@@ -115,7 +115,7 @@
         client.refresh("").await.unwrap();
         lost.kill();
         tokio::task::yield_now().await;
-        let answer = client.call(&receipt(Once::Ticket)).await.unwrap();
+        let answer = client.call(&receipt(Delivery::Ticket)).await.unwrap();
         assert_eq!(answer.body, "filed");
         assert_eq!(other.requests().len(), 1);
     });
@@ -129,7 +129,7 @@
         gone.kill();
         tokio::task::yield_now().await;
         let error = client(&[&gone])
-            .call(&receipt(Once::Ticket))
+            .call(&receipt(Delivery::Ticket))
             .await
             .unwrap_err();
         assert_eq!(error.verdict, Verdict::NotRun);
--- a/crates/client/tests/client/fake.rs
+++ b/crates/client/tests/client/fake.rs
@@ -79,7 +79,7 @@
             .map(|fake| SmolStr::from(fake.address.as_str()))
             .collect(),
         key: SmolStr::from("key-one"),
-        silence: Span::from_millis(2_000),
+        idle_timeout: Span::from_millis(2_000),
         seed: Some(7),
         ..configs::Client::default()
     })
--- a/crates/client/tests/client/stream.rs
+++ b/crates/client/tests/client/stream.rs
@@ -26,7 +26,7 @@
         let mut stream = client.stream(body(), "").await.unwrap();
         first.name(&[&second]);
         client.refresh("").await.unwrap();
-        assert_eq!(stream.rest().await.unwrap(), WHOLE);
+        assert_eq!(stream.collect_text().await.unwrap(), WHOLE);
         let resumed = &second.requests()[0];
         assert!(resumed.contains("x-dogwoodspur-resume: T1"), "{resumed}");
         assert!(resumed.contains("x-dogwoodspur-offset: 3"), "{resumed}");
@@ -49,7 +49,7 @@
         ];
         let entry = Fake::start(&answers).await;
         let mut stream = client(&[&entry]).stream(body(), "").await.unwrap();
-        assert_eq!(stream.rest().await.unwrap(), WHOLE);
+        assert_eq!(stream.collect_text().await.unwrap(), WHOLE);
     });
 }
 
@@ -64,7 +64,7 @@
         ];
         let entry = Fake::start(&answers).await;
         let mut stream = client(&[&entry]).stream(body(), "").await.unwrap();
-        assert_eq!(stream.rest().await.unwrap(), WHOLE);
+        assert_eq!(stream.collect_text().await.unwrap(), WHOLE);
         assert!(entry.requests()[1].contains("x-dogwoodspur-offset: 2"));
     });
 }
@@ -81,8 +81,8 @@
         );
         let first = Fake::start(&[fake::stream("T1", &[chunks(0, 2), passed])]).await;
         let mut stream = client(&[&first]).stream(body(), "").await.unwrap();
-        assert_eq!(stream.rest().await.unwrap(), WHOLE);
-        assert_eq!((stream.moves(), stream.cuts()), (1, 0));
+        assert_eq!(stream.collect_text().await.unwrap(), WHOLE);
+        assert_eq!((stream.redirects(), stream.reconnects()), (1, 0));
         assert!(second.requests()[0].contains("x-dogwoodspur-resume: T9"));
     });
 }
@@ -99,7 +99,7 @@
         let again = fake::stream("T1", &[passed]);
         entry.script.borrow_mut().answers = vec![again; 50].into();
         let mut stream = client(&[&entry]).stream(body(), "").await.unwrap();
-        assert!(stream.rest().await.is_err());
+        assert!(stream.collect_text().await.is_err());
         assert!(entry.requests().len() < 20);
     });
 }
@@ -132,7 +132,7 @@
         ];
         let entry = Fake::start(&answers).await;
         let mut stream = client(&[&entry]).stream(body(), "").await.unwrap();
-        assert_eq!(stream.rest().await.unwrap(), WHOLE);
+        assert_eq!(stream.collect_text().await.unwrap(), WHOLE);
         assert!(entry.requests()[1].contains("x-dogwoodspur-resume: T2"));
     });
 }
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -5,14 +5,14 @@
 use entry::arrival::Arrival;
 use entry::arrival::Work;
 use entry::effect::Addresses;
-use front::answer;
-use front::answer::Payload;
 use front::call::Call;
 use front::call::Credentials;
 use front::call::Plain;
 use front::chat::Chat;
 use front::handler::Handler;
-use front::handler::Pending;
+use front::handler::ResponseFuture;
+use front::response;
+use front::response::Payload;
 use http::Response;
 use request::id::Id;
 use request::id::Incarnation;
@@ -57,7 +57,7 @@
     }
 
     /// Opens a model call.
-    fn model(&self, credentials: Credentials, chat: Chat) -> Pending {
+    fn model(&self, credentials: Credentials, chat: Chat) -> ResponseFuture {
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
         let output = Output::new(id.to_string(), chat.stream, head);
@@ -70,7 +70,7 @@
     }
 
     /// Opens a plain call.
-    fn plain(&self, credentials: Credentials, call: Plain) -> Pending {
+    fn plain(&self, credentials: Credentials, call: Plain) -> ResponseFuture {
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
         let arrival = plain_arrival(&credentials, &call);
@@ -93,7 +93,7 @@
     }
 
     /// Asks the reducer which entries to use.
-    fn addresses(&self, key: Option<SmolStr>, prefix: Option<u64>) -> Pending {
+    fn addresses(&self, key: Option<SmolStr>, prefix: Option<u64>) -> ResponseFuture {
         let (reply, answer) = oneshot::channel();
         self.shared
             .link
@@ -108,7 +108,7 @@
     }
 
     /// Asks the reducer to cancel a request.
-    fn cancel(&self, key: Option<SmolStr>, request: SmolStr) -> Pending {
+    fn cancel(&self, key: Option<SmolStr>, request: SmolStr) -> ResponseFuture {
         let (reply, answer) = oneshot::channel();
         let name = request.to_string();
         self.shared.link.send(Message::Cancel {
@@ -118,8 +118,8 @@
         });
         Box::pin(async move {
             match answer.await {
-                Ok(None) => answer::json_answer(&json!({"cancelled": name})),
-                Ok(Some(refusal)) => answer::refused(&name, &refusal),
+                Ok(None) => response::json(&json!({"cancelled": name})),
+                Ok(Some(refusal)) => response::refusal(&name, &refusal),
                 Err(_) => stopped(),
             }
         })
@@ -127,7 +127,7 @@
 }
 
 impl Handler for Callers {
-    fn handle(&self, credentials: Credentials, call: Call) -> Pending {
+    fn handle(&self, credentials: Credentials, call: Call) -> ResponseFuture {
         match call {
             Call::Addresses { prefix } => self.addresses(credentials.key, prefix),
             Call::Model(chat) => self.model(credentials, chat),
@@ -138,14 +138,14 @@
 }
 
 /// The answer once its task has given one.
-fn pending(answer: oneshot::Receiver<Response<Payload>>) -> Pending {
+fn pending(answer: oneshot::Receiver<Response<Payload>>) -> ResponseFuture {
     Box::pin(async move { answer.await.unwrap_or_else(|_| stopped()) })
 }
 
 /// The answer when the process stops under the call.
 fn stopped() -> Response<Payload> {
     let refusal = Refusal::may_have_run(Reason::Leaving, "this entry has stopped");
-    answer::refused("", &refusal)
+    response::refusal("", &refusal)
 }
 
 /// A model call as the reducer sees it.
@@ -207,7 +207,7 @@
         })
         .collect();
     let tickets: Vec<String> = addresses.tickets.iter().map(|one| seal.sign(one)).collect();
-    answer::json_answer(&json!({
+    response::json(&json ! ( {
         "addresses": entries,
         "ttl_ms": addresses.ttl.as_millis(),
         "tickets": tickets,
--- a/crates/daemon/src/fleet_port.rs
+++ b/crates/daemon/src/fleet_port.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use back::cloud::Cloud;
-use back::cloud::Wish;
+use back::cloud::LaunchRequest;
 use back::engine;
 use back::engine::Engine;
 use back::failure::Failure;
@@ -48,7 +48,7 @@
         let port = self.clone();
         tokio::task::spawn_local(async move {
             let at = Engine::new(&port.client, &address);
-            let (Ok(standing), Ok(load)) = (at.standing().await, at.load().await) else {
+            let (Ok(standing), Ok(load)) = (at.state().await, at.load().await) else {
                 return;
             };
             let target = Target {
@@ -95,7 +95,7 @@
                 && status == OLD_FENCE
             {
                 let higher = at
-                    .standing()
+                    .state()
                     .await
                     .map_or(fence + 1, |standing| standing.fence);
                 port.tell(
@@ -123,7 +123,7 @@
             if port.clock.now() >= lease_end {
                 return;
             }
-            let wish = Wish {
+            let wish = LaunchRequest {
                 token: token.clone(),
                 zone: kind.zone,
                 class: kind.class,
--- a/crates/daemon/src/output.rs
+++ b/crates/daemon/src/output.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use front::answer;
-use front::answer::Payload;
+use front::response;
+use front::response::Payload;
 use http::Response;
 use serde_json::Value;
 use serde_json::json;
@@ -64,10 +64,10 @@
             return;
         }
         if let Stage::Events(_) = &self.stage {
-            return self.send(answer::resume_event(token)).await;
+            return self.send(response::resume_event(token)).await;
         }
         let (sender, receiver) = mpsc::channel(CHUNKS_WAITING);
-        let head = answer::stream_head(&self.request, token, receiver);
+        let head = response::event_stream(&self.request, token, receiver);
         if let Stage::Head(waiting) = std::mem::replace(&mut self.stage, Stage::Events(sender)) {
             let _ = waiting.send(head);
         }
@@ -77,7 +77,7 @@
     pub async fn chunk(&mut self, offset: u64, data: Bytes) {
         if self.stream {
             let text = String::from_utf8_lossy(&data);
-            self.send(answer::chunk_event(offset, &text)).await;
+            self.send(response::chunk_event(offset, &text)).await;
         }
         self.chunks.push(data);
     }
@@ -85,7 +85,7 @@
     /// Ends a whole answer.
     pub async fn done(&mut self) {
         if self.stream {
-            self.send(answer::done_event()).await;
+            self.send(response::done_event()).await;
             self.stage = Stage::Over;
             return;
         }
@@ -99,23 +99,24 @@
             }],
             "usage": {"completion_tokens": self.chunks.len()},
         });
-        let response = answer::done(&self.request, answer::json_answer(&body));
+        let response = response::completed(&self.request, response::json(&body));
         self.respond(response);
     }
 
     /// Gives the final word on a request that isn't answered in full.
     pub async fn refuse(&mut self, refusal: &Refusal) {
         if let Stage::Events(_) = &self.stage {
-            self.send(answer::error_event(&self.request, refusal)).await;
+            self.send(response::error_event(&self.request, refusal))
+                .await;
             self.stage = Stage::Over;
             return;
         }
-        self.respond(answer::refused(&self.request, refusal));
+        self.respond(response::refusal(&self.request, refusal));
     }
 
     /// Ends the stream here; it goes on at `address`.
     pub async fn hand_off(&mut self, address: &str, token: &str) {
-        self.send(answer::continue_event(address, token)).await;
+        self.send(response::continue_event(address, token)).await;
         self.stage = Stage::Over;
     }
 
--- a/crates/daemon/src/plain.rs
+++ b/crates/daemon/src/plain.rs
@@ -3,13 +3,12 @@
 use std::rc::Rc;
 
 use back::plain;
-use back::plain::Answer;
 use entry::attempt::Report;
 use entry::effect::Command;
 use entry::event::Event;
-use front::answer;
-use front::answer::Payload;
 use front::call::Plain;
+use front::response;
+use front::response::Payload;
 use http::Response;
 use policy::job::End;
 use tokio::sync::mpsc;
@@ -74,7 +73,7 @@
             match command {
                 None | Some(Command::HandOff { .. } | Command::Drop) => break None,
                 Some(Command::Refuse(refusal)) => {
-                    break Some(answer::refused(&self.request, &refusal));
+                    break Some(response::refusal(&self.request, &refusal));
                 }
                 Some(Command::Start {
                     stream, endpoint, ..
@@ -87,7 +86,7 @@
                         Ok(whole) => {
                             self.report(attempt, Report::Head);
                             self.report_end(attempt, End::Finished);
-                            break Some(answer::done(&self.request, response_of(whole)));
+                            break Some(response::completed(&self.request, response_of(whole)));
                         }
                         Err(failure) => self.report_end(attempt, end_of(&failure)),
                     }
@@ -118,8 +117,8 @@
 }
 
 /// The service's answer as it is given to the caller.
-fn response_of(whole: Answer) -> Response<Payload> {
-    let mut response = Response::new(answer::whole(whole.body));
+fn response_of(whole: plain::Response) -> Response<Payload> {
+    let mut response = Response::new(response::full_body(whole.body));
     *response.status_mut() = whole.status;
     *response.headers_mut() = whole.headers;
     response
--- a/crates/front/src/read.rs
+++ b/crates/front/src/read.rs
@@ -14,14 +14,14 @@
 use verdict::Reason;
 use verdict::Refusal;
 
-use crate::answer::OFFSET_HEADER;
-use crate::answer::RESUME_HEADER;
-use crate::answer::TICKET_HEADER;
 use crate::call::Call;
 use crate::call::Credentials;
 use crate::call::Plain;
 use crate::chat::Chat;
 use crate::configs::limit::Limit;
+use crate::response::OFFSET_HEADER;
+use crate::response::RESUME_HEADER;
+use crate::response::TICKET_HEADER;
 
 /// Headers that belong to one connection or to the entry and are never passed on.
 const OWN_HEADERS: [&str; 8] = [
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/response.rs
@@ -38,18 +38,18 @@
 pub type Payload = UnsyncBoxBody<Bytes, Infallible>;
 
 /// A body that is known whole.
-pub fn whole(bytes: impl Into<Bytes>) -> Payload {
+pub fn full_body(bytes: impl Into<Bytes>) -> Payload {
     Full::new(bytes.into()).boxed_unsync()
 }
 
 /// A body that is fed through a channel; it ends when the sender is dropped.
-pub fn fed(receiver: mpsc::Receiver<Bytes>) -> Payload {
-    Feed { receiver }.boxed_unsync()
+pub fn channel_body(receiver: mpsc::Receiver<Bytes>) -> Payload {
+    ChannelBody { receiver }.boxed_unsync()
 }
 
 /// A JSON answer that isn't about a request.
-pub fn json_answer(value: &serde_json::Value) -> Response<Payload> {
-    let mut response = Response::new(whole(value.to_string()));
+pub fn json(value: &serde_json::Value) -> Response<Payload> {
+    let mut response = Response::new(full_body(value.to_string()));
     set(
         &mut response,
         header::CONTENT_TYPE.as_str(),
@@ -59,12 +59,12 @@
 }
 
 /// The head of a stream of events.
-pub fn stream_head(
+pub fn event_stream(
     request: &str,
     resume: &str,
     receiver: mpsc::Receiver<Bytes>,
 ) -> Response<Payload> {
-    let mut response = Response::new(fed(receiver));
+    let mut response = Response::new(channel_body(receiver));
     set(
         &mut response,
         header::CONTENT_TYPE.as_str(),
@@ -77,15 +77,15 @@
 }
 
 /// A whole answer, given once and in full.
-pub fn done(request: &str, mut response: Response<Payload>) -> Response<Payload> {
+pub fn completed(request: &str, mut response: Response<Payload>) -> Response<Payload> {
     set(&mut response, REQUEST_HEADER, request);
     set(&mut response, VERDICT_HEADER, Verdict::Done.as_str());
     response
 }
 
 /// A refusal as an answer of its own.
-pub fn refused(request: &str, refusal: &Refusal) -> Response<Payload> {
-    let mut response = Response::new(whole(refusal_body(request, refusal)));
+pub fn refusal(request: &str, refusal: &Refusal) -> Response<Payload> {
+    let mut response = Response::new(full_body(refusal_body(request, refusal)));
     *response.status_mut() = status_of(refusal);
     set(
         &mut response,
@@ -182,11 +182,11 @@
 }
 
 /// A body read from a channel.
-struct Feed {
+struct ChannelBody {
     receiver: mpsc::Receiver<Bytes>,
 }
 
-impl Body for Feed {
+impl Body for ChannelBody {
     type Data = Bytes;
     type Error = Infallible;
 
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -19,11 +19,11 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use crate::answer;
-use crate::answer::Payload;
 use crate::configs::limit::Limit;
 use crate::handler::Handler;
 use crate::read;
+use crate::response;
+use crate::response::Payload;
 
 /// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
@@ -108,7 +108,7 @@
 ) -> Result<Response<Payload>, Infallible> {
     let response = match read::read(request, &limit).await {
         Ok((credentials, call)) => handler.handle(credentials, call).await,
-        Err(refusal) => answer::refused("", &refusal),
+        Err(refusal) => response::refusal("", &refusal),
     };
     Ok(response)
 }
--- a/crates/standin/src/command/caller.rs
+++ b/crates/standin/src/command/caller.rs
@@ -6,7 +6,7 @@
 use argh::FromArgs;
 use bytes::Bytes;
 use client::call::Call;
-use client::call::Once;
+use client::call::Delivery;
 use http::Method;
 use serde_json::json;
 use smol_str::SmolStr;
@@ -68,10 +68,10 @@
         method: Method::POST,
         path: SmolStr::from(path),
         body: Bytes::from(caller.text.clone()),
-        once: if caller.once {
-            Once::Ticket
+        delivery: if caller.once {
+            Delivery::Ticket
         } else {
-            Once::Idempotent
+            Delivery::Idempotent
         },
     };
     let answer = client.call(&call).await?;
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use client::Client;
 use client::call::Call;
-use client::call::Once;
+use client::call::Delivery;
 use http::Method;
 use smol_str::SmolStr;
 
@@ -79,7 +79,7 @@
         engine.kill();
         println!("taken: {} is gone", instance.id);
     };
-    let (rest, ()) = tokio::join!(stream.rest(), taken);
+    let (rest, ()) = tokio::join!(stream.collect_text(), taken);
     text.push_str(&rest?);
     let whole = text == chat.plan().answer();
     let recomputed: u64 = local
@@ -108,7 +108,7 @@
         method: Method::POST,
         path: SmolStr::from("/receipts"),
         body: Bytes::from_static(b"one copy for the branch"),
-        once: Once::Ticket,
+        delivery: Delivery::Ticket,
     };
     let answer = caller.call(&call).await?;
     let key = "POST /receipts one copy for the branch";
--- a/crates/standin/tests/bad_input.rs
+++ b/crates/standin/tests/bad_input.rs
@@ -54,7 +54,7 @@
     /// The stream ends whole, another request is served, and no log speaks of a panic.
     async fn finish(mut self) {
         self.stream.finish().await;
-        assert_eq!(self.stream.stream.cuts(), 0);
+        assert_eq!(self.stream.stream.reconnects(), 0);
         Asked::new(&self.world.caller(), "afterwards", 3)
             .await
             .finish()
--- a/crates/standin/tests/failures_backend.rs
+++ b/crates/standin/tests/failures_backend.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use client::call::Once;
+use client::call::Delivery;
 use harness::caller::Asked;
 use harness::caller::receipt;
 use harness::caller::receipt_key;
@@ -37,7 +37,7 @@
         let at = world.busy_engine().await;
         reclaim_and_kill(&mut world, &[at]).await;
         asked.finish().await;
-        assert_eq!(asked.stream.cuts(), 0);
+        assert_eq!(asked.stream.reconnects(), 0);
         assert_eq!(recomputed(&world, &[at]).await, 0);
     });
 }
@@ -82,7 +82,10 @@
         let filing = async {
             for number in 0..10 {
                 let body = format!("zone-{number}");
-                caller.call(&receipt(&body, Once::Ticket)).await.unwrap();
+                caller
+                    .call(&receipt(&body, Delivery::Ticket))
+                    .await
+                    .unwrap();
             }
         };
         let reading = futures::future::join_all(streams.iter_mut().map(Asked::finish));
@@ -116,7 +119,7 @@
         let at = world.busy_engine().await;
         world.engines[at].process.kill().await;
         asked.finish().await;
-        assert_eq!(asked.stream.cuts(), 0);
+        assert_eq!(asked.stream.reconnects(), 0);
     });
 }
 
@@ -172,7 +175,7 @@
                 .fault(&service.process, json!({ "lose_answer": true }))
                 .await;
         }
-        let call = receipt("lost", Once::Ticket);
+        let call = receipt("lost", Delivery::Ticket);
         let error = world.caller().call(&call).await.unwrap_err();
         assert_eq!(error.verdict, Verdict::MayHaveRun);
         assert_eq!(world.executions(&receipt_key("lost")).await, 1);
@@ -191,7 +194,7 @@
         }
         let caller = world.hasty_caller();
         let error = caller
-            .call(&receipt("refused", Once::Ticket))
+            .call(&receipt("refused", Delivery::Ticket))
             .await
             .unwrap_err();
         assert_eq!(error.verdict, Verdict::NotRun);
--- a/crates/standin/tests/failures_entry.rs
+++ b/crates/standin/tests/failures_entry.rs
@@ -28,7 +28,7 @@
         let at = world.entry_at(asked.stream.entry());
         world.entries[at].kill().await;
         asked.finish().await;
-        assert_eq!(asked.stream.cuts(), 1);
+        assert_eq!(asked.stream.reconnects(), 1);
         assert_ne!(asked.stream.entry(), world.entries[at].address("callers"));
         let (mut started, mut recomputed) = (0, 0);
         for engine in 0..SIZE.engines {
--- a/crates/standin/tests/failures_rolling.rs
+++ b/crates/standin/tests/failures_rolling.rs
@@ -57,7 +57,10 @@
         let at = world.entry_at(asked.stream.entry());
         world.entries[at].signal("TERM").await;
         asked.finish().await;
-        assert_eq!((asked.stream.moves(), asked.stream.cuts()), (1, 0));
+        assert_eq!(
+            (asked.stream.redirects(), asked.stream.reconnects()),
+            (1, 0)
+        );
         let entry = &mut world.entries[at];
         let code = wait_for("the end of the entry", async || entry.exit_code()).await;
         assert_eq!(code, 0);
--- a/crates/standin/tests/failures_store.rs
+++ b/crates/standin/tests/failures_store.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use client::call::Once;
+use client::call::Delivery;
 use client::error::Kind;
 use config::deployment::Account;
 use harness::caller::Asked;
@@ -81,7 +81,7 @@
             .await;
         Asked::new(&caller, "outage", 20).await.finish().await;
         caller
-            .call(&receipt("by ticket", Once::Ticket))
+            .call(&receipt("by ticket", Delivery::Ticket))
             .await
             .unwrap();
         assert_eq!(world.executions(&receipt_key("by ticket")).await, 1);
--- a/crates/standin/tests/harness/caller.rs
+++ b/crates/standin/tests/harness/caller.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use client::Client;
 use client::call::Call;
-use client::call::Once;
+use client::call::Delivery;
 use client::error::Error;
 use client::stream::Stream;
 use http::Method;
@@ -44,19 +44,20 @@
 
     /// Reads the rest; the answer must be whole, with no chunk doubled.
     pub async fn finish(&mut self) {
-        self.text.push_str(&self.stream.rest().await.unwrap());
+        self.text
+            .push_str(&self.stream.collect_text().await.unwrap());
         assert_eq!(self.text, self.whole);
     }
 }
 
 /// A non-idempotent call.
-pub fn receipt(body: &str, once: Once) -> Call {
+pub fn receipt(body: &str, delivery: Delivery) -> Call {
     Call {
         deployment: SmolStr::from(sample::SERVICE),
         method: Method::POST,
         path: SmolStr::from("/receipts"),
         body: Bytes::from(body.to_owned()),
-        once,
+        delivery,
     }
 }
 
@@ -87,6 +88,6 @@
 
 /// Sends a receipt under the caller's own key.
 pub async fn send_receipt(caller: &Client, body: &str, key: &str) -> Result<(), Error> {
-    let call = receipt(body, Once::Key(SmolStr::from(key)));
+    let call = receipt(body, Delivery::Key(SmolStr::from(key)));
     caller.call(&call).await.map(drop)
 }
--- a/crates/standin/tests/harness/load.rs
+++ b/crates/standin/tests/harness/load.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use client::Client;
-use client::call::Once;
+use client::call::Delivery;
 
 use crate::harness::caller::Asked;
 use crate::harness::caller::receipt;
@@ -38,7 +38,7 @@
                     let question = format!("streamer {number}, {}", finished.get());
                     let mut asked = Asked::new(&caller, &question, 60).await;
                     asked.finish().await;
-                    assert_eq!(asked.stream.cuts(), 0, "a planned stop cut a stream");
+                    assert_eq!(asked.stream.reconnects(), 0, "a planned stop cut a stream");
                     finished.set(finished.get() + 1);
                 }
             }));
@@ -49,7 +49,10 @@
             load.tasks.push(tokio::task::spawn_local(async move {
                 while !stop.get() {
                     let body = format!("filer-{number}-{}", filed.borrow().len());
-                    caller.call(&receipt(&body, Once::Ticket)).await.unwrap();
+                    caller
+                        .call(&receipt(&body, Delivery::Ticket))
+                        .await
+                        .unwrap();
                     filed.borrow_mut().push(body);
                     tokio::time::sleep(std::time::Duration::from_millis(20)).await;
                 }
--- a/crates/standin/tests/harness/world.rs
+++ b/crates/standin/tests/harness/world.rs
@@ -184,7 +184,7 @@
                 .map(|entry| SmolStr::from(entry.address("callers")))
                 .collect(),
             key: SmolStr::from(sample::ACCOUNT_KEY),
-            silence: clock::Span::from_seconds(5),
+            idle_timeout: clock::Span::from_seconds(5),
             seed: Some(1),
             ..client::configs::Client::default()
         }
@@ -193,7 +193,7 @@
     /// A caller that gives up after a second try.
     pub fn hasty_caller(&self) -> Client {
         Client::new(client::configs::Client {
-            tries: 2,
+            max_attempts: 2,
             ..self.caller_config(self.entries.iter())
         })
     }
--- a/crates/standin/tests/path.rs
+++ b/crates/standin/tests/path.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use client::call::Call;
-use client::call::Once;
+use client::call::Delivery;
 use harness::world::Size;
 use harness::world::World;
 use http::Method;
@@ -35,14 +35,14 @@
         let chat = Chat::question(sample::MODEL, "Why are there so few theses on moss?", 40);
         let body = serde_json::to_value(&chat).unwrap();
         let mut stream = caller.stream(body, "").await.unwrap();
-        assert_eq!(stream.rest().await.unwrap(), chat.plan().answer());
+        assert_eq!(stream.collect_text().await.unwrap(), chat.plan().answer());
 
         let receipt = Call {
             deployment: SmolStr::from(sample::SERVICE),
             method: Method::POST,
             path: SmolStr::from("/receipts/7?copy=1"),
             body: Bytes::from_static(b"one"),
-            once: Once::Ticket,
+            delivery: Delivery::Ticket,
         };
         let answer = caller.call(&receipt).await.unwrap();
         assert!(answer.status.is_success());
