--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -89,7 +89,7 @@
 
 /// What every change may be given.
 #[derive(Clone, Debug, Default)]
-pub struct How {
+pub struct ChangeOptions {
     /// Version on which the change is based.
     pub expect: Option<u64>,
     /// Name of the change.
@@ -99,7 +99,7 @@
 }
 
 /// Moves the options of the whole command to the front, so that they may stand anywhere.
-pub fn hoist<'a>(arguments: &[&'a str]) -> Vec<&'a str> {
+pub fn hoist_global_options<'a>(arguments: &[&'a str]) -> Vec<&'a str> {
     let mut front = Vec::new();
     let mut rest = Vec::new();
     let mut left = arguments.iter().copied();
--- a/crates/cli/src/commands/account.rs
+++ b/crates/cli/src/commands/account.rs
@@ -4,13 +4,13 @@
 use config::snapshot::hash_key;
 use ops::request::Edit;
 
-use crate::arguments::How;
-use crate::commands::deployment::configuration;
+use crate::arguments::ChangeOptions;
+use crate::commands::deployment::fetch_configuration;
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output;
 use crate::session::Session;
-use crate::session::random;
+use crate::session::random_hex;
 
 /// Length of a new key, bytes of randomness.
 const KEY_BYTES: usize = 32;
@@ -47,7 +47,7 @@
 
 impl Account {
     /// Carries the action out.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         match self.action {
             Action::Add(add) => add.run(session).await,
             Action::Change(change) => change.run(session).await,
@@ -89,17 +89,17 @@
 impl Add {
     /// Adds the account. That it isn't there is read at the version that the change expects, so that
     /// two operators who add the same name can't overwrite each other's key.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
-        let (version, whole) = configuration(session).await?;
-        if whole
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
+        let (version, configuration) = fetch_configuration(session).await?;
+        if configuration
             .accounts
             .iter()
             .any(|account| account.name == self.name)
         {
             let message = format!("account {} is there already", self.name);
-            return Err(Trouble::new(Exit::Refused, message));
+            return Err(Error::new(Exit::Refused, message));
         }
-        let key = random(KEY_BYTES)?;
+        let key = random_hex(KEY_BYTES)?;
         let account = config::deployment::Account {
             name: self.name.into(),
             key_hashes: vec![hash_key(&key)],
@@ -108,12 +108,12 @@
             tokens_per_second: self.tokens_per_second,
             concurrent: self.concurrent,
         };
-        let how = How {
+        let options = ChangeOptions {
             change_id: self.change_id,
-            ..How::default()
+            ..ChangeOptions::default()
         };
         let changed = session
-            .change(Edit::PutAccount(account), version, &how)
+            .change(Edit::PutAccount(account), version, &options)
             .await?;
         output::changed::write_with_key(session, &changed, &key)
     }
@@ -149,18 +149,18 @@
 
 impl Change {
     /// Changes the account.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let (version, mut account) = find(session, &self.name).await?;
         account.weight = self.weight.unwrap_or(account.weight);
         account.priority = self.priority.unwrap_or(account.priority);
         account.tokens_per_second = self.tokens_per_second.unwrap_or(account.tokens_per_second);
         account.concurrent = self.concurrent.unwrap_or(account.concurrent);
-        let how = How {
+        let options = ChangeOptions {
             change_id: self.change_id,
-            ..How::default()
+            ..ChangeOptions::default()
         };
         let changed = session
-            .change(Edit::PutAccount(account), version, &how)
+            .change(Edit::PutAccount(account), version, &options)
             .await?;
         output::changed::write(session, &changed)
     }
@@ -190,19 +190,19 @@
 
 impl Rekey {
     /// Adds the key.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let (version, mut account) = find(session, &self.name).await?;
         if self.drop_earlier {
             account.key_hashes.clear();
         }
-        let key = random(KEY_BYTES)?;
+        let key = random_hex(KEY_BYTES)?;
         account.key_hashes.push(hash_key(&key));
-        let how = How {
+        let options = ChangeOptions {
             change_id: self.change_id,
-            ..How::default()
+            ..ChangeOptions::default()
         };
         let changed = session
-            .change(Edit::PutAccount(account), version, &how)
+            .change(Edit::PutAccount(account), version, &options)
             .await?;
         output::changed::write_with_key(session, &changed, &key)
     }
@@ -222,14 +222,14 @@
 
 impl Remove {
     /// Removes the account.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
-        let (version, _) = configuration(session).await?;
-        let how = How {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
+        let (version, _) = fetch_configuration(session).await?;
+        let options = ChangeOptions {
             change_id: self.change_id,
-            ..How::default()
+            ..ChangeOptions::default()
         };
         let edit = Edit::RemoveAccount(self.name.into());
-        let changed = session.change(edit, version, &how).await?;
+        let changed = session.change(edit, version, &options).await?;
         output::changed::write(session, &changed)
     }
 }
@@ -245,7 +245,7 @@
 
 impl Show {
     /// Shows the account.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let (version, account) = find(session, &self.name).await?;
         output::configuration::account(session, version, &account)
     }
@@ -255,11 +255,11 @@
 async fn find(
     session: &Session<'_>,
     name: &str,
-) -> Result<(u64, config::deployment::Account), Trouble> {
-    let (version, whole) = configuration(session).await?;
-    let mut accounts = whole.accounts.into_iter();
+) -> Result<(u64, config::deployment::Account), Error> {
+    let (version, configuration) = fetch_configuration(session).await?;
+    let mut accounts = configuration.accounts.into_iter();
     match accounts.find(|account| account.name == name) {
         Some(account) => Ok((version, account)),
-        None => Err(Trouble::new(Exit::NotFound, format!("no account {name}"))),
+        None => Err(Error::new(Exit::NotFound, format!("no account {name}"))),
     }
 }
--- a/crates/cli/src/commands/deployment.rs
+++ b/crates/cli/src/commands/deployment.rs
@@ -5,13 +5,13 @@
 use ops::Request;
 use ops::request::Edit;
 
-use crate::arguments::How;
+use crate::arguments::ChangeOptions;
 use crate::definition;
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output;
 use crate::session::Session;
-use crate::session::mismatch;
+use crate::session::unexpected_reply;
 
 /// Adds a deployment that a file defines.
 #[derive(Debug, FromArgs)]
@@ -41,16 +41,16 @@
 
 impl Create {
     /// Adds the deployment. The newest version will do: a name that is taken is refused.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let definition = definition::read(&self.file)?;
-        let how = How {
+        let options = ChangeOptions {
             expect: None,
             change_id: self.change_id,
             wait_ms: self.wait_ms,
         };
-        let (version, _) = configuration(session).await?;
+        let (version, _) = fetch_configuration(session).await?;
         let edit = Edit::CreateDeployment(definition.deployment);
-        let changed = session.change(edit, version, &how).await?;
+        let changed = session.change(edit, version, &options).await?;
         output::changed::write(session, &changed)
     }
 }
@@ -83,20 +83,20 @@
 
 impl Change {
     /// Replaces the deployment.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let definition = definition::read(&self.file)?;
         let Some(version) = self.expect.or(definition.version) else {
             let message = "which version is the change based on? Give --expect or \"version\" in the \
 file, as show --json writes it";
-            return Err(Trouble::new(Exit::Usage, message));
+            return Err(Error::new(Exit::Usage, message));
         };
-        let how = How {
+        let options = ChangeOptions {
             expect: Some(version),
             change_id: self.change_id,
             wait_ms: self.wait_ms,
         };
         let edit = Edit::ChangeDeployment(definition.deployment);
-        let changed = session.change(edit, version, &how).await?;
+        let changed = session.change(edit, version, &options).await?;
         output::changed::write(session, &changed)
     }
 }
@@ -117,14 +117,14 @@
 
 impl Show {
     /// Shows the deployment.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let name = self.name.into();
-        match session.ask(Request::GetDeployment { name }).await? {
+        match session.call(Request::GetDeployment { name }).await? {
             Reply::Deployment {
                 version,
                 deployment,
             } => output::configuration::deployment(session, version, &deployment),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
@@ -136,9 +136,9 @@
 
 impl List {
     /// Lists them.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
-        let (version, whole) = configuration(session).await?;
-        output::configuration::whole(session, version, &whole)
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
+        let (version, configuration) = fetch_configuration(session).await?;
+        output::configuration::configuration(session, version, &configuration)
     }
 }
 
@@ -167,25 +167,25 @@
 
 impl Remove {
     /// Removes the deployment.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
-        let how = How {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
+        let options = ChangeOptions {
             expect: self.expect,
             change_id: self.change_id,
             wait_ms: self.wait_ms,
         };
-        let version = match how.expect {
+        let version = match options.expect {
             Some(version) => version,
-            None => configuration(session).await?.0,
+            None => fetch_configuration(session).await?.0,
         };
         let edit = Edit::RemoveDeployment(self.name.into());
-        let changed = session.change(edit, version, &how).await?;
+        let changed = session.change(edit, version, &options).await?;
         output::changed::write(session, &changed)
     }
 }
 
 /// Deployments and accounts of one version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
+pub struct Configuration {
     /// By name.
     pub deployments: Vec<config::deployment::Deployment>,
     /// By name.
@@ -193,19 +193,19 @@
 }
 
 /// Asks for the newest configuration and its version.
-pub async fn configuration(session: &Session<'_>) -> Result<(u64, Whole), Trouble> {
-    match session.ask(Request::ListDeployments).await? {
+pub async fn fetch_configuration(session: &Session<'_>) -> Result<(u64, Configuration), Error> {
+    match session.call(Request::ListDeployments).await? {
         Reply::Configuration {
             version,
             deployments,
             accounts,
         } => Ok((
             version,
-            Whole {
+            Configuration {
                 deployments,
                 accounts,
             },
         )),
-        _ => Err(mismatch()),
+        _ => Err(unexpected_reply()),
     }
 }
--- a/crates/cli/src/commands/drain.rs
+++ b/crates/cli/src/commands/drain.rs
@@ -6,10 +6,10 @@
 use ops::request::Target;
 use serde::Serialize;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::session::Session;
-use crate::session::mismatch;
+use crate::session::unexpected_reply;
 
 /// Takes an entry or a backend server out of use; requests in progress finish or move.
 #[derive(Debug, FromArgs)]
@@ -38,21 +38,21 @@
 
 impl Drain {
     /// Begins to drain.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let target = match (self.entry_name, self.backend) {
             (Some(name), None) => Target::Entry(name.into()),
             (None, Some(incarnation)) => Target::Backend(incarnation.into()),
             _ => {
                 let message = "give either --entry-name or --backend";
-                return Err(Trouble::new(Exit::Usage, message));
+                return Err(Error::new(Exit::Usage, message));
             }
         };
         let Reply::Drained {
             already_leaving,
             running,
-        } = session.ask(Request::Drain(target)).await?
+        } = session.call(Request::Drain(target)).await?
         else {
-            return Err(mismatch());
+            return Err(unexpected_reply());
         };
         if session.json {
             session.write_json(&Answer {
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -4,11 +4,11 @@
 use ops::Reply;
 use ops::Request;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output;
 use crate::session::Session;
-use crate::session::mismatch;
+use crate::session::unexpected_reply;
 
 /// Shows where a request waited, went and moved, and why.
 #[derive(Debug, FromArgs)]
@@ -26,11 +26,11 @@
 
 impl Explain {
     /// Shows it.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let request = self.request.into();
-        match session.ask(Request::Explain { request }).await? {
+        match session.call(Request::Explain { request }).await? {
             Reply::Explained(explanation) => output::explanation::write(session, &explanation),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
--- a/crates/cli/src/commands/history.rs
+++ b/crates/cli/src/commands/history.rs
@@ -4,11 +4,11 @@
 use ops::Reply;
 use ops::Request;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output;
 use crate::session::Session;
-use crate::session::mismatch;
+use crate::session::unexpected_reply;
 
 /// Shows past changes of the configuration, the newest first.
 #[derive(Debug, FromArgs)]
@@ -29,14 +29,14 @@
 
 impl History {
     /// Shows them.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let request = Request::GetHistory {
             before: self.before,
             limit: self.limit,
         };
-        match session.ask(request).await? {
+        match session.call(request).await? {
             Reply::History(changes) => output::history::write(session, &changes),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -9,12 +9,12 @@
 pub mod status;
 
 use crate::arguments::Command;
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::session::Session;
 
 /// Carries a command out.
-pub async fn run(command: Command, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+pub async fn run(command: Command, session: &mut Session<'_>) -> Result<Exit, Error> {
     match command {
         Command::Create(create) => create.run(session).await,
         Command::Change(change) => change.run(session).await,
--- a/crates/cli/src/commands/report.rs
+++ b/crates/cli/src/commands/report.rs
@@ -4,11 +4,11 @@
 use ops::Reply;
 use ops::Request;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output;
 use crate::session::Session;
-use crate::session::mismatch;
+use crate::session::unexpected_reply;
 
 /// Shows for each deployment and account the share within its targets, the error budget and the cost.
 #[derive(Debug, FromArgs)]
@@ -32,11 +32,11 @@
 
 impl Report {
     /// Shows it.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let deployment = self.deployment.map(Into::into);
-        match session.ask(Request::Report { deployment }).await? {
+        match session.call(Request::Report { deployment }).await? {
             Reply::Report(report) => output::report::write(session, &report, self.html.as_deref()),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -4,11 +4,11 @@
 use ops::Reply;
 use ops::Request;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output;
 use crate::session::Session;
-use crate::session::mismatch;
+use crate::session::unexpected_reply;
 
 /// Shows each entry with its version and lease, and the backend servers, as the asked entry knows them.
 #[derive(Debug, FromArgs)]
@@ -17,10 +17,10 @@
 
 impl Status {
     /// Shows it.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
-        match session.ask(Request::GetStatus).await? {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
+        match session.call(Request::GetStatus).await? {
             Reply::Status(status) => output::status::write(session, &status),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
--- a/crates/cli/src/definition.rs
+++ b/crates/cli/src/definition.rs
@@ -13,11 +13,11 @@
 use settings::Faults;
 use settings::check::Findings;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 
 /// The option that names the version on which a definition is based.
-const VERSION: &str = "version";
+const VERSION_FIELD: &str = "version";
 
 /// A definition as read from a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,10 +29,10 @@
 }
 
 /// Reads a definition, or names everything wrong with it.
-pub fn read(file: &str) -> Result<Definition, Trouble> {
+pub fn read(file: &str) -> Result<Definition, Error> {
     let text = fs::read_to_string(file)
-        .map_err(|error| Trouble::new(Exit::Usage, format!("{file}: can't be read: {error}")))?;
-    parse(file, &text).map_err(|faults| Trouble::new(Exit::Usage, faults.to_string()))
+        .map_err(|error| Error::new(Exit::Usage, format!("{file}: can't be read: {error}")))?;
+    parse(file, &text).map_err(|faults| Error::new(Exit::Usage, faults.to_string()))
 }
 
 /// Reads the text of a definition.
@@ -40,8 +40,8 @@
     let tree = settings::check::parse(file, text).map_err(|fault| Faults(vec![fault]))?;
     let schema = schema();
     let mut findings = settings::check::check(file, text, tree.value.as_ref(), &schema);
-    let version = findings.value.get(VERSION).and_then(Value::as_u64);
-    let faults = malformed(&mut findings);
+    let version = findings.value.get(VERSION_FIELD).and_then(Value::as_u64);
+    let faults = syntax_faults(&mut findings);
     if !faults.0.is_empty() {
         return Err(faults);
     }
@@ -49,7 +49,7 @@
         .map_err(|error| Faults(vec![Fault::whole(file, error.to_string())]))?;
     let violations = check::deployment(&deployment);
     if !violations.is_empty() {
-        return Err(unsound(file, &findings.lines, violations));
+        return Err(semantic_faults(file, &findings.lines, violations));
     }
     Ok(Definition {
         deployment,
@@ -71,13 +71,13 @@
             "minimum": 0,
             "description": "Version of the configuration on which the definition is based.",
         });
-        properties.insert(VERSION.to_owned(), version);
+        properties.insert(VERSION_FIELD.to_owned(), version);
     }
     schema
 }
 
 /// Faults of the file's form. Unknown names are among them: here they are slips, not later options.
-fn malformed(findings: &mut Findings) -> Faults {
+fn syntax_faults(findings: &mut Findings) -> Faults {
     let mut faults = std::mem::take(&mut findings.faults);
     faults.append(&mut findings.warnings);
     faults.sort_by_key(|fault| fault.line);
@@ -85,9 +85,13 @@
 }
 
 /// Faults of the deployment itself, with the lines of their fields.
-fn unsound(file: &str, lines: &BTreeMap<String, usize>, violations: Vec<Violation>) -> Faults {
+fn semantic_faults(
+    file: &str,
+    lines: &BTreeMap<String, usize>,
+    violations: Vec<Violation>,
+) -> Faults {
     let fault = |violation: Violation| Fault {
-        line: line(lines, &violation.field),
+        line: nearest_line(lines, &violation.field),
         option: violation.field,
         ..Fault::whole(file, violation.message)
     };
@@ -95,7 +99,7 @@
 }
 
 /// The line of a field, or of the nearest one around it that stands in the file.
-fn line(lines: &BTreeMap<String, usize>, field: &str) -> usize {
+fn nearest_line(lines: &BTreeMap<String, usize>, field: &str) -> usize {
     let mut field = field;
     loop {
         if let Some(line) = lines.get(field) {
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -50,31 +50,31 @@
 
 /// Why the command could not be carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trouble {
+pub struct Error {
     /// The exit code it leads to.
     pub exit: Exit,
     /// For a person.
     pub message: String,
 }
 
-impl Trouble {
+impl Error {
     /// Trouble with a code and a message.
-    pub fn new(exit: Exit, message: impl Into<String>) -> Trouble {
-        Trouble {
+    pub fn new(exit: Exit, message: impl Into<String>) -> Error {
+        Error {
             exit,
             message: message.into(),
         }
     }
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for Error {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.message)
     }
 }
 
-impl From<Failure> for Trouble {
-    fn from(failure: Failure) -> Trouble {
+impl From<Failure> for Error {
+    fn from(failure: Failure) -> Error {
         let exit = match failure.kind {
             Kind::Invalid => Exit::Usage,
             Kind::Unauthenticated => Exit::Unauthenticated,
@@ -84,18 +84,18 @@
             Kind::OutcomeUnknown => Exit::OutcomeUnknown,
             Kind::Internal => Exit::Failed,
         };
-        Trouble::new(exit, failure.message)
+        Error::new(exit, failure.message)
     }
 }
 
-impl From<std::io::Error> for Trouble {
-    fn from(error: std::io::Error) -> Trouble {
-        Trouble::new(Exit::Failed, error.to_string())
+impl From<std::io::Error> for Error {
+    fn from(error: std::io::Error) -> Error {
+        Error::new(Exit::Failed, error.to_string())
     }
 }
 
-impl From<serde_json::Error> for Trouble {
-    fn from(error: serde_json::Error) -> Trouble {
-        Trouble::new(Exit::Failed, error.to_string())
+impl From<serde_json::Error> for Error {
+    fn from(error: serde_json::Error) -> Error {
+        Error::new(Exit::Failed, error.to_string())
     }
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -16,7 +16,7 @@
 use argh::FromArgs;
 
 use crate::arguments::Arguments;
-use crate::arguments::hoist;
+use crate::arguments::hoist_global_options;
 use crate::exit::Exit;
 use crate::session::Access;
 use crate::session::Session;
@@ -53,26 +53,26 @@
     out: &mut dyn Write,
     err: &mut dyn Write,
 ) -> Exit {
-    let arguments = hoist(arguments);
+    let arguments = hoist_global_options(arguments);
     let arguments = match Arguments::from_args(&[COMMAND], &arguments) {
         Ok(arguments) => arguments,
-        Err(early) => return leave_early(early, out, err),
+        Err(early) => return exit_early(early, out, err),
     };
     let result = match Session::new(&arguments, access, out) {
         Ok(mut session) => commands::run(arguments.command, &mut session).await,
-        Err(trouble) => Err(trouble),
+        Err(error) => Err(error),
     };
     match result {
         Ok(exit) => exit,
-        Err(trouble) => {
-            let _ = writeln!(err, "{COMMAND}: {}", trouble.message);
-            trouble.exit
+        Err(error) => {
+            let _ = writeln!(err, "{COMMAND}: {}", error.message);
+            error.exit
         }
     }
 }
 
 /// Shows the help that was asked for, or what is wrong with the arguments.
-fn leave_early(early: argh::EarlyExit, out: &mut dyn Write, err: &mut dyn Write) -> Exit {
+fn exit_early(early: argh::EarlyExit, out: &mut dyn Write, err: &mut dyn Write) -> Exit {
     match early.status {
         Ok(()) => {
             let _ = writeln!(out, "{}", early.output.trim_end());
--- a/crates/cli/src/output/changed.rs
+++ b/crates/cli/src/output/changed.rs
@@ -4,8 +4,8 @@
 use ops::reply::Difference;
 use serde::Serialize;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::session::Session;
 
 /// The answer for programs, with a new key where there is one.
@@ -18,8 +18,8 @@
 }
 
 /// Writes the result.
-pub fn write(session: &mut Session<'_>, changed: &Changed) -> Result<Exit, Trouble> {
-    answer(session, changed, None)
+pub fn write(session: &mut Session<'_>, changed: &Changed) -> Result<Exit, Error> {
+    write_result(session, changed, None)
 }
 
 /// Writes the result and, if the change took effect, the new key: the only time that it is shown.
@@ -27,30 +27,30 @@
     session: &mut Session<'_>,
     changed: &Changed,
     key: &str,
-) -> Result<Exit, Trouble> {
+) -> Result<Exit, Error> {
     let took_effect = !matches!(changed, Changed::Conflict { .. });
-    answer(session, changed, took_effect.then_some(key))
+    write_result(session, changed, took_effect.then_some(key))
 }
 
 /// Writes the result and a key.
-fn answer(
+fn write_result(
     session: &mut Session<'_>,
     changed: &Changed,
     key: Option<&str>,
-) -> Result<Exit, Trouble> {
+) -> Result<Exit, Error> {
     if session.json {
         session.write_json(&Answer { changed, key })?;
-        return Ok(exit(changed));
+        return Ok(exit_code(changed));
     }
-    text(session, changed)?;
+    write_text(session, changed)?;
     if let Some(key) = key {
         writeln!(session.out, "key (shown only now): {key}")?;
     }
-    Ok(exit(changed))
+    Ok(exit_code(changed))
 }
 
 /// Writes the result for a person.
-fn text(session: &mut Session<'_>, changed: &Changed) -> Result<(), Trouble> {
+fn write_text(session: &mut Session<'_>, changed: &Changed) -> Result<(), Error> {
     match changed {
         Changed::Accepted { version } => {
             writeln!(
@@ -73,7 +73,7 @@
             let line = "conflict: nothing was changed; another change came first";
             writeln!(session.out, "{line}, and version {version} is the newest:")?;
             for difference in differences {
-                writeln!(session.out, "  {}", one_line(difference))?;
+                writeln!(session.out, "  {}", format_difference(difference))?;
             }
         }
     }
@@ -81,7 +81,7 @@
 }
 
 /// A difference for a person.
-fn one_line(difference: &Difference) -> String {
+fn format_difference(difference: &Difference) -> String {
     let subject = [difference.subject.as_str(), &difference.field].join(" ");
     let subject = subject.trim_end();
     match (difference.before.as_str(), difference.after.as_str()) {
@@ -92,7 +92,7 @@
 }
 
 /// The exit code for a result.
-fn exit(changed: &Changed) -> Exit {
+fn exit_code(changed: &Changed) -> Exit {
     match changed {
         Changed::Accepted { .. } => Exit::Done,
         Changed::Committed { .. } => Exit::Committed,
--- a/crates/cli/src/output/configuration.rs
+++ b/crates/cli/src/output/configuration.rs
@@ -5,9 +5,9 @@
 use config::deployment::Kind;
 use serde::Serialize;
 
-use crate::commands::deployment::Whole;
+use crate::commands::deployment::Configuration;
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output::table;
 use crate::output::table::row;
 use crate::session::Session;
@@ -33,7 +33,7 @@
     session: &mut Session<'_>,
     version: u64,
     deployment: &Deployment,
-) -> Result<Exit, Trouble> {
+) -> Result<Exit, Error> {
     if session.json {
         let item = deployment;
         session.write_json(&Versioned { version, item })?;
@@ -47,7 +47,7 @@
     let fields = [
         row(&["deployment", &deployment.name]),
         row(&["version", &version.to_string()]),
-        row(&["serves", &serves(&deployment.kind)]),
+        row(&["serves", &format_kind(&deployment.kind)]),
         row(&["pool", &deployment.pool]),
         row(&["fencing", fencing]),
     ];
@@ -84,50 +84,50 @@
 }
 
 /// Writes one account.
-pub fn account(
-    session: &mut Session<'_>,
-    version: u64,
-    account: &Account,
-) -> Result<Exit, Trouble> {
+pub fn account(session: &mut Session<'_>, version: u64, account: &Account) -> Result<Exit, Error> {
     if session.json {
         let item = account;
         session.write_json(&Versioned { version, item })?;
         return Ok(Exit::Done);
     }
-    table::write(session.out, &[account_head(), account_row(account)])?;
+    table::write(session.out, &[account_header(), account_row(account)])?;
     Ok(Exit::Done)
 }
 
 /// Writes the whole configuration.
-pub fn whole(session: &mut Session<'_>, version: u64, whole: &Whole) -> Result<Exit, Trouble> {
+pub fn configuration(
+    session: &mut Session<'_>,
+    version: u64,
+    configuration: &Configuration,
+) -> Result<Exit, Error> {
     if session.json {
         session.write_json(&Listing {
             version,
-            deployments: &whole.deployments,
-            accounts: &whole.accounts,
+            deployments: &configuration.deployments,
+            accounts: &configuration.accounts,
         })?;
         return Ok(Exit::Done);
     }
     writeln!(session.out, "version {version}\n")?;
     let mut deployments = vec![row(&["deployment", "serves", "pool", "accounts"])];
-    for deployment in &whole.deployments {
+    for deployment in &configuration.deployments {
         deployments.push(vec![
             deployment.name.to_string(),
-            serves(&deployment.kind),
+            format_kind(&deployment.kind),
             deployment.pool.to_string(),
             deployment.grants.len().to_string(),
         ]);
     }
     table::write(session.out, &deployments)?;
     writeln!(session.out)?;
-    let mut accounts = vec![account_head()];
-    accounts.extend(whole.accounts.iter().map(account_row));
+    let mut accounts = vec![account_header()];
+    accounts.extend(configuration.accounts.iter().map(account_row));
     table::write(session.out, &accounts)?;
     Ok(Exit::Done)
 }
 
 /// What a deployment serves, in a few words.
-fn serves(kind: &Kind) -> String {
+fn format_kind(kind: &Kind) -> String {
     match kind {
         Kind::Model {
             model,
@@ -144,7 +144,7 @@
 }
 
 /// The head above accounts.
-fn account_head() -> Vec<String> {
+fn account_header() -> Vec<String> {
     row(&[
         "account",
         "weight",
@@ -161,14 +161,14 @@
         account.name.to_string(),
         account.weight.to_string(),
         account.priority.to_string(),
-        limit(account.tokens_per_second),
-        limit(u64::from(account.concurrent)),
+        format_limit(account.tokens_per_second),
+        format_limit(u64::from(account.concurrent)),
         account.key_hashes.len().to_string(),
     ]
 }
 
 /// A limit; none for 0.
-fn limit(number: u64) -> String {
+fn format_limit(number: u64) -> String {
     if number == 0 {
         "no limit".to_owned()
     } else {
--- a/crates/cli/src/output/explanation.rs
+++ b/crates/cli/src/output/explanation.rs
@@ -3,14 +3,14 @@
 use ops::reply::Explanation;
 use verdict::Verdict;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output::table;
 use crate::output::table::row;
 use crate::session::Session;
 
 /// Writes the life of a request.
-pub fn write(session: &mut Session<'_>, explanation: &Explanation) -> Result<Exit, Trouble> {
+pub fn write(session: &mut Session<'_>, explanation: &Explanation) -> Result<Exit, Error> {
     if session.json {
         session.write_json(explanation)?;
         return Ok(Exit::Done);
--- a/crates/cli/src/output/history.rs
+++ b/crates/cli/src/output/history.rs
@@ -2,14 +2,14 @@
 
 use ops::reply::PastChange;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output::table;
 use crate::output::table::row;
 use crate::session::Session;
 
 /// Writes past changes.
-pub fn write(session: &mut Session<'_>, changes: &[PastChange]) -> Result<Exit, Trouble> {
+pub fn write(session: &mut Session<'_>, changes: &[PastChange]) -> Result<Exit, Error> {
     if session.json {
         session.write_json(&changes)?;
         return Ok(Exit::Done);
--- a/crates/cli/src/output/report.rs
+++ b/crates/cli/src/output/report.rs
@@ -4,8 +4,8 @@
 
 use burn::Report;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::session::Session;
 
 /// Writes the report: as JSON, as text, or as a page into a file.
@@ -13,10 +13,10 @@
     session: &mut Session<'_>,
     report: &Report,
     page: Option<&str>,
-) -> Result<Exit, Trouble> {
+) -> Result<Exit, Error> {
     if let Some(file) = page {
         fs::write(file, report.to_html())
-            .map_err(|error| Trouble::new(Exit::Failed, format!("{file}: {error}")))?;
+            .map_err(|error| Error::new(Exit::Failed, format!("{file}: {error}")))?;
     }
     if session.json {
         session.write_json(report)?;
--- a/crates/cli/src/output/status.rs
+++ b/crates/cli/src/output/status.rs
@@ -4,14 +4,14 @@
 use ops::reply::LeaseState;
 use ops::reply::Status;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output::table;
 use crate::output::table::row;
 use crate::session::Session;
 
 /// Writes how things stand.
-pub fn write(session: &mut Session<'_>, status: &Status) -> Result<Exit, Trouble> {
+pub fn write(session: &mut Session<'_>, status: &Status) -> Result<Exit, Error> {
     if session.json {
         session.write_json(status)?;
         return Ok(Exit::Done);
@@ -35,7 +35,7 @@
             entry.zone.to_string(),
             entry.address.to_string(),
             entry.applied_version.to_string(),
-            lease(entry.lease).to_owned(),
+            lease_name(entry.lease).to_owned(),
             entry.release.to_string(),
         ]);
     }
@@ -47,7 +47,7 @@
             backend.incarnation.to_string(),
             backend.pool.to_string(),
             backend.zone.to_string(),
-            state(backend.state).to_owned(),
+            state_name(backend.state).to_owned(),
             backend.running.to_string(),
         ]);
     }
@@ -56,7 +56,7 @@
 }
 
 /// A lease's state in a word.
-fn lease(state: LeaseState) -> &'static str {
+fn lease_name(state: LeaseState) -> &'static str {
     match state {
         LeaseState::Held => "held",
         LeaseState::Overdue => "overdue",
@@ -66,7 +66,7 @@
 }
 
 /// A backend server's state in a word.
-fn state(state: BackendState) -> &'static str {
+fn state_name(state: BackendState) -> &'static str {
     match state {
         BackendState::Live => "live",
         BackendState::Leaving => "leaving",
--- a/crates/cli/src/output/table.rs
+++ b/crates/cli/src/output/table.rs
@@ -4,18 +4,20 @@
 use std::io::Write;
 
 /// Space between two columns.
-const GAP: usize = 2;
+const COLUMN_GAP: usize = 2;
 
 /// Writes rows in columns as wide as their widest cell; the first row is the head.
 pub fn write(out: &mut dyn Write, rows: &[Vec<String>]) -> io::Result<()> {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
-    let widths: Vec<usize> = (0..columns).map(|column| width(rows, column)).collect();
+    let widths: Vec<usize> = (0..columns)
+        .map(|column| column_width(rows, column))
+        .collect();
     for row in rows {
         let mut line = String::new();
         for (cell, width) in row.iter().zip(&widths) {
             line.push_str(cell);
-            let missing = width + GAP - cell.chars().count();
-            line.extend(std::iter::repeat_n(' ', missing));
+            let padding = width + COLUMN_GAP - cell.chars().count();
+            line.extend(std::iter::repeat_n(' ', padding));
         }
         writeln!(out, "{}", line.trim_end())?;
     }
@@ -28,7 +30,7 @@
 }
 
 /// The width of a column.
-fn width(rows: &[Vec<String>], column: usize) -> usize {
+fn column_width(rows: &[Vec<String>], column: usize) -> usize {
     let cells = rows.iter().filter_map(|row| row.get(column));
     cells.map(|cell| cell.chars().count()).max().unwrap_or(0)
 }
--- a/crates/cli/src/session.rs
+++ b/crates/cli/src/session.rs
@@ -15,14 +15,14 @@
 use serde::Serialize;
 
 use crate::arguments::Arguments;
-use crate::arguments::How;
+use crate::arguments::ChangeOptions;
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 
 /// How often a change is sent whose outcome stays unknown. A repeat is safe: it carries the same id.
-const SENDS: u32 = 3;
+const MAX_SENDS: u32 = 3;
 /// Pause before a change is sent again.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Length of a change's random name, bytes.
 const CHANGE_ID_BYTES: usize = 12;
 
@@ -51,7 +51,7 @@
         arguments: &Arguments,
         access: Access,
         out: &'a mut dyn Write,
-    ) -> Result<Session<'a>, Trouble> {
+    ) -> Result<Session<'a>, Error> {
         let key = match &arguments.key_file {
             Some(file) => Some(read_key(file)?),
             None => access.key,
@@ -65,7 +65,7 @@
     }
 
     /// Asks something and waits for the answer.
-    pub async fn ask(&self, request: Request) -> Result<Reply, Trouble> {
+    pub async fn call(&self, request: Request) -> Result<Reply, Error> {
         let mut client = self.connect().await?;
         Ok(client.call(request).await?)
     }
@@ -75,91 +75,91 @@
         &self,
         edit: Edit,
         expected_version: u64,
-        how: &How,
-    ) -> Result<Changed, Trouble> {
+        options: &ChangeOptions,
+    ) -> Result<Changed, Error> {
         let change = Change {
-            id: how
+            id: options
                 .change_id
                 .clone()
-                .map_or_else(|| random(CHANGE_ID_BYTES), Ok)?
+                .map_or_else(|| random_hex(CHANGE_ID_BYTES), Ok)?
                 .into(),
             expected_version,
-            wait: Span::from_millis(how.wait_ms.unwrap_or_default()),
+            wait: Span::from_millis(options.wait_ms.unwrap_or_default()),
             edit,
         };
         let mut unknown = None;
-        for send in 0..SENDS {
+        for send in 0..MAX_SENDS {
             if send > 0 {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             match self.send(&change).await {
                 Ok(changed) => return Ok(changed),
-                Err(trouble) if trouble.exit == Exit::OutcomeUnknown => unknown = Some(trouble),
-                Err(trouble) if trouble.exit == Exit::Unavailable && unknown.is_some() => {}
-                Err(trouble) => return Err(trouble),
+                Err(error) if error.exit == Exit::OutcomeUnknown => unknown = Some(error),
+                Err(error) if error.exit == Exit::Unavailable && unknown.is_some() => {}
+                Err(error) => return Err(error),
             }
         }
-        let trouble = unknown.unwrap_or_else(|| Trouble::new(Exit::OutcomeUnknown, "no answer"));
-        let message = format!("{}\nthe change id was {}", trouble.message, change.id);
-        Err(Trouble::new(trouble.exit, message))
+        let error = unknown.unwrap_or_else(|| Error::new(Exit::OutcomeUnknown, "no answer"));
+        let message = format!("{}\nthe change id was {}", error.message, change.id);
+        Err(Error::new(error.exit, message))
     }
 
     /// Sends a change once.
-    async fn send(&self, change: &Change) -> Result<Changed, Trouble> {
-        match self.ask(Request::Change(change.clone())).await? {
+    async fn send(&self, change: &Change) -> Result<Changed, Error> {
+        match self.call(Request::Change(change.clone())).await? {
             Reply::Changed(changed) => Ok(changed),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     /// Writes an answer as JSON.
-    pub fn write_json(&mut self, value: &impl Serialize) -> Result<(), Trouble> {
+    pub fn write_json(&mut self, value: &impl Serialize) -> Result<(), Error> {
         let text = serde_json::to_string_pretty(value)?;
         writeln!(self.out, "{text}")?;
         Ok(())
     }
 
     /// Connects to the entry.
-    async fn connect(&self) -> Result<Client, Trouble> {
+    async fn connect(&self) -> Result<Client, Error> {
         let Some(entry) = &self.entry else {
             let message = "no entry: give --entry http://HOST:PORT or set DOGWOODSPUR_ENTRY";
-            return Err(Trouble::new(Exit::Usage, message));
+            return Err(Error::new(Exit::Usage, message));
         };
         let Some(key) = &self.key else {
             let message = "no key: give --key-file or set DOGWOODSPUR_KEY";
-            return Err(Trouble::new(Exit::Usage, message));
+            return Err(Error::new(Exit::Usage, message));
         };
         Client::connect(entry, key).await.map_err(|failure| {
             let exit = match failure.kind {
                 Kind::Invalid => Exit::Usage,
                 _ => Exit::Unavailable,
             };
-            Trouble::new(exit, failure.message)
+            Error::new(exit, failure.message)
         })
     }
 }
 
 /// The answer is of another kind than the call.
-pub fn mismatch() -> Trouble {
-    Trouble::new(
+pub fn unexpected_reply() -> Error {
+    Error::new(
         Exit::Failed,
         "the entry's answer is of another kind than the call",
     )
 }
 
 /// Random bytes as hexadecimal digits.
-pub fn random(bytes: usize) -> Result<String, Trouble> {
+pub fn random_hex(bytes: usize) -> Result<String, Error> {
     let mut buffer = vec![0; bytes];
     getrandom::fill(&mut buffer)
-        .map_err(|error| Trouble::new(Exit::Failed, format!("no randomness: {error}")))?;
+        .map_err(|error| Error::new(Exit::Failed, format!("no randomness: {error}")))?;
     Ok(buffer.iter().map(|byte| format!("{byte:02x}")).collect())
 }
 
 /// Reads a key from its file.
-fn read_key(file: &str) -> Result<String, Trouble> {
+fn read_key(file: &str) -> Result<String, Error> {
     match fs::read_to_string(file) {
         Ok(text) => Ok(text.trim().to_owned()),
-        Err(error) => Err(Trouble::new(
+        Err(error) => Err(Error::new(
             Exit::Usage,
             format!("{file}: can't be read: {error}"),
         )),
--- a/crates/cli/tests/command/changes.rs
+++ b/crates/cli/tests/command/changes.rs
@@ -26,7 +26,7 @@
 }"#;
 
 /// Writes a file for one test.
-fn file(name: &str, text: &str) -> String {
+fn write_file(name: &str, text: &str) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a writable directory");
     path.display().to_string()
@@ -35,38 +35,51 @@
 #[tokio::test]
 async fn a_deployment_is_created_shown_changed_listed_and_removed() {
     let fake = Fake::start().await;
-    let thesis = file("first.jsonc", THESIS);
+    let thesis = write_file("first.jsonc", THESIS);
 
-    let ran = fake.run(&["create", &thesis]).await;
-    assert_eq!((ran.exit, ran.err.as_str()), (Exit::Done, ""));
-    assert_eq!(ran.out, "accepted: version 1 is in force everywhere\n");
+    let output = fake.run(&["create", &thesis]).await;
+    assert_eq!((output.exit, output.stderr.as_str()), (Exit::Done, ""));
+    assert_eq!(
+        output.stdout,
+        "accepted: version 1 is in force everywhere\n"
+    );
 
-    let ran = fake.run(&["show", "thesis"]).await;
-    assert!(ran.out.contains("serves      base-7b v1\n"), "{}", ran.out);
+    let output = fake.run(&["show", "thesis"]).await;
+    assert!(
+        output.stdout.contains("serves      base-7b v1\n"),
+        "{}",
+        output.stdout
+    );
     assert!(
-        ran.out
+        output
+            .stdout
             .contains("branches  480 ms       61 ms      950 in 1000\n"),
         "{}",
-        ran.out
+        output.stdout
     );
 
-    let shown = fake.run(&["show", "thesis", "--json"]).await.out;
-    let again = file("again.json", &shown.replace("\"v1\"", "\"v2\""));
-    let ran = fake.run(&["change", &again]).await;
-    assert_eq!(ran.out, "accepted: version 2 is in force everywhere\n");
+    let shown = fake.run(&["show", "thesis", "--json"]).await.stdout;
+    let again = write_file("again.json", &shown.replace("\"v1\"", "\"v2\""));
+    let output = fake.run(&["change", &again]).await;
+    assert_eq!(
+        output.stdout,
+        "accepted: version 2 is in force everywhere\n"
+    );
 
-    let ran = fake.run(&["list"]).await;
+    let output = fake.run(&["list"]).await;
     assert!(
-        ran.out.contains("thesis      base-7b v2  thesis  1\n"),
+        output
+            .stdout
+            .contains("thesis      base-7b v2  thesis  1\n"),
         "{}",
-        ran.out
+        output.stdout
     );
 
-    let ran = fake.run(&["remove", "thesis"]).await;
-    assert_eq!(ran.exit, Exit::Done);
-    let ran = fake.run(&["show", "thesis"]).await;
+    let output = fake.run(&["remove", "thesis"]).await;
+    assert_eq!(output.exit, Exit::Done);
+    let output = fake.run(&["show", "thesis"]).await;
     assert_eq!(
-        (ran.exit, ran.err.as_str()),
+        (output.exit, output.stderr.as_str()),
         (Exit::NotFound, "dogwoodspur: no deployment thesis\n")
     );
 }
@@ -76,37 +89,42 @@
 #[tokio::test]
 async fn a_change_on_an_old_version_is_a_conflict_with_the_difference() {
     let fake = Fake::start().await;
-    let thesis = file("race.jsonc", THESIS);
+    let thesis = write_file("race.jsonc", THESIS);
     fake.run(&["create", &thesis]).await;
     fake.run(&["change", &thesis, "--expect", "1"]).await;
-    let ran = fake.run(&["change", &thesis, "--expect", "1"]).await;
-    assert_eq!(ran.exit, Exit::Conflict);
-    assert_eq!(ran.exit.code(), 4);
-    assert!(ran.out.contains("version 2 is the newest"), "{}", ran.out);
+    let output = fake.run(&["change", &thesis, "--expect", "1"]).await;
+    assert_eq!(output.exit, Exit::Conflict);
+    assert_eq!(output.exit.code(), 4);
+    assert!(
+        output.stdout.contains("version 2 is the newest"),
+        "{}",
+        output.stdout
+    );
     assert!(
-        ran.out
+        output
+            .stdout
             .contains("deployment thesis pool: \"thesis\" -> \"theses\""),
         "{}",
-        ran.out
+        output.stdout
     );
 }
 
 #[tokio::test]
 async fn a_change_that_names_no_version_is_not_sent() {
     let fake = Fake::answering(|_| panic!("it was sent")).await;
-    let ran = fake
-        .run(&["change", &file("no-version.jsonc", THESIS)])
+    let output = fake
+        .run(&["change", &write_file("no-version.jsonc", THESIS)])
         .await;
-    assert_eq!(ran.exit, Exit::Usage);
+    assert_eq!(output.exit, Exit::Usage);
 }
 
 #[tokio::test]
 async fn an_account_s_key_is_printed_once_and_only_its_hash_is_sent() {
     let fake = Fake::start().await;
-    let ran = fake
+    let output = fake
         .run(&["account", "add", "branches", "--weight", "3", "--json"])
         .await;
-    let answer: Value = serde_json::from_str(&ran.out).unwrap();
+    let answer: Value = serde_json::from_str(&output.stdout).unwrap();
     let key = answer["key"].as_str().unwrap();
     assert_eq!(answer["outcome"], "accepted");
     assert_eq!(key.len(), 64);
@@ -114,18 +132,18 @@
     let shown = fake
         .run(&["account", "show", "branches", "--json"])
         .await
-        .out;
+        .stdout;
     assert!(!shown.contains(key));
     let account: Value = serde_json::from_str(&shown).unwrap();
     assert_eq!(account["key_hashes"][0], hash_key(key).as_str());
     assert_eq!(account["weight"], 3);
 
-    let ran = fake.run(&["account", "add", "branches"]).await;
-    assert_eq!(ran.exit, Exit::Refused);
+    let output = fake.run(&["account", "add", "branches"]).await;
+    assert_eq!(output.exit, Exit::Refused);
     fake.run(&["account", "rekey", "branches"]).await;
     fake.run(&["account", "change", "branches", "--priority", "2"])
         .await;
-    let shown = fake.run(&["account", "show", "branches"]).await.out;
+    let shown = fake.run(&["account", "show", "branches"]).await.stdout;
     assert!(
         shown.contains("branches  3       2         no limit  no limit    2\n"),
         "{shown}"
@@ -143,17 +161,17 @@
     {"account": "branches", "first_token_ms": "fast", "token_gap_ms": 61, "share_per_mille": 950}
   ]
 }"#;
-    let path = file("faulty.jsonc", text);
-    let ran = run_with(&["create", &path], None, "").await;
-    assert_eq!(ran.exit, Exit::Usage);
+    let path = write_file("faulty.jsonc", text);
+    let output = run_with(&["create", &path], None, "").await;
+    assert_eq!(output.exit, Exit::Usage);
     let expected = [
         "3: kind: expected an object whose \"type\" is model or service, found an object",
         "4: pool: expected a text, found 7",
         "5: grant: no such option; did you mean 'grants'?",
         "7: grants[0].first_token_ms: expected a whole number, found another text",
     ];
-    let lines: Vec<&str> = ran.err.lines().collect();
-    assert_eq!(lines.len(), expected.len(), "{}", ran.err);
+    let lines: Vec<&str> = output.stderr.lines().collect();
+    assert_eq!(lines.len(), expected.len(), "{}", output.stderr);
     for (line, expected) in lines.iter().zip(expected) {
         assert!(line.ends_with(&format!("{path}:{expected}")), "{line}");
     }
@@ -162,25 +180,25 @@
 #[tokio::test]
 async fn a_definition_that_is_not_sound_is_named_with_its_line() {
     let text = THESIS.replace("950", "1000").replace("\"v1\"", "\"\"");
-    let path = file("unsound.jsonc", &text);
-    let ran = run_with(&["create", &path], None, "").await;
-    assert_eq!(ran.exit, Exit::Usage);
+    let path = write_file("unsound.jsonc", &text);
+    let output = run_with(&["create", &path], None, "").await;
+    assert_eq!(output.exit, Exit::Usage);
     let expected = format!(
         "dogwoodspur: {path}:4: kind.version: expected a name, found none\n\
          {path}:7: grants[0].share_per_mille: expected 1 to 999, found 1000\n"
     );
-    assert_eq!(ran.err, expected);
+    assert_eq!(output.stderr, expected);
 }
 
 /// The entry dies after it took a change and before it answered. The operator's command sends the
 /// change again under the same name and gets the result of the first time: it took effect once.
 #[tokio::test]
 async fn a_change_with_an_unknown_outcome_is_sent_again_under_the_same_name() {
-    let mut names = Vec::new();
+    let mut change_ids = Vec::new();
     let fake = Fake::answering(move |request| match request {
         Request::Change(change) => {
-            names.push(change.id);
-            match names.as_slice() {
+            change_ids.push(change.id);
+            match change_ids.as_slice() {
                 [_] => Err(Fault::OutcomeUnknown),
                 [first, second] if first == second => Ok(Reply::Changed(Changed::Committed {
                     version: 8,
@@ -192,10 +210,10 @@
         _ => panic!("not a change"),
     })
     .await;
-    let ran = fake.run(&["remove", "thesis", "--expect", "7"]).await;
-    assert_eq!(ran.exit, Exit::Committed);
+    let output = fake.run(&["remove", "thesis", "--expect", "7"]).await;
+    assert_eq!(output.exit, Exit::Committed);
     assert_eq!(
-        ran.out,
+        output.stdout,
         "committed: version 8, waiting for entry-2, entry-3\n"
     );
 }
@@ -203,13 +221,13 @@
 #[tokio::test]
 async fn failures_have_their_own_exit_codes() {
     let fake = Fake::start().await;
-    let thesis = file("codes.jsonc", THESIS);
+    let thesis = write_file("codes.jsonc", THESIS);
     fake.run(&["create", &thesis]).await;
     assert_eq!(fake.run(&["create", &thesis]).await.exit, Exit::Refused);
-    let ran = fake
+    let output = fake
         .run_with_key(&["list"], "another key of some length")
         .await;
-    assert_eq!(ran.exit, Exit::Unauthenticated);
+    assert_eq!(output.exit, Exit::Unauthenticated);
     let nobody = Some("http://127.0.0.1:1".to_owned());
     assert_eq!(
         run_with(&["list"], nobody, "k").await.exit,
@@ -227,11 +245,11 @@
         "report", "explain",
     ];
     for command in commands {
-        let ran = run_with(&[command, "--help"], None, "").await;
-        assert_eq!(ran.exit, Exit::Done, "{command}");
+        let output = run_with(&[command, "--help"], None, "").await;
+        assert_eq!(output.exit, Exit::Done, "{command}");
         let example = format!("Examples:\n  dogwoodspur {command}");
-        assert!(ran.out.contains(&example), "{}", ran.out);
+        assert!(output.stdout.contains(&example), "{}", output.stdout);
     }
-    let ran = run_with(&["--help"], None, "").await;
-    assert!(ran.out.contains("Error codes:"), "{}", ran.out);
+    let output = run_with(&["--help"], None, "").await;
+    assert!(output.stdout.contains("Error codes:"), "{}", output.stdout);
 }
--- a/crates/cli/tests/command/common.rs
+++ b/crates/cli/tests/command/common.rs
@@ -17,13 +17,13 @@
 const KEY: &str = "0123456789abcdef";
 
 /// What one run of the command left behind.
-pub struct Ran {
+pub struct Output {
     /// How it ended.
     pub exit: Exit,
     /// What it wrote.
-    pub out: String,
+    pub stdout: String,
     /// What it complained of.
-    pub err: String,
+    pub stderr: String,
 }
 
 /// A running fake.
@@ -60,28 +60,28 @@
     }
 
     /// Runs the command against it.
-    pub async fn run(&self, arguments: &[&str]) -> Ran {
+    pub async fn run(&self, arguments: &[&str]) -> Output {
         run_with(arguments, Some(self.entry.clone()), KEY).await
     }
 
     /// Runs the command against it with another key.
-    pub async fn run_with_key(&self, arguments: &[&str], key: &str) -> Ran {
+    pub async fn run_with_key(&self, arguments: &[&str], key: &str) -> Output {
         run_with(arguments, Some(self.entry.clone()), key).await
     }
 }
 
 /// Runs the command.
-pub async fn run_with(arguments: &[&str], entry: Option<String>, key: &str) -> Ran {
+pub async fn run_with(arguments: &[&str], entry: Option<String>, key: &str) -> Output {
     let access = Access {
         entry,
         key: Some(key.to_owned()),
     };
     let (mut out, mut err) = (Vec::new(), Vec::new());
     let exit = cli::execute(arguments, access, &mut out, &mut err).await;
-    Ran {
+    Output {
         exit,
-        out: String::from_utf8(out).expect("text"),
-        err: String::from_utf8(err).expect("text"),
+        stdout: String::from_utf8(out).expect("text"),
+        stderr: String::from_utf8(err).expect("text"),
     }
 }
 
--- a/crates/cli/tests/command/views.rs
+++ b/crates/cli/tests/command/views.rs
@@ -45,7 +45,7 @@
         }))
     })
     .await;
-    let out = fake.run(&["status"]).await.out;
+    let out = fake.run(&["status"]).await.stdout;
     assert!(
         out.starts_with("asked entry-1: version 8, store down\n"),
         "{out}"
@@ -56,7 +56,7 @@
         out.contains("i-1.1           thesis  a     leaving  3\n"),
         "{out}"
     );
-    let json: Value = serde_json::from_str(&fake.run(&["status", "--json"]).await.out).unwrap();
+    let json: Value = serde_json::from_str(&fake.run(&["status", "--json"]).await.stdout).unwrap();
     assert_eq!(json["entries"][0]["lease"], "overdue");
 }
 
@@ -80,7 +80,7 @@
     let out = fake
         .run(&["history", "--before", "9", "--limit", "2"])
         .await
-        .out;
+        .stdout;
     let first = out.lines().nth(1).unwrap();
     assert_eq!(
         first,
@@ -98,9 +98,9 @@
         })
     })
     .await;
-    let ran = fake.run(&["drain", "--entry-name", "entry-3"]).await;
+    let output = fake.run(&["drain", "--entry-name", "entry-3"]).await;
     assert_eq!(
-        (ran.exit, ran.out.as_str()),
+        (output.exit, output.stdout.as_str()),
         (Exit::Done, "leaving, 12 requests in progress\n")
     );
 }
@@ -130,7 +130,7 @@
         }))
     })
     .await;
-    let out = fake.run(&["explain", "entry-1.42"]).await.out;
+    let out = fake.run(&["explain", "entry-1.42"]).await.stdout;
     let head = "request entry-1.42 of account branches to deployment thesis: done\n";
     assert!(out.starts_with(head), "{out}");
     assert!(
@@ -157,15 +157,15 @@
         }))
     })
     .await;
-    let out = fake.run(&["report"]).await.out;
+    let out = fake.run(&["report"]).await.stdout;
     assert!(out.contains("thesis / branches  PAGE\n"), "{out}");
-    let json = fake.run(&["report", "--json"]).await.out;
+    let json = fake.run(&["report", "--json"]).await.stdout;
     let json: Value = serde_json::from_str(&json).unwrap();
     assert_eq!(json["rows"][0]["within"], 9);
     let page = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("burn.html");
     let path = page.display().to_string();
-    let ran = fake.run(&["report", "--html", &path]).await;
-    assert_eq!(ran.exit, Exit::Done);
+    let output = fake.run(&["report", "--html", &path]).await;
+    assert_eq!(output.exit, Exit::Done);
     let html = std::fs::read_to_string(page).unwrap();
     assert!(html.contains("thesis / branches &mdash; page"));
 }
--- a/crates/cli/tests/pages.rs
+++ b/crates/cli/tests/pages.rs
@@ -18,16 +18,16 @@
 }
 
 /// Names of all test functions of the workspace.
-fn tests() -> BTreeSet<String> {
+fn test_names() -> BTreeSet<String> {
     let mut names = BTreeSet::new();
-    let mut left = vec![root().join("crates")];
-    while let Some(directory) = left.pop() {
+    let mut directories = vec![root().join("crates")];
+    while let Some(directory) = directories.pop() {
         for entry in fs::read_dir(directory).expect("a directory") {
             let path = entry.expect("an entry").path();
             if path.is_dir() && !path.ends_with("src") {
-                left.push(path);
+                directories.push(path);
             } else if path.extension().is_some_and(|extension| extension == "rs") {
-                collect(
+                collect_function_names(
                     &fs::read_to_string(path).expect("a source file"),
                     &mut names,
                 );
@@ -38,7 +38,7 @@
 }
 
 /// Appends the names of the functions of a source file.
-fn collect(text: &str, names: &mut BTreeSet<String>) {
+fn collect_function_names(text: &str, names: &mut BTreeSet<String>) {
     for line in text.lines() {
         let line = line.trim_start();
         let line = line.strip_prefix("async ").unwrap_or(line);
@@ -53,14 +53,14 @@
 
 #[test]
 fn each_test_that_the_page_of_failures_names_exists() {
-    let known = tests();
+    let known = test_names();
     let text = page("failures.md");
     let sections = text.split("\n## ").skip(1);
     for section in sections {
-        let (_, named) = section
+        let (_, test_list) = section
             .split_once("**Tests.**")
             .expect("each failure names its tests");
-        for name in named.split('`').skip(1).step_by(2) {
+        for name in test_list.split('`').skip(1).step_by(2) {
             assert!(known.contains(name), "{name}");
         }
     }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -235,7 +235,7 @@
 }
 
 /// Serves operators; a failure there leaves the rest of the entry alone.
-async fn serve_operators(listener: TcpListener, key: String, calls: ops::Calls) {
+async fn serve_operators(listener: TcpListener, key: String, calls: ops::CallSender) {
     if let Err(error) = ops::serve(listener, &key, calls).await {
         log::error!(event = "operators_port_failed", error = error.to_string().as_str(); "");
     }
--- a/crates/entry/src/accounting.rs
+++ b/crates/entry/src/accounting.rs
@@ -98,7 +98,7 @@
             let request = line.fields.iter().find(|(name, _)| *name == "request");
             if let Some((_, request)) = request {
                 self.journal
-                    .note(now, request, line.event, &detail_of(line));
+                    .record(now, request, line.event, &detail_of(line));
             }
         }
     }
--- a/crates/ops/src/call.rs
+++ b/crates/ops/src/call.rs
@@ -8,7 +8,7 @@
 use crate::request::Request;
 
 /// Where the server sends calls.
-pub type Calls = mpsc::Sender<Call>;
+pub type CallSender = mpsc::Sender<Call>;
 
 /// One call and the way back for its answer.
 ///
--- a/crates/ops/src/client.rs
+++ b/crates/ops/src/client.rs
@@ -12,8 +12,8 @@
 use tonic::transport::Channel;
 use tonic::transport::Endpoint;
 
-use crate::convert::answer::Garbled;
-use crate::convert::ask;
+use crate::convert::decode_reply::DecodeError;
+use crate::convert::encode_request;
 use crate::reply::Reply;
 use crate::request::Change;
 use crate::request::Edit;
@@ -26,7 +26,7 @@
 /// Longest time for one call; more than the server allows itself.
 const CALL_TIMEOUT: Duration = Duration::from_secs(130);
 /// Most bytes of one answer: a configuration with thousands of accounts is larger than the default.
-const ANSWER_MAX: usize = 64 * 1024 * 1024;
+const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
 /// A connection to the operators' port of one entry.
 #[derive(Clone, Debug)]
@@ -97,8 +97,8 @@
             .timeout(CALL_TIMEOUT)
             .connect()
             .await
-            .map_err(|error| Failure::new(Kind::Unavailable, chain(address, &error)))?;
-        let stub = OperatorsClient::new(channel).max_decoding_message_size(ANSWER_MAX);
+            .map_err(|error| Failure::new(Kind::Unavailable, with_causes(address, &error)))?;
+        let stub = OperatorsClient::new(channel).max_decoding_message_size(MAX_REPLY_BYTES);
         Ok(Client { stub, key })
     }
 
@@ -109,38 +109,38 @@
             Request::Change(change) => self.change(change).await,
             Request::GetDeployment { name } => {
                 let message = self.with_key(wire::GetDeploymentRequest { name: name.into() });
-                read(self.stub.get_deployment(message).await)
+                decode(self.stub.get_deployment(message).await)
             }
             Request::ListDeployments => {
                 let message = self.with_key(wire::ListDeploymentsRequest {});
-                read(self.stub.list_deployments(message).await)
+                decode(self.stub.list_deployments(message).await)
             }
             Request::GetHistory { before, limit } => {
                 let message = self.with_key(wire::GetHistoryRequest {
                     before_version: before.unwrap_or_default(),
                     limit: u32::try_from(limit).unwrap_or(u32::MAX),
                 });
-                read(self.stub.get_history(message).await)
+                decode(self.stub.get_history(message).await)
             }
             Request::GetStatus => {
                 let message = self.with_key(wire::GetStatusRequest {});
-                read(self.stub.get_status(message).await)
+                decode(self.stub.get_status(message).await)
             }
             Request::Drain(target) => {
-                let message = self.with_key(ask::drain(target));
-                read(self.stub.drain(message).await)
+                let message = self.with_key(encode_request::drain(target));
+                decode(self.stub.drain(message).await)
             }
             Request::Report { deployment } => {
                 let message = self.with_key(wire::ReportRequest {
                     deployment: deployment.unwrap_or_default().into(),
                 });
-                read(self.stub.report(message).await)
+                decode(self.stub.report(message).await)
             }
             Request::Explain { request } => {
                 let message = self.with_key(wire::ExplainRequest {
                     request: request.into(),
                 });
-                read(self.stub.explain(message).await)
+                decode(self.stub.explain(message).await)
             }
         };
         result.map_err(|status| failure(&status, may_change))
@@ -148,33 +148,33 @@
 
     /// Sends a change.
     async fn change(&mut self, change: Change) -> Result<Reply, Status> {
-        let how = ask::change_to(&change);
+        let change_header = encode_request::change(&change);
         match change.edit {
             Edit::CreateDeployment(deployment) => {
-                let message = self.with_key(ask::create(how, deployment));
-                read(self.stub.create_deployment(message).await)
+                let message = self.with_key(encode_request::create(change_header, deployment));
+                decode(self.stub.create_deployment(message).await)
             }
             Edit::ChangeDeployment(deployment) => {
-                let message = self.with_key(ask::replace(how, deployment));
-                read(self.stub.change_deployment(message).await)
+                let message = self.with_key(encode_request::replace(change_header, deployment));
+                decode(self.stub.change_deployment(message).await)
             }
             Edit::RemoveDeployment(name) => {
                 let message = self.with_key(wire::RemoveDeploymentRequest {
-                    change: how,
+                    change: change_header,
                     name: name.into(),
                 });
-                read(self.stub.remove_deployment(message).await)
+                decode(self.stub.remove_deployment(message).await)
             }
             Edit::PutAccount(account) => {
-                let message = self.with_key(ask::put(how, account));
-                read(self.stub.put_account(message).await)
+                let message = self.with_key(encode_request::put(change_header, account));
+                decode(self.stub.put_account(message).await)
             }
             Edit::RemoveAccount(name) => {
                 let message = self.with_key(wire::RemoveAccountRequest {
-                    change: how,
+                    change: change_header,
                     name: name.into(),
                 });
-                read(self.stub.remove_account(message).await)
+                decode(self.stub.remove_account(message).await)
             }
         }
     }
@@ -190,12 +190,12 @@
 }
 
 /// Reads an answer.
-fn read<M>(result: Result<Response<M>, Status>) -> Result<Reply, Status>
+fn decode<M>(result: Result<Response<M>, Status>) -> Result<Reply, Status>
 where
-    Reply: TryFrom<M, Error = Garbled>,
+    Reply: TryFrom<M, Error = DecodeError>,
 {
     let message = result?.into_inner();
-    Reply::try_from(message).map_err(|Garbled(why)| Status::internal(why))
+    Reply::try_from(message).map_err(|DecodeError(why)| Status::internal(why))
 }
 
 /// Reads a status.
@@ -203,10 +203,10 @@
 /// A connection that breaks while a change is on its way leaves a status with a source, made on this
 /// side: the entry may have carried the change out, so that the outcome is unknown whatever the code.
 fn failure(status: &Status, may_change: bool) -> Failure {
-    let broken = status.source().is_some();
+    let connection_lost = status.source().is_some();
     let kind = match status.code() {
-        _ if broken && may_change => Kind::OutcomeUnknown,
-        _ if broken => Kind::Unavailable,
+        _ if connection_lost && may_change => Kind::OutcomeUnknown,
+        _ if connection_lost => Kind::Unavailable,
         Code::InvalidArgument => Kind::Invalid,
         Code::Unauthenticated => Kind::Unauthenticated,
         Code::NotFound => Kind::NotFound,
@@ -222,7 +222,7 @@
 }
 
 /// An error with its causes.
-fn chain(address: &str, error: &dyn Error) -> String {
+fn with_causes(address: &str, error: &dyn Error) -> String {
     let mut text = format!("{address}: {error}");
     let mut cause = error.source();
     while let Some(error) = cause {
--- a/crates/ops/src/convert/configuration.rs
+++ b/crates/ops/src/convert/configuration.rs
@@ -14,16 +14,20 @@
 use crate::wire::deployment::Kind as WireKind;
 
 /// Reads a deployment and names everything wrong with it.
-pub fn deployment_from(message: wire::Deployment) -> Result<Deployment, Vec<Violation>> {
-    let kind = message.kind.map(kind_from);
+pub fn decode_deployment(message: wire::Deployment) -> Result<Deployment, Vec<Violation>> {
+    let kind = message.kind.map(decode_kind);
     let deployment = Deployment {
         name: message.name.into(),
         kind: kind.clone().unwrap_or(Kind::Service),
         pool: message.pool.into(),
-        grants: message.grants.into_iter().map(grant_from).collect(),
-        non_idempotent: message.non_idempotent.into_iter().map(call_from).collect(),
+        grants: message.grants.into_iter().map(decode_grant).collect(),
+        non_idempotent: message
+            .non_idempotent
+            .into_iter()
+            .map(decode_call_pattern)
+            .collect(),
         checks_fencing: message.checks_fencing,
-        fleet: message.fleet.map(fleet_from).unwrap_or_default(),
+        fleet: message.fleet.map(decode_fleet).unwrap_or_default(),
     };
     let mut violations = check::deployment(&deployment);
     if kind.is_none() {
@@ -40,19 +44,23 @@
 }
 
 /// Writes a deployment.
-pub fn deployment_to(deployment: Deployment) -> wire::Deployment {
+pub fn encode_deployment(deployment: Deployment) -> wire::Deployment {
     wire::Deployment {
         name: deployment.name.into(),
-        kind: Some(kind_to(deployment.kind)),
+        kind: Some(encode_kind(deployment.kind)),
         pool: deployment.pool.into(),
-        grants: deployment.grants.into_iter().map(grant_to).collect(),
-        non_idempotent: deployment.non_idempotent.into_iter().map(call_to).collect(),
+        grants: deployment.grants.into_iter().map(encode_grant).collect(),
+        non_idempotent: deployment
+            .non_idempotent
+            .into_iter()
+            .map(encode_call_pattern)
+            .collect(),
         checks_fencing: deployment.checks_fencing,
-        fleet: fleet_to(deployment.fleet),
+        fleet: encode_fleet(deployment.fleet),
     }
 }
 
-fn fleet_from(fleet: wire::Fleet) -> Fleet {
+fn decode_fleet(fleet: wire::Fleet) -> Fleet {
     Fleet {
         capacity: fleet.capacity,
         least: fleet.least,
@@ -61,7 +69,7 @@
 }
 
 /// Bounds that are all zero are left out, as they were before there were any.
-fn fleet_to(fleet: Fleet) -> Option<wire::Fleet> {
+fn encode_fleet(fleet: Fleet) -> Option<wire::Fleet> {
     (fleet != Fleet::default()).then_some(wire::Fleet {
         capacity: fleet.capacity,
         least: fleet.least,
@@ -70,7 +78,7 @@
 }
 
 /// Reads an account and names everything wrong with it.
-pub fn account_from(message: wire::Account) -> Result<Account, Vec<Violation>> {
+pub fn decode_account(message: wire::Account) -> Result<Account, Vec<Violation>> {
     let priority = u8::try_from(message.priority);
     let account = Account {
         name: message.name.into(),
@@ -93,7 +101,7 @@
 }
 
 /// Writes an account.
-pub fn account_to(account: Account) -> wire::Account {
+pub fn encode_account(account: Account) -> wire::Account {
     wire::Account {
         name: account.name.into(),
         key_hashes: account.key_hashes.into_iter().map(String::from).collect(),
@@ -105,7 +113,7 @@
 }
 
 /// Reads what is served.
-fn kind_from(kind: WireKind) -> Kind {
+fn decode_kind(kind: WireKind) -> Kind {
     match kind {
         WireKind::Model(model) => Kind::Model {
             model: model.model.into(),
@@ -117,7 +125,7 @@
 }
 
 /// Writes what is served.
-fn kind_to(kind: Kind) -> WireKind {
+fn encode_kind(kind: Kind) -> WireKind {
     match kind {
         Kind::Model {
             model,
@@ -133,7 +141,7 @@
 }
 
 /// Reads a promise.
-fn grant_from(grant: wire::Grant) -> Grant {
+fn decode_grant(grant: wire::Grant) -> Grant {
     Grant {
         account: grant.account.into(),
         first_token_ms: grant.first_token_ms,
@@ -143,7 +151,7 @@
 }
 
 /// Writes a promise.
-fn grant_to(grant: Grant) -> wire::Grant {
+fn encode_grant(grant: Grant) -> wire::Grant {
     wire::Grant {
         account: grant.account.into(),
         first_token_ms: grant.first_token_ms,
@@ -153,7 +161,7 @@
 }
 
 /// Reads a rule about calls.
-fn call_from(pattern: wire::CallPattern) -> CallPattern {
+fn decode_call_pattern(pattern: wire::CallPattern) -> CallPattern {
     CallPattern {
         method: pattern.method.into(),
         path_prefix: pattern.path_prefix.into(),
@@ -161,7 +169,7 @@
 }
 
 /// Writes a rule about calls.
-fn call_to(pattern: CallPattern) -> wire::CallPattern {
+fn encode_call_pattern(pattern: CallPattern) -> wire::CallPattern {
     wire::CallPattern {
         method: pattern.method.into(),
         path_prefix: pattern.path_prefix.into(),
--- a/crates/ops/src/convert/answer.rs
+++ b/crates/ops/src/convert/decode_reply.rs
@@ -4,10 +4,10 @@
 use smol_str::SmolStr;
 use verdict::Verdict;
 
-use crate::convert::configuration::account_from;
-use crate::convert::configuration::deployment_from;
-use crate::convert::report::report_from;
-use crate::convert::status::status_from;
+use crate::convert::configuration::decode_account;
+use crate::convert::configuration::decode_deployment;
+use crate::convert::report::decode_report;
+use crate::convert::status::decode_status;
 use crate::reply::Changed;
 use crate::reply::Difference;
 use crate::reply::Explanation;
@@ -19,19 +19,19 @@
 
 /// An answer that makes no sense to this version; what is wrong with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Garbled(pub String);
+pub struct DecodeError(pub String);
 
-impl From<Vec<Violation>> for Garbled {
-    fn from(violations: Vec<Violation>) -> Garbled {
+impl From<Vec<Violation>> for DecodeError {
+    fn from(violations: Vec<Violation>) -> DecodeError {
         let lines: Vec<String> = violations.iter().map(Violation::to_string).collect();
-        Garbled(lines.join("; "))
+        DecodeError(lines.join("; "))
     }
 }
 
 impl TryFrom<wire::ChangeResult> for Reply {
-    type Error = Garbled;
+    type Error = DecodeError;
 
-    fn try_from(message: wire::ChangeResult) -> Result<Reply, Garbled> {
+    fn try_from(message: wire::ChangeResult) -> Result<Reply, DecodeError> {
         let changed = match message.outcome {
             Some(Outcome::Accepted(accepted)) => Changed::Accepted {
                 version: accepted.version,
@@ -46,10 +46,14 @@
             },
             Some(Outcome::Conflict(conflict)) => Changed::Conflict {
                 version: conflict.version,
-                differences: conflict.differences.into_iter().map(difference).collect(),
+                differences: conflict
+                    .differences
+                    .into_iter()
+                    .map(decode_difference)
+                    .collect(),
             },
             None => {
-                return Err(Garbled(
+                return Err(DecodeError(
                     "the result of the change is of an unknown kind".to_owned(),
                 ));
             }
@@ -59,26 +63,27 @@
 }
 
 impl TryFrom<wire::GetDeploymentResult> for Reply {
-    type Error = Garbled;
+    type Error = DecodeError;
 
-    fn try_from(message: wire::GetDeploymentResult) -> Result<Reply, Garbled> {
+    fn try_from(message: wire::GetDeploymentResult) -> Result<Reply, DecodeError> {
         Ok(Reply::Deployment {
             version: message.version,
-            deployment: deployment_from(message.deployment.unwrap_or_default())?,
+            deployment: decode_deployment(message.deployment.unwrap_or_default())?,
         })
     }
 }
 
 impl TryFrom<wire::ListDeploymentsResult> for Reply {
-    type Error = Garbled;
+    type Error = DecodeError;
 
-    fn try_from(message: wire::ListDeploymentsResult) -> Result<Reply, Garbled> {
+    fn try_from(message: wire::ListDeploymentsResult) -> Result<Reply, DecodeError> {
         let deployments: Result<Vec<_>, _> = message
             .deployments
             .into_iter()
-            .map(deployment_from)
+            .map(decode_deployment)
             .collect();
-        let accounts: Result<Vec<_>, _> = message.accounts.into_iter().map(account_from).collect();
+        let accounts: Result<Vec<_>, _> =
+            message.accounts.into_iter().map(decode_account).collect();
         Ok(Reply::Configuration {
             version: message.version,
             deployments: deployments?,
@@ -88,26 +93,30 @@
 }
 
 impl TryFrom<wire::GetHistoryResult> for Reply {
-    type Error = Garbled;
+    type Error = DecodeError;
 
-    fn try_from(message: wire::GetHistoryResult) -> Result<Reply, Garbled> {
-        let changes = message.changes.into_iter().map(past_change).collect();
+    fn try_from(message: wire::GetHistoryResult) -> Result<Reply, DecodeError> {
+        let changes = message
+            .changes
+            .into_iter()
+            .map(decode_past_change)
+            .collect();
         Ok(Reply::History(changes))
     }
 }
 
 impl TryFrom<wire::GetStatusResult> for Reply {
-    type Error = Garbled;
+    type Error = DecodeError;
 
-    fn try_from(message: wire::GetStatusResult) -> Result<Reply, Garbled> {
-        Ok(Reply::Status(status_from(message)))
+    fn try_from(message: wire::GetStatusResult) -> Result<Reply, DecodeError> {
+        Ok(Reply::Status(decode_status(message)))
     }
 }
 
 impl TryFrom<wire::DrainResult> for Reply {
-    type Error = Garbled;
+    type Error = DecodeError;
 
-    fn try_from(message: wire::DrainResult) -> Result<Reply, Garbled> {
+    fn try_from(message: wire::DrainResult) -> Result<Reply, DecodeError> {
         Ok(Reply::Drained {
             already_leaving: message.already_leaving,
             running: message.running,
@@ -116,29 +125,29 @@
 }
 
 impl TryFrom<wire::ReportResult> for Reply {
-    type Error = Garbled;
+    type Error = DecodeError;
 
-    fn try_from(message: wire::ReportResult) -> Result<Reply, Garbled> {
-        Ok(Reply::Report(report_from(message)))
+    fn try_from(message: wire::ReportResult) -> Result<Reply, DecodeError> {
+        Ok(Reply::Report(decode_report(message)))
     }
 }
 
 impl TryFrom<wire::ExplainResult> for Reply {
-    type Error = Garbled;
+    type Error = DecodeError;
 
-    fn try_from(message: wire::ExplainResult) -> Result<Reply, Garbled> {
+    fn try_from(message: wire::ExplainResult) -> Result<Reply, DecodeError> {
         Ok(Reply::Explained(Explanation {
             request: message.request.into(),
             account: message.account.into(),
             deployment: message.deployment.into(),
-            steps: message.steps.into_iter().map(step).collect(),
+            steps: message.steps.into_iter().map(decode_step).collect(),
             verdict: Verdict::parse(&message.verdict),
         }))
     }
 }
 
 /// Reads a difference.
-fn difference(difference: wire::Difference) -> Difference {
+fn decode_difference(difference: wire::Difference) -> Difference {
     Difference {
         subject: difference.subject,
         field: difference.field,
@@ -148,7 +157,7 @@
 }
 
 /// Reads a past change.
-fn past_change(change: wire::PastChange) -> PastChange {
+fn decode_past_change(change: wire::PastChange) -> PastChange {
     PastChange {
         version: change.version,
         change_id: change.change_id.into(),
@@ -158,7 +167,7 @@
 }
 
 /// Reads one step.
-fn step(step: wire::Step) -> Step {
+fn decode_step(step: wire::Step) -> Step {
     Step {
         at_ms: step.at_ms,
         entry: step.entry.into(),
--- a/crates/ops/src/convert/request.rs
+++ b/crates/ops/src/convert/decode_request.rs
@@ -5,8 +5,8 @@
 use config::check::Violation;
 use smol_str::SmolStr;
 
-use crate::convert::configuration::account_from;
-use crate::convert::configuration::deployment_from;
+use crate::convert::configuration::decode_account;
+use crate::convert::configuration::decode_deployment;
 use crate::fault::Fault;
 use crate::request::Change;
 use crate::request::Edit;
@@ -16,23 +16,23 @@
 use crate::wire::drain_request::Target as WireTarget;
 
 /// Longest name of a change.
-const CHANGE_ID_MAX: usize = 64;
+const MAX_CHANGE_ID_LENGTH: usize = 64;
 /// Wait for a change when none is asked for, milliseconds.
-const WAIT_DEFAULT_MS: u64 = 10_000;
+const DEFAULT_WAIT_MS: u64 = 10_000;
 /// Longest wait for a change, milliseconds.
-const WAIT_MAX_MS: u64 = 60_000;
+const MAX_WAIT_MS: u64 = 60_000;
 /// Past changes given when no number is asked for.
-const HISTORY_DEFAULT: u32 = 50;
+const DEFAULT_HISTORY_LIMIT: u32 = 50;
 /// Most past changes given at once.
-const HISTORY_MAX: u32 = 1_000;
+const MAX_HISTORY_LIMIT: u32 = 1_000;
 /// Longest id of a request or an incarnation.
-const ID_MAX: usize = 256;
+const MAX_ID_LENGTH: usize = 256;
 
 impl TryFrom<wire::CreateDeploymentRequest> for Request {
     type Error = Fault;
 
     fn try_from(message: wire::CreateDeploymentRequest) -> Result<Request, Fault> {
-        let deployment = named("deployment", message.deployment, deployment_from);
+        let deployment = required("deployment", message.deployment, decode_deployment);
         change(message.change, deployment.map(Edit::CreateDeployment))
     }
 }
@@ -41,7 +41,7 @@
     type Error = Fault;
 
     fn try_from(message: wire::ChangeDeploymentRequest) -> Result<Request, Fault> {
-        let deployment = named("deployment", message.deployment, deployment_from);
+        let deployment = required("deployment", message.deployment, decode_deployment);
         change(message.change, deployment.map(Edit::ChangeDeployment))
     }
 }
@@ -50,7 +50,7 @@
     type Error = Fault;
 
     fn try_from(message: wire::RemoveDeploymentRequest) -> Result<Request, Fault> {
-        let name = sound_name(message.name);
+        let name = valid_name(message.name);
         change(message.change, name.map(Edit::RemoveDeployment))
     }
 }
@@ -59,7 +59,7 @@
     type Error = Fault;
 
     fn try_from(message: wire::GetDeploymentRequest) -> Result<Request, Fault> {
-        let name = sound_name(message.name).map_err(Fault::Invalid)?;
+        let name = valid_name(message.name).map_err(Fault::Invalid)?;
         Ok(Request::GetDeployment { name })
     }
 }
@@ -76,7 +76,7 @@
     type Error = Fault;
 
     fn try_from(message: wire::PutAccountRequest) -> Result<Request, Fault> {
-        let account = named("account", message.account, account_from);
+        let account = required("account", message.account, decode_account);
         change(message.change, account.map(Edit::PutAccount))
     }
 }
@@ -85,7 +85,7 @@
     type Error = Fault;
 
     fn try_from(message: wire::RemoveAccountRequest) -> Result<Request, Fault> {
-        let name = sound_name(message.name);
+        let name = valid_name(message.name);
         change(message.change, name.map(Edit::RemoveAccount))
     }
 }
@@ -95,10 +95,10 @@
 
     fn try_from(message: wire::GetHistoryRequest) -> Result<Request, Fault> {
         let limit = match message.limit {
-            0 => HISTORY_DEFAULT,
-            limit if limit <= HISTORY_MAX => limit,
+            0 => DEFAULT_HISTORY_LIMIT,
+            limit if limit <= MAX_HISTORY_LIMIT => limit,
             limit => {
-                let expected = format!("expected at most {HISTORY_MAX}, found {limit}");
+                let expected = format!("expected at most {MAX_HISTORY_LIMIT}, found {limit}");
                 return Err(Fault::Invalid(vec![Violation::new("limit", expected)]));
             }
         };
@@ -187,14 +187,14 @@
 
 /// Checks what every change carries.
 fn check_change(message: &wire::Change, out: &mut Vec<Violation>) {
-    let good = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     let id = &message.change_id;
-    if !(1..=CHANGE_ID_MAX).contains(&id.len()) || !id.bytes().all(good) {
+    if !(1..=MAX_CHANGE_ID_LENGTH).contains(&id.len()) || !id.bytes().all(is_allowed) {
         let expected = "expected 1 to 64 of A-Z, a-z, 0-9, - and _";
         out.push(Violation::new("change.change_id", expected));
     }
-    if message.wait_ms > WAIT_MAX_MS {
-        let expected = format!("expected at most {WAIT_MAX_MS}, found {}", message.wait_ms);
+    if message.wait_ms > MAX_WAIT_MS {
+        let expected = format!("expected at most {MAX_WAIT_MS}, found {}", message.wait_ms);
         out.push(Violation::new("change.wait_ms", expected));
     }
 }
@@ -202,13 +202,13 @@
 /// How long a change may wait.
 fn wait(wait_ms: u64) -> Span {
     match wait_ms {
-        0 => Span::from_millis(WAIT_DEFAULT_MS),
-        asked => Span::from_millis(asked),
+        0 => Span::from_millis(DEFAULT_WAIT_MS),
+        requested => Span::from_millis(requested),
     }
 }
 
 /// Reads a message that must be there, with its name before the fields of its faults.
-fn named<M, T>(
+fn required<M, T>(
     name: &str,
     message: Option<M>,
     read: fn(M) -> Result<T, Vec<Violation>>,
@@ -225,7 +225,7 @@
 }
 
 /// Reads the name of a deployment or an account.
-fn sound_name(name: String) -> Result<SmolStr, Vec<Violation>> {
+fn valid_name(name: String) -> Result<SmolStr, Vec<Violation>> {
     let mut violations = Vec::new();
     check::name("name", &name, &mut violations);
     if violations.is_empty() {
@@ -237,10 +237,10 @@
 
 /// Reads an id that others chose.
 fn id(field: &str, text: String) -> Result<SmolStr, Fault> {
-    let good = |byte: u8| byte.is_ascii_graphic();
-    if (1..=ID_MAX).contains(&text.len()) && text.bytes().all(good) {
+    let is_allowed = |byte: u8| byte.is_ascii_graphic();
+    if (1..=MAX_ID_LENGTH).contains(&text.len()) && text.bytes().all(is_allowed) {
         return Ok(text.into());
     }
-    let expected = format!("expected 1 to {ID_MAX} visible characters");
+    let expected = format!("expected 1 to {MAX_ID_LENGTH} visible characters");
     Err(Fault::Invalid(vec![Violation::new(field, expected)]))
 }
--- a/crates/ops/src/convert/reply.rs
+++ b/crates/ops/src/convert/encode_reply.rs
@@ -3,10 +3,10 @@
 use tonic::Status;
 use verdict::Verdict;
 
-use crate::convert::configuration::account_to;
-use crate::convert::configuration::deployment_to;
-use crate::convert::report::report_to;
-use crate::convert::status::status_to;
+use crate::convert::configuration::encode_account;
+use crate::convert::configuration::encode_deployment;
+use crate::convert::report::encode_report;
+use crate::convert::status::encode_status;
 use crate::reply::Changed;
 use crate::reply::Difference;
 use crate::reply::Explanation;
@@ -22,9 +22,9 @@
     fn try_from(reply: Reply) -> Result<wire::ChangeResult, Status> {
         match reply {
             Reply::Changed(changed) => Ok(wire::ChangeResult {
-                outcome: Some(outcome(changed)),
+                outcome: Some(encode_outcome(changed)),
             }),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_kind()),
         }
     }
 }
@@ -39,9 +39,9 @@
                 deployment,
             } => Ok(wire::GetDeploymentResult {
                 version,
-                deployment: Some(deployment_to(deployment)),
+                deployment: Some(encode_deployment(deployment)),
             }),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_kind()),
         }
     }
 }
@@ -57,10 +57,10 @@
                 accounts,
             } => Ok(wire::ListDeploymentsResult {
                 version,
-                deployments: deployments.into_iter().map(deployment_to).collect(),
-                accounts: accounts.into_iter().map(account_to).collect(),
+                deployments: deployments.into_iter().map(encode_deployment).collect(),
+                accounts: accounts.into_iter().map(encode_account).collect(),
             }),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_kind()),
         }
     }
 }
@@ -71,9 +71,9 @@
     fn try_from(reply: Reply) -> Result<wire::GetHistoryResult, Status> {
         match reply {
             Reply::History(changes) => Ok(wire::GetHistoryResult {
-                changes: changes.into_iter().map(past_change).collect(),
+                changes: changes.into_iter().map(encode_past_change).collect(),
             }),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_kind()),
         }
     }
 }
@@ -83,8 +83,8 @@
 
     fn try_from(reply: Reply) -> Result<wire::GetStatusResult, Status> {
         match reply {
-            Reply::Status(status) => Ok(status_to(status)),
-            _ => Err(mismatch()),
+            Reply::Status(status) => Ok(encode_status(status)),
+            _ => Err(unexpected_kind()),
         }
     }
 }
@@ -101,7 +101,7 @@
                 already_leaving,
                 running,
             }),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_kind()),
         }
     }
 }
@@ -111,8 +111,8 @@
 
     fn try_from(reply: Reply) -> Result<wire::ReportResult, Status> {
         match reply {
-            Reply::Report(report) => Ok(report_to(report)),
-            _ => Err(mismatch()),
+            Reply::Report(report) => Ok(encode_report(report)),
+            _ => Err(unexpected_kind()),
         }
     }
 }
@@ -122,19 +122,19 @@
 
     fn try_from(reply: Reply) -> Result<wire::ExplainResult, Status> {
         match reply {
-            Reply::Explained(explanation) => Ok(explained(explanation)),
-            _ => Err(mismatch()),
+            Reply::Explained(explanation) => Ok(encode_explanation(explanation)),
+            _ => Err(unexpected_kind()),
         }
     }
 }
 
 /// The answer is of another kind than the question: a fault of this program.
-fn mismatch() -> Status {
+fn unexpected_kind() -> Status {
     Status::internal("the answer is of another kind than the call")
 }
 
 /// Writes what became of a change.
-fn outcome(changed: Changed) -> Outcome {
+fn encode_outcome(changed: Changed) -> Outcome {
     match changed {
         Changed::Accepted { version } => Outcome::Accepted(wire::Accepted { version }),
         Changed::Committed {
@@ -149,13 +149,13 @@
             differences,
         } => Outcome::Conflict(wire::Conflict {
             version,
-            differences: differences.into_iter().map(difference).collect(),
+            differences: differences.into_iter().map(encode_difference).collect(),
         }),
     }
 }
 
 /// Writes a difference.
-fn difference(difference: Difference) -> wire::Difference {
+fn encode_difference(difference: Difference) -> wire::Difference {
     wire::Difference {
         subject: difference.subject,
         field: difference.field,
@@ -165,7 +165,7 @@
 }
 
 /// Writes a past change.
-fn past_change(change: PastChange) -> wire::PastChange {
+fn encode_past_change(change: PastChange) -> wire::PastChange {
     wire::PastChange {
         version: change.version,
         change_id: change.change_id.into(),
@@ -175,19 +175,19 @@
 }
 
 /// Writes the life of a request.
-fn explained(explanation: Explanation) -> wire::ExplainResult {
+fn encode_explanation(explanation: Explanation) -> wire::ExplainResult {
     let verdict = explanation.verdict.map_or("", Verdict::as_str);
     wire::ExplainResult {
         request: explanation.request.into(),
         account: explanation.account.into(),
         deployment: explanation.deployment.into(),
-        steps: explanation.steps.into_iter().map(step).collect(),
+        steps: explanation.steps.into_iter().map(encode_step).collect(),
         verdict: verdict.to_owned(),
     }
 }
 
 /// Writes one step.
-fn step(step: Step) -> wire::Step {
+fn encode_step(step: Step) -> wire::Step {
     wire::Step {
         at_ms: step.at_ms,
         entry: step.entry.into(),
--- a/crates/ops/src/convert/ask.rs
+++ b/crates/ops/src/convert/encode_request.rs
@@ -1,14 +1,14 @@
 //! Writes calls.
 
-use crate::convert::configuration::account_to;
-use crate::convert::configuration::deployment_to;
+use crate::convert::configuration::encode_account;
+use crate::convert::configuration::encode_deployment;
 use crate::request::Change;
 use crate::request::Target;
 use crate::wire;
 use crate::wire::drain_request::Target as WireTarget;
 
 /// Writes what every change carries.
-pub fn change_to(change: &Change) -> Option<wire::Change> {
+pub fn change(change: &Change) -> Option<wire::Change> {
     Some(wire::Change {
         expected_version: change.expected_version,
         change_id: change.id.to_string(),
@@ -23,7 +23,7 @@
 ) -> wire::CreateDeploymentRequest {
     wire::CreateDeploymentRequest {
         change,
-        deployment: Some(deployment_to(deployment)),
+        deployment: Some(encode_deployment(deployment)),
     }
 }
 
@@ -34,7 +34,7 @@
 ) -> wire::ChangeDeploymentRequest {
     wire::ChangeDeploymentRequest {
         change,
-        deployment: Some(deployment_to(deployment)),
+        deployment: Some(encode_deployment(deployment)),
     }
 }
 
@@ -45,7 +45,7 @@
 ) -> wire::PutAccountRequest {
     wire::PutAccountRequest {
         change,
-        account: Some(account_to(account)),
+        account: Some(encode_account(account)),
     }
 }
 
--- a/crates/ops/src/convert/mod.rs
+++ b/crates/ops/src/convert/mod.rs
@@ -1,9 +1,9 @@
 //! Between messages and the terms of the configuration.
 
-pub mod answer;
-pub mod ask;
 pub mod configuration;
-pub mod reply;
+pub mod decode_reply;
+pub mod decode_request;
+pub mod encode_reply;
+pub mod encode_request;
 pub mod report;
-pub mod request;
 pub mod status;
--- a/crates/ops/src/convert/report.rs
+++ b/crates/ops/src/convert/report.rs
@@ -11,10 +11,10 @@
 use crate::wire;
 
 /// Writes a report.
-pub fn report_to(report: Report) -> wire::ReportResult {
+pub fn encode_report(report: Report) -> wire::ReportResult {
     wire::ReportResult {
-        rows: report.rows.into_iter().map(row_to).collect(),
-        gaps: report.gaps.into_iter().map(gap_to).collect(),
+        rows: report.rows.into_iter().map(encode_row).collect(),
+        gaps: report.gaps.into_iter().map(encode_gap).collect(),
         short_window_ms: report.short_window_ms,
         long_window_ms: report.long_window_ms,
         period_ms: report.period_ms,
@@ -22,10 +22,10 @@
 }
 
 /// Reads a report.
-pub fn report_from(message: wire::ReportResult) -> Report {
+pub fn decode_report(message: wire::ReportResult) -> Report {
     Report {
-        rows: message.rows.into_iter().map(row_from).collect(),
-        gaps: message.gaps.into_iter().map(gap_from).collect(),
+        rows: message.rows.into_iter().map(decode_row).collect(),
+        gaps: message.gaps.into_iter().map(decode_gap).collect(),
         short_window_ms: message.short_window_ms,
         long_window_ms: message.long_window_ms,
         period_ms: message.period_ms,
@@ -33,7 +33,7 @@
 }
 
 /// Writes a row.
-fn row_to(row: Row) -> wire::ReportRow {
+fn encode_row(row: Row) -> wire::ReportRow {
     wire::ReportRow {
         deployment: row.deployment.into(),
         target: Some(wire::Grant {
@@ -48,18 +48,18 @@
         budget_left: row.budget_left,
         burn_short: row.burn_short,
         burn_long: row.burn_long,
-        misses: Some(misses_to(row.misses)),
-        first_token_ms: Some(quantiles_to(row.first_token_ms)),
-        worst_gap_ms: Some(quantiles_to(row.worst_gap_ms)),
+        misses: Some(encode_misses(row.misses)),
+        first_token_ms: Some(encode_quantiles(row.first_token_ms)),
+        worst_gap_ms: Some(encode_quantiles(row.worst_gap_ms)),
         cost_micros: row.cost_micros,
         cost_per_within_micros: row.cost_per_within_micros,
         recomputed_tokens: row.recomputed_tokens,
-        points: row.points.into_iter().map(point_to).collect(),
+        points: row.points.into_iter().map(encode_point).collect(),
     }
 }
 
 /// Reads a row.
-fn row_from(row: wire::ReportRow) -> Row {
+fn decode_row(row: wire::ReportRow) -> Row {
     let target = row.target.unwrap_or_default();
     Row {
         deployment: row.deployment.into(),
@@ -74,18 +74,18 @@
         budget_left: row.budget_left,
         burn_short: row.burn_short,
         burn_long: row.burn_long,
-        misses: misses_from(row.misses.unwrap_or_default()),
-        first_token_ms: quantiles_from(row.first_token_ms.unwrap_or_default()),
-        worst_gap_ms: quantiles_from(row.worst_gap_ms.unwrap_or_default()),
+        misses: decode_misses(row.misses.unwrap_or_default()),
+        first_token_ms: decode_quantiles(row.first_token_ms.unwrap_or_default()),
+        worst_gap_ms: decode_quantiles(row.worst_gap_ms.unwrap_or_default()),
         cost_micros: row.cost_micros,
         cost_per_within_micros: row.cost_per_within_micros,
         recomputed_tokens: row.recomputed_tokens,
-        points: row.points.into_iter().map(point_from).collect(),
+        points: row.points.into_iter().map(decode_point).collect(),
     }
 }
 
 /// Writes misses by cause.
-fn misses_to(misses: Misses) -> wire::ReportMisses {
+fn encode_misses(misses: Misses) -> wire::ReportMisses {
     wire::ReportMisses {
         waiting: misses.waiting,
         slow_backend: misses.slow_backend,
@@ -97,7 +97,7 @@
 }
 
 /// Reads misses by cause.
-fn misses_from(misses: wire::ReportMisses) -> Misses {
+fn decode_misses(misses: wire::ReportMisses) -> Misses {
     Misses {
         waiting: misses.waiting,
         slow_backend: misses.slow_backend,
@@ -109,7 +109,7 @@
 }
 
 /// Writes quantiles.
-fn quantiles_to(quantiles: Quantiles) -> wire::Quantiles {
+fn encode_quantiles(quantiles: Quantiles) -> wire::Quantiles {
     wire::Quantiles {
         p50: quantiles.p50,
         p95: quantiles.p95,
@@ -118,7 +118,7 @@
 }
 
 /// Reads quantiles.
-fn quantiles_from(quantiles: wire::Quantiles) -> Quantiles {
+fn decode_quantiles(quantiles: wire::Quantiles) -> Quantiles {
     Quantiles {
         p50: quantiles.p50,
         p95: quantiles.p95,
@@ -127,7 +127,7 @@
 }
 
 /// Writes a slice of the course.
-fn point_to(point: Point) -> wire::ReportPoint {
+fn encode_point(point: Point) -> wire::ReportPoint {
     wire::ReportPoint {
         ago_ms: point.ago_ms,
         requests: point.requests,
@@ -136,7 +136,7 @@
 }
 
 /// Reads a slice of the course.
-fn point_from(point: wire::ReportPoint) -> Point {
+fn decode_point(point: wire::ReportPoint) -> Point {
     Point {
         ago_ms: point.ago_ms,
         requests: point.requests,
@@ -145,7 +145,7 @@
 }
 
 /// Writes a gap.
-fn gap_to(gap: Gap) -> wire::ReportGap {
+fn encode_gap(gap: Gap) -> wire::ReportGap {
     wire::ReportGap {
         entry: gap.entry.into(),
         from_ago_ms: gap.from_ago_ms,
@@ -154,7 +154,7 @@
 }
 
 /// Reads a gap.
-fn gap_from(gap: wire::ReportGap) -> Gap {
+fn decode_gap(gap: wire::ReportGap) -> Gap {
     Gap {
         entry: gap.entry.into(),
         from_ago_ms: gap.from_ago_ms,
--- a/crates/ops/src/convert/status.rs
+++ b/crates/ops/src/convert/status.rs
@@ -8,18 +8,18 @@
 use crate::wire;
 
 /// Writes how things stand.
-pub fn status_to(status: Status) -> wire::GetStatusResult {
+pub fn encode_status(status: Status) -> wire::GetStatusResult {
     wire::GetStatusResult {
         entry: status.entry.into(),
         version: status.version,
         store_available: status.store_available,
-        entries: status.entries.into_iter().map(entry_to).collect(),
-        backends: status.backends.into_iter().map(backend_to).collect(),
+        entries: status.entries.into_iter().map(encode_entry).collect(),
+        backends: status.backends.into_iter().map(encode_backend).collect(),
     }
 }
 
 /// Writes how an entry stands.
-fn entry_to(entry: EntryStatus) -> wire::EntryStatus {
+fn encode_entry(entry: EntryStatus) -> wire::EntryStatus {
     let lease = match entry.lease {
         LeaseState::Held => wire::LeaseState::Held,
         LeaseState::Overdue => wire::LeaseState::Overdue,
@@ -37,7 +37,7 @@
 }
 
 /// Writes how a backend server stands.
-fn backend_to(backend: BackendStatus) -> wire::BackendStatus {
+fn encode_backend(backend: BackendStatus) -> wire::BackendStatus {
     let state = match backend.state {
         BackendState::Live => wire::BackendState::Live,
         BackendState::Leaving => wire::BackendState::Leaving,
@@ -54,18 +54,18 @@
 }
 
 /// Reads how things stand.
-pub fn status_from(message: wire::GetStatusResult) -> Status {
+pub fn decode_status(message: wire::GetStatusResult) -> Status {
     Status {
         entry: message.entry.into(),
         version: message.version,
         store_available: message.store_available,
-        entries: message.entries.into_iter().map(entry_from).collect(),
-        backends: message.backends.into_iter().map(backend_from).collect(),
+        entries: message.entries.into_iter().map(decode_entry).collect(),
+        backends: message.backends.into_iter().map(decode_backend).collect(),
     }
 }
 
 /// Reads how an entry stands; a state that isn't known here counts as the worst.
-fn entry_from(entry: wire::EntryStatus) -> EntryStatus {
+fn decode_entry(entry: wire::EntryStatus) -> EntryStatus {
     let lease = match entry.lease() {
         wire::LeaseState::Held => LeaseState::Held,
         wire::LeaseState::Overdue => LeaseState::Overdue,
@@ -83,7 +83,7 @@
 }
 
 /// Reads how a backend server stands; a state that isn't known here counts as getting no work.
-fn backend_from(backend: wire::BackendStatus) -> BackendStatus {
+fn decode_backend(backend: wire::BackendStatus) -> BackendStatus {
     let state = match backend.state() {
         wire::BackendState::Live => BackendState::Live,
         wire::BackendState::Ejected => BackendState::Ejected,
--- a/crates/ops/src/journal.rs
+++ b/crates/ops/src/journal.rs
@@ -14,30 +14,30 @@
 use crate::reply::Step;
 
 /// Most requests remembered.
-const REQUESTS: usize = 4_096;
+const MAX_REQUESTS: usize = 4_096;
 /// Most steps of one request; the last place says how many more there were.
-const STEPS: usize = 32;
+const MAX_STEPS: usize = 32;
 /// Longest detail of a step, bytes.
-const DETAIL: usize = 256;
+const MAX_DETAIL_BYTES: usize = 256;
 
 /// What happened to the latest requests.
 #[derive(Clone, Debug)]
 pub struct Journal {
     entry: SmolStr,
-    lives: BTreeMap<SmolStr, Life>,
-    /// The ids of `lives`, the oldest first; each once.
+    traces: BTreeMap<SmolStr, Trace>,
+    /// The ids of `traces`, the oldest first; each once.
     order: VecDeque<SmolStr>,
 }
 
 /// The life of one request.
 #[derive(Clone, Debug)]
-struct Life {
-    began: Time,
+struct Trace {
+    arrived_at: Time,
     account: SmolStr,
     deployment: SmolStr,
     steps: Vec<Step>,
     /// Steps beyond the most that are kept.
-    more: u32,
+    dropped_steps: u32,
     verdict: Option<Verdict>,
 }
 
@@ -46,7 +46,7 @@
     pub fn new(entry: SmolStr) -> Journal {
         Journal {
             entry,
-            lives: BTreeMap::new(),
+            traces: BTreeMap::new(),
             order: VecDeque::new(),
         }
     }
@@ -54,38 +54,38 @@
     /// A request has arrived; the oldest is forgotten if there are too many. One that is known
     /// already, as when its caller comes back, goes on with the life it has.
     pub fn begin(&mut self, now: Time, request: &SmolStr, account: &SmolStr, deployment: &SmolStr) {
-        if self.lives.contains_key(request) {
+        if self.traces.contains_key(request) {
             return;
         }
-        if self.order.len() >= REQUESTS
+        if self.order.len() >= MAX_REQUESTS
             && let Some(oldest) = self.order.pop_front()
         {
-            self.lives.remove(&oldest);
+            self.traces.remove(&oldest);
         }
-        let life = Life {
-            began: now,
+        let trace = Trace {
+            arrived_at: now,
             account: account.clone(),
             deployment: deployment.clone(),
             steps: Vec::new(),
-            more: 0,
+            dropped_steps: 0,
             verdict: None,
         };
-        self.lives.insert(request.clone(), life);
+        self.traces.insert(request.clone(), trace);
         self.order.push_back(request.clone());
     }
 
     /// Something happened to a request. `detail` holds key=value pairs, no key and no prompt text.
-    pub fn note(&mut self, now: Time, request: &str, event: &'static str, detail: &str) {
-        let Some(life) = self.lives.get_mut(request) else {
+    pub fn record(&mut self, now: Time, request: &str, event: &'static str, detail: &str) {
+        let Some(trace) = self.traces.get_mut(request) else {
             return;
         };
-        if life.steps.len() >= STEPS {
-            life.more += 1;
+        if trace.steps.len() >= MAX_STEPS {
+            trace.dropped_steps += 1;
             return;
         }
-        let end = detail.floor_char_boundary(DETAIL);
-        life.steps.push(Step {
-            at_ms: now.since(life.began).as_millis(),
+        let end = detail.floor_char_boundary(MAX_DETAIL_BYTES);
+        trace.steps.push(Step {
+            at_ms: now.since(trace.arrived_at).as_millis(),
             entry: self.entry.clone(),
             event: SmolStr::new_static(event),
             detail: detail.get(..end).unwrap_or_default().to_owned(),
@@ -94,29 +94,29 @@
 
     /// A request has ended.
     pub fn end(&mut self, request: &str, verdict: Verdict) {
-        if let Some(life) = self.lives.get_mut(request) {
-            life.verdict = Some(verdict);
+        if let Some(trace) = self.traces.get_mut(request) {
+            trace.verdict = Some(verdict);
         }
     }
 
     /// The life of a request, if it is remembered.
     pub fn explain(&self, request: &str) -> Option<Explanation> {
-        let life = self.lives.get(request)?;
-        let mut steps = life.steps.clone();
-        if life.more > 0 {
+        let trace = self.traces.get(request)?;
+        let mut steps = trace.steps.clone();
+        if trace.dropped_steps > 0 {
             steps.push(Step {
                 at_ms: steps.last().map_or(0, |step| step.at_ms),
                 entry: self.entry.clone(),
                 event: SmolStr::new_static("more"),
-                detail: format!("steps={}", life.more),
+                detail: format!("steps={}", trace.dropped_steps),
             });
         }
         Some(Explanation {
             request: request.into(),
-            account: life.account.clone(),
-            deployment: life.deployment.clone(),
+            account: trace.account.clone(),
+            deployment: trace.deployment.clone(),
             steps,
-            verdict: life.verdict,
+            verdict: trace.verdict,
         })
     }
 }
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod wire;
 
 pub use crate::call::Call;
-pub use crate::call::Calls;
+pub use crate::call::CallSender;
 pub use crate::client::Client;
 pub use crate::fault::Fault;
 pub use crate::journal::Journal;
--- a/crates/ops/src/server.rs
+++ b/crates/ops/src/server.rs
@@ -15,7 +15,7 @@
 use tonic::transport::Server;
 
 use crate::call::Call;
-use crate::call::Calls;
+use crate::call::CallSender;
 use crate::fault::Fault;
 use crate::reply::Reply;
 use crate::request::Request;
@@ -24,16 +24,16 @@
 use crate::wire::operators_server::OperatorsServer;
 
 /// Most bytes of one call: the largest deployment, with 5,000 grants, takes a tenth of it.
-const MESSAGE_MAX: usize = 4 * 1024 * 1024;
+const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 /// Calls in progress on one connection.
-const CALLS_PER_CONNECTION: usize = 16;
+const MAX_CALLS_PER_CONNECTION: usize = 16;
 /// Longest time for one call: the longest wait for a change and as much again for the store.
 const CALL_TIMEOUT: Duration = Duration::from_secs(120);
 /// How often a silent connection is tried, so that a vanished operator's one is given up.
-const KEEPALIVE: Duration = Duration::from_secs(30);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
 
 /// Serves operators for ever.
-pub async fn serve(listener: TcpListener, key: &str, calls: Calls) -> anyhow::Result<()> {
+pub async fn serve(listener: TcpListener, key: &str, calls: CallSender) -> anyhow::Result<()> {
     serve_until(listener, key, calls, pending()).await
 }
 
@@ -41,12 +41,12 @@
 pub async fn serve_until(
     listener: TcpListener,
     key: &str,
-    calls: Calls,
+    calls: CallSender,
     stop: impl Future<Output = ()>,
 ) -> anyhow::Result<()> {
     let key_hash = hash_key(key);
     let port = OperatorsServer::new(Port { calls })
-        .max_decoding_message_size(MESSAGE_MAX)
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
         .max_encoding_message_size(usize::MAX);
     let guarded = tonic::service::interceptor::InterceptedService::new(
         port,
@@ -54,8 +54,8 @@
     );
     Server::builder()
         .timeout(CALL_TIMEOUT)
-        .concurrency_limit_per_connection(CALLS_PER_CONNECTION)
-        .http2_keepalive_interval(Some(KEEPALIVE))
+        .concurrency_limit_per_connection(MAX_CALLS_PER_CONNECTION)
+        .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
         .add_service(guarded)
         .serve_with_incoming_shutdown(TcpListenerStream::new(listener), stop)
         .await?;
@@ -86,7 +86,7 @@
 
 /// Turns messages into calls and answers into messages.
 struct Port {
-    calls: Calls,
+    calls: CallSender,
 }
 
 impl Port {
--- a/crates/ops/tests/contract.rs
+++ b/crates/ops/tests/contract.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 
 use ops::Request;
-use ops::convert::ask;
+use ops::convert::encode_request;
 use ops::request::Edit;
 use ops::wire;
 use prost::Message;
@@ -78,6 +78,6 @@
     let Edit::ChangeDeployment(deployment) = change.edit.clone() else {
         panic!("not a replacement");
     };
-    let again = ask::replace(ask::change_to(&change), deployment);
+    let again = encode_request::replace(encode_request::change(&change), deployment);
     assert_eq!(again, message);
 }
--- a/crates/ops/tests/journal.rs
+++ b/crates/ops/tests/journal.rs
@@ -16,8 +16,8 @@
 #[test]
 fn steps_are_told_in_order_with_the_time_since_arrival() {
     let mut journal = journal();
-    journal.note(Time::from_millis(100), "r-1", "queued", "ahead=3");
-    journal.note(Time::from_millis(140), "r-1", "started", "replica=i-1.1");
+    journal.record(Time::from_millis(100), "r-1", "queued", "ahead=3");
+    journal.record(Time::from_millis(140), "r-1", "started", "replica=i-1.1");
     assert_eq!(journal.explain("r-1").unwrap().verdict, None);
     journal.end("r-1", Verdict::Done);
     let told = journal.explain("r-1").unwrap();
@@ -39,10 +39,10 @@
 #[test]
 fn a_request_that_arrives_again_keeps_its_life() {
     let mut journal = journal();
-    journal.note(Time::from_millis(120), "r-1", "started", "");
+    journal.record(Time::from_millis(120), "r-1", "started", "");
     let (request, account) = (SmolStr::from("r-1"), SmolStr::from("branches"));
     journal.begin(Time::from_millis(900), &request, &account, &"thesis".into());
-    journal.note(Time::from_millis(900), "r-1", "resumed", "offset=4");
+    journal.record(Time::from_millis(900), "r-1", "resumed", "offset=4");
     let steps = journal.explain("r-1").unwrap().steps;
     assert_eq!(steps[1].at_ms, 800);
 }
@@ -52,7 +52,7 @@
 fn steps_details_and_requests_are_bounded() {
     let mut journal = journal();
     for _ in 0..100 {
-        journal.note(Time::from_millis(200), "r-1", "moved", &"ä".repeat(1_000));
+        journal.record(Time::from_millis(200), "r-1", "moved", &"ä".repeat(1_000));
     }
     let steps = journal.explain("r-1").unwrap().steps;
     assert_eq!(steps.len(), 33);
