--- a/crates/ops/examples/golden.rs
+++ b/crates/ops/examples/golden.rs
@@ -1,4 +1,4 @@
-//! Writes golden files that aren't there yet; existing ones are never written again.
+//! Writes missing golden files; existing ones are never overwritten.
 //!
 //! `cargo run -p ops --example golden`
 
@@ -23,7 +23,7 @@
     write_new(&directory.join(name), (fields.join("\n") + "\n").as_bytes())
 }
 
-/// Writes a file unless it is there.
+/// Writes a file unless it exists.
 fn write_new(file: &Path, bytes: &[u8]) -> io::Result<()> {
     if file.exists() {
         return Ok(());
--- a/crates/ops/examples/regenerate.rs
+++ b/crates/ops/examples/regenerate.rs
@@ -1,9 +1,9 @@
-//! Makes the code in `src/generated` from the schema; no protoc is needed.
+//! Regenerates the code in `src/generated` from the schema; protoc isn't needed.
 //!
 //! `cargo run -p ops --example regenerate`
 //!
-//! The library must compile for it: run it after a change of the schema and before the code that uses
-//! the new fields.
+//! The library must compile for this: run it after changing the schema and before writing code that
+//! uses the new fields.
 
 use std::path::Path;
 
--- a/crates/ops/src/call.rs
+++ b/crates/ops/src/call.rs
@@ -1,4 +1,4 @@
-//! A call on its way to whoever answers it.
+//! A call from the gRPC server to its handler.
 
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
@@ -7,17 +7,16 @@
 use crate::reply::Reply;
 use crate::request::Request;
 
-/// Where the server sends calls.
+/// Sending half of the channel over which the server passes calls on.
 pub type CallSender = mpsc::Sender<Call>;
 
-/// One call and the way back for its answer.
+/// One call and the channel for its reply.
 ///
-/// Dropping it unanswered tells the operator that the outcome of a change is unknown, and that a
-/// question may be asked again.
+/// If it is dropped without a reply, a change fails with an unknown outcome and a query as unavailable.
 #[derive(Debug)]
 pub struct Call {
-    /// What is asked.
+    /// The decoded request.
     pub request: Request,
-    /// Where the answer goes.
+    /// Receives the reply.
     pub reply: oneshot::Sender<Result<Reply, Fault>>,
 }
--- a/crates/ops/src/client.rs
+++ b/crates/ops/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' side: sends a [`Request`], gives the [`Reply`].
+//! gRPC client: sends a [`Request`] and returns the [`Reply`].
 
 use std::error::Error;
 use std::fmt;
@@ -21,11 +21,11 @@
 use crate::wire;
 use crate::wire::operators_client::OperatorsClient;
 
-/// Longest time for a connection to be made.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest time for one call; more than the server allows itself.
+/// Timeout of one call; longer than the server's own, so that the server's error arrives first.
 const CALL_TIMEOUT: Duration = Duration::from_secs(130);
-/// Most bytes of one answer: a configuration with thousands of accounts is larger than the default.
+/// Largest reply; a configuration with thousands of accounts exceeds tonic's default of 4 MiB.
 const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
 /// A connection to the operators' port of one entry.
@@ -35,38 +35,38 @@
     key: MetadataValue<Ascii>,
 }
 
-/// Why a call failed.
+/// Error of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// What kind of failure.
+    /// Category of the failure.
     pub kind: Kind,
-    /// For a person.
+    /// Human-readable description.
     pub message: String,
 }
 
-/// Kinds of failure.
+/// Categories of failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// The call is malformed.
     Invalid,
     /// The operators' key is missing or wrong.
     Unauthenticated,
-    /// No such thing.
+    /// The subject of the call doesn't exist.
     NotFound,
-    /// It is there already.
+    /// The object to create already exists.
     AlreadyExists,
     /// The change contradicts the configuration.
     Precondition,
-    /// Nothing happened; coming back helps.
+    /// Nothing was changed; a retry may succeed.
     Unavailable,
     /// A change may or may not have taken effect.
     OutcomeUnknown,
-    /// Anything else.
+    /// Any other failure.
     Internal,
 }
 
 impl Failure {
-    /// A failure of that kind.
+    /// Creates a failure of category `kind`.
     pub fn new(kind: Kind, message: impl Into<String>) -> Failure {
         Failure {
             kind,
@@ -102,7 +102,7 @@
         Ok(Client { stub, key })
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for the reply.
     pub async fn call(&mut self, request: Request) -> Result<Reply, Failure> {
         let may_change = request.may_change();
         let result = match request {
@@ -146,7 +146,7 @@
         result.map_err(|status| failure(&status, may_change))
     }
 
-    /// Sends a change.
+    /// Sends a change of the configuration.
     async fn change(&mut self, change: Change) -> Result<Reply, Status> {
         let change_header = encode_request::change(&change);
         match change.edit {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// A message with the operators' key.
+    /// Wraps a message in a request that carries the operators' key.
     fn with_key<M>(&self, message: M) -> tonic::Request<M> {
         let mut request = tonic::Request::new(message);
         request
@@ -189,19 +189,19 @@
     }
 }
 
-/// Reads an answer.
+/// Decodes a response.
 fn decode<M>(result: Result<Response<M>, Status>) -> Result<Reply, Status>
 where
     Reply: TryFrom<M, Error = DecodeError>,
 {
     let message = result?.into_inner();
-    Reply::try_from(message).map_err(|DecodeError(why)| Status::internal(why))
+    Reply::try_from(message).map_err(|DecodeError(reason)| Status::internal(reason))
 }
 
-/// Reads a status.
+/// Converts a status into a failure.
 ///
-/// A connection that breaks while a change is on its way leaves a status with a source, made on this
-/// side: the entry may have carried the change out, so that the outcome is unknown whatever the code.
+/// If the connection breaks during a change, tonic creates the status locally and gives it a source. The
+/// entry may have applied the change all the same, so the outcome is unknown whatever the code.
 fn failure(status: &Status, may_change: bool) -> Failure {
     let connection_lost = status.source().is_some();
     let kind = match status.code() {
@@ -221,7 +221,7 @@
     Failure::new(kind, status.message())
 }
 
-/// An error with its causes.
+/// Formats an error with its chain of causes.
 fn with_causes(address: &str, error: &dyn Error) -> String {
     let mut text = format!("{address}: {error}");
     let mut cause = error.source();
--- a/crates/ops/src/convert/configuration.rs
+++ b/crates/ops/src/convert/configuration.rs
@@ -1,4 +1,4 @@
-//! Deployments and accounts.
+//! Conversion of deployments and accounts.
 
 use config::check;
 use config::check::Violation;
@@ -13,7 +13,7 @@
 use crate::wire;
 use crate::wire::deployment::Kind as WireKind;
 
-/// Reads a deployment and names everything wrong with it.
+/// Decodes and validates a deployment; the error lists all violations.
 pub fn decode_deployment(message: wire::Deployment) -> Result<Deployment, Vec<Violation>> {
     let kind = message.kind.map(decode_kind);
     let deployment = Deployment {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Writes a deployment.
+/// Encodes a deployment.
 pub fn encode_deployment(deployment: Deployment) -> wire::Deployment {
     wire::Deployment {
         name: deployment.name.into(),
@@ -60,6 +60,7 @@
     }
 }
 
+/// Decodes fleet bounds.
 fn decode_fleet(fleet: wire::Fleet) -> Fleet {
     Fleet {
         capacity: fleet.capacity,
@@ -68,7 +69,7 @@
     }
 }
 
-/// Bounds that are all zero are left out, as they were before there were any.
+/// Encodes fleet bounds; all-zero bounds are omitted, as in releases that had none.
 fn encode_fleet(fleet: Fleet) -> Option<wire::Fleet> {
     (fleet != Fleet::default()).then_some(wire::Fleet {
         capacity: fleet.capacity,
@@ -77,7 +78,7 @@
     })
 }
 
-/// Reads an account and names everything wrong with it.
+/// Decodes and validates an account; the error lists all violations.
 pub fn decode_account(message: wire::Account) -> Result<Account, Vec<Violation>> {
     let priority = u8::try_from(message.priority);
     let account = Account {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Writes an account.
+/// Encodes an account.
 pub fn encode_account(account: Account) -> wire::Account {
     wire::Account {
         name: account.name.into(),
@@ -112,7 +113,7 @@
     }
 }
 
-/// Reads what is served.
+/// Decodes the kind of a deployment.
 fn decode_kind(kind: WireKind) -> Kind {
     match kind {
         WireKind::Model(model) => Kind::Model {
@@ -124,7 +125,7 @@
     }
 }
 
-/// Writes what is served.
+/// Encodes the kind of a deployment.
 fn encode_kind(kind: Kind) -> WireKind {
     match kind {
         Kind::Model {
@@ -140,7 +141,7 @@
     }
 }
 
-/// Reads a promise.
+/// Decodes a grant.
 fn decode_grant(grant: wire::Grant) -> Grant {
     Grant {
         account: grant.account.into(),
@@ -150,7 +151,7 @@
     }
 }
 
-/// Writes a promise.
+/// Encodes a grant.
 fn encode_grant(grant: Grant) -> wire::Grant {
     wire::Grant {
         account: grant.account.into(),
@@ -160,7 +161,7 @@
     }
 }
 
-/// Reads a rule about calls.
+/// Decodes a call pattern.
 fn decode_call_pattern(pattern: wire::CallPattern) -> CallPattern {
     CallPattern {
         method: pattern.method.into(),
@@ -168,7 +169,7 @@
     }
 }
 
-/// Writes a rule about calls.
+/// Encodes a call pattern.
 fn encode_call_pattern(pattern: CallPattern) -> wire::CallPattern {
     wire::CallPattern {
         method: pattern.method.into(),
--- a/crates/ops/src/convert/decode_reply.rs
+++ b/crates/ops/src/convert/decode_reply.rs
@@ -1,4 +1,4 @@
-//! Reads answers.
+//! Decodes replies; used by the client.
 
 use config::check::Violation;
 use smol_str::SmolStr;
@@ -17,7 +17,7 @@
 use crate::wire;
 use crate::wire::change_result::Outcome;
 
-/// An answer that makes no sense to this version; what is wrong with it.
+/// A reply that this version can't interpret, with the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecodeError(pub String);
 
@@ -146,7 +146,7 @@
     }
 }
 
-/// Reads a difference.
+/// Decodes a difference.
 fn decode_difference(difference: wire::Difference) -> Difference {
     Difference {
         subject: difference.subject,
@@ -156,7 +156,7 @@
     }
 }
 
-/// Reads a past change.
+/// Decodes a past change.
 fn decode_past_change(change: wire::PastChange) -> PastChange {
     PastChange {
         version: change.version,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Reads one step.
+/// Decodes a step.
 fn decode_step(step: wire::Step) -> Step {
     Step {
         at_ms: step.at_ms,
--- a/crates/ops/src/convert/decode_request.rs
+++ b/crates/ops/src/convert/decode_request.rs
@@ -1,4 +1,4 @@
-//! Reads calls and names everything wrong with each.
+//! Decodes and validates requests; errors list all violations. Used by the server.
 
 use clock::Span;
 use config::check;
@@ -15,17 +15,17 @@
 use crate::wire;
 use crate::wire::drain_request::Target as WireTarget;
 
-/// Longest name of a change.
+/// Longest change id.
 const MAX_CHANGE_ID_LENGTH: usize = 64;
-/// Wait for a change when none is asked for, milliseconds.
+/// Wait of a change that specifies none, milliseconds.
 const DEFAULT_WAIT_MS: u64 = 10_000;
-/// Longest wait for a change, milliseconds.
+/// Longest wait of a change, milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
-/// Past changes given when no number is asked for.
+/// Number of past changes returned if the request sets no limit.
 const DEFAULT_HISTORY_LIMIT: u32 = 50;
-/// Most past changes given at once.
+/// Most past changes returned by one call.
 const MAX_HISTORY_LIMIT: u32 = 1_000;
-/// Longest id of a request or an incarnation.
+/// Longest request id, entry name or incarnation.
 const MAX_ID_LENGTH: usize = 256;
 
 impl TryFrom<wire::CreateDeploymentRequest> for Request {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Puts a change together, or names the faults of both parts.
+/// Combines the change message and its edit, or returns the violations of both.
 fn change(
     message: Option<wire::Change>,
     edit: Result<Edit, Vec<Violation>>,
@@ -185,7 +185,7 @@
     }
 }
 
-/// Checks what every change carries.
+/// Checks the fields that all changes have in common.
 fn check_change(message: &wire::Change, out: &mut Vec<Violation>) {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     let id = &message.change_id;
@@ -199,7 +199,7 @@
     }
 }
 
-/// How long a change may wait.
+/// Returns the wait of a change; 0 selects the default.
 fn wait(wait_ms: u64) -> Span {
     match wait_ms {
         0 => Span::from_millis(DEFAULT_WAIT_MS),
@@ -207,7 +207,7 @@
     }
 }
 
-/// Reads a message that must be there, with its name before the fields of its faults.
+/// Decodes a required message; prefixes the fields of its violations with `name`.
 fn required<M, T>(
     name: &str,
     message: Option<M>,
@@ -224,7 +224,7 @@
     })
 }
 
-/// Reads the name of a deployment or an account.
+/// Validates the name of a deployment or an account.
 fn valid_name(name: String) -> Result<SmolStr, Vec<Violation>> {
     let mut violations = Vec::new();
     check::name("name", &name, &mut violations);
@@ -235,7 +235,7 @@
     }
 }
 
-/// Reads an id that others chose.
+/// Validates an id that another system has assigned.
 fn id(field: &str, text: String) -> Result<SmolStr, Fault> {
     let is_allowed = |byte: u8| byte.is_ascii_graphic();
     if (1..=MAX_ID_LENGTH).contains(&text.len()) && text.bytes().all(is_allowed) {
--- a/crates/ops/src/convert/encode_reply.rs
+++ b/crates/ops/src/convert/encode_reply.rs
@@ -1,4 +1,4 @@
-//! Writes answers.
+//! Encodes replies; used by the server.
 
 use tonic::Status;
 use verdict::Verdict;
@@ -128,12 +128,12 @@
     }
 }
 
-/// The answer is of another kind than the question: a fault of this program.
+/// Returns the status for a reply that doesn't match its call: a bug in this program.
 fn unexpected_kind() -> Status {
     Status::internal("the answer is of another kind than the call")
 }
 
-/// Writes what became of a change.
+/// Encodes the outcome of a change.
 fn encode_outcome(changed: Changed) -> Outcome {
     match changed {
         Changed::Accepted { version } => Outcome::Accepted(wire::Accepted { version }),
@@ -154,7 +154,7 @@
     }
 }
 
-/// Writes a difference.
+/// Encodes a difference.
 fn encode_difference(difference: Difference) -> wire::Difference {
     wire::Difference {
         subject: difference.subject,
@@ -164,7 +164,7 @@
     }
 }
 
-/// Writes a past change.
+/// Encodes a past change.
 fn encode_past_change(change: PastChange) -> wire::PastChange {
     wire::PastChange {
         version: change.version,
@@ -174,7 +174,7 @@
     }
 }
 
-/// Writes the life of a request.
+/// Encodes the trace of a request.
 fn encode_explanation(explanation: Explanation) -> wire::ExplainResult {
     let verdict = explanation.verdict.map_or("", Verdict::as_str);
     wire::ExplainResult {
@@ -186,7 +186,7 @@
     }
 }
 
-/// Writes one step.
+/// Encodes a step.
 fn encode_step(step: Step) -> wire::Step {
     wire::Step {
         at_ms: step.at_ms,
--- a/crates/ops/src/convert/encode_request.rs
+++ b/crates/ops/src/convert/encode_request.rs
@@ -1,4 +1,4 @@
-//! Writes calls.
+//! Encodes requests; used by the client.
 
 use crate::convert::configuration::encode_account;
 use crate::convert::configuration::encode_deployment;
@@ -7,7 +7,7 @@
 use crate::wire;
 use crate::wire::drain_request::Target as WireTarget;
 
-/// Writes what every change carries.
+/// Encodes the fields that all changes have in common.
 pub fn change(change: &Change) -> Option<wire::Change> {
     Some(wire::Change {
         expected_version: change.expected_version,
@@ -16,7 +16,7 @@
     })
 }
 
-/// Writes a creation.
+/// Encodes the creation of a deployment.
 pub fn create(
     change: Option<wire::Change>,
     deployment: config::deployment::Deployment,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Writes a replacement.
+/// Encodes the replacement of a deployment.
 pub fn replace(
     change: Option<wire::Change>,
     deployment: config::deployment::Deployment,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Writes an account's addition or replacement.
+/// Encodes the creation or replacement of an account.
 pub fn put(
     change: Option<wire::Change>,
     account: config::deployment::Account,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Writes what is drained.
+/// Encodes a drain request.
 pub fn drain(target: Target) -> wire::DrainRequest {
     let target = match target {
         Target::Entry(name) => WireTarget::Entry(name.into()),
--- a/crates/ops/src/convert/mod.rs
+++ b/crates/ops/src/convert/mod.rs
@@ -1,4 +1,4 @@
-//! Between messages and the terms of the configuration.
+//! Conversion between protobuf messages and domain types.
 
 pub mod configuration;
 pub mod decode_reply;
--- a/crates/ops/src/convert/report.rs
+++ b/crates/ops/src/convert/report.rs
@@ -1,4 +1,4 @@
-//! The burn report.
+//! Conversion of the burn report.
 
 use burn::report::Gap;
 use burn::report::Misses;
@@ -10,7 +10,7 @@
 
 use crate::wire;
 
-/// Writes a report.
+/// Encodes a report.
 pub fn encode_report(report: Report) -> wire::ReportResult {
     wire::ReportResult {
         rows: report.rows.into_iter().map(encode_row).collect(),
@@ -21,7 +21,7 @@
     }
 }
 
-/// Reads a report.
+/// Decodes a report.
 pub fn decode_report(message: wire::ReportResult) -> Report {
     Report {
         rows: message.rows.into_iter().map(decode_row).collect(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// Writes a row.
+/// Encodes a row.
 fn encode_row(row: Row) -> wire::ReportRow {
     wire::ReportRow {
         deployment: row.deployment.into(),
@@ -58,7 +58,7 @@
     }
 }
 
-/// Reads a row.
+/// Decodes a row.
 fn decode_row(row: wire::ReportRow) -> Row {
     let target = row.target.unwrap_or_default();
     Row {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Writes misses by cause.
+/// Encodes misses by cause.
 fn encode_misses(misses: Misses) -> wire::ReportMisses {
     wire::ReportMisses {
         waiting: misses.waiting,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Reads misses by cause.
+/// Decodes misses by cause.
 fn decode_misses(misses: wire::ReportMisses) -> Misses {
     Misses {
         waiting: misses.waiting,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Writes quantiles.
+/// Encodes quantiles.
 fn encode_quantiles(quantiles: Quantiles) -> wire::Quantiles {
     wire::Quantiles {
         p50: quantiles.p50,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Reads quantiles.
+/// Decodes quantiles.
 fn decode_quantiles(quantiles: wire::Quantiles) -> Quantiles {
     Quantiles {
         p50: quantiles.p50,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Writes a slice of the course.
+/// Encodes a point of the time series.
 fn encode_point(point: Point) -> wire::ReportPoint {
     wire::ReportPoint {
         ago_ms: point.ago_ms,
@@ -135,7 +135,7 @@
     }
 }
 
-/// Reads a slice of the course.
+/// Decodes a point of the time series.
 fn decode_point(point: wire::ReportPoint) -> Point {
     Point {
         ago_ms: point.ago_ms,
@@ -144,7 +144,7 @@
     }
 }
 
-/// Writes a gap.
+/// Encodes a gap in the data.
 fn encode_gap(gap: Gap) -> wire::ReportGap {
     wire::ReportGap {
         entry: gap.entry.into(),
@@ -153,7 +153,7 @@
     }
 }
 
-/// Reads a gap.
+/// Decodes a gap in the data.
 fn decode_gap(gap: wire::ReportGap) -> Gap {
     Gap {
         entry: gap.entry.into(),
--- a/crates/ops/src/convert/status.rs
+++ b/crates/ops/src/convert/status.rs
@@ -1,4 +1,4 @@
-//! How things stand.
+//! Conversion of the system status.
 
 use crate::reply::BackendState;
 use crate::reply::BackendStatus;
@@ -7,7 +7,7 @@
 use crate::reply::Status;
 use crate::wire;
 
-/// Writes how things stand.
+/// Encodes the system status.
 pub fn encode_status(status: Status) -> wire::GetStatusResult {
     wire::GetStatusResult {
         entry: status.entry.into(),
@@ -18,7 +18,7 @@
     }
 }
 
-/// Writes how an entry stands.
+/// Encodes the status of an entry.
 fn encode_entry(entry: EntryStatus) -> wire::EntryStatus {
     let lease = match entry.lease {
         LeaseState::Held => wire::LeaseState::Held,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Writes how a backend server stands.
+/// Encodes the status of a backend server.
 fn encode_backend(backend: BackendStatus) -> wire::BackendStatus {
     let state = match backend.state {
         BackendState::Live => wire::BackendState::Live,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Reads how things stand.
+/// Decodes the system status.
 pub fn decode_status(message: wire::GetStatusResult) -> Status {
     Status {
         entry: message.entry.into(),
@@ -64,7 +64,7 @@
     }
 }
 
-/// Reads how an entry stands; a state that isn't known here counts as the worst.
+/// Decodes the status of an entry; an unknown lease state counts as lapsed.
 fn decode_entry(entry: wire::EntryStatus) -> EntryStatus {
     let lease = match entry.lease() {
         wire::LeaseState::Held => LeaseState::Held,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Reads how a backend server stands; a state that isn't known here counts as getting no work.
+/// Decodes the status of a backend server; an unknown state counts as leaving, which gets no work.
 fn decode_backend(backend: wire::BackendStatus) -> BackendStatus {
     let state = match backend.state() {
         wire::BackendState::Live => BackendState::Live,
--- a/crates/ops/src/fault.rs
+++ b/crates/ops/src/fault.rs
@@ -1,24 +1,24 @@
-//! Why a call was not done.
+//! Errors of calls and their gRPC status.
 
 use config::check::Violation;
 use smol_str::SmolStr;
 use tonic::Code;
 use tonic::Status;
 
-/// Why a call was not done.
+/// Error with which the handler rejects a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The call is malformed; everything wrong with it.
+    /// The call is malformed; lists all violations.
     Invalid(Vec<Violation>),
-    /// No such thing, such as `deployment thesis`.
+    /// The subject, such as `deployment thesis`, doesn't exist.
     NotFound(String),
-    /// It is there already, such as `deployment thesis`.
+    /// The subject, such as `deployment thesis`, already exists.
     AlreadyExists(String),
-    /// The change contradicts the configuration; a sentence that says how.
+    /// The change contradicts the configuration; explains the conflict.
     Precondition(String),
-    /// Nothing happened and coming back helps; a sentence that says why.
+    /// Nothing was changed and a retry may succeed; gives the reason.
     Unavailable(SmolStr),
-    /// A change may or may not have taken effect; a repeat under the same id settles it.
+    /// The change may have taken effect; retrying it under the same id is idempotent.
     OutcomeUnknown,
 }
 
@@ -29,12 +29,12 @@
                 let lines: Vec<String> = violations.iter().map(Violation::to_string).collect();
                 Status::new(Code::InvalidArgument, lines.join("\n"))
             }
-            Fault::NotFound(what) => Status::new(Code::NotFound, format!("no {what}")),
-            Fault::AlreadyExists(what) => {
-                Status::new(Code::AlreadyExists, format!("{what} is there already"))
+            Fault::NotFound(subject) => Status::new(Code::NotFound, format!("no {subject}")),
+            Fault::AlreadyExists(subject) => {
+                Status::new(Code::AlreadyExists, format!("{subject} is there already"))
             }
-            Fault::Precondition(why) => Status::new(Code::FailedPrecondition, why),
-            Fault::Unavailable(why) => Status::new(Code::Unavailable, why.as_str()),
+            Fault::Precondition(reason) => Status::new(Code::FailedPrecondition, reason),
+            Fault::Unavailable(reason) => Status::new(Code::Unavailable, reason.as_str()),
             Fault::OutcomeUnknown => Status::new(
                 Code::Unknown,
                 "the change may have taken effect: repeat it with the same change id",
--- a/crates/ops/src/journal.rs
+++ b/crates/ops/src/journal.rs
@@ -1,7 +1,7 @@
-//! What happened to the latest requests, for `explain`.
+//! Traces of the latest requests, for `explain`.
 //!
-//! Bounded in requests and steps: an entry that serves 43 requests a second (36,000 over 840 entries)
-//! remembers the last minute and a half. Older ones are in the log, under the same id.
+//! Both requests and steps are bounded: an entry that serves 43 requests a second (36,000 over 840
+//! entries) keeps the last minute and a half. Older requests are in the log, under the same id.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -13,36 +13,36 @@
 use crate::reply::Explanation;
 use crate::reply::Step;
 
-/// Most requests remembered.
+/// Most requests kept.
 const MAX_REQUESTS: usize = 4_096;
-/// Most steps of one request; the last place says how many more there were.
+/// Most steps kept of one request; a final step counts the dropped ones.
 const MAX_STEPS: usize = 32;
 /// Longest detail of a step, bytes.
 const MAX_DETAIL_BYTES: usize = 256;
 
-/// What happened to the latest requests.
+/// Ring buffer of request traces.
 #[derive(Clone, Debug)]
 pub struct Journal {
     entry: SmolStr,
     traces: BTreeMap<SmolStr, Trace>,
-    /// The ids of `traces`, the oldest first; each once.
+    /// Request ids in `traces`, oldest first, without duplicates.
     order: VecDeque<SmolStr>,
 }
 
-/// The life of one request.
+/// Trace of one request.
 #[derive(Clone, Debug)]
 struct Trace {
     arrived_at: Time,
     account: SmolStr,
     deployment: SmolStr,
     steps: Vec<Step>,
-    /// Steps beyond the most that are kept.
+    /// Number of steps dropped beyond [`MAX_STEPS`].
     dropped_steps: u32,
     verdict: Option<Verdict>,
 }
 
 impl Journal {
-    /// An empty one of the entry of that name.
+    /// Creates an empty journal for the entry of that name.
     pub fn new(entry: SmolStr) -> Journal {
         Journal {
             entry,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// A request has arrived; the oldest is forgotten if there are too many. One that is known
-    /// already, as when its caller comes back, goes on with the life it has.
+    /// Starts the trace of a request and evicts the oldest one if the journal is full. A known request,
+    /// such as one that its caller resumes, keeps its trace.
     pub fn begin(&mut self, now: Time, request: &SmolStr, account: &SmolStr, deployment: &SmolStr) {
         if self.traces.contains_key(request) {
             return;
@@ -74,7 +74,7 @@
         self.order.push_back(request.clone());
     }
 
-    /// Something happened to a request. `detail` holds key=value pairs, no key and no prompt text.
+    /// Records a step of a request. `detail` holds key=value pairs, but no account key and no prompt text.
     pub fn record(&mut self, now: Time, request: &str, event: &'static str, detail: &str) {
         let Some(trace) = self.traces.get_mut(request) else {
             return;
@@ -92,14 +92,14 @@
         });
     }
 
-    /// A request has ended.
+    /// Records the verdict of a request.
     pub fn end(&mut self, request: &str, verdict: Verdict) {
         if let Some(trace) = self.traces.get_mut(request) {
             trace.verdict = Some(verdict);
         }
     }
 
-    /// The life of a request, if it is remembered.
+    /// Returns the trace of a request unless it is unknown or evicted.
     pub fn explain(&self, request: &str) -> Option<Explanation> {
         let trace = self.traces.get(request)?;
         let mut steps = trace.steps.clone();
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' gRPC contract and its server.
+//! The operators' gRPC API: server, client and conversions.
 //!
-//! The server holds no logic: it checks each message, turns it into a [`Request`] in the terms of
-//! the configuration, sends that as a [`Call`] and turns the [`Reply`] or [`Fault`] back.
+//! The server holds no logic: it validates each message, converts it into a [`Request`], passes that
+//! on as a [`Call`] and converts the [`Reply`] or [`Fault`] into a response.
 
 pub mod call;
 pub mod client;
--- a/crates/ops/src/reply.rs
+++ b/crates/ops/src/reply.rs
@@ -1,4 +1,4 @@
-//! What operators are answered.
+//! Replies to operators' calls.
 
 use config::deployment::Account;
 use config::deployment::Deployment;
@@ -6,125 +6,125 @@
 use smol_str::SmolStr;
 use verdict::Verdict;
 
-/// The answer to a call, by the kind of its request.
+/// Reply to a call; the variant follows from the request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Reply {
-    /// To `Request::Change`.
+    /// Reply to `Request::Change`.
     Changed(Changed),
-    /// To `Request::GetDeployment`.
+    /// Reply to `Request::GetDeployment`.
     Deployment {
-        /// Version of the configuration in which it stands so.
+        /// Version of the configuration that it was read from.
         version: u64,
         /// The deployment.
         deployment: Deployment,
     },
-    /// To `Request::ListDeployments`.
+    /// Reply to `Request::ListDeployments`.
     Configuration {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// By name.
+        /// Deployments by name.
         deployments: Vec<Deployment>,
-        /// By name.
+        /// Accounts by name.
         accounts: Vec<Account>,
     },
-    /// To `Request::GetHistory`: the newest first.
+    /// Reply to `Request::GetHistory`, newest change first.
     History(Vec<PastChange>),
-    /// To `Request::GetStatus`.
+    /// Reply to `Request::GetStatus`.
     Status(Status),
-    /// To `Request::Drain`.
+    /// Reply to `Request::Drain`.
     Drained {
-        /// Whether it was leaving already.
+        /// Whether the target was already leaving.
         already_leaving: bool,
-        /// Requests in progress there, as far as this entry knows.
+        /// Requests in flight there, as far as this entry knows.
         running: u32,
     },
-    /// To `Request::Report`.
+    /// Reply to `Request::Report`.
     Report(burn::Report),
-    /// To `Request::Explain`.
+    /// Reply to `Request::Explain`.
     Explained(Explanation),
 }
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "outcome")]
 pub enum Changed {
-    /// In force at every entry.
+    /// The change is in force at every entry.
     Accepted {
-        /// Version that the change made.
+        /// Version created by the change.
         version: u64,
     },
-    /// Written, not yet in force everywhere.
+    /// The change is committed, but not yet in force everywhere.
     Committed {
-        /// Version that the change made.
+        /// Version created by the change.
         version: u64,
-        /// Entries that have neither applied it nor lost their lease.
+        /// Entries that have neither applied the change nor lost their lease.
         waiting_for: Vec<SmolStr>,
     },
-    /// Another change came first; this one did not take effect.
+    /// A concurrent change came first; this one did not take effect.
     Conflict {
-        /// The newest version.
+        /// Newest version.
         version: u64,
-        /// What changed between the expected version and the newest.
+        /// Differences between the expected and the newest version.
         differences: Vec<Difference>,
     },
 }
 
-/// One field that differs between two versions.
+/// Difference of one field between two versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// What it belongs to, such as `deployment thesis`.
+    /// Object that the field belongs to, such as `deployment thesis`.
     pub subject: String,
-    /// The field, such as `kind.version`; empty for the whole.
+    /// Path of the field, such as `kind.version`; empty for the whole object.
     pub field: String,
-    /// As JSON; empty if it was added or isn't known any more.
+    /// Old value as JSON; empty if it was added or is no longer known.
     pub before: String,
-    /// As JSON; empty if it was removed.
+    /// New value as JSON; empty if it was removed.
     pub after: String,
 }
 
-/// One past change.
+/// Entry of the change history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PastChange {
-    /// Version that it made.
+    /// Version created by the change.
     pub version: u64,
-    /// The operator's name for it.
+    /// Id that the operator gave the change.
     pub change_id: SmolStr,
-    /// What it did.
+    /// One-line description of the edit.
     pub summary: String,
-    /// When it was written, by the clock of the entry that wrote it; for people.
+    /// Time of the commit by the clock of the entry that wrote it; informational only.
     pub written_unix_ms: u64,
 }
 
-/// How things stand, as this entry knows it.
+/// Status of the system as seen by one entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Status {
-    /// Name of this entry.
+    /// Name of the entry that replies.
     pub entry: SmolStr,
-    /// Newest version known.
+    /// Newest known version of the configuration.
     pub version: u64,
-    /// Whether the platform's store answers.
+    /// Whether the platform's store is reachable.
     pub store_available: bool,
-    /// By name.
+    /// Entries by name.
     pub entries: Vec<EntryStatus>,
-    /// By incarnation.
+    /// Backend servers by incarnation.
     pub backends: Vec<BackendStatus>,
 }
 
-/// How an entry stands.
+/// Status of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct EntryStatus {
-    /// Its name.
+    /// Name of the entry.
     pub name: SmolStr,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: SmolStr,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SmolStr,
-    /// Version that it has in force.
+    /// Version of the configuration in force there.
     pub applied_version: u64,
     /// State of its lease.
     pub lease: LeaseState,
-    /// Version of dogwoodspur that it runs.
+    /// Release of dogwoodspur that it runs.
     pub release: SmolStr,
 }
 
@@ -132,28 +132,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaseState {
-    /// Renewed in time.
+    /// The lease was renewed in time.
     Held,
-    /// Its renewal is overdue.
+    /// The renewal is overdue.
     Overdue,
-    /// Lapsed: the entry admits nothing.
+    /// The lease has lapsed: the entry admits no requests.
     Lapsed,
     /// The entry is leaving.
     Leaving,
 }
 
-/// How a backend server stands.
+/// Status of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct BackendStatus {
-    /// Its incarnation.
+    /// Incarnation of the server.
     pub incarnation: SmolStr,
-    /// Its pool.
+    /// Pool of the server.
     pub pool: SmolStr,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: SmolStr,
-    /// Its state.
+    /// State of the server.
     pub state: BackendState,
-    /// Requests of this entry that run there.
+    /// Requests of the replying entry that run there.
     pub running: u32,
 }
 
@@ -161,40 +161,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BackendState {
-    /// Gets work.
+    /// Receives work.
     Live,
-    /// Gets no new work.
+    /// Receives no new work.
     Leaving,
-    /// Gets only probes.
+    /// Receives only probes.
     Ejected,
-    /// Gets no work until it has loaded what it shall serve.
+    /// Receives no work until its model is loaded.
     Loading,
 }
 
-/// The life of one request.
+/// Trace of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Explanation {
-    /// Its id.
+    /// Id of the request.
     pub request: SmolStr,
-    /// Its account.
+    /// Client account of the caller.
     pub account: SmolStr,
-    /// Its deployment.
+    /// Deployment called.
     pub deployment: SmolStr,
-    /// In order.
+    /// Steps in chronological order.
     pub steps: Vec<Step>,
-    /// How it ended; none while it is open.
+    /// Verdict; none while the request is open.
     pub verdict: Option<Verdict>,
 }
 
-/// One thing that happened to a request.
+/// One step in the trace of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Step {
     /// Milliseconds after the request arrived.
     pub at_ms: u64,
-    /// The entry that noted it.
+    /// Entry that recorded the step.
     pub entry: SmolStr,
-    /// A single word, such as `queued`.
+    /// Single-word event, such as `queued`.
     pub event: SmolStr,
-    /// Where and why, as key=value pairs; no key and no prompt text.
+    /// Details as key=value pairs; holds no account key and no prompt text.
     pub detail: String,
 }
--- a/crates/ops/src/request.rs
+++ b/crates/ops/src/request.rs
@@ -1,47 +1,47 @@
-//! What operators ask, in the terms of the configuration.
+//! Requests of operators as domain types.
 
 use clock::Span;
 use config::deployment::Account;
 use config::deployment::Deployment;
 use smol_str::SmolStr;
 
-/// One call of an operator; sound in itself.
+/// One validated call of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
     /// Changes the configuration. Answered by `Reply::Changed`.
     Change(Change),
-    /// Asks for one deployment. Answered by `Reply::Deployment`.
+    /// Reads one deployment. Answered by `Reply::Deployment`.
     GetDeployment {
-        /// Its name.
+        /// Name of the deployment.
         name: SmolStr,
     },
-    /// Asks for the whole configuration. Answered by `Reply::Configuration`.
+    /// Reads the whole configuration. Answered by `Reply::Configuration`.
     ListDeployments,
-    /// Asks for past changes. Answered by `Reply::History`.
+    /// Reads the change history. Answered by `Reply::History`.
     GetHistory {
-        /// Only versions below this one; none begins with the newest.
+        /// Returns only versions below this one; starts with the newest if none.
         before: Option<u64>,
-        /// Most changes to give.
+        /// Most changes to return.
         limit: usize,
     },
-    /// Asks how things stand. Answered by `Reply::Status`.
+    /// Reads the status of the system. Answered by `Reply::Status`.
     GetStatus,
-    /// Takes something out of use gracefully. Answered by `Reply::Drained`.
+    /// Drains an entry or a backend server gracefully. Answered by `Reply::Drained`.
     Drain(Target),
-    /// Asks for the burn report. Answered by `Reply::Report`.
+    /// Reads the burn report. Answered by `Reply::Report`.
     Report {
-        /// Only this deployment.
+        /// Restricts the report to this deployment.
         deployment: Option<SmolStr>,
     },
-    /// Asks about one request. Answered by `Reply::Explained`.
+    /// Reads the trace of one request. Answered by `Reply::Explained`.
     Explain {
-        /// Its id.
+        /// Id of the request.
         request: SmolStr,
     },
 }
 
 impl Request {
-    /// Whether it may leave something changed.
+    /// Returns whether the request may have side effects.
     pub const fn may_change(&self) -> bool {
         matches!(self, Request::Change(_) | Request::Drain(_))
     }
@@ -50,33 +50,33 @@
 /// One change of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The operator's name for it; a repeat under the same name takes effect once.
+    /// Id given by the operator; the change is idempotent under it.
     pub id: SmolStr,
-    /// The version that the operator saw: it is a conflict if what it touches was changed since.
+    /// Version that the change is based on: a conflict if its subject has changed since.
     pub expected_version: u64,
-    /// Longest wait for it to be in force everywhere.
+    /// Longest wait until the change is in force everywhere.
     pub wait: Span,
-    /// What is changed.
+    /// The edit to apply.
     pub edit: Edit,
 }
 
-/// What a change does.
+/// Edit of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Edit {
-    /// Adds a deployment; `Fault::AlreadyExists` if one of that name is there.
+    /// Adds a deployment; `Fault::AlreadyExists` if the name is taken.
     CreateDeployment(Deployment),
-    /// Replaces a deployment; `Fault::NotFound` if none of that name is there.
+    /// Replaces a deployment; `Fault::NotFound` if there is none of that name.
     ChangeDeployment(Deployment),
     /// Removes the deployment of that name.
     RemoveDeployment(SmolStr),
     /// Adds or replaces an account.
     PutAccount(Account),
-    /// Removes the account of that name; `Fault::Precondition` while it is granted something.
+    /// Removes the account of that name; `Fault::Precondition` while a deployment has a grant for it.
     RemoveAccount(SmolStr),
 }
 
 impl Edit {
-    /// One line for the history.
+    /// Returns a one-line description for the history.
     pub fn summary(&self) -> String {
         match self {
             Edit::CreateDeployment(deployment) => format!("create deployment {}", deployment.name),
@@ -88,7 +88,7 @@
     }
 }
 
-/// What is drained.
+/// Target of a drain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// The entry of that name.
--- a/crates/ops/src/server.rs
+++ b/crates/ops/src/server.rs
@@ -1,4 +1,4 @@
-//! The operators' port.
+//! gRPC server of the operators' port.
 
 use std::future::Future;
 use std::future::pending;
@@ -23,21 +23,21 @@
 use crate::wire::operators_server::Operators;
 use crate::wire::operators_server::OperatorsServer;
 
-/// Most bytes of one call: the largest deployment, with 5,000 grants, takes a tenth of it.
+/// Largest request; the largest deployment, with 5,000 grants, takes a tenth of it.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
-/// Calls in progress on one connection.
+/// Most concurrent calls on one connection.
 const MAX_CALLS_PER_CONNECTION: usize = 16;
-/// Longest time for one call: the longest wait for a change and as much again for the store.
+/// Timeout of one call: the longest wait of a change, and as much again for the store.
 const CALL_TIMEOUT: Duration = Duration::from_secs(120);
-/// How often a silent connection is tried, so that a vanished operator's one is given up.
+/// Interval of HTTP/2 pings, which detect connections of operators that have vanished.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Serves operators for ever.
+/// Serves operators forever.
 pub async fn serve(listener: TcpListener, key: &str, calls: CallSender) -> anyhow::Result<()> {
     serve_until(listener, key, calls, pending()).await
 }
 
-/// Serves operators until `stop` is ready; calls in progress are finished then.
+/// Serves operators until `stop` completes, then finishes the calls in progress.
 pub async fn serve_until(
     listener: TcpListener,
     key: &str,
@@ -48,7 +48,7 @@
     let port = OperatorsServer::new(Port { calls })
         .max_decoding_message_size(MAX_MESSAGE_BYTES)
         .max_encoding_message_size(usize::MAX);
-    let guarded = tonic::service::interceptor::InterceptedService::new(
+    let authorized_service = tonic::service::interceptor::InterceptedService::new(
         port,
         move |request: tonic::Request<()>| authorize(&key_hash, request),
     );
@@ -56,26 +56,26 @@
         .timeout(CALL_TIMEOUT)
         .concurrency_limit_per_connection(MAX_CALLS_PER_CONNECTION)
         .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
-        .add_service(guarded)
+        .add_service(authorized_service)
         .serve_with_incoming_shutdown(TcpListenerStream::new(listener), stop)
         .await?;
     Ok(())
 }
 
-/// Lets a call pass that carries the operators' key.
+/// Accepts calls that carry the operators' key.
 ///
-/// Hashes are compared, in constant time, so that neither the key's length nor its beginning shows in
-/// the time taken.
+/// Compares hashes in constant time, so that neither the length nor a prefix of the key leaks through
+/// timing.
 fn authorize(
     key_hash: &SmolStr,
     request: tonic::Request<()>,
 ) -> Result<tonic::Request<()>, Status> {
     let header = request.metadata().get("authorization");
-    let given = header.and_then(|value| value.to_str().ok());
-    let given = given.and_then(|value| value.strip_prefix("Bearer "));
-    let given_hash = hash_key(given.unwrap_or_default());
-    let equal = bool::from(given_hash.as_bytes().ct_eq(key_hash.as_bytes()));
-    if equal && given.is_some() {
+    let presented = header.and_then(|value| value.to_str().ok());
+    let presented = presented.and_then(|value| value.strip_prefix("Bearer "));
+    let presented_hash = hash_key(presented.unwrap_or_default());
+    let equal = bool::from(presented_hash.as_bytes().ct_eq(key_hash.as_bytes()));
+    if equal && presented.is_some() {
         Ok(request)
     } else {
         Err(Status::unauthenticated(
@@ -84,20 +84,20 @@
     }
 }
 
-/// Turns messages into calls and answers into messages.
+/// gRPC service that forwards each call to the handler.
 struct Port {
     calls: CallSender,
 }
 
 impl Port {
-    /// One call, from message to message.
+    /// Decodes a message, forwards the call and encodes its reply.
     async fn call<M, R>(&self, message: tonic::Request<M>) -> Result<Response<R>, Status>
     where
         Request: TryFrom<M, Error = Fault>,
         R: TryFrom<Reply, Error = Status>,
     {
         let request = Request::try_from(message.into_inner())?;
-        let dropped = if request.may_change() {
+        let fault_if_dropped = if request.may_change() {
             Fault::OutcomeUnknown
         } else {
             Fault::Unavailable("the entry is stopping".into())
@@ -109,7 +109,7 @@
         }
         match answer.await {
             Ok(result) => Ok(Response::new(R::try_from(result?)?)),
-            Err(_) => Err(dropped.into()),
+            Err(_) => Err(fault_if_dropped.into()),
         }
     }
 }
--- a/crates/ops/src/wire.rs
+++ b/crates/ops/src/wire.rs
@@ -1,6 +1,6 @@
 //! Messages and stubs generated from `proto/dogwoodspur.proto`.
 //!
-//! Made by `cargo run -p ops --example regenerate`; a test compares them with the schema.
+//! Regenerate with `cargo run -p ops --example regenerate`; a test compares the code with the schema.
 
 #![allow(missing_docs, clippy::all)]
 
--- a/crates/ops/tests/journal.rs
+++ b/crates/ops/tests/journal.rs
@@ -1,11 +1,11 @@
-//! What is remembered of requests, and how much at most.
+//! Traces that the journal keeps, and its bounds.
 
 use clock::Time;
 use ops::Journal;
 use smol_str::SmolStr;
 use verdict::Verdict;
 
-/// A journal with one request that arrived at 100 ms.
+/// Returns a journal with one request that arrived at 100 ms.
 fn journal() -> Journal {
     let mut journal = Journal::new("entry-1".into());
     let (request, account) = (SmolStr::from("r-1"), SmolStr::from("branches"));
@@ -14,19 +14,22 @@
 }
 
 #[test]
-fn steps_are_told_in_order_with_the_time_since_arrival() {
+fn steps_are_listed_in_order_with_the_time_since_arrival() {
     let mut journal = journal();
     journal.record(Time::from_millis(100), "r-1", "queued", "ahead=3");
     journal.record(Time::from_millis(140), "r-1", "started", "replica=i-1.1");
     assert_eq!(journal.explain("r-1").unwrap().verdict, None);
     journal.end("r-1", Verdict::Done);
-    let told = journal.explain("r-1").unwrap();
+    let explanation = journal.explain("r-1").unwrap();
     assert_eq!(
-        (told.account.as_str(), told.deployment.as_str()),
+        (
+            explanation.account.as_str(),
+            explanation.deployment.as_str()
+        ),
         ("branches", "thesis")
     );
-    assert_eq!(told.verdict, Some(Verdict::Done));
-    let steps: Vec<_> = told
+    assert_eq!(explanation.verdict, Some(Verdict::Done));
+    let steps: Vec<_> = explanation
         .steps
         .iter()
         .map(|step| (step.at_ms, step.event.as_str()))
@@ -35,9 +38,9 @@
     assert!(journal.explain("r-2").is_none());
 }
 
-/// A caller comes back with its token. Its request's life goes on, it doesn't begin anew.
+/// A caller resumes its request by token: the trace must go on instead of starting over.
 #[test]
-fn a_request_that_arrives_again_keeps_its_life() {
+fn a_request_that_arrives_again_keeps_its_trace() {
     let mut journal = journal();
     journal.record(Time::from_millis(120), "r-1", "started", "");
     let (request, account) = (SmolStr::from("r-1"), SmolStr::from("branches"));
@@ -47,7 +50,7 @@
     assert_eq!(steps[1].at_ms, 800);
 }
 
-/// One request moves without end, and thousands of others arrive. Memory stays bounded.
+/// One request moves endlessly and thousands of others arrive: memory must stay bounded.
 #[test]
 fn steps_details_and_requests_are_bounded() {
     let mut journal = journal();
--- a/crates/ops/tests/server.rs
+++ b/crates/ops/tests/server.rs
@@ -1,4 +1,4 @@
-//! The operators' port over a real socket, with a small fake behind it.
+//! The operators' port over a real socket, with a fake handler.
 
 use config::deployment::Deployment;
 use config::deployment::Kind;
@@ -19,7 +19,7 @@
 
 const KEY: &str = "0123456789abcdef";
 
-/// Starts a port whose calls are answered by `answer`.
+/// Starts a server whose calls are answered by `answer`.
 async fn start(
     answer: impl Fn(Request) -> Result<Reply, Fault> + Send + 'static,
 ) -> OperatorsClient<Channel> {
@@ -37,7 +37,7 @@
         .expect("a port that answers")
 }
 
-/// A message with the operators' key.
+/// Wraps a message in a request that carries a key.
 fn with_key<M>(message: M, key: &str) -> tonic::Request<M> {
     let mut request = tonic::Request::new(message);
     let value = format!("Bearer {key}")
@@ -47,7 +47,7 @@
     request
 }
 
-/// A sound change.
+/// Returns a valid change.
 fn change() -> Option<wire::Change> {
     Some(wire::Change {
         expected_version: 4,
@@ -56,7 +56,7 @@
     })
 }
 
-/// A sound deployment.
+/// Returns a valid deployment.
 fn deployment() -> wire::Deployment {
     wire::Deployment {
         name: "thesis".to_owned(),
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_change_reaches_the_reducer_in_domain_terms_and_its_result_comes_back() {
+async fn a_change_reaches_the_handler_decoded_and_its_result_is_returned() {
     let mut client = start(|request| {
         let Request::Change(change) = request else {
             panic!("not a change");
@@ -99,10 +99,10 @@
     assert_eq!(result.into_inner().outcome, Some(expected));
 }
 
-/// Two operators change the same deployment at the same moment. The second must not undo what the
-/// first did: it is told the newest version and what differs, and nothing of its change is in force.
+/// Two operators change the same deployment concurrently. The second change must not overwrite the
+/// first: it is rejected with the newest version and the differences.
 #[tokio::test]
-async fn the_loser_of_a_race_gets_the_newest_version_and_the_difference() {
+async fn the_losing_change_gets_the_newest_version_and_the_differences() {
     let mut client = start(|_| {
         Ok(Reply::Changed(Changed::Conflict {
             version: 5,
@@ -130,11 +130,10 @@
     assert_eq!(conflict.differences[0].after, "\"theses\"");
 }
 
-/// An operator's program sends a change with several wrong fields. It is told all of them at once,
-/// and nothing reaches the reducer.
+/// A change with several invalid fields is rejected with all violations and never reaches the handler.
 #[tokio::test]
-async fn all_faults_of_a_change_are_named_at_once() {
-    let mut client = start(|_| panic!("a malformed change got through")).await;
+async fn all_violations_of_a_change_are_reported_together() {
+    let mut client = start(|_| panic!("a malformed change reached the handler")).await;
     let grant = wire::Grant {
         account: "branches".to_owned(),
         first_token_ms: 480,
@@ -177,8 +176,8 @@
 }
 
 #[tokio::test]
-async fn an_account_that_is_not_sound_is_refused() {
-    let mut client = start(|_| panic!("a malformed account got through")).await;
+async fn an_invalid_account_is_rejected() {
+    let mut client = start(|_| panic!("a malformed account reached the handler")).await;
     let message = wire::PutAccountRequest {
         change: None,
         account: Some(wire::Account {
@@ -207,8 +206,8 @@
 }
 
 #[tokio::test]
-async fn a_wrong_or_missing_key_gets_nothing_done() {
-    let mut client = start(|_| panic!("a call without the key got through")).await;
+async fn a_call_with_a_wrong_or_missing_key_is_rejected() {
+    let mut client = start(|_| panic!("a call without the key reached the handler")).await;
     let wrong = with_key(wire::GetStatusRequest {}, "0123456789abcdeg");
     let status = client.get_status(wrong).await.unwrap_err();
     assert_eq!(status.code(), Code::Unauthenticated);
@@ -217,10 +216,10 @@
     assert_eq!(status.code(), Code::Unauthenticated);
 }
 
-/// The entry is killed between taking a change and answering it. The operator must not hear that
-/// nothing happened: the change may be in force.
+/// The entry is killed between receiving a change and answering it. The operator must not be told that
+/// nothing happened, because the change may be in force.
 #[tokio::test]
-async fn a_call_that_is_dropped_has_an_unknown_outcome() {
+async fn a_dropped_call_has_an_unknown_outcome() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (calls, mut received) = mpsc::channel::<Call>(16);
@@ -238,13 +237,13 @@
         .await
         .unwrap_err();
     assert_eq!(status.code(), Code::Unknown);
-    let question = with_key(wire::ListDeploymentsRequest {}, KEY);
-    let status = client.list_deployments(question).await.unwrap_err();
+    let query = with_key(wire::ListDeploymentsRequest {}, KEY);
+    let status = client.list_deployments(query).await.unwrap_err();
     assert_eq!(status.code(), Code::Unavailable);
 }
 
 #[tokio::test]
-async fn faults_have_their_own_codes() {
+async fn faults_map_to_status_codes() {
     let mut client = start(|_| Err(Fault::NotFound("deployment thesis".to_owned()))).await;
     let message = wire::GetDeploymentRequest {
         name: "thesis".to_owned(),
@@ -257,21 +256,21 @@
     assert_eq!(status.message(), "no deployment thesis");
 }
 
-/// A message whose first field has another type than the contract's.
+/// A message whose fields have other types than in the schema.
 #[derive(Clone, PartialEq, prost::Message)]
 struct WrongType {
-    /// A text where a message belongs.
+    /// A string in place of a message.
     #[prost(string, tag = "1")]
     change: String,
-    /// A number where a message belongs.
+    /// A number in place of a message.
     #[prost(uint64, tag = "2")]
     deployment: u64,
 }
 
-/// A program was built against another schema and sends a number where a deployment belongs. It gets
-/// an error that names the field; the next call on the same connection is served.
+/// A program built against another schema sends a number in place of a deployment. It must get an error
+/// that names the field, and the next call on the same connection must be served.
 #[tokio::test]
-async fn a_change_with_a_field_of_the_wrong_type_is_refused() {
+async fn a_change_with_a_field_of_the_wrong_type_is_rejected() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (calls, mut received) = mpsc::channel::<Call>(16);
@@ -288,8 +287,8 @@
         .connect()
         .await
         .unwrap();
-    let mut raw = tonic::client::Grpc::new(channel.clone());
-    raw.ready().await.unwrap();
+    let mut raw_client = tonic::client::Grpc::new(channel.clone());
+    raw_client.ready().await.unwrap();
     let message = WrongType {
         change: "c-1".to_owned(),
         deployment: 7,
@@ -298,7 +297,7 @@
     let path = "/dogwoodspur.v1.Operators/CreateDeployment"
         .parse()
         .unwrap();
-    let status = raw
+    let status = raw_client
         .unary(with_key(message, KEY), path, codec)
         .await
         .unwrap_err();
@@ -308,6 +307,6 @@
         "{status}"
     );
     let mut client = OperatorsClient::new(channel);
-    let question = with_key(wire::GetStatusRequest {}, KEY);
-    assert!(client.get_status(question).await.is_ok());
+    let query = with_key(wire::GetStatusRequest {}, KEY);
+    assert!(client.get_status(query).await.is_ok());
 }
--- a/crates/ops/tests/support/fields.rs
+++ b/crates/ops/tests/support/fields.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Every field, call and enumeration value of the schema, one a line.
+/// Returns every field, call and enum value of the schema, one per line.
 pub fn all() -> BTreeSet<String> {
     let proto = Path::new(env!("CARGO_MANIFEST_DIR")).join("proto");
-    let set = protox::compile(["dogwoodspur.proto"], [proto]).expect("a sound schema");
+    let descriptors = protox::compile(["dogwoodspur.proto"], [proto]).expect("a valid schema");
     let mut lines = BTreeSet::new();
-    for file in &set.file {
+    for file in &descriptors.file {
         for message in &file.message_type {
             for field in &message.field {
                 let line = format!(
@@ -33,8 +33,8 @@
                 ));
             }
         }
-        for group in &file.enum_type {
-            for value in &group.value {
+        for enumeration in &file.enum_type {
+            for value in &enumeration.value {
                 lines.insert(format!("{} {}", value.name(), value.number()));
             }
         }
--- a/crates/ops/tests/support/messages.rs
+++ b/crates/ops/tests/support/messages.rs
@@ -1,4 +1,4 @@
-//! One message of each kind with every field set, as release 0.1 sends it.
+//! One message of each kind with every field set, as sent by release 0.1.
 
 use ops::wire;
 use prost::Message;
@@ -6,13 +6,13 @@
 use prost::encoding::encode_key;
 use prost::encoding::encode_varint;
 
-/// A field that no release knows: number 1000, four bytes.
+/// A field unknown to every release: number 1000, four bytes.
 const UNKNOWN_FIELD: [u8; 7] = [0xc2, 0x3e, 4, b'l', b'a', b't', b'e'];
 
-/// The file's name and the message's bytes.
+/// Name of a golden file and the bytes of its message.
 pub type Sample = (&'static str, Vec<u8>);
 
-/// All messages of release 0.1.
+/// Returns all messages of release 0.1.
 pub fn samples() -> Vec<Sample> {
     vec![
         ("create_deployment_request", create().encode_to_vec()),
@@ -40,7 +40,7 @@
     ]
 }
 
-/// What every change carries.
+/// Returns the fields that all changes have in common.
 pub fn change() -> wire::Change {
     wire::Change {
         expected_version: 7,
@@ -49,7 +49,7 @@
     }
 }
 
-/// A creation of a model's deployment.
+/// Returns the creation of a model's deployment.
 pub fn create() -> wire::CreateDeploymentRequest {
     wire::CreateDeploymentRequest {
         change: Some(change()),
@@ -57,7 +57,7 @@
     }
 }
 
-/// A creation whose pool the system looks after.
+/// Returns the creation of a deployment whose pool is scaled automatically.
 fn with_fleet() -> wire::CreateDeploymentRequest {
     let fleet = wire::Fleet {
         capacity: 8,
@@ -73,7 +73,7 @@
     }
 }
 
-/// A creation with a field that no release knows, at the top and inside the deployment.
+/// Returns a creation with unknown fields, at the top level and inside the deployment.
 pub fn with_unknown_fields() -> Vec<u8> {
     let change = change().encode_to_vec();
     let mut deployment = thesis().encode_to_vec();
@@ -88,7 +88,7 @@
     bytes
 }
 
-/// A replacement by a plain service's deployment.
+/// Returns a replacement that turns the deployment into a plain service.
 pub fn replace() -> wire::ChangeDeploymentRequest {
     let kind = wire::deployment::Kind::Service(wire::PlainService {});
     wire::ChangeDeploymentRequest {
@@ -100,7 +100,7 @@
     }
 }
 
-/// A model's deployment.
+/// Returns a model's deployment.
 fn thesis() -> wire::Deployment {
     wire::Deployment {
         name: "thesis".to_owned(),
@@ -120,7 +120,7 @@
     }
 }
 
-/// A promise.
+/// Returns a grant.
 fn grant() -> wire::Grant {
     wire::Grant {
         account: "branches".to_owned(),
@@ -130,7 +130,7 @@
     }
 }
 
-/// A removal.
+/// Returns the removal of a deployment.
 fn remove() -> wire::RemoveDeploymentRequest {
     wire::RemoveDeploymentRequest {
         change: Some(change()),
@@ -138,7 +138,7 @@
     }
 }
 
-/// An account.
+/// Returns an account.
 fn branches() -> wire::Account {
     wire::Account {
         name: "branches".to_owned(),
@@ -150,7 +150,7 @@
     }
 }
 
-/// An account's addition.
+/// Returns the creation of an account.
 fn put() -> wire::PutAccountRequest {
     wire::PutAccountRequest {
         change: Some(change()),
@@ -158,7 +158,7 @@
     }
 }
 
-/// A drain.
+/// Encodes a drain request.
 fn drain(target: wire::drain_request::Target) -> Vec<u8> {
     let message = wire::DrainRequest {
         target: Some(target),
@@ -166,7 +166,7 @@
     message.encode_to_vec()
 }
 
-/// A result of a change.
+/// Encodes the result of a change.
 fn result(outcome: wire::change_result::Outcome) -> Vec<u8> {
     let message = wire::ChangeResult {
         outcome: Some(outcome),
@@ -174,12 +174,12 @@
     message.encode_to_vec()
 }
 
-/// In force everywhere.
+/// Returns the outcome of a change that is in force everywhere.
 fn accepted() -> wire::change_result::Outcome {
     wire::change_result::Outcome::Accepted(wire::Accepted { version: 8 })
 }
 
-/// Written.
+/// Returns the outcome of a change that is committed, but not yet in force everywhere.
 fn committed() -> wire::change_result::Outcome {
     wire::change_result::Outcome::Committed(wire::Committed {
         version: 8,
@@ -187,7 +187,7 @@
     })
 }
 
-/// Another came first.
+/// Returns the outcome of a change that lost against a concurrent one.
 fn conflict() -> wire::change_result::Outcome {
     wire::change_result::Outcome::Conflict(wire::Conflict {
         version: 9,
@@ -200,7 +200,7 @@
     })
 }
 
-/// A whole configuration.
+/// Returns a whole configuration.
 fn list() -> wire::ListDeploymentsResult {
     wire::ListDeploymentsResult {
         version: 8,
@@ -209,7 +209,7 @@
     }
 }
 
-/// Past changes.
+/// Returns a change history.
 fn history() -> wire::GetHistoryResult {
     wire::GetHistoryResult {
         changes: vec![wire::PastChange {
@@ -221,7 +221,7 @@
     }
 }
 
-/// How things stand.
+/// Returns a system status.
 fn status() -> wire::GetStatusResult {
     wire::GetStatusResult {
         entry: "entry-1".to_owned(),
@@ -245,7 +245,7 @@
     }
 }
 
-/// A burn report.
+/// Returns a burn report.
 fn report() -> wire::ReportResult {
     let quantiles = wire::Quantiles {
         p50: 10,
@@ -292,7 +292,7 @@
     }
 }
 
-/// The life of a request.
+/// Returns the trace of a request.
 fn explain() -> wire::ExplainResult {
     wire::ExplainResult {
         request: "entry-1.42".to_owned(),
