--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use argh::FromArgs;
 
@@ -14,31 +14,37 @@
 use crate::commands::report::Report;
 use crate::commands::status::Status;
 
-/// Drives dogwoodspur: deployments, accounts, status and reports.
+/// Manages dogwoodspur: deployments, accounts, status and reports.
 ///
-/// The options here may stand before or after the command.
+/// The global options may stand before or after the command.
 #[derive(Debug, FromArgs)]
 #[argh(
     note = "The operators' key is read from --key-file or the variable DOGWOODSPUR_KEY; the entry is \
 named by --entry or DOGWOODSPUR_ENTRY.",
-    example = "Create a deployment and look at it:\n\
+    example = "Create a deployment and show it:\n\
 export DOGWOODSPUR_ENTRY=http://127.0.0.1:8002\n\
 {command_name} --key-file operators.key create thesis.jsonc\n\
 {command_name} --key-file operators.key show thesis",
-    example = "Change it: what show prints as JSON names the version that the change is based on:\n\
+    example = "Change it; the JSON printed by show holds the version that the change is based on:\n\
 {command_name} show thesis --json > thesis.json\n\
 {command_name} change thesis.json",
-    error_code(1, "A failure that no other code names."),
-    error_code(2, "The command line or a definition is malformed; nothing happened."),
+    error_code(1, "Any other failure."),
+    error_code(
+        2,
+        "The command line or a definition is malformed; nothing was changed."
+    ),
     error_code(
         3,
-        "The change is written and never reverts, but isn't in force everywhere yet."
+        "The change is committed and never reverts, but isn't in force everywhere yet."
     ),
-    error_code(4, "Another change came first; this one did not take effect."),
+    error_code(4, "A concurrent change came first; this one did not take effect."),
     error_code(5, "No such deployment, account, entry, backend server or request."),
-    error_code(6, "The change contradicts the configuration; nothing happened."),
+    error_code(6, "The change contradicts the configuration; nothing was changed."),
     error_code(7, "The operators' key is missing or wrong."),
-    error_code(8, "The entry can't be reached or can't do it now; nothing happened."),
+    error_code(
+        8,
+        "The entry can't be reached or can't serve the call now; nothing was changed."
+    ),
     error_code(
         9,
         "The change may have taken effect; repeat it with the same --change-id."
@@ -51,15 +57,15 @@
     /// file that holds the operators' key
     #[argh(option, arg_name = "file")]
     pub key_file: Option<String>,
-    /// answers as JSON for programs
+    /// print machine-readable JSON
     #[argh(switch)]
     pub json: bool,
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// Subcommands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -73,32 +79,32 @@
     List(List),
     /// Removes a deployment.
     Remove(Remove),
-    /// Works on accounts.
+    /// Manages accounts.
     Account(Account),
-    /// Shows past changes.
+    /// Shows the change history.
     History(History),
-    /// Shows how entries and backend servers stand.
+    /// Shows the status of entries and backend servers.
     Status(Status),
-    /// Takes an entry or a backend server out of use.
+    /// Drains an entry or a backend server.
     Drain(Drain),
     /// Shows the service-level burn report.
     Report(Report),
-    /// Shows the life of one request.
+    /// Shows the trace of one request.
     Explain(Explain),
 }
 
-/// What every change may be given.
+/// Options that all changes have in common.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeOptions {
     /// Version on which the change is based.
     pub expect: Option<u64>,
-    /// Name of the change.
+    /// Id of the change.
     pub change_id: Option<String>,
-    /// Longest wait for it to be in force everywhere.
+    /// Longest wait until the change is in force everywhere, milliseconds.
     pub wait_ms: Option<u64>,
 }
 
-/// Moves the options of the whole command to the front, so that they may stand anywhere.
+/// Moves global options to the front, because argh accepts them only before the subcommand.
 pub fn hoist_global_options<'a>(arguments: &[&'a str]) -> Vec<&'a str> {
     let mut front = Vec::new();
     let mut rest = Vec::new();
--- a/crates/cli/src/commands/account.rs
+++ b/crates/cli/src/commands/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts and their keys.
+//! Commands for client accounts and their keys.
 
 use argh::FromArgs;
 use config::snapshot::hash_key;
@@ -12,10 +12,10 @@
 use crate::session::Session;
 use crate::session::random_hex;
 
-/// Length of a new key, bytes of randomness.
+/// Random bytes in a new key.
 const KEY_BYTES: usize = 32;
 
-/// Works on client accounts.
+/// Manages client accounts.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -24,29 +24,29 @@
     example = "{command_name} rekey branches"
 )]
 pub struct Account {
-    /// what to do
+    /// action to run
     #[argh(subcommand)]
     pub action: Action,
 }
 
-/// What to do with an account.
+/// Actions on an account.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Action {
-    /// Adds one.
+    /// Adds an account.
     Add(Add),
-    /// Changes its shares and limits.
+    /// Changes shares and limits of an account.
     Change(Change),
-    /// Gives it a new key.
+    /// Gives an account a new key.
     Rekey(Rekey),
-    /// Removes it.
+    /// Removes an account.
     Remove(Remove),
-    /// Shows it.
+    /// Shows an account.
     Show(Show),
 }
 
 impl Account {
-    /// Carries the action out.
+    /// Runs the action.
     pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         match self.action {
             Action::Add(add) => add.run(session).await,
@@ -69,26 +69,26 @@
     /// name of the account
     #[argh(positional)]
     pub name: String,
-    /// share against other accounts when there isn't enough for all (1)
+    /// share relative to other accounts under contention (1)
     #[argh(option, default = "1")]
     pub weight: u32,
-    /// who is shed first under overload: 0 goes last, 9 first (0)
+    /// priority under overload: 9 is shed first, 0 last (0)
     #[argh(option, default = "0")]
     pub priority: u8,
-    /// most tokens a second over all entries, 0 for no limit (0)
+    /// most tokens per second over all entries, 0 for no limit (0)
     #[argh(option, default = "0")]
     pub tokens_per_second: u64,
-    /// most requests open at once over all entries, 0 for no limit (0)
+    /// most concurrent requests over all entries, 0 for no limit (0)
     #[argh(option, default = "0")]
     pub concurrent: u32,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
 }
 
 impl Add {
-    /// Adds the account. That it isn't there is read at the version that the change expects, so that
-    /// two operators who add the same name can't overwrite each other's key.
+    /// Adds the account. The check that it doesn't exist reads the version that the change expects, so
+    /// that two operators who add the same name can't overwrite each other's key.
     pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let (version, configuration) = fetch_configuration(session).await?;
         if configuration
@@ -96,7 +96,7 @@
             .iter()
             .any(|account| account.name == self.name)
         {
-            let message = format!("account {} is there already", self.name);
+            let message = format!("account {} already exists", self.name);
             return Err(Error::new(Exit::Refused, message));
         }
         let key = random_hex(KEY_BYTES)?;
@@ -119,7 +119,7 @@
     }
 }
 
-/// Changes shares and limits of an account; what isn't given stays.
+/// Changes shares and limits of an account; omitted options keep their values.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -130,19 +130,19 @@
     /// name of the account
     #[argh(positional)]
     pub name: String,
-    /// share against other accounts when there isn't enough for all
+    /// share relative to other accounts under contention
     #[argh(option)]
     pub weight: Option<u32>,
-    /// who is shed first under overload: 0 goes last, 9 first
+    /// priority under overload: 9 is shed first, 0 last
     #[argh(option)]
     pub priority: Option<u8>,
-    /// most tokens a second over all entries, 0 for no limit
+    /// most tokens per second over all entries, 0 for no limit
     #[argh(option)]
     pub tokens_per_second: Option<u64>,
-    /// most requests open at once over all entries, 0 for no limit
+    /// most concurrent requests over all entries, 0 for no limit
     #[argh(option)]
     pub concurrent: Option<u32>,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
 }
@@ -171,7 +171,7 @@
 #[argh(
     subcommand,
     name = "rekey",
-    note = "Hand the new key to the callers first, then run it again with --drop-earlier, or drop at \
+    note = "Give the new key to the callers first, then run it again with --drop-earlier. Drop at \
 once if a key has leaked.",
     example = "{command_name} branches",
     example = "{command_name} branches --drop-earlier"
@@ -180,16 +180,16 @@
     /// name of the account
     #[argh(positional)]
     pub name: String,
-    /// makes all earlier keys invalid
+    /// invalidate all earlier keys
     #[argh(switch)]
     pub drop_earlier: bool,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
 }
 
 impl Rekey {
-    /// Adds the key.
+    /// Adds the key and, on request, drops the earlier ones.
     pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let (version, mut account) = find(session, &self.name).await?;
         if self.drop_earlier {
@@ -208,14 +208,14 @@
     }
 }
 
-/// Removes an account; refused while a deployment grants it something.
+/// Removes an account; refused while a deployment has a grant for it.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "remove", example = "{command_name} branches")]
 pub struct Remove {
     /// name of the account
     #[argh(positional)]
     pub name: String,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
 }
@@ -234,7 +234,7 @@
     }
 }
 
-/// Shows an account; its keys aren't known to the system, only their hashes.
+/// Shows an account; its keys aren't stored, only their hashes.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "show", example = "{command_name} branches")]
 pub struct Show {
@@ -251,7 +251,7 @@
     }
 }
 
-/// Asks for one account and the version in which it stands so.
+/// Fetches one account and the version of the configuration that it was read from.
 async fn find(
     session: &Session<'_>,
     name: &str,
--- a/crates/cli/src/commands/deployment.rs
+++ b/crates/cli/src/commands/deployment.rs
@@ -1,4 +1,4 @@
-//! Deployments: create, change, show, list, remove.
+//! Commands for deployments: create, change, show, list and remove.
 
 use argh::FromArgs;
 use ops::Reply;
@@ -13,7 +13,7 @@
 use crate::session::Session;
 use crate::session::unexpected_reply;
 
-/// Adds a deployment that a file defines.
+/// Adds a deployment from a definition file.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -31,7 +31,7 @@
     /// file with the definition
     #[argh(positional)]
     pub file: String,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
     /// longest wait for the change to be in force everywhere, milliseconds
@@ -40,7 +40,7 @@
 }
 
 impl Create {
-    /// Adds the deployment. The newest version will do: a name that is taken is refused.
+    /// Adds the deployment, based on the newest version: the entry refuses a name that is taken.
     pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let definition = definition::read(&self.file)?;
         let options = ChangeOptions {
@@ -55,14 +55,14 @@
     }
 }
 
-/// Replaces a deployment by what a file defines.
+/// Replaces a deployment from a definition file.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "change",
     note = "The version on which the change is based comes from --expect or from the file's \
-\"version\", which show --json writes. If another change of the deployment came in between, nothing \
-happens, the difference is shown and the exit code is 4.",
+\"version\", which show --json writes. If the deployment has been changed \
+since, the change is rejected with the differences and exit code 4.",
     example = "{command_name} thesis.json",
     example = "{command_name} thesis.jsonc --expect 7"
 )]
@@ -73,7 +73,7 @@
     /// version of the configuration on which the change is based
     #[argh(option, arg_name = "version")]
     pub expect: Option<u64>,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
     /// longest wait for the change to be in force everywhere, milliseconds
@@ -86,8 +86,8 @@
     pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let definition = definition::read(&self.file)?;
         let Some(version) = self.expect.or(definition.version) else {
-            let message = "which version is the change based on? Give --expect or \"version\" in the \
-file, as show --json writes it";
+            let message = "the change needs a base version: give --expect, or \"version\" in the file as \
+written by show --json";
             return Err(Error::new(Exit::Usage, message));
         };
         let options = ChangeOptions {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Shows one deployment; with --json, as a definition that change takes.
+/// Shows one deployment; with --json, as a definition that change accepts.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -135,7 +135,7 @@
 pub struct List {}
 
 impl List {
-    /// Lists them.
+    /// Lists deployments and accounts.
     pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let (version, configuration) = fetch_configuration(session).await?;
         output::configuration::configuration(session, version, &configuration)
@@ -157,7 +157,7 @@
     /// version of the configuration on which the change is based (the newest by default)
     #[argh(option, arg_name = "version")]
     pub expect: Option<u64>,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
     /// longest wait for the change to be in force everywhere, milliseconds
@@ -183,16 +183,16 @@
     }
 }
 
-/// Deployments and accounts of one version.
+/// Deployments and accounts of one version of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Configuration {
-    /// By name.
+    /// Deployments by name.
     pub deployments: Vec<config::deployment::Deployment>,
-    /// By name.
+    /// Accounts by name.
     pub accounts: Vec<config::deployment::Account>,
 }
 
-/// Asks for the newest configuration and its version.
+/// Fetches the newest configuration and its version.
 pub async fn fetch_configuration(session: &Session<'_>) -> Result<(u64, Configuration), Error> {
     match session.call(Request::ListDeployments).await? {
         Reply::Configuration {
--- a/crates/cli/src/commands/drain.rs
+++ b/crates/cli/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! Takes something out of use.
+//! Command that drains an entry or a backend server.
 
 use argh::FromArgs;
 use ops::Reply;
@@ -11,12 +11,12 @@
 use crate::session::Session;
 use crate::session::unexpected_reply;
 
-/// Takes an entry or a backend server out of use; requests in progress finish or move.
+/// Drains an entry or a backend server; requests in progress finish or move.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "drain",
-    note = "Repeating it changes nothing; status shows how far it is.",
+    note = "Draining is idempotent; status shows the progress.",
     example = "{command_name} --entry-name entry-3",
     example = "{command_name} --backend i-1.1"
 )]
@@ -29,7 +29,7 @@
     pub backend: Option<String>,
 }
 
-/// The answer for programs.
+/// JSON output.
 #[derive(Serialize)]
 struct Answer {
     already_leaving: bool,
@@ -37,7 +37,7 @@
 }
 
 impl Drain {
-    /// Begins to drain.
+    /// Starts the drain.
     pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let target = match (self.entry_name, self.backend) {
             (Some(name), None) => Target::Entry(name.into()),
@@ -61,12 +61,12 @@
             })?;
             return Ok(Exit::Done);
         }
-        let word = if already_leaving {
-            "leaving already"
+        let state = if already_leaving {
+            "already leaving"
         } else {
             "leaving"
         };
-        writeln!(session.out, "{word}, {running} requests in progress")?;
+        writeln!(session.out, "{state}, {running} requests in progress")?;
         Ok(Exit::Done)
     }
 }
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! The life of one request.
+//! Command that shows the trace of one request.
 
 use argh::FromArgs;
 use ops::Reply;
@@ -10,7 +10,7 @@
 use crate::session::Session;
 use crate::session::unexpected_reply;
 
-/// Shows where a request waited, went and moved, and why.
+/// Shows where a request was queued, ran and moved to, and why.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -25,7 +25,7 @@
 }
 
 impl Explain {
-    /// Shows it.
+    /// Shows the trace.
     pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let request = self.request.into();
         match session.call(Request::Explain { request }).await? {
--- a/crates/cli/src/commands/history.rs
+++ b/crates/cli/src/commands/history.rs
@@ -1,4 +1,4 @@
-//! Past changes.
+//! Command that shows the change history.
 
 use argh::FromArgs;
 use ops::Reply;
@@ -10,7 +10,7 @@
 use crate::session::Session;
 use crate::session::unexpected_reply;
 
-/// Shows past changes of the configuration, the newest first.
+/// Shows past changes of the configuration, newest first.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -28,7 +28,7 @@
 }
 
 impl History {
-    /// Shows them.
+    /// Shows the changes.
     pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let request = Request::GetHistory {
             before: self.before,
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file a command or a family of them.
+//! One module per command or family of commands.
 
 pub mod account;
 pub mod deployment;
@@ -13,7 +13,7 @@
 use crate::exit::Exit;
 use crate::session::Session;
 
-/// Carries a command out.
+/// Runs a command.
 pub async fn run(command: Command, session: &mut Session<'_>) -> Result<Exit, Error> {
     match command {
         Command::Create(create) => create.run(session).await,
--- a/crates/cli/src/commands/report.rs
+++ b/crates/cli/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! The service-level burn report.
+//! Command that shows the burn report.
 
 use argh::FromArgs;
 use ops::Reply;
@@ -10,28 +10,28 @@
 use crate::session::Session;
 use crate::session::unexpected_reply;
 
-/// Shows for each deployment and account the share within its targets, the error budget and the cost.
+/// Shows the share within targets, the error budget and the cost for each deployment and account.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "report",
-    note = "PAGE: over both windows, a quarter of the day's error budget goes in an hour. WATCH: a \
-tenth does.",
+    note = "PAGE: both windows burn a quarter of the day's error budget per hour or more. WATCH: a \
+tenth.",
     example = "{command_name}",
     example = "{command_name} --deployment thesis --json",
     example = "{command_name} --html burn.html"
 )]
 pub struct Report {
-    /// only this deployment
+    /// restrict the report to this deployment
     #[argh(option, arg_name = "name")]
     pub deployment: Option<String>,
-    /// writes a page with plots into this file
+    /// write a page with plots to this file
     #[argh(option, arg_name = "file")]
     pub html: Option<String>,
 }
 
 impl Report {
-    /// Shows it.
+    /// Shows the report.
     pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let deployment = self.deployment.map(Into::into);
         match session.call(Request::Report { deployment }).await? {
--- a/crates/cli/src/definition.rs
+++ b/crates/cli/src/definition.rs
@@ -1,4 +1,4 @@
-//! Deployment definitions: files of JSON with comments.
+//! Deployment definitions, written as JSON with comments.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,32 +16,32 @@
 use crate::exit::Error;
 use crate::exit::Exit;
 
-/// The option that names the version on which a definition is based.
+/// Field that holds the version on which a definition is based.
 const VERSION_FIELD: &str = "version";
 
-/// A definition as read from a file.
+/// Definition read from a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Definition {
     /// The deployment.
     pub deployment: Deployment,
-    /// Version of the configuration on which it is based, where the file says so.
+    /// Version of the configuration that it is based on, if the file states it.
     pub version: Option<u64>,
 }
 
-/// Reads a definition, or names everything wrong with it.
+/// Reads and validates a definition file; the error lists all faults.
 pub fn read(file: &str) -> Result<Definition, Error> {
     let text = fs::read_to_string(file)
         .map_err(|error| Error::new(Exit::Usage, format!("{file}: can't be read: {error}")))?;
     parse(file, &text).map_err(|faults| Error::new(Exit::Usage, faults.to_string()))
 }
 
-/// Reads the text of a definition.
+/// Parses and validates the text of a definition.
 pub fn parse(file: &str, text: &str) -> Result<Definition, Faults> {
     let tree = settings::check::parse(file, text).map_err(|fault| Faults(vec![fault]))?;
     let schema = schema();
     let mut findings = settings::check::check(file, text, tree.value.as_ref(), &schema);
     let version = findings.value.get(VERSION_FIELD).and_then(Value::as_u64);
-    let faults = syntax_faults(&mut findings);
+    let faults = schema_faults(&mut findings);
     if !faults.0.is_empty() {
         return Err(faults);
     }
@@ -57,7 +57,7 @@
     })
 }
 
-/// The schema of a definition, with the version beside the deployment's own fields.
+/// Returns the schema of a definition: the fields of a deployment and the version.
 pub fn schema() -> Value {
     let mut schema = SchemaSettings::draft2020_12()
         .for_deserialize()
@@ -76,15 +76,16 @@
     schema
 }
 
-/// Faults of the file's form. Unknown names are among them: here they are slips, not later options.
-fn syntax_faults(findings: &mut Findings) -> Faults {
+/// Returns the schema violations. Unknown fields are errors here, because they are typos and not
+/// options of a later release.
+fn schema_faults(findings: &mut Findings) -> Faults {
     let mut faults = std::mem::take(&mut findings.faults);
     faults.append(&mut findings.warnings);
     faults.sort_by_key(|fault| fault.line);
     Faults(faults)
 }
 
-/// Faults of the deployment itself, with the lines of their fields.
+/// Returns the violations of the deployment's own rules, with the line of each field.
 fn semantic_faults(
     file: &str,
     lines: &BTreeMap<String, usize>,
@@ -98,7 +99,7 @@
     Faults(violations.into_iter().map(fault).collect())
 }
 
-/// The line of a field, or of the nearest one around it that stands in the file.
+/// Returns the line of a field, or of its nearest ancestor in the file.
 fn nearest_line(lines: &BTreeMap<String, usize>, field: &str) -> usize {
     let mut field = field;
     loop {
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,37 +1,37 @@
-//! Exit codes. They are part of the contract with operators' scripts and never change their meaning.
+//! Exit codes. Operators' scripts rely on them, so their meaning never changes.
 
 use std::fmt;
 
 use ops::client::Failure;
 use ops::client::Kind;
 
-/// How the command ended.
+/// Outcome of the command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
     /// Done; a change is in force everywhere.
     Done,
-    /// A failure that no other code names.
+    /// Any other failure.
     Failed,
-    /// The command line or a definition is malformed; nothing happened.
+    /// The command line or a definition is malformed; nothing was changed.
     Usage,
-    /// The change is written and never reverts, but isn't in force everywhere yet.
+    /// The change is committed and never reverts, but isn't in force everywhere yet.
     Committed,
-    /// Another change came first; this one did not take effect.
+    /// A concurrent change came first; this one did not take effect.
     Conflict,
     /// No such deployment, account, entry, backend server or request.
     NotFound,
-    /// The change contradicts the configuration; nothing happened.
+    /// The change contradicts the configuration; nothing was changed.
     Refused,
     /// The operators' key is missing or wrong.
     Unauthenticated,
-    /// The entry can't be reached or can't do it now; nothing happened.
+    /// The entry can't be reached or can't serve the call now; nothing was changed.
     Unavailable,
     /// The change may have taken effect; repeat it with the same `--change-id`.
     OutcomeUnknown,
 }
 
 impl Exit {
-    /// The number that the process ends with.
+    /// Returns the exit code of the process.
     pub const fn code(self) -> i32 {
         match self {
             Exit::Done => 0,
@@ -48,17 +48,17 @@
     }
 }
 
-/// Why the command could not be carried out.
+/// Error that ends the command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// The exit code it leads to.
+    /// Outcome that determines the exit code.
     pub exit: Exit,
-    /// For a person.
+    /// Human-readable description.
     pub message: String,
 }
 
 impl Error {
-    /// Trouble with a code and a message.
+    /// Creates an error with an exit code and a message.
     pub fn new(exit: Exit, message: impl Into<String>) -> Error {
         Error {
             exit,
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' command: `dogwoodspur`.
+//! The operators' command line, `dogwoodspur`.
 //!
-//! It reaches the system over gRPC alone and holds nothing. [`run`] is the whole program;
-//! [`execute`] is the same for programs that have a runtime and writers of their own.
+//! It talks to the system over gRPC only and keeps no state. [`run`] is the whole program; [`execute`]
+//! is the same for embedders that bring their own runtime and writers.
 
 pub mod arguments;
 pub mod commands;
@@ -21,10 +21,10 @@
 use crate::session::Access;
 use crate::session::Session;
 
-/// Name of the command, as its help shows it.
+/// Name of the command in its help.
 const COMMAND: &str = "dogwoodspur";
 
-/// Runs the command on the standard streams and gives its exit code.
+/// Runs the command on the standard streams and returns its exit code.
 pub fn run(arguments: &[&str]) -> i32 {
     let runtime = match tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -46,7 +46,7 @@
     exit.code()
 }
 
-/// Runs the command; `access` stands in for the options `--entry` and `--key-file`.
+/// Runs the command; `access` holds the defaults for the options `--entry` and `--key-file`.
 pub async fn execute(
     arguments: &[&str],
     access: Access,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Shows the help that was asked for, or what is wrong with the arguments.
+/// Prints the requested help, or the error in the arguments.
 fn exit_early(early: argh::EarlyExit, out: &mut dyn Write, err: &mut dyn Write) -> Exit {
     match early.status {
         Ok(()) => {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! The operators' command line.
 
 use std::env;
 use std::process::exit;
--- a/crates/cli/src/output/changed.rs
+++ b/crates/cli/src/output/changed.rs
@@ -1,4 +1,4 @@
-//! What became of a change.
+//! Output for the outcome of a change.
 
 use ops::reply::Changed;
 use ops::reply::Difference;
@@ -8,7 +8,7 @@
 use crate::exit::Exit;
 use crate::session::Session;
 
-/// The answer for programs, with a new key where there is one.
+/// JSON output, with the new key if there is one.
 #[derive(Serialize)]
 struct Answer<'a> {
     #[serde(flatten)]
@@ -17,12 +17,12 @@
     key: Option<&'a str>,
 }
 
-/// Writes the result.
+/// Writes the outcome.
 pub fn write(session: &mut Session<'_>, changed: &Changed) -> Result<Exit, Error> {
     write_result(session, changed, None)
 }
 
-/// Writes the result and, if the change took effect, the new key: the only time that it is shown.
+/// Writes the outcome and, if the change took effect, the new key, which can't be shown again.
 pub fn write_with_key(
     session: &mut Session<'_>,
     changed: &Changed,
@@ -32,7 +32,7 @@
     write_result(session, changed, took_effect.then_some(key))
 }
 
-/// Writes the result and a key.
+/// Writes the outcome and an optional key as JSON or text.
 fn write_result(
     session: &mut Session<'_>,
     changed: &Changed,
@@ -49,7 +49,7 @@
     Ok(exit_code(changed))
 }
 
-/// Writes the result for a person.
+/// Writes the outcome as text.
 fn write_text(session: &mut Session<'_>, changed: &Changed) -> Result<(), Error> {
     match changed {
         Changed::Accepted { version } => {
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-/// A difference for a person.
+/// Formats a difference as one line.
 fn format_difference(difference: &Difference) -> String {
     let subject = [difference.subject.as_str(), &difference.field].join(" ");
     let subject = subject.trim_end();
@@ -91,7 +91,7 @@
     }
 }
 
-/// The exit code for a result.
+/// Returns the exit code for an outcome.
 fn exit_code(changed: &Changed) -> Exit {
     match changed {
         Changed::Accepted { .. } => Exit::Done,
--- a/crates/cli/src/output/configuration.rs
+++ b/crates/cli/src/output/configuration.rs
@@ -1,4 +1,4 @@
-//! Deployments and accounts.
+//! Output for deployments and accounts.
 
 use config::deployment::Account;
 use config::deployment::Deployment;
@@ -12,7 +12,7 @@
 use crate::output::table::row;
 use crate::session::Session;
 
-/// Something with the version in which it stands so, for programs.
+/// JSON output of an item with the version of the configuration that it was read from.
 #[derive(Serialize)]
 struct Versioned<'a, T> {
     version: u64,
@@ -20,7 +20,7 @@
     item: &'a T,
 }
 
-/// The whole configuration for programs.
+/// JSON output of the whole configuration.
 #[derive(Serialize)]
 struct Listing<'a> {
     version: u64,
@@ -28,7 +28,7 @@
     accounts: &'a [Account],
 }
 
-/// Writes one deployment; as JSON it is a definition that `change` takes.
+/// Writes one deployment; its JSON form is a definition that `change` accepts.
 pub fn deployment(
     session: &mut Session<'_>,
     version: u64,
@@ -126,7 +126,7 @@
     Ok(Exit::Done)
 }
 
-/// What a deployment serves, in a few words.
+/// Formats what a deployment serves.
 fn format_kind(kind: &Kind) -> String {
     match kind {
         Kind::Model {
@@ -143,7 +143,7 @@
     }
 }
 
-/// The head above accounts.
+/// Returns the header row of the accounts table.
 fn account_header() -> Vec<String> {
     row(&[
         "account",
@@ -155,7 +155,7 @@
     ])
 }
 
-/// One account's cells.
+/// Returns the row of an account.
 fn account_row(account: &Account) -> Vec<String> {
     vec![
         account.name.to_string(),
@@ -167,7 +167,7 @@
     ]
 }
 
-/// A limit; none for 0.
+/// Formats a limit; 0 means no limit.
 fn format_limit(number: u64) -> String {
     if number == 0 {
         "no limit".to_owned()
--- a/crates/cli/src/output/explanation.rs
+++ b/crates/cli/src/output/explanation.rs
@@ -1,4 +1,4 @@
-//! The life of one request.
+//! Output for the trace of one request.
 
 use ops::reply::Explanation;
 use verdict::Verdict;
@@ -9,7 +9,7 @@
 use crate::output::table::row;
 use crate::session::Session;
 
-/// Writes the life of a request.
+/// Writes the trace of a request.
 pub fn write(session: &mut Session<'_>, explanation: &Explanation) -> Result<Exit, Error> {
     if session.json {
         session.write_json(explanation)?;
--- a/crates/cli/src/output/history.rs
+++ b/crates/cli/src/output/history.rs
@@ -1,4 +1,4 @@
-//! Past changes.
+//! Output for the change history.
 
 use ops::reply::PastChange;
 
--- a/crates/cli/src/output/mod.rs
+++ b/crates/cli/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! Answers as text and as JSON.
+//! Text and JSON output.
 
 pub mod changed;
 pub mod configuration;
--- a/crates/cli/src/output/report.rs
+++ b/crates/cli/src/output/report.rs
@@ -1,4 +1,4 @@
-//! The burn report.
+//! Output for the burn report.
 
 use std::fs;
 
@@ -8,7 +8,7 @@
 use crate::exit::Exit;
 use crate::session::Session;
 
-/// Writes the report: as JSON, as text, or as a page into a file.
+/// Writes the report as JSON, as text, or as an HTML page to a file.
 pub fn write(
     session: &mut Session<'_>,
     report: &Report,
--- a/crates/cli/src/output/status.rs
+++ b/crates/cli/src/output/status.rs
@@ -1,4 +1,4 @@
-//! How things stand.
+//! Output for the status of the system.
 
 use ops::reply::BackendState;
 use ops::reply::LeaseState;
@@ -10,7 +10,7 @@
 use crate::output::table::row;
 use crate::session::Session;
 
-/// Writes how things stand.
+/// Writes the status of entries and backend servers.
 pub fn write(session: &mut Session<'_>, status: &Status) -> Result<Exit, Error> {
     if session.json {
         session.write_json(status)?;
@@ -55,7 +55,7 @@
     Ok(Exit::Done)
 }
 
-/// A lease's state in a word.
+/// Returns the name of a lease state.
 fn lease_name(state: LeaseState) -> &'static str {
     match state {
         LeaseState::Held => "held",
@@ -65,7 +65,7 @@
     }
 }
 
-/// A backend server's state in a word.
+/// Returns the name of a backend server's state.
 fn state_name(state: BackendState) -> &'static str {
     match state {
         BackendState::Live => "live",
--- a/crates/cli/src/output/table.rs
+++ b/crates/cli/src/output/table.rs
@@ -1,12 +1,12 @@
-//! Columns of text.
+//! Text tables.
 
 use std::io;
 use std::io::Write;
 
-/// Space between two columns.
+/// Spaces between two columns.
 const COLUMN_GAP: usize = 2;
 
-/// Writes rows in columns as wide as their widest cell; the first row is the head.
+/// Writes rows in columns that are as wide as their widest cell; the first row is the header.
 pub fn write(out: &mut dyn Write, rows: &[Vec<String>]) -> io::Result<()> {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let widths: Vec<usize> = (0..columns)
@@ -24,12 +24,12 @@
     Ok(())
 }
 
-/// A row of texts.
+/// Builds a row from string slices.
 pub fn row(cells: &[&str]) -> Vec<String> {
     cells.iter().map(|cell| (*cell).to_owned()).collect()
 }
 
-/// The width of a column.
+/// Returns the width of a column in characters.
 fn column_width(rows: &[Vec<String>], column: usize) -> usize {
     let cells = rows.iter().filter_map(|row| row.get(column));
     cells.map(|cell| cell.chars().count()).max().unwrap_or(0)
--- a/crates/cli/src/session.rs
+++ b/crates/cli/src/session.rs
@@ -1,4 +1,4 @@
-//! One run of the command: where it reaches the system and where it writes.
+//! One run of the command: its connection and its output.
 
 use std::fs;
 use std::io::Write;
@@ -19,14 +19,14 @@
 use crate::exit::Error;
 use crate::exit::Exit;
 
-/// How often a change is sent whose outcome stays unknown. A repeat is safe: it carries the same id.
+/// Most sends of a change whose outcome stays unknown; resending is safe, because the id is the same.
 const MAX_SENDS: u32 = 3;
-/// Pause before a change is sent again.
+/// Delay before a change is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Length of a change's random name, bytes.
+/// Random bytes in a generated change id.
 const CHANGE_ID_BYTES: usize = 12;
 
-/// Where the system is reached.
+/// Address and key of the system.
 #[derive(Clone, Debug, Default)]
 pub struct Access {
     /// Operators' port of an entry, `http://HOST:PORT`.
@@ -37,16 +37,16 @@
 
 /// One run of the command.
 pub struct Session<'a> {
-    /// Where answers go.
+    /// Writer for the output.
     pub out: &'a mut dyn Write,
-    /// Whether answers are JSON.
+    /// Whether to print JSON.
     pub json: bool,
     entry: Option<String>,
     key: Option<String>,
 }
 
 impl<'a> Session<'a> {
-    /// Reads the key; nothing is sent yet.
+    /// Reads the key file, if given; sends nothing.
     pub fn new(
         arguments: &Arguments,
         access: Access,
@@ -64,13 +64,13 @@
         })
     }
 
-    /// Asks something and waits for the answer.
+    /// Sends a request and waits for the reply.
     pub async fn call(&self, request: Request) -> Result<Reply, Error> {
         let mut client = self.connect().await?;
         Ok(client.call(request).await?)
     }
 
-    /// Sends a change; as long as its outcome is unknown, again under the same name.
+    /// Sends a change; resends it under the same id while its outcome is unknown.
     pub async fn change(
         &self,
         edit: Edit,
@@ -87,19 +87,20 @@
             wait: Span::from_millis(options.wait_ms.unwrap_or_default()),
             edit,
         };
-        let mut unknown = None;
+        let mut unknown_outcome = None;
         for send in 0..MAX_SENDS {
             if send > 0 {
                 tokio::time::sleep(RETRY_DELAY).await;
             }
             match self.send(&change).await {
                 Ok(changed) => return Ok(changed),
-                Err(error) if error.exit == Exit::OutcomeUnknown => unknown = Some(error),
-                Err(error) if error.exit == Exit::Unavailable && unknown.is_some() => {}
+                Err(error) if error.exit == Exit::OutcomeUnknown => unknown_outcome = Some(error),
+                Err(error) if error.exit == Exit::Unavailable && unknown_outcome.is_some() => {}
                 Err(error) => return Err(error),
             }
         }
-        let error = unknown.unwrap_or_else(|| Error::new(Exit::OutcomeUnknown, "no answer"));
+        let error =
+            unknown_outcome.unwrap_or_else(|| Error::new(Exit::OutcomeUnknown, "no answer"));
         let message = format!("{}\nthe change id was {}", error.message, change.id);
         Err(Error::new(error.exit, message))
     }
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Writes an answer as JSON.
+    /// Writes a value as JSON.
     pub fn write_json(&mut self, value: &impl Serialize) -> Result<(), Error> {
         let text = serde_json::to_string_pretty(value)?;
         writeln!(self.out, "{text}")?;
@@ -139,23 +140,24 @@
     }
 }
 
-/// The answer is of another kind than the call.
+/// Returns the error for a reply that doesn't match its call.
 pub fn unexpected_reply() -> Error {
-    Error::new(
-        Exit::Failed,
-        "the entry's answer is of another kind than the call",
-    )
+    Error::new(Exit::Failed, "the entry's reply doesn't match the call")
 }
 
-/// Random bytes as hexadecimal digits.
+/// Returns random bytes as hexadecimal digits.
 pub fn random_hex(bytes: usize) -> Result<String, Error> {
     let mut buffer = vec![0; bytes];
-    getrandom::fill(&mut buffer)
-        .map_err(|error| Error::new(Exit::Failed, format!("no randomness: {error}")))?;
+    getrandom::fill(&mut buffer).map_err(|error| {
+        Error::new(
+            Exit::Failed,
+            format!("can't generate random bytes: {error}"),
+        )
+    })?;
     Ok(buffer.iter().map(|byte| format!("{byte:02x}")).collect())
 }
 
-/// Reads a key from its file.
+/// Reads a key file.
 fn read_key(file: &str) -> Result<String, Error> {
     match fs::read_to_string(file) {
         Ok(text) => Ok(text.trim().to_owned()),
--- a/crates/cli/tests/command/changes.rs
+++ b/crates/cli/tests/command/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of deployments and accounts, and what goes wrong with them.
+//! Changes of deployments and accounts, and their failures.
 
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
 use crate::common::Fake;
 use crate::common::run_with;
 
-/// A definition as an operator writes it.
+/// A definition as written by an operator.
 const THESIS: &str = r#"{
   // what callers name as their model
   "name": "thesis",
@@ -25,7 +25,7 @@
   "checks_fencing": true,
 }"#;
 
-/// Writes a file for one test.
+/// Writes a file for one test and returns its path.
 fn write_file(name: &str, text: &str) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a writable directory");
@@ -59,8 +59,8 @@
     );
 
     let shown = fake.run(&["show", "thesis", "--json"]).await.stdout;
-    let again = write_file("again.json", &shown.replace("\"v1\"", "\"v2\""));
-    let output = fake.run(&["change", &again]).await;
+    let changed = write_file("again.json", &shown.replace("\"v1\"", "\"v2\""));
+    let output = fake.run(&["change", &changed]).await;
     assert_eq!(
         output.stdout,
         "accepted: version 2 is in force everywhere\n"
@@ -84,10 +84,10 @@
     );
 }
 
-/// Two operators read version 1 and both change it. The second one's change must not undo the
-/// first's: it is refused with the newest version and the difference, for the operator to decide again.
+/// Two operators base a change on version 1. The second change must not overwrite the first: it is
+/// rejected with the newest version and the difference.
 #[tokio::test]
-async fn a_change_on_an_old_version_is_a_conflict_with_the_difference() {
+async fn a_change_on_an_old_version_is_a_conflict_with_the_differences() {
     let fake = Fake::start().await;
     let thesis = write_file("race.jsonc", THESIS);
     fake.run(&["create", &thesis]).await;
@@ -110,8 +110,8 @@
 }
 
 #[tokio::test]
-async fn a_change_that_names_no_version_is_not_sent() {
-    let fake = Fake::answering(|_| panic!("it was sent")).await;
+async fn a_change_without_a_base_version_is_not_sent() {
+    let fake = Fake::answering(|_| panic!("the change was sent")).await;
     let output = fake
         .run(&["change", &write_file("no-version.jsonc", THESIS)])
         .await;
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn all_faults_of_a_definition_are_named_with_their_lines() {
+async fn all_faults_of_a_definition_are_reported_with_their_lines() {
     let text = r#"{
   "name": "Thesis",
   "kind": {"type": "modell"},
@@ -178,7 +178,7 @@
 }
 
 #[tokio::test]
-async fn a_definition_that_is_not_sound_is_named_with_its_line() {
+async fn an_invalid_definition_is_reported_with_its_line() {
     let text = THESIS.replace("950", "1000").replace("\"v1\"", "\"\"");
     let path = write_file("unsound.jsonc", &text);
     let output = run_with(&["create", &path], None, "").await;
@@ -190,8 +190,8 @@
     assert_eq!(output.stderr, expected);
 }
 
-/// The entry dies after it took a change and before it answered. The operator's command sends the
-/// change again under the same name and gets the result of the first time: it took effect once.
+/// The entry dies between receiving a change and answering it. The command must resend it under the same
+/// id and get the outcome of the first send, so that the change takes effect once.
 #[tokio::test]
 async fn a_change_with_an_unknown_outcome_is_sent_again_under_the_same_name() {
     let mut change_ids = Vec::new();
@@ -204,7 +204,7 @@
                     version: 8,
                     waiting_for: vec!["entry-2".into(), "entry-3".into()],
                 })),
-                _ => panic!("another name or too many sends"),
+                _ => panic!("another change id or too many sends"),
             }
         }
         _ => panic!("not a change"),
@@ -228,9 +228,9 @@
         .run_with_key(&["list"], "another key of some length")
         .await;
     assert_eq!(output.exit, Exit::Unauthenticated);
-    let nobody = Some("http://127.0.0.1:1".to_owned());
+    let unreachable = Some("http://127.0.0.1:1".to_owned());
     assert_eq!(
-        run_with(&["list"], nobody, "k").await.exit,
+        run_with(&["list"], unreachable, "k").await.exit,
         Exit::Unavailable
     );
     assert_eq!(run_with(&["list"], None, "k").await.exit, Exit::Usage);
--- a/crates/cli/tests/command/common.rs
+++ b/crates/cli/tests/command/common.rs
@@ -1,4 +1,4 @@
-//! A small fake of an entry behind a real operators' port.
+//! A fake entry behind a real operators' port.
 
 use cli::exit::Exit;
 use cli::session::Access;
@@ -16,29 +16,29 @@
 
 const KEY: &str = "0123456789abcdef";
 
-/// What one run of the command left behind.
+/// Result of one run of the command.
 pub struct Output {
-    /// How it ended.
+    /// Exit status.
     pub exit: Exit,
-    /// What it wrote.
+    /// Standard output.
     pub stdout: String,
-    /// What it complained of.
+    /// Standard error.
     pub stderr: String,
 }
 
-/// A running fake.
+/// A running fake entry.
 pub struct Fake {
     entry: String,
 }
 
 impl Fake {
-    /// Starts one with an empty configuration.
+    /// Starts a fake with an empty configuration.
     pub async fn start() -> Fake {
         let mut snapshot = Snapshot::default();
         Fake::answering(move |request| answer(&mut snapshot, request)).await
     }
 
-    /// Starts one that answers as told.
+    /// Starts a fake that answers by a closure.
     pub async fn answering(
         mut answer: impl FnMut(Request) -> Result<Reply, Fault> + Send + 'static,
     ) -> Fake {
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Runs the command against it.
+    /// Runs the command against the fake.
     pub async fn run(&self, arguments: &[&str]) -> Output {
         run_with(arguments, Some(self.entry.clone()), KEY).await
     }
 
-    /// Runs the command against it with another key.
+    /// Runs the command against the fake with another key.
     pub async fn run_with_key(&self, arguments: &[&str], key: &str) -> Output {
         run_with(arguments, Some(self.entry.clone()), key).await
     }
@@ -85,7 +85,7 @@
     }
 }
 
-/// Answers from a configuration that changes take effect on at once.
+/// Answers from a configuration to which changes apply immediately.
 fn answer(snapshot: &mut Snapshot, request: Request) -> Result<Reply, Fault> {
     match request {
         Request::Change(change) => apply(snapshot, change).map(Reply::Changed),
@@ -105,7 +105,7 @@
     }
 }
 
-/// Carries a change out if it expects the newest version.
+/// Applies a change if it expects the newest version.
 fn apply(snapshot: &mut Snapshot, change: Change) -> Result<Changed, Fault> {
     if change.expected_version != snapshot.version {
         return Ok(Changed::Conflict {
--- a/crates/cli/tests/command/main.rs
+++ b/crates/cli/tests/command/main.rs
@@ -1,4 +1,4 @@
-//! The command against a real operators' port, with a small fake behind it.
+//! The command against a real operators' port of a fake entry.
 
 mod changes;
 mod common;
--- a/crates/cli/tests/command/views.rs
+++ b/crates/cli/tests/command/views.rs
@@ -1,4 +1,4 @@
-//! What the command shows of status, history, reports and requests.
+//! Output of status, history, drain, explain and report.
 
 use std::path::PathBuf;
 
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn history_asks_for_what_was_asked_and_shows_the_newest_first() {
+async fn history_passes_its_options_on_and_shows_the_newest_first() {
     let fake = Fake::answering(|request| {
         let expected = Request::GetHistory {
             before: Some(9),
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_drain_names_its_target_and_what_is_left() {
+async fn drain_sends_its_target_and_shows_the_requests_left() {
     let fake = Fake::answering(|request| {
         assert_eq!(request, Request::Drain(Target::Entry("entry-3".into())));
         Ok(Reply::Drained {
@@ -106,10 +106,10 @@
 }
 
 #[tokio::test]
-async fn explain_shows_where_a_request_went() {
+async fn explain_shows_the_steps_of_a_request() {
     let fake = Fake::answering(|request| {
         let Request::Explain { request } = request else {
-            panic!("another call");
+            panic!("not an explain request");
         };
         let step = |at_ms, event: &str, detail: &str| Step {
             at_ms,
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn a_report_comes_as_text_as_json_and_as_a_page() {
+async fn a_report_is_written_as_text_json_and_html() {
     let fake = Fake::answering(|_| {
         Ok(Reply::Report(burn::Report {
             rows: vec![burn::report::Row {
--- a/crates/cli/tests/pages.rs
+++ b/crates/cli/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The operators' pages name only commands, exit codes and tests that exist.
+//! The operators' pages name only exit codes and tests that exist.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -7,17 +7,17 @@
 
 use cli::exit::Exit;
 
-/// The root of the repository.
+/// Returns the root of the repository.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// A page of docs.
+/// Reads a page of the documentation.
 fn page(name: &str) -> String {
     fs::read_to_string(root().join("docs").join(name)).expect("a page")
 }
 
-/// Names of all test functions of the workspace.
+/// Returns the names of all test functions in the workspace.
 fn test_names() -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     let mut directories = vec![root().join("crates")];
@@ -37,7 +37,7 @@
     names
 }
 
-/// Appends the names of the functions of a source file.
+/// Adds the names of the functions in a source file.
 fn collect_function_names(text: &str, names: &mut BTreeSet<String>) {
     for line in text.lines() {
         let line = line.trim_start();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn each_test_that_the_page_of_failures_names_exists() {
+fn each_test_named_by_the_failures_page_exists() {
     let known = test_names();
     let text = page("failures.md");
     let sections = text.split("\n## ").skip(1);
--- a/crates/ops/src/client.rs
+++ b/crates/ops/src/client.rs
@@ -87,7 +87,7 @@
     /// Connects to `http://HOST:PORT`.
     pub async fn connect(address: &str, key: &str) -> Result<Client, Failure> {
         let key = format!("Bearer {key}").parse().map_err(|_| {
-            let message = "the operators' key holds characters that no key has";
+            let message = "the operators' key contains invalid characters";
             Failure::new(Kind::Unauthenticated, message)
         })?;
         let endpoint = Endpoint::from_shared(address.to_owned())
