--- a/crates/client/examples/ask.rs
+++ b/crates/client/examples/ask.rs
@@ -1,4 +1,4 @@
-//! Asks a model one question and prints the answer as it arrives.
+//! Sends a model one question and prints the answer as it streams in.
 //!
 //! `cargo run -p client --example ask -- ENTRY KEY DEPLOYMENT QUESTION`
 
--- a/crates/client/src/address.rs
+++ b/crates/client/src/address.rs
@@ -1,4 +1,4 @@
-//! Which entries there are, and which one to use.
+//! Cache of entry addresses and the choice of an entry.
 
 use std::collections::HashMap;
 
@@ -9,59 +9,59 @@
 use serde::Deserialize;
 use smol_str::SmolStr;
 
-/// Prefix keys whose answers are cached; beyond that the book forgets them all.
+/// Most prefix keys with cached addresses; the cache is cleared when it is full.
 const MAX_CACHED_KEYS: usize = 256;
 
-/// How long an entry that failed is passed over, if no new answer names it before.
+/// How long an entry is avoided after a failure, unless a successful response clears it earlier.
 const FAILURE_EXPIRY: Span = Span::from_seconds(5);
 
-/// What an entry answers to `GET /v1/addresses`.
+/// Response of an entry to `GET /v1/addresses`.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Addresses {
-    /// The entries to use; with a key, the owner of the prefix comes first.
+    /// Entries to use; if the request had a prefix key, its owner comes first.
     pub addresses: Vec<Entry>,
-    /// How long the answer may be cached.
+    /// Time to live of the response, milliseconds.
     pub ttl_ms: u64,
     /// Tickets for non-idempotent calls.
     #[serde(default)]
     pub tickets: Vec<SmolStr>,
 }
 
-/// One entry of an answer.
+/// One entry in an address response.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Entry {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SmolStr,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     #[serde(default)]
     pub zone: SmolStr,
-    /// Its share of the callers.
+    /// Relative share of callers that it should receive.
     #[serde(default)]
     pub weight: u32,
 }
 
-/// Answers that still hold, entries that failed, and unused tickets.
+/// Cached addresses, failed entries and unused tickets.
 pub struct Book {
-    /// Entries to ask: those of the settings and those of the newest answer.
+    /// Entries to query: the configured ones, then those of the newest response.
     known: Vec<SmolStr>,
-    /// Of the first so many of `known` the settings speak; they are never forgotten.
-    configured: usize,
-    /// By prefix key; the empty key is the answer without one.
-    answers: HashMap<SmolStr, CachedAddresses>,
+    /// Number of configured entries at the front of `known`; they are never removed.
+    configured_count: usize,
+    /// Cached responses by prefix key; the empty key holds the response without one.
+    cached: HashMap<SmolStr, CachedAddresses>,
     failed: HashMap<SmolStr, Time>,
     tickets: Vec<Ticket>,
     random: Pcg64Mcg,
 }
 
-/// The right to run one non-idempotent call.
+/// Right to run one non-idempotent call.
 ///
-/// Only its minter can say whether it was used, so it is sent there; a minter that is gone for good
-/// could only be answered with "may have run".
+/// Only the minter knows whether a ticket was used, so the call must go there. If the minter is gone for
+/// good, a call with its ticket can only fail with "may have run".
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// Its text.
+    /// Text of the ticket.
     pub text: SmolStr,
-    /// The entry that minted it.
+    /// Address of the entry that minted it.
     pub minter: SmolStr,
     expires_at: Time,
 }
@@ -72,21 +72,21 @@
 }
 
 impl Book {
-    /// Knows only the entries of the settings.
+    /// Creates a book that knows only the configured entries.
     pub fn new(entries: Vec<SmolStr>, random: Pcg64Mcg) -> Book {
         Book {
-            configured: entries.len(),
+            configured_count: entries.len(),
             known: entries,
-            answers: HashMap::new(),
+            cached: HashMap::new(),
             failed: HashMap::new(),
             tickets: Vec::new(),
             random,
         }
     }
 
-    /// The entry to use now; none when the answer is missing, too old, or all of it failed.
+    /// Returns the entry to use, or none if no cached response is fresh or all its entries failed.
     pub fn pick(&mut self, now: Time, key: &str) -> Option<SmolStr> {
-        let cached = self.answers.get(key)?;
+        let cached = self.cached.get(key)?;
         if now >= cached.expires_at {
             return None;
         }
@@ -99,7 +99,7 @@
         pick_weighted(&entries, &mut self.random)
     }
 
-    /// Whom to ask for addresses, in this order: a random one first, failed ones last.
+    /// Returns the entries to query for addresses: rotated at random, failed ones last.
     pub fn query_order(&mut self, now: Time) -> Vec<SmolStr> {
         let mut order = self.known.clone();
         if order.is_empty() {
@@ -111,51 +111,51 @@
         order
     }
 
-    /// Keeps an answer of the entry `from` for its time to live.
-    pub fn insert(&mut self, now: Time, from: &str, key: &str, answer: Addresses) {
-        let expires_at = now + Span::from_millis(answer.ttl_ms);
+    /// Caches a response of the entry `from` for its time to live.
+    pub fn insert(&mut self, now: Time, from: &str, key: &str, response: Addresses) {
+        let expires_at = now + Span::from_millis(response.ttl_ms);
         self.tickets.retain(|ticket| now < ticket.expires_at);
         self.tickets
-            .extend(answer.tickets.into_iter().map(|text| Ticket {
+            .extend(response.tickets.into_iter().map(|text| Ticket {
                 text,
                 minter: SmolStr::from(from),
                 expires_at,
             }));
-        self.known.truncate(self.configured);
-        for entry in &answer.addresses {
+        self.known.truncate(self.configured_count);
+        for entry in &response.addresses {
             if !self.known.contains(&entry.address) {
                 self.known.push(entry.address.clone());
             }
         }
-        if self.answers.len() >= MAX_CACHED_KEYS {
-            self.answers.clear();
+        if self.cached.len() >= MAX_CACHED_KEYS {
+            self.cached.clear();
         }
-        let cached = CachedAddresses {
-            entries: answer.addresses,
+        let cached_addresses = CachedAddresses {
+            entries: response.addresses,
             expires_at,
         };
-        self.answers.insert(SmolStr::from(key), cached);
+        self.cached.insert(SmolStr::from(key), cached_addresses);
     }
 
-    /// Passes over an entry for a while, and forgets the tickets that it minted.
+    /// Avoids an entry for a while and drops the tickets that it minted.
     pub fn mark_failed(&mut self, now: Time, address: &str) {
         self.tickets.retain(|ticket| ticket.minter != address);
         self.failed
             .insert(SmolStr::from(address), now + FAILURE_EXPIRY);
     }
 
-    /// An entry answered.
+    /// Clears the failure of an entry.
     pub fn mark_reachable(&mut self, address: &str) {
         self.failed.remove(address);
     }
 
-    /// An unused ticket; each is given out once.
+    /// Takes an unused, unexpired ticket.
     pub fn take_ticket(&mut self, now: Time) -> Option<Ticket> {
         self.tickets.retain(|ticket| now < ticket.expires_at);
         self.tickets.pop()
     }
 
-    /// The source of jitter.
+    /// Returns the random generator for jitter.
     pub fn random(&mut self) -> &mut Pcg64Mcg {
         &mut self.random
     }
@@ -170,12 +170,12 @@
     if total == 0 {
         return entries.first().map(|entry| entry.address.clone());
     }
-    let mut left = random.random_range(0..total);
+    let mut remaining = random.random_range(0..total);
     for entry in entries {
-        if left < entry.weight {
+        if remaining < entry.weight {
             return Some(entry.address.clone());
         }
-        left -= entry.weight;
+        remaining -= entry.weight;
     }
     None
 }
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Calls to plain services.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -16,47 +16,47 @@
 use crate::retry::Policy;
 use crate::transport;
 
-/// One call.
+/// One call to a plain service.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The deployment that serves it.
+    /// Deployment that serves the call.
     pub deployment: SmolStr,
     /// HTTP method.
     pub method: Method,
-    /// Path and query at the service, from the first slash on.
+    /// Path and query at the service, starting with a slash.
     pub path: SmolStr,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// How often it may run.
+    /// Delivery guarantee.
     pub delivery: Delivery,
 }
 
-/// How often a call may run.
+/// Delivery guarantee of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// More than once does no harm.
+    /// The call is idempotent and may run more than once.
     Idempotent,
-    /// At most once, by a ticket that the client takes.
+    /// At most once, secured by a ticket that the client obtains.
     Ticket,
-    /// At most once, by the caller's own key, which also holds over several calls.
+    /// At most once, secured by the caller's own idempotency key, which also spans several calls.
     Key(SmolStr),
 }
 
-/// A whole answer of a service.
+/// Complete response of a service.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
-    /// The request's id at the entry.
+    /// Id of the request at the entry.
     pub request: SmolStr,
 }
 
 impl Client {
-    /// Calls a service; a call that must not run twice is repeated only if it did not run.
+    /// Calls a service; retries a non-idempotent call only if it did not run.
     pub async fn call(&self, call: &Call) -> Result<Response, Error> {
         let shared = &self.shared;
         let policy = match call.delivery {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Cancels a request of this account by its id.
+    /// Cancels a request of this account by id.
     pub async fn cancel(&self, request: &str) -> Result<(), Error> {
         let shared = &self.shared;
         let address = shared.entry("").await?;
@@ -86,7 +86,7 @@
             return Ok(());
         }
         let bytes = shared.transport.read(response).await?;
-        Err(transport::refusal(&bytes))
+        Err(transport::parse_refusal(&bytes))
     }
 }
 
@@ -114,14 +114,17 @@
         .await;
     let response = sent.inspect_err(|_| shared.mark_failed(&address))?;
     shared.mark_reachable(&address);
-    finish(shared, response).await
+    read_response(shared, response).await
 }
 
-async fn finish(shared: &Shared, response: http::Response<Incoming>) -> Result<Response, Error> {
+async fn read_response(
+    shared: &Shared,
+    response: http::Response<Incoming>,
+) -> Result<Response, Error> {
     let status = response.status();
     let headers = response.headers().clone();
-    let request = transport::text(&headers, transport::REQUEST);
-    let verdict = Verdict::parse(&transport::text(&headers, transport::VERDICT));
+    let request = transport::header_text(&headers, transport::REQUEST);
+    let verdict = Verdict::parse(&transport::header_text(&headers, transport::VERDICT));
     let body = shared.transport.read(response).await?;
     if verdict == Some(Verdict::Done) {
         return Ok(Response {
@@ -131,13 +134,13 @@
             request,
         });
     }
-    Err(transport::refusal(&body))
+    Err(transport::parse_refusal(&body))
 }
 
 fn no_ticket() -> Error {
     Error::new(
         Verdict::NotRun,
         Kind::Protocol,
-        "no entry gave a ticket for a non-idempotent call",
+        "no entry issued a ticket for a non-idempotent call",
     )
 }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: addresses, tickets and the loop around each try.
+//! The client: addresses, tickets and the bookkeeping of retries.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
@@ -29,7 +29,7 @@
 use crate::transport;
 use crate::transport::Transport;
 
-/// Reaches the system for one client account; clones share all they know.
+/// Client of the system for one client account; clones share their state.
 #[derive(Clone)]
 pub struct Client {
     pub(crate) shared: Arc<Shared>,
@@ -42,15 +42,15 @@
     book: Mutex<Book>,
 }
 
-/// Attempts of one request so far.
+/// Attempts at one request.
 pub(crate) struct Attempts {
-    since: Time,
-    failed: u32,
+    started_at: Time,
+    failures: u32,
     policy: Policy,
 }
 
 impl Client {
-    /// Knows the entries of the settings and has asked none yet.
+    /// Creates a client; it sends nothing yet.
     pub fn new(config: configs::Client) -> Client {
         let seed = config
             .seed
@@ -71,12 +71,12 @@
         }
     }
 
-    /// The entry to use for a request with this prefix key; empty for none.
+    /// Returns the entry for a request with this prefix key, which may be empty.
     pub async fn entry(&self, key: &str) -> Result<SmolStr, Error> {
         self.shared.entry(key).await
     }
 
-    /// Asks for addresses anew, whatever is known.
+    /// Queries the addresses again, bypassing the cache.
     pub async fn refresh(&self, key: &str) -> Result<Addresses, Error> {
         self.shared.refresh(key).await
     }
@@ -111,43 +111,43 @@
 
     pub(crate) fn attempts(&self, policy: Policy) -> Attempts {
         Attempts {
-            since: self.clock.now(),
-            failed: 0,
+            started_at: self.clock.now(),
+            failures: 0,
             policy,
         }
     }
 
-    /// Goes on at once at the entry that the last one named, unless that has led nowhere too often.
+    /// Counts a redirect, or returns the error if the attempts are exhausted.
     pub(crate) fn count_redirect(
         &self,
         attempts: &mut Attempts,
         error: Error,
     ) -> Result<(), Error> {
-        attempts.failed += 1;
-        if attempts.failed >= self.config.max_attempts {
+        attempts.failures += 1;
+        if attempts.failures >= self.config.max_attempts {
             return Err(error);
         }
         Ok(())
     }
 
-    /// Waits before the next try, or gives the error back when there should be none.
+    /// Waits before the next attempt, or returns the error if there should be none.
     pub(crate) async fn wait_to_retry(
         &self,
         attempts: &mut Attempts,
         error: Error,
     ) -> Result<(), Error> {
-        attempts.failed += 1;
-        if attempts.failed >= self.config.max_attempts {
+        attempts.failures += 1;
+        if attempts.failures >= self.config.max_attempts {
             return Err(error);
         }
         let wait = retry::delay(
             &error,
             attempts.policy,
-            attempts.failed,
+            attempts.failures,
             self.book().random(),
         );
         let Some(wait) = wait else { return Err(error) };
-        let spent = self.clock.now().since(attempts.since);
+        let spent = self.clock.now().since(attempts.started_at);
         if spent + wait > self.config.retry_timeout {
             return Err(error);
         }
@@ -158,9 +158,9 @@
     async fn refresh(&self, key: &str) -> Result<Addresses, Error> {
         let now = self.clock.now();
         let order = self.book().query_order(now);
-        let mut last = unreachable();
+        let mut last_error = unreachable();
         for address in order {
-            match self.ask(&address, key).await {
+            match self.query(&address, key).await {
                 Ok(answer) => {
                     let mut book = self.book();
                     book.mark_reachable(&address);
@@ -169,16 +169,16 @@
                 }
                 Err(error) => {
                     self.mark_failed(&address);
-                    last = error;
+                    last_error = error;
                 }
             }
         }
-        // Only addresses were asked for: whatever went wrong, the request did not run.
-        last.verdict = Verdict::NotRun;
-        Err(last)
+        // Only addresses were queried, so the request itself can't have run.
+        last_error.verdict = Verdict::NotRun;
+        Err(last_error)
     }
 
-    async fn ask(&self, address: &str, key: &str) -> Result<Addresses, Error> {
+    async fn query(&self, address: &str, key: &str) -> Result<Addresses, Error> {
         let path = if key.is_empty() {
             "/v1/addresses".to_owned()
         } else {
@@ -192,13 +192,13 @@
         let status = response.status();
         let bytes = self.transport.read(response).await?;
         if status != StatusCode::OK {
-            return Err(transport::refusal(&bytes));
+            return Err(transport::parse_refusal(&bytes));
         }
         serde_json::from_slice(&bytes).map_err(|_| {
             Error::new(
                 Verdict::NotRun,
                 Kind::Protocol,
-                "an address answer that can't be read",
+                "the address response is malformed",
             )
         })
     }
@@ -214,10 +214,10 @@
 }
 
 impl Attempts {
-    /// Something was achieved: only failures in a row count.
+    /// Resets the count after progress: only consecutive failures count.
     pub(crate) fn reset(&mut self, now: Time) {
-        self.failed = 0;
-        self.since = now;
+        self.failures = 0;
+        self.started_at = now;
     }
 }
 
--- a/crates/client/src/configs.rs
+++ b/crates/client/src/configs.rs
@@ -3,22 +3,22 @@
 use clock::Span;
 use smol_str::SmolStr;
 
-/// How a client behaves.
+/// Settings of a client.
 #[derive(Clone, Debug)]
 pub struct Client {
-    /// Addresses of entries that are known beforehand; one that answers is enough.
+    /// Addresses of known entries; one reachable entry is enough.
     pub entries: Vec<SmolStr>,
-    /// Key of the client account.
+    /// Account key.
     pub key: SmolStr,
-    /// Time to set up a connection.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Span,
-    /// Silence after which an answer counts as cut; longer than any wait for a first token.
+    /// Silence after which a connection counts as lost; must exceed the longest wait for a first token.
     pub idle_timeout: Span,
-    /// Time after which a request that is still refused is given up.
+    /// Time after which a failing request isn't retried any more.
     pub retry_timeout: Span,
-    /// Tries in a row without a new chunk, or tries of a call.
+    /// Most consecutive attempts at a call, or at a stream without a new chunk.
     pub max_attempts: u32,
-    /// Seed of the jitter and of the choice among entries; none takes one from the system.
+    /// Seed for jitter and the choice of entries; none takes a random one.
     pub seed: Option<u64>,
 }
 
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a request was not answered in full, and whether it may have run.
+//! Errors of requests, and whether the request may have run.
 
 use std::fmt;
 
@@ -7,38 +7,38 @@
 use verdict::Reason;
 use verdict::Verdict;
 
-/// The end of a request that is not a whole answer.
+/// Error that ends a request without a complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// Whether the request may have run; a non-idempotent one is sent again only on `NotRun`.
+    /// Whether the request may have run; a non-idempotent one is retried only on `NotRun`.
     pub verdict: Verdict,
-    /// What went wrong.
+    /// Cause of the error.
     pub kind: Kind,
-    /// When to come back, where that helps.
+    /// Delay before a retry, if one may succeed.
     pub retry_after: Option<Span>,
-    /// One sentence for a person.
+    /// Human-readable description.
     pub message: SmolStr,
-    /// The request's id at the entry, where it got one.
+    /// Id of the request at the entry, if it got one.
     pub request: SmolStr,
 }
 
-/// What went wrong.
+/// Cause of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The system refused the request or gave it up.
+    /// The system refused the request or gave up on it.
     Refused(Reason),
-    /// No known entry could be reached.
+    /// No known entry is reachable.
     Unreachable,
-    /// The connection was lost before the answer was whole.
+    /// The connection was lost before the response was complete.
     ConnectionLost,
-    /// An answer did not follow the protocol.
+    /// A response violates the protocol.
     Protocol,
-    /// The request itself can't be sent as it is.
+    /// The request is invalid and can't be sent.
     Request,
 }
 
 impl Error {
-    /// An end without retry-after and without a request id.
+    /// Creates an error without a retry delay and a request id.
     pub fn new(verdict: Verdict, kind: Kind, message: impl Into<SmolStr>) -> Error {
         Error {
             verdict,
@@ -56,8 +56,8 @@
         if let Kind::Refused(reason) = self.kind {
             write!(formatter, ", reason {reason}")?;
         }
-        if let Some(span) = self.retry_after {
-            write!(formatter, ", come back in {span}")?;
+        if let Some(delay) = self.retry_after {
+            write!(formatter, ", retry after {delay}")?;
         }
         Ok(())
     }
--- a/crates/client/src/event.rs
+++ b/crates/client/src/event.rs
@@ -1,33 +1,33 @@
-//! Server-sent events of a streamed answer, cut out of bytes as they arrive.
+//! Incremental parser for server-sent events.
 
 use smol_str::SmolStr;
 
-/// Most bytes of one event; more is a fault of the sender.
+/// Largest event that is accepted, bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One event.
+/// One server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// Its kind; empty for a chunk.
+    /// Event name; empty for a chunk.
     pub name: SmolStr,
-    /// Its offset, where it has one.
+    /// Offset of the chunk, if any.
     pub id: Option<u64>,
-    /// Its data.
+    /// Data of the event.
     pub data: String,
 }
 
-/// Bytes that are not a whole event yet.
+/// Buffer of bytes that don't form a whole event yet.
 #[derive(Default)]
 pub struct Parser {
     buffer: Vec<u8>,
 }
 
-/// An event that is larger than any the protocol knows.
+/// Error for an event above the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLarge;
 
 impl Parser {
-    /// Takes bytes as they arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLarge> {
         self.buffer.extend_from_slice(bytes);
         if self.buffer.len() > MAX_EVENT_BYTES {
@@ -36,21 +36,21 @@
         Ok(())
     }
 
-    /// The next whole event; comments alone make none.
+    /// Returns the next whole event, skipping blocks that hold only comments.
     pub fn take(&mut self) -> Option<Event> {
         loop {
             let end = self.buffer.windows(2).position(|pair| pair == b"\n\n")?;
             let block: Vec<u8> = self.buffer.drain(..end + 2).collect();
-            if let Some(event) = read(&String::from_utf8_lossy(&block)) {
+            if let Some(event) = parse_block(&String::from_utf8_lossy(&block)) {
                 return Some(event);
             }
         }
     }
 }
 
-fn read(block: &str) -> Option<Event> {
+fn parse_block(block: &str) -> Option<Event> {
     let mut event = Event::default();
-    let mut seen = false;
+    let mut has_fields = false;
     for line in block.lines() {
         let (field, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
@@ -64,7 +64,7 @@
             }
             _ => continue,
         }
-        seen = true;
+        has_fields = true;
     }
-    seen.then_some(event)
+    has_fields.then_some(event)
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,9 +1,9 @@
-//! What callers embed to reach the system.
+//! Client library for callers of the system.
 //!
-//! A [`Client`] asks any entry that it knows for addresses, keeps the answer for its time to live and
-//! connects to the entries named there. [`Client::stream`] delivers each chunk of a model's answer
-//! once, through cuts and moves. [`Client::call`] calls a plain service and repeats a non-idempotent
-//! call only when it is known not to have run.
+//! A [`Client`] queries any known entry for addresses, caches the response for its time to live and
+//! connects to the entries in it. [`Client::stream`] delivers each chunk of a model's answer exactly
+//! once, across lost connections and redirects. [`Client::call`] calls a plain service and retries a
+//! non-idempotent call only if it is known not to have run.
 
 pub mod address;
 pub mod call;
--- a/crates/client/src/message.rs
+++ b/crates/client/src/message.rs
@@ -1,4 +1,4 @@
-//! What the events of a stream carry.
+//! Payloads of stream events.
 
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
@@ -9,7 +9,7 @@
 use crate::error::Kind;
 use crate::event::Event;
 
-/// One chunk of an answer, in the customary shape.
+/// Chunk of an answer in chat-completions format.
 #[derive(Deserialize)]
 pub struct Chunk {
     choices: Vec<Choice>,
@@ -26,24 +26,24 @@
     content: String,
 }
 
-/// The stream goes on at another entry.
+/// Redirect of a stream to another entry.
 #[derive(Deserialize)]
 pub struct Continue {
-    /// That entry.
+    /// Address of that entry.
     pub address: SmolStr,
-    /// The token to bring along.
+    /// Resume token to present there.
     pub token: SmolStr,
 }
 
-/// The stream has moved behind its entry.
+/// New resume token, because the stream has moved to another engine.
 #[derive(Deserialize)]
 pub struct Resume {
-    /// The token that finds it now.
+    /// The new resume token.
     pub token: SmolStr,
 }
 
 impl Chunk {
-    /// Its text.
+    /// Returns the text of the chunk.
     pub fn text(self) -> String {
         self.choices
             .into_iter()
@@ -52,12 +52,12 @@
     }
 }
 
-/// The data of an event.
-pub fn read<T: DeserializeOwned>(event: &Event) -> Result<T, Error> {
-    serde_json::from_str(&event.data).map_err(|_| protocol("an event that can't be read"))
+/// Deserializes the data of an event.
+pub fn parse<T: DeserializeOwned>(event: &Event) -> Result<T, Error> {
+    serde_json::from_str(&event.data).map_err(|_| protocol_error("an event is malformed"))
 }
 
-/// An answer that does not follow the protocol.
-pub fn protocol(message: &str) -> Error {
+/// Returns an error for a response that violates the protocol.
+pub fn protocol_error(message: &str) -> Error {
     Error::new(Verdict::MayHaveRun, Kind::Protocol, message)
 }
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -1,7 +1,7 @@
-//! Whether and when a failed try is repeated.
+//! Retry policy and backoff.
 //!
-//! A refusal names a time to come back where that helps. Without jitter of the client's own, all
-//! callers that were refused together would come back together.
+//! A refusal carries a retry delay if a retry may succeed. The client adds its own jitter, because
+//! otherwise all callers refused together would retry together.
 
 use clock::Span;
 use rand::RngExt;
@@ -12,26 +12,26 @@
 use crate::error::Error;
 use crate::error::Kind;
 
-/// Jitter added to a retry-after, as a share of it. The entry has spread its answers already; a
-/// quarter keeps callers with equal answers apart and costs them little.
+/// Jitter added to a retry delay, as a share of it. The entry already spreads its delays; a quarter
+/// separates callers with equal delays at little cost.
 const JITTER: f64 = 0.25;
 
-/// First wait after a failed connection; doubles with each further one.
+/// Backoff after the second consecutive failure; doubles with each further one.
 const BASE_BACKOFF: Span = Span::from_millis(50);
 
-/// Most doublings of [`BASE_BACKOFF`]: 1.6 s.
+/// Most doublings of [`BASE_BACKOFF`], which bounds the backoff to 1.6 s.
 const MAX_DOUBLINGS: u32 = 5;
 
 /// Whether a request may be sent twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// It may run twice: repeated after any failure that coming back can mend.
+    /// The request may run twice: it is retried after any transient failure.
     Idempotent,
-    /// It must not run twice: repeated on the verdict `NotRun` alone.
+    /// The request must not run twice: it is retried only on the verdict `NotRun`.
     OnlyNotRun,
 }
 
-/// The wait before the next try, or none if there should be none.
+/// Returns the delay before the next attempt, or none if the error is final.
 pub fn delay(error: &Error, policy: Policy, failed: u32, random: &mut Pcg64Mcg) -> Option<Span> {
     if policy == Policy::OnlyNotRun && error.verdict != Verdict::NotRun {
         return None;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Full jitter over a doubling bound; the first repeat goes to another entry at once.
+/// Returns a jittered exponential backoff; the first retry goes to another entry immediately.
 fn backoff(failed: u32, random: &mut Pcg64Mcg) -> Span {
     if failed <= 1 {
         return Span::ZERO;
--- a/crates/client/src/stream.rs
+++ b/crates/client/src/stream.rs
@@ -1,8 +1,8 @@
 //! Streamed answers of models.
 //!
-//! A stream that is cut, or that an entry passes on, is taken up again with its token and the offset
-//! of the next chunk. Offsets below that are dropped and a gap counts as a cut, so that each chunk is
-//! delivered exactly once and in order.
+//! After a lost connection or a redirect, a stream is resumed with its token and the offset of the next
+//! chunk. Chunks below that offset are dropped and a gap counts as a lost connection, so that each chunk
+//! is delivered exactly once and in order.
 
 use bytes::Bytes;
 use http::Method;
@@ -21,35 +21,35 @@
 use crate::event::Event;
 use crate::event::Parser;
 use crate::message;
-use crate::message::protocol;
+use crate::message::protocol_error;
 use crate::retry::Policy;
 use crate::transport;
 
-const PATH: &str = "/v1/chat/completions";
-const DONE: &str = "[DONE]";
+const CHAT_PATH: &str = "/v1/chat/completions";
+const DONE_DATA: &str = "[DONE]";
 
 /// One chunk of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// Rises by one from 0.
+    /// Position in the answer, starting at 0.
     pub offset: u64,
-    /// Its text.
+    /// Text of the chunk.
     pub text: String,
 }
 
-/// An answer as it arrives.
+/// An answer being streamed.
 pub struct Stream {
     client: Client,
     body: Value,
     key: SmolStr,
     attempts: Attempts,
-    /// The answer so far, for a continuation where nothing of the stream is left.
+    /// Text received so far, from which an engine can continue if the stream itself is lost.
     text: String,
-    /// Offset of the next chunk to deliver; all below were delivered once.
+    /// Offset of the next chunk to deliver.
     offset: u64,
     token: SmolStr,
     request: SmolStr,
-    /// The entry that an earlier one named for going on.
+    /// Entry named by a redirect.
     next_entry: Option<SmolStr>,
     source: Option<Source>,
     entry: SmolStr,
@@ -58,7 +58,7 @@
     done: bool,
 }
 
-/// A connection that carries the stream now.
+/// Connection that currently carries the stream.
 struct Source {
     body: Incoming,
     parser: Parser,
@@ -66,14 +66,14 @@
 
 enum Step {
     Chunk(Chunk),
-    Nothing,
+    Skipped,
     Done,
 }
 
 impl Client {
-    /// Sends a model call, in the customary shape, and returns once it is accepted.
+    /// Sends a model call in chat-completions format and returns once it is accepted.
     ///
-    /// `key` is the hash of the prompt's prefix by which an entry is chosen; empty for none.
+    /// `key` is the hash of the prompt's prefix, by which the entry is chosen; empty for none.
     pub async fn stream(&self, body: Value, key: &str) -> Result<Stream, Error> {
         let Value::Object(mut fields) = body else {
             return Err(not_an_object());
@@ -101,12 +101,12 @@
 }
 
 impl Stream {
-    /// The next chunk; none after the last.
+    /// Returns the next chunk, or none after the last one.
     pub async fn next(&mut self) -> Option<Result<Chunk, Error>> {
         while !self.done {
             match self.step().await {
                 Ok(Step::Chunk(chunk)) => return Some(Ok(chunk)),
-                Ok(Step::Nothing) => {}
+                Ok(Step::Skipped) => {}
                 Ok(Step::Done) => self.done = true,
                 Err(error) => {
                     if let Err(error) = self.recover(error).await {
@@ -119,7 +119,7 @@
         None
     }
 
-    /// The rest of the answer in one piece.
+    /// Collects the rest of the answer.
     pub async fn collect_text(&mut self) -> Result<String, Error> {
         let mut text = String::new();
         while let Some(chunk) = self.next().await {
@@ -128,27 +128,27 @@
         Ok(text)
     }
 
-    /// The request's id at the entry.
+    /// Returns the id of the request at the entry.
     pub fn request(&self) -> &str {
         &self.request
     }
 
-    /// Address of the entry that serves it now.
+    /// Returns the address of the entry that serves the stream.
     pub fn entry(&self) -> &str {
         &self.entry
     }
 
-    /// How often it was taken up again after a cut.
+    /// Returns how often the stream was resumed after a lost connection.
     pub fn reconnects(&self) -> u32 {
         self.reconnects
     }
 
-    /// How often an entry passed it on to another one.
+    /// Returns how often an entry redirected the stream to another one.
     pub fn redirects(&self) -> u32 {
         self.redirects
     }
 
-    /// Tells the system that the rest is not wanted.
+    /// Cancels the rest of the answer.
     pub async fn cancel(mut self) -> Result<(), Error> {
         self.source = None;
         self.client.cancel(&self.request).await
@@ -156,63 +156,65 @@
 
     async fn step(&mut self) -> Result<Step, Error> {
         let Some(source) = &mut self.source else {
-            return Err(connection_lost("the stream was cut"));
+            return Err(connection_lost("the stream was interrupted"));
         };
         if let Some(event) = source.parser.take() {
-            return self.take(event);
+            return self.handle_event(event);
         }
         let bytes = self.client.shared.transport.next(&mut source.body).await?;
         let Some(bytes) = bytes else {
-            return Err(connection_lost("the stream ended before its end"));
+            return Err(connection_lost("the stream ended without its final event"));
         };
         let pushed = source.parser.push(&bytes);
-        pushed.map_err(|_| protocol("an event is too large"))?;
-        Ok(Step::Nothing)
+        pushed.map_err(|_| protocol_error("an event is too large"))?;
+        Ok(Step::Skipped)
     }
 
-    fn take(&mut self, event: Event) -> Result<Step, Error> {
+    fn handle_event(&mut self, event: Event) -> Result<Step, Error> {
         match event.name.as_str() {
-            "error" => Err(transport::refusal(event.data.as_bytes())),
-            "continue" => self.pass_on(&event),
-            "resume" => self.moved(&event),
-            "" if event.data == DONE => Ok(Step::Done),
-            "" => self.chunk(&event),
-            _ => Ok(Step::Nothing),
+            "error" => Err(transport::parse_refusal(event.data.as_bytes())),
+            "continue" => self.handle_redirect(&event),
+            "resume" => self.handle_move(&event),
+            "" if event.data == DONE_DATA => Ok(Step::Done),
+            "" => self.handle_chunk(&event),
+            _ => Ok(Step::Skipped),
         }
     }
 
-    fn pass_on(&mut self, event: &Event) -> Result<Step, Error> {
-        let passed: message::Continue = message::read(event)?;
-        self.token = passed.token;
-        self.next_entry = Some(passed.address);
+    fn handle_redirect(&mut self, event: &Event) -> Result<Step, Error> {
+        let redirect: message::Continue = message::parse(event)?;
+        self.token = redirect.token;
+        self.next_entry = Some(redirect.address);
         self.source = None;
-        Ok(Step::Nothing)
+        Ok(Step::Skipped)
     }
 
-    /// The stream has moved behind the entry: another token finds it from now on.
-    fn moved(&mut self, event: &Event) -> Result<Step, Error> {
-        let moved: message::Resume = message::read(event)?;
+    /// Stores the new resume token of a stream that moved to another engine.
+    fn handle_move(&mut self, event: &Event) -> Result<Step, Error> {
+        let moved: message::Resume = message::parse(event)?;
         self.token = moved.token;
-        Ok(Step::Nothing)
+        Ok(Step::Skipped)
     }
 
-    fn chunk(&mut self, event: &Event) -> Result<Step, Error> {
-        let offset = event.id.ok_or_else(|| protocol("a chunk without offset"))?;
+    fn handle_chunk(&mut self, event: &Event) -> Result<Step, Error> {
+        let offset = event
+            .id
+            .ok_or_else(|| protocol_error("a chunk without offset"))?;
         if offset < self.offset {
-            return Ok(Step::Nothing);
+            return Ok(Step::Skipped);
         }
         if offset > self.offset {
             self.source = None;
             return Err(connection_lost("a chunk is missing"));
         }
-        let text = message::read::<message::Chunk>(event)?.text();
+        let text = message::parse::<message::Chunk>(event)?.text();
         self.offset += 1;
         self.text.push_str(&text);
         self.attempts.reset(self.client.shared.now());
         Ok(Step::Chunk(Chunk { offset, text }))
     }
 
-    /// Takes the stream up again, or gives the error back when that should not be.
+    /// Resumes the stream, or returns the error if it is final.
     async fn recover(&mut self, error: Error) -> Result<(), Error> {
         self.source = None;
         let shared = &self.client.shared;
@@ -260,7 +262,7 @@
         }
         let sent = shared
             .transport
-            .send(&address, builder, PATH, self.bytes())
+            .send(&address, builder, CHAT_PATH, self.request_body())
             .await;
         let response = sent.inspect_err(|_| shared.mark_failed(&address))?;
         shared.mark_reachable(&address);
@@ -271,13 +273,13 @@
     async fn accept(&mut self, response: Response<Incoming>) -> Result<(), Error> {
         if !response.status().is_success() {
             let bytes = self.client.shared.transport.read(response).await?;
-            return Err(transport::refusal(&bytes));
+            return Err(transport::parse_refusal(&bytes));
         }
-        let token = transport::text(response.headers(), transport::RESUME);
+        let token = transport::header_text(response.headers(), transport::RESUME);
         if !token.is_empty() {
             self.token = token;
         }
-        self.request = transport::text(response.headers(), transport::REQUEST);
+        self.request = transport::header_text(response.headers(), transport::REQUEST);
         self.source = Some(Source {
             body: response.into_body(),
             parser: Parser::default(),
@@ -285,8 +287,8 @@
         Ok(())
     }
 
-    /// The original body, with the answer so far as a message to be continued.
-    fn bytes(&self) -> Bytes {
+    /// Returns the original body, with the text so far as an assistant message to be continued.
+    fn request_body(&self) -> Bytes {
         if self.text.is_empty() {
             return Bytes::from(self.body.to_string());
         }
--- a/crates/client/src/transport.rs
+++ b/crates/client/src/transport.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with one entry, and how its failures are read.
+//! HTTP exchanges with entries and the mapping of their failures.
 
 use std::time::Duration;
 
@@ -23,23 +23,23 @@
 use crate::error::Error;
 use crate::error::Kind;
 
-/// The caller's own key for a request that must run at most once.
+/// Header with the caller's key for a request that must run at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// A ticket from an address answer.
+/// Header with a ticket from an address response.
 pub const TICKET: &str = "x-dogwoodspur-ticket";
-/// The token of a stream.
+/// Header with the resume token of a stream.
 pub const RESUME: &str = "x-dogwoodspur-resume";
-/// The next chunk wanted of a resumed stream.
+/// Header with the offset of the next chunk of a resumed stream.
 pub const OFFSET: &str = "x-dogwoodspur-offset";
-/// The request's id.
+/// Header with the request id.
 pub const REQUEST: &str = "x-dogwoodspur-request";
-/// The verdict.
+/// Header with the verdict.
 pub const VERDICT: &str = "x-dogwoodspur-verdict";
 
 const MAX_BODY_BYTES: usize = 64 << 20;
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Connections to the entries, kept while they are of use.
+/// Pool of connections to entries.
 #[derive(Clone)]
 pub struct Transport {
     http: legacy::Client<HttpConnector, Full<Bytes>>,
@@ -48,14 +48,14 @@
 }
 
 impl Transport {
-    /// No connection yet.
+    /// Creates a transport without connections.
     pub fn new(key: SmolStr, connect_timeout: Span, idle_timeout: Span) -> Transport {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect_timeout.as_duration()));
         connector.set_nodelay(true);
         let http = legacy::Client::builder(TokioExecutor::new())
             .pool_idle_timeout(POOL_IDLE_TIMEOUT)
-            // A request is repeated by `retry` alone, which knows whether it may be.
+            // Only the `retry` module may resend a request: it knows whether that is safe.
             .retry_canceled_requests(false)
             .build(connector);
         Transport {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The head of an entry's answer.
+    /// Sends a request and returns the head of the response.
     pub async fn send(
         &self,
         address: &str,
@@ -73,7 +73,7 @@
         path: &str,
         body: Bytes,
     ) -> Result<Response<Incoming>, Error> {
-        let request = self.request(address, request, path, body)?;
+        let request = self.build_request(address, request, path, body)?;
         let sent = tokio::time::timeout(self.idle_timeout, self.http.request(request)).await;
         match sent {
             Ok(Ok(response)) => Ok(response),
@@ -82,21 +82,25 @@
                 Kind::Unreachable,
                 "no connection to the entry",
             )),
-            Ok(Err(_)) => Err(connection_lost("the connection was lost before the answer")),
-            Err(_) => Err(connection_lost("no answer within the time allowed")),
+            Ok(Err(_)) => Err(connection_lost(
+                "the connection was lost before the response",
+            )),
+            Err(_) => Err(connection_lost("no response within the timeout")),
         }
     }
 
-    /// The whole body of an answer.
+    /// Reads the whole body of a response.
     pub async fn read(&self, response: Response<Incoming>) -> Result<Bytes, Error> {
         let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect();
         match tokio::time::timeout(self.idle_timeout, body).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes()),
-            _ => Err(connection_lost("the connection was lost within the answer")),
+            _ => Err(connection_lost(
+                "the connection was lost within the response",
+            )),
         }
     }
 
-    /// The next bytes of a streamed answer; none at its end.
+    /// Returns the next bytes of a streamed response, or none at its end.
     pub async fn next(&self, body: &mut Incoming) -> Result<Option<Bytes>, Error> {
         loop {
             let frame = tokio::time::timeout(self.idle_timeout, body.frame()).await;
@@ -112,7 +116,7 @@
         }
     }
 
-    fn request(
+    fn build_request(
         &self,
         address: &str,
         builder: http::request::Builder,
@@ -128,7 +132,7 @@
     }
 }
 
-/// What a refusal says in its body.
+/// Body of a refusal.
 #[derive(Debug, Deserialize)]
 struct Body {
     error: Detail,
@@ -146,13 +150,13 @@
     request: SmolStr,
 }
 
-/// Reads a refusal's body; one that can't be read leaves the worst verdict.
-pub fn refusal(bytes: &[u8]) -> Error {
+/// Parses the body of a refusal; an unreadable one yields the most cautious verdict.
+pub fn parse_refusal(bytes: &[u8]) -> Error {
     let Ok(body) = serde_json::from_slice::<Body>(bytes) else {
         return Error::new(
             Verdict::MayHaveRun,
             Kind::Protocol,
-            "a refusal that can't be read",
+            "the refusal is malformed",
         );
     };
     let detail = body.error;
@@ -165,8 +169,8 @@
     }
 }
 
-/// A header as text; empty where it is missing.
-pub fn text(headers: &HeaderMap, name: &str) -> SmolStr {
+/// Returns a header as text; empty if it is missing or not text.
+pub fn header_text(headers: &HeaderMap, name: &str) -> SmolStr {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.map(SmolStr::from).unwrap_or_default()
 }
--- a/crates/client/tests/client/call.rs
+++ b/crates/client/tests/client/call.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: a non-idempotent one is repeated only if it did not run.
+//! Calls to plain services: a non-idempotent one is retried only if it did not run.
 
 use bytes::Bytes;
 use client::call::Call;
@@ -25,27 +25,27 @@
     }
 }
 
-/// A family files once and is told to come back: nothing ran, so the client comes back itself.
+/// The entry refuses a call with a retry delay: nothing ran, so the client must retry.
 #[test]
-fn not_run_is_repeated() {
+fn call_that_did_not_run_is_retried() {
     fake::run(async {
-        let answers = [refusal("not-run", "overloaded", Some(20)), done("filed")];
-        let entry = Fake::start(&answers).await;
-        let answer = client(&[&entry])
+        let responses = [refusal("not-run", "overloaded", Some(20)), done("filed")];
+        let entry = Fake::start(&responses).await;
+        let response = client(&[&entry])
             .call(&receipt(Delivery::Ticket))
             .await
             .unwrap();
-        assert_eq!(answer.body, "filed");
+        assert_eq!(response.body, "filed");
         let requests = entry.requests();
         assert!(requests[0].contains("x-dogwoodspur-ticket: t-1"));
         assert_eq!(requests.len(), 2);
     });
 }
 
-/// A branch is billed twice: the first answer was lost after the receipt was written and the client
-/// sent it again. What may have run must never be repeated.
+/// The connection breaks before the response, after the service may have run: a retry could run the call
+/// twice.
 #[test]
-fn lost_answer_is_not_repeated() {
+fn call_without_a_response_is_not_retried() {
     fake::run(async {
         let entry = Fake::start(&[String::new(), done("twice")]).await;
         let error = client(&[&entry])
@@ -57,15 +57,15 @@
     });
 }
 
-/// The same with the system's own word that it may have run, even with a time to come back.
+/// The entry reports that the call may have run. It must not be retried, even with a retry delay.
 #[test]
-fn may_have_run_is_not_repeated() {
+fn call_that_may_have_run_is_not_retried() {
     fake::run(async {
-        let answers = [
+        let responses = [
             refusal("may-have-run", "backend-failed", Some(1)),
             done("twice"),
         ];
-        let entry = Fake::start(&answers).await;
+        let entry = Fake::start(&responses).await;
         let error = client(&[&entry])
             .call(&receipt(Delivery::Ticket))
             .await
@@ -75,20 +75,20 @@
     });
 }
 
-/// A catalogue record may be read twice: a lost answer is simply asked for again.
+/// The connection breaks before the response to an idempotent call: it must be retried.
 #[test]
-fn idempotent_call_is_repeated_after_a_cut() {
+fn idempotent_call_is_retried_after_a_lost_connection() {
     fake::run(async {
         let entry = Fake::start(&[String::new(), done("record")]).await;
-        let answer = client(&[&entry])
+        let response = client(&[&entry])
             .call(&receipt(Delivery::Idempotent))
             .await
             .unwrap();
-        assert_eq!(answer.body, "record");
+        assert_eq!(response.body, "record");
     });
 }
 
-/// A wrong key is refused for good: coming back would only add load.
+/// A wrong key is refused permanently: retries would only add load.
 #[test]
 fn refusal_without_retry_after_is_final() {
     fake::run(async {
@@ -102,33 +102,33 @@
     });
 }
 
-/// The entry that minted a ticket is gone before the call: no byte was sent, so the call goes to
-/// another entry, with a ticket of that one. The old ticket could only get "may have run".
+/// The entry that minted a ticket is gone before the call. No byte was sent, so the call must go to
+/// another entry with a ticket of that one: the old ticket could only yield "may have run".
 #[test]
-fn ticket_of_a_lost_entry_is_replaced() {
+fn ticket_of_an_unreachable_entry_is_replaced() {
     fake::run(async {
-        let lost = Fake::start(&[]).await;
+        let minter = Fake::start(&[]).await;
         let other = Fake::start(&[done("filed")]).await;
-        lost.name(&[&lost, &other]);
-        other.name(&[&other]);
-        let client = client(&[&lost]);
+        minter.set_entries(&[&minter, &other]);
+        other.set_entries(&[&other]);
+        let client = client(&[&minter]);
         client.refresh("").await.unwrap();
-        lost.kill();
+        minter.stop();
         tokio::task::yield_now().await;
-        let answer = client.call(&receipt(Delivery::Ticket)).await.unwrap();
-        assert_eq!(answer.body, "filed");
+        let response = client.call(&receipt(Delivery::Ticket)).await.unwrap();
+        assert_eq!(response.body, "filed");
         assert_eq!(other.requests().len(), 1);
     });
 }
 
-/// No entry is left: the caller is told that nothing ran.
+/// No entry is reachable: the error must say that the call did not run.
 #[test]
-fn unreachable_is_not_run() {
+fn call_without_a_reachable_entry_did_not_run() {
     fake::run(async {
-        let gone = Fake::start(&[]).await;
-        gone.kill();
+        let unreachable = Fake::start(&[]).await;
+        unreachable.stop();
         tokio::task::yield_now().await;
-        let error = client(&[&gone])
+        let error = client(&[&unreachable])
             .call(&receipt(Delivery::Ticket))
             .await
             .unwrap_err();
--- a/crates/client/tests/client/fake.rs
+++ b/crates/client/tests/client/fake.rs
@@ -1,4 +1,4 @@
-//! A tiny entry: answers address requests, and everything else by a script.
+//! A fake entry that answers address requests, and all fakes by a script.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -14,20 +14,20 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// What it answered and what it will.
+/// Script and record of a fake entry.
 #[derive(Default)]
 pub struct Script {
-    /// Whole requests, head and body, but for address requests.
+    /// Requests received, head and body, without address requests.
     pub requests: Vec<String>,
-    /// Answers to come, one a request; the connection is closed after each.
-    pub answers: VecDeque<String>,
-    /// Entries named in address answers; itself if there are none.
-    pub named: Vec<String>,
-    /// Tickets given out so far.
-    pub tickets: u32,
+    /// Responses to send, one per request; the connection is closed after each.
+    pub responses: VecDeque<String>,
+    /// Entries in address responses; initially the fake itself.
+    pub entries: Vec<String>,
+    /// Tickets issued so far.
+    pub issued_tickets: u32,
 }
 
-/// A listening fake.
+/// A running fake entry.
 pub struct Fake {
     pub address: String,
     pub script: Rc<RefCell<Script>>,
@@ -35,12 +35,12 @@
 }
 
 impl Fake {
-    pub async fn start(answers: &[String]) -> Fake {
+    pub async fn start(responses: &[String]) -> Fake {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let script = Rc::new(RefCell::new(Script {
-            answers: answers.iter().cloned().collect(),
-            named: vec![address.clone()],
+            responses: responses.iter().cloned().collect(),
+            entries: vec![address.clone()],
             ..Script::default()
         }));
         let shared = Rc::clone(&script);
@@ -57,21 +57,21 @@
         }
     }
 
-    pub fn name(&self, others: &[&Fake]) {
-        let named = others.iter().map(|fake| fake.address.clone());
-        self.script.borrow_mut().named = named.collect();
+    pub fn set_entries(&self, fakes: &[&Fake]) {
+        let entries = fakes.iter().map(|fake| fake.address.clone());
+        self.script.borrow_mut().entries = entries.collect();
     }
 
     pub fn requests(&self) -> Vec<String> {
         self.script.borrow().requests.clone()
     }
 
-    pub fn kill(&self) {
+    pub fn stop(&self) {
         self.task.abort();
     }
 }
 
-/// A client that knows these fakes.
+/// Creates a client that knows these fakes.
 pub fn client(fakes: &[&Fake]) -> Client {
     Client::new(configs::Client {
         entries: fakes
@@ -85,7 +85,7 @@
     })
 }
 
-/// Runs a test on one thread.
+/// Runs a test on a single-threaded runtime.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -94,7 +94,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// A whole answer of a service.
+/// Returns a complete response of a service.
 pub fn done(body: &str) -> String {
     let length = body.len();
     format!(
@@ -103,7 +103,7 @@
     )
 }
 
-/// A refusal; `retry_after` in milliseconds where it helps to come back.
+/// Returns a refusal; `retry_after` is in milliseconds.
 pub fn refusal(verdict: &str, reason: &str, retry_after: Option<u64>) -> String {
     let retry = retry_after.map_or("null".to_owned(), |millis| millis.to_string());
     let body = format!(
@@ -117,7 +117,7 @@
     )
 }
 
-/// The head of a stream, and events after it; the connection is closed at their end.
+/// Returns the head of a stream, followed by events; the connection is closed at their end.
 pub fn stream(token: &str, events: &[String]) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nx-dogwoodspur-request: r-1\r\n\
@@ -126,44 +126,46 @@
     )
 }
 
-/// Chunks `from..to`, each `cN `.
+/// Returns the chunk events `from..to`, each with the text `cN `.
 pub fn chunks(from: u64, to: u64) -> String {
-    let chunk = |at| {
-        format!("id: {at}\ndata: {{\"choices\":[{{\"delta\":{{\"content\":\"c{at} \"}}}}]}}\n\n")
+    let chunk = |offset| {
+        format!(
+            "id: {offset}\ndata: {{\"choices\":[{{\"delta\":{{\"content\":\"c{offset} \"}}}}]}}\n\n"
+        )
     };
     (from..to).map(chunk).collect()
 }
 
 async fn serve(mut stream: TcpStream, script: Rc<RefCell<Script>>) {
-    let Some(request) = read(&mut stream).await else {
+    let Some(request) = read_request(&mut stream).await else {
         return;
     };
-    let answer = if request.starts_with("GET /v1/addresses") {
-        addresses(&script)
+    let response = if request.starts_with("GET /v1/addresses") {
+        address_response(&script)
     } else {
         let mut script = script.borrow_mut();
         script.requests.push(request);
-        script.answers.pop_front().unwrap_or_default()
+        script.responses.pop_front().unwrap_or_default()
     };
-    let _ = stream.write_all(answer.as_bytes()).await;
+    let _ = stream.write_all(response.as_bytes()).await;
 }
 
-fn addresses(script: &RefCell<Script>) -> String {
+fn address_response(script: &RefCell<Script>) -> String {
     let mut script = script.borrow_mut();
-    script.tickets += 1;
-    let place =
+    script.issued_tickets += 1;
+    let entry =
         |address: &String| format!("{{\"address\":\"{address}\",\"zone\":\"a\",\"weight\":1}}");
-    let named: Vec<String> = script.named.iter().map(place).collect();
+    let entries: Vec<String> = script.entries.iter().map(entry).collect();
     let body = format!(
         "{{\"addresses\":[{}],\"ttl_ms\":60000,\"tickets\":[\"t-{}\"]}}",
-        named.join(","),
-        script.tickets
+        entries.join(","),
+        script.issued_tickets
     );
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}")
 }
 
-async fn read(stream: &mut TcpStream) -> Option<String> {
+async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
--- a/crates/client/tests/client/main.rs
+++ b/crates/client/tests/client/main.rs
@@ -1,4 +1,4 @@
-//! The client against a tiny fake entry.
+//! The client against a fake entry.
 
 #![allow(clippy::unwrap_used)]
 
