--- a/crates/front/src/call.rs
+++ b/crates/front/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's call, read whole and checked for form.
+//! Calls of callers, fully read and syntactically valid.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -6,51 +6,51 @@
 
 use crate::chat::Chat;
 
-/// What a caller asks for.
+/// A caller's call.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// Which entries to use.
+    /// Query for the entries to use.
     Addresses {
-        /// The prefix hash that the caller's next request will have, if it said.
+        /// Prefix hash of the caller's next request, if given.
         prefix: Option<u64>,
     },
-    /// A model call.
+    /// A call to a model.
     Model(Chat),
-    /// A call of a plain service.
+    /// A call to a plain service.
     Plain(Plain),
-    /// Cancel one of the caller's own requests.
+    /// Cancellation of one of the caller's requests.
     Cancel {
-        /// The request's name as it was given.
+        /// Id of the request.
         request: SmolStr,
     },
 }
 
-/// A call of a plain service.
+/// A call to a plain service.
 #[derive(Clone, Debug)]
 pub struct Plain {
-    /// Which deployment.
+    /// Name of the deployment.
     pub deployment: SmolStr,
-    /// Method, upper case.
+    /// HTTP method in upper case.
     pub method: SmolStr,
-    /// Path behind the deployment's name, with the query.
+    /// Path after the deployment's name, with the query.
     pub path: SmolStr,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Whole body.
     pub body: Bytes,
 }
 
-/// What comes with any call.
+/// Credentials and resume state from the headers of a call.
 #[derive(Clone, Debug, Default)]
 pub struct Credentials {
-    /// The bearer key.
+    /// Bearer key.
     pub key: Option<SmolStr>,
-    /// The caller's idempotency key.
+    /// Idempotency key of the caller.
     pub idempotency_key: Option<SmolStr>,
-    /// A sealed ticket.
+    /// Sealed ticket.
     pub ticket: Option<SmolStr>,
-    /// A sealed resume word.
+    /// Sealed resume token.
     pub resume: Option<SmolStr>,
-    /// The offset wanted next, with a resume word.
+    /// Offset of the next chunk wanted, used with a resume token.
     pub offset: u64,
 }
--- a/crates/front/src/chat.rs
+++ b/crates/front/src/chat.rs
@@ -1,4 +1,4 @@
-//! The body of a model call, in the customary chat-completions shape.
+//! Body of a model call in chat-completions format.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -10,46 +10,46 @@
 use xxhash_rust::xxh3::Xxh3;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of text that make a token, on average; only used to estimate cost before a request runs.
+/// Average bytes of text per token; only used to estimate the cost before a request runs.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens that a call may generate if it doesn't say.
-const DEFAULT_MAX_TOKENS: u32 = 512;
+/// Token limit of a call that sets none.
+const DEFAULT_TOKENS_LIMIT: u32 = 512;
 
-/// The most tokens that a call may ask for.
-const MOST_MAX_TOKENS: u32 = 131_072;
+/// Largest token limit that a call may set.
+const MAX_TOKENS_LIMIT: u32 = 131_072;
 
-/// Bytes of a block of the prompt: engines cache whole blocks and name them by the hash of all text
-/// up to their end.
+/// Bytes per block of the prompt: engines cache whole blocks and identify each by the hash of all text up
+/// to its end.
 const BLOCK_BYTES: usize = 256;
 
-/// Blocks that make the prefix. A longer one tells more prompts apart that share a system prompt, a
-/// shorter one brings more of them together; 4 KiB is about a thousand tokens.
+/// Blocks in the prefix. A longer prefix separates more prompts that share a system prompt, a shorter
+/// one groups more of them; 4 KiB is about a thousand tokens.
 const PREFIX_BLOCKS: usize = 16;
 
 /// A model call.
 #[derive(Clone, Debug)]
 pub struct Chat {
-    /// The deployment that the call names as its model.
+    /// Deployment, which the call names as its model.
     pub deployment: SmolStr,
-    /// Whether the answer is wanted as server-sent events.
+    /// Whether the caller wants server-sent events.
     pub stream: bool,
     /// Estimated length of the prompt, tokens.
     pub prompt_tokens: u32,
     /// Most tokens to generate.
     pub max_new_tokens: u32,
-    /// Hash of the prompt's beginning.
+    /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// Hash of the whole prompt; the text so far of a continued request is left out, so that a
-    /// repeat has the fingerprint of the original.
+    /// Hash of the whole prompt, without the text so far of a continued request, so that a retry has the
+    /// fingerprint of the original.
     pub fingerprint: u64,
-    /// Text so far that the caller sent along to be continued.
+    /// Text so far that the caller wants continued.
     pub text_so_far: Option<String>,
-    /// The body as it came.
+    /// Original body.
     pub body: Bytes,
 }
 
-/// The parts of the body that are read; everything else is passed on untouched.
+/// Fields of the body that are parsed; all others are forwarded unchanged.
 #[derive(Deserialize)]
 struct Body {
     model: SmolStr,
@@ -70,45 +70,47 @@
 }
 
 impl Chat {
-    /// Reads a body, or says what is wrong with it.
+    /// Parses and validates a body.
     pub fn read(body: Bytes) -> Result<Chat, Refusal> {
-        let read: Body = serde_json::from_slice(&body).map_err(|error| {
-            // The error's text could hold a piece of the prompt, so only its place is told.
-            let place = format!("line {} column {}", error.line(), error.column());
-            malformed(format!("the body isn't a chat completion request: {place}"))
+        let parsed: Body = serde_json::from_slice(&body).map_err(|error| {
+            // The error's text may quote the prompt, so only its position is reported.
+            let position = format!("line {} column {}", error.line(), error.column());
+            malformed(format!(
+                "the body isn't a chat completion request: {position}"
+            ))
         })?;
-        if read.messages.is_empty() {
+        if parsed.messages.is_empty() {
             return Err(malformed("messages is empty"));
         }
-        let max_new_tokens = read.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
-        if max_new_tokens == 0 || max_new_tokens > MOST_MAX_TOKENS {
+        let max_new_tokens = parsed.max_tokens.unwrap_or(DEFAULT_TOKENS_LIMIT);
+        if max_new_tokens == 0 || max_new_tokens > MAX_TOKENS_LIMIT {
             return Err(malformed("max_tokens must be 1 to 131072"));
         }
-        let continued = read.continue_final_message
-            && read
+        let continued = parsed.continue_final_message
+            && parsed
                 .messages
                 .last()
                 .is_some_and(|last| last.role == "assistant");
-        let (prompt, text_so_far) = split_prompt(&read.messages, continued);
+        let (prompt, text_so_far) = split_prompt(&parsed.messages, continued);
         Ok(Chat {
-            stream: read.stream,
-            prompt_tokens: estimate_tokens(&read.messages),
+            stream: parsed.stream,
+            prompt_tokens: estimate_tokens(&parsed.messages),
             max_new_tokens,
-            prefix: prefix_of(prompt),
-            fingerprint: fingerprint_of(&read.model, prompt),
+            prefix: hash_prefix(prompt),
+            fingerprint: compute_fingerprint(&parsed.model, prompt),
             text_so_far,
-            deployment: read.model,
+            deployment: parsed.model,
             body,
         })
     }
 
-    /// The body that makes an engine go on behind the text so far; to be used while tokens are left.
+    /// Returns the body that makes an engine continue after `text`; requires that tokens are left.
     pub fn continued_body(&self, text: &str, tokens_so_far: u64) -> Bytes {
         let Ok(mut value) = serde_json::from_slice::<Value>(&self.body) else {
             return self.body.clone();
         };
-        let left = u64::from(self.max_new_tokens).saturating_sub(tokens_so_far);
-        value["max_tokens"] = json!(left);
+        let remaining = u64::from(self.max_new_tokens).saturating_sub(tokens_so_far);
+        value["max_tokens"] = json!(remaining);
         value["continue_final_message"] = json!(true);
         if let Some(messages) = value["messages"].as_array_mut() {
             if self.text_so_far.is_some() {
@@ -120,7 +122,7 @@
     }
 }
 
-/// The prompt's messages, and the text to be continued where there is one.
+/// Splits the messages into the prompt and the text to be continued, if any.
 fn split_prompt(messages: &[Message], continued: bool) -> (&[Message], Option<String>) {
     match messages.split_last() {
         Some((last, prompt)) if continued => (prompt, Some(last.content.clone())),
@@ -128,14 +130,14 @@
     }
 }
 
-/// An estimate that is good enough for admission; the actual count is charged later.
+/// Estimates the tokens of the messages for admission; the actual count is charged later.
 fn estimate_tokens(messages: &[Message]) -> u32 {
     let bytes: usize = messages.iter().map(|message| message.content.len()).sum();
     u32::try_from(bytes / BYTES_PER_TOKEN + 1).unwrap_or(u32::MAX)
 }
 
-/// Hash of the prompt's first whole blocks, as engines name them; of all its text if it has none.
-fn prefix_of(prompt: &[Message]) -> u64 {
+/// Hashes the whole blocks of the prefix as engines do, or all text if it is shorter than a block.
+fn hash_prefix(prompt: &[Message]) -> u64 {
     let mut text = String::new();
     for message in prompt {
         if text.len() >= PREFIX_BLOCKS * BLOCK_BYTES {
@@ -155,8 +157,8 @@
     xxh3_64(&text.as_bytes()[..end])
 }
 
-/// Hash over deployment and prompt.
-fn fingerprint_of(deployment: &str, prompt: &[Message]) -> u64 {
+/// Hashes the deployment and the prompt.
+fn compute_fingerprint(deployment: &str, prompt: &[Message]) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(deployment.as_bytes());
     for message in prompt {
@@ -168,7 +170,7 @@
     hasher.digest()
 }
 
-/// The refusal of a body that can't be read.
+/// Returns the refusal of a malformed body.
 fn malformed(message: impl Into<SmolStr>) -> Refusal {
     Refusal::not_run(Reason::Malformed, message)
 }
--- a/crates/front/src/configs/limit.rs
+++ b/crates/front/src/configs/limit.rs
@@ -1,19 +1,19 @@
-//! What one caller may take up.
+//! Limits on callers' connections and calls.
 
 use clock::Span;
 
-/// Bounds on each connection and call.
+/// Limits on each connection and call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
-    /// Largest head of a call, bytes.
+    /// Largest request head, bytes.
     pub head_bytes: usize,
-    /// Largest body of a call, bytes.
+    /// Largest request body, bytes.
     pub body_bytes: usize,
-    /// Most connections open at once.
+    /// Most open connections.
     pub connections: usize,
-    /// Longest time for the head of a call to arrive.
+    /// Timeout for receiving the request head.
     pub head_time: Span,
-    /// Longest time for the body of a call to arrive.
+    /// Timeout for receiving the request body.
     pub body_time: Span,
 }
 
--- a/crates/front/src/handler.rs
+++ b/crates/front/src/handler.rs
@@ -1,4 +1,4 @@
-//! The border to whoever answers the calls.
+//! Interface to the embedder that answers calls.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,11 +9,11 @@
 use crate::call::Credentials;
 use crate::response::Payload;
 
-/// The answer to come.
+/// Future of a response.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<Payload>>>>;
 
-/// Answers calls. Dropping the pending answer means that the caller went away.
+/// Answers calls. If a response future is dropped, the caller has disconnected.
 pub trait Handler {
-    /// Begins to answer one call.
+    /// Starts to answer one call.
     fn handle(&self, credentials: Credentials, call: Call) -> ResponseFuture;
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP towards callers: bounded reading, typed calls, answers and refusals.
+//! HTTP server for callers: bounded reading, typed calls, responses and refusals.
 //!
-//! The embedder gives a [`handler::Handler`]; [`server::serve`] reads each call within the limits of
-//! [`configs::limit::Limit`] and hands it over as a [`call::Call`].
+//! The embedder implements [`handler::Handler`]; [`server::serve`] reads each call within the limits of
+//! [`configs::limit::Limit`] and passes it on as a [`call::Call`].
 
 pub mod call;
 pub mod chat;
--- a/crates/front/src/read.rs
+++ b/crates/front/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads one HTTP request into a typed call, within the limits.
+//! Reads HTTP requests into typed calls, within limits.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -23,8 +23,8 @@
 use crate::response::RESUME_HEADER;
 use crate::response::TICKET_HEADER;
 
-/// Headers that belong to one connection or to the entry and are never passed on.
-const OWN_HEADERS: [&str; 8] = [
+/// Headers of the connection or of the entry itself, which are never forwarded.
+const UNFORWARDED_HEADERS: [&str; 8] = [
     "authorization",
     "connection",
     "host",
@@ -35,39 +35,39 @@
     "upgrade",
 ];
 
-/// Reads a request whole.
+/// Reads a whole request.
 pub async fn read(
     request: Request<Incoming>,
     limit: &Limit,
 ) -> Result<(Credentials, Call), Refusal> {
     let (parts, body) = request.into_parts();
-    let credentials = credentials_of(&parts.headers)?;
+    let credentials = read_credentials(&parts.headers)?;
     let body = read_body(body, limit).await?;
-    let call = call_of(parts, body)?;
+    let call = route(parts, body)?;
     Ok((credentials, call))
 }
 
-/// What the headers say of the caller and its request.
-fn credentials_of(headers: &HeaderMap) -> Result<Credentials, Refusal> {
-    let offset = match text_of(headers, OFFSET_HEADER)? {
+/// Reads the credentials from the headers.
+fn read_credentials(headers: &HeaderMap) -> Result<Credentials, Refusal> {
+    let offset = match header_text(headers, OFFSET_HEADER)? {
         Some(text) => text
             .parse()
             .map_err(|_| malformed("x-dogwoodspur-offset isn't a number"))?,
         None => 0,
     };
-    let key = text_of(headers, header::AUTHORIZATION.as_str())?
+    let key = header_text(headers, header::AUTHORIZATION.as_str())?
         .and_then(|text| text.strip_prefix("Bearer ").map(SmolStr::from));
     Ok(Credentials {
         key,
-        idempotency_key: text_of(headers, "idempotency-key")?,
-        ticket: text_of(headers, TICKET_HEADER)?,
-        resume: text_of(headers, RESUME_HEADER)?,
+        idempotency_key: header_text(headers, "idempotency-key")?,
+        ticket: header_text(headers, TICKET_HEADER)?,
+        resume: header_text(headers, RESUME_HEADER)?,
         offset,
     })
 }
 
-/// A header's text, if the header is there.
-fn text_of(headers: &HeaderMap, name: &str) -> Result<Option<SmolStr>, Refusal> {
+/// Returns a header as text, if present.
+fn header_text(headers: &HeaderMap, name: &str) -> Result<Option<SmolStr>, Refusal> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -79,7 +79,7 @@
     }
 }
 
-/// The whole body, or the reason why it wasn't taken.
+/// Reads the whole body, or returns the refusal if it exceeds a limit.
 async fn read_body(body: Incoming, limit: &Limit) -> Result<Bytes, Refusal> {
     let reading = Limited::new(body, limit.body_bytes).collect();
     match tokio::time::timeout(limit.body_time.as_duration(), reading).await {
@@ -96,11 +96,11 @@
     }
 }
 
-/// The call that a path and method name.
-fn call_of(parts: Parts, body: Bytes) -> Result<Call, Refusal> {
+/// Selects the call by path and method.
+fn route(parts: Parts, body: Bytes) -> Result<Call, Refusal> {
     let path = parts.uri.path();
     if path == "/v1/addresses" && parts.method == Method::GET {
-        let prefix = prefix_of(parts.uri.query())?;
+        let prefix = parse_prefix(parts.uri.query())?;
         return Ok(Call::Addresses { prefix });
     }
     if path == "/v1/chat/completions" && parts.method == Method::POST {
@@ -113,13 +113,13 @@
         return Ok(Call::Cancel { request });
     }
     if path.starts_with("/services/") {
-        return plain_of(parts, body).map(Call::Plain);
+        return plain_call(parts, body).map(Call::Plain);
     }
     Err(Refusal::not_run(Reason::Unknown, "no such path"))
 }
 
-/// The prefix hash of an address question.
-fn prefix_of(query: Option<&str>) -> Result<Option<u64>, Refusal> {
+/// Parses the prefix hash of an address query.
+fn parse_prefix(query: Option<&str>) -> Result<Option<u64>, Refusal> {
     let pairs = query.unwrap_or_default().split('&');
     let Some(text) = pairs.filter_map(|pair| pair.strip_prefix("key=")).next() else {
         return Ok(None);
@@ -129,12 +129,12 @@
         .map_err(|_| malformed("key isn't a hexadecimal number of up to 16 digits"))
 }
 
-/// A call of a plain service.
-fn plain_of(parts: Parts, body: Bytes) -> Result<Plain, Refusal> {
-    let rest = parts.uri.path().trim_start_matches("/services/");
-    let (deployment, path) = match rest.split_once('/') {
+/// Builds a call to a plain service.
+fn plain_call(parts: Parts, body: Bytes) -> Result<Plain, Refusal> {
+    let remainder = parts.uri.path().trim_start_matches("/services/");
+    let (deployment, path) = match remainder.split_once('/') {
         Some((deployment, path)) => (deployment, format!("/{path}")),
-        None => (rest, String::from("/")),
+        None => (remainder, String::from("/")),
     };
     if deployment.is_empty() {
         return Err(malformed("the path names no deployment"));
@@ -147,14 +147,14 @@
         deployment: SmolStr::from(deployment),
         method: SmolStr::from(parts.method.as_str()),
         path: SmolStr::from(path),
-        headers: passed_on(parts.headers),
+        headers: forwarded_headers(parts.headers),
         body,
     })
 }
 
-/// The headers that a backend server gets to see.
-fn passed_on(mut headers: HeaderMap) -> HeaderMap {
-    for name in OWN_HEADERS {
+/// Returns the headers to forward to the backend server.
+fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
+    for name in UNFORWARDED_HEADERS {
         headers.remove(name);
     }
     headers.remove(header::CONTENT_LENGTH);
@@ -164,7 +164,7 @@
     headers
 }
 
-/// The refusal of something that can't be read.
+/// Returns the refusal of a malformed request.
 fn malformed(message: impl Into<SmolStr>) -> Refusal {
     Refusal::not_run(Reason::Malformed, message)
 }
--- a/crates/front/src/response.rs
+++ b/crates/front/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers in HTTP: refusals, whole answers and streams of events.
+//! HTTP responses: refusals, complete responses and event streams.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -21,36 +21,36 @@
 use verdict::Refusal;
 use verdict::Verdict;
 
-/// Header that carries the request's name.
+/// Header with the request id.
 pub const REQUEST_HEADER: &str = "x-dogwoodspur-request";
-/// Header that carries the verdict.
+/// Header with the verdict.
 pub const VERDICT_HEADER: &str = "x-dogwoodspur-verdict";
-/// Header that carries the sealed resume word.
+/// Header with the sealed resume token.
 pub const RESUME_HEADER: &str = "x-dogwoodspur-resume";
-/// Header that carries the offset wanted next.
+/// Header with the offset of the next chunk wanted.
 pub const OFFSET_HEADER: &str = "x-dogwoodspur-offset";
-/// Header that carries a sealed ticket.
+/// Header with a sealed ticket.
 pub const TICKET_HEADER: &str = "x-dogwoodspur-ticket";
-/// Header with the time to come back after, milliseconds.
-pub const RETRY_HEADER: &str = "x-dogwoodspur-retry-after-ms";
+/// Header with the retry delay, milliseconds.
+pub const RETRY_AFTER_MS_HEADER: &str = "x-dogwoodspur-retry-after-ms";
 
-/// The body of any answer.
+/// Body of any response.
 pub type Payload = UnsyncBoxBody<Bytes, Infallible>;
 
-/// A body that is known whole.
+/// Creates a body from complete bytes.
 pub fn full_body(bytes: impl Into<Bytes>) -> Payload {
     Full::new(bytes.into()).boxed_unsync()
 }
 
-/// A body that is fed through a channel; it ends when the sender is dropped.
+/// Creates a body fed by a channel; it ends when the sender is dropped.
 pub fn channel_body(receiver: mpsc::Receiver<Bytes>) -> Payload {
     ChannelBody { receiver }.boxed_unsync()
 }
 
-/// A JSON answer that isn't about a request.
+/// Returns a JSON response that belongs to no request.
 pub fn json(value: &serde_json::Value) -> Response<Payload> {
     let mut response = Response::new(full_body(value.to_string()));
-    set(
+    set_header(
         &mut response,
         header::CONTENT_TYPE.as_str(),
         "application/json",
@@ -58,81 +58,85 @@
     response
 }
 
-/// The head of a stream of events.
+/// Returns a response that streams events.
 pub fn event_stream(
     request: &str,
     resume: &str,
     receiver: mpsc::Receiver<Bytes>,
 ) -> Response<Payload> {
     let mut response = Response::new(channel_body(receiver));
-    set(
+    set_header(
         &mut response,
         header::CONTENT_TYPE.as_str(),
         "text/event-stream",
     );
-    set(&mut response, header::CACHE_CONTROL.as_str(), "no-store");
-    set(&mut response, REQUEST_HEADER, request);
-    set(&mut response, RESUME_HEADER, resume);
+    set_header(&mut response, header::CACHE_CONTROL.as_str(), "no-store");
+    set_header(&mut response, REQUEST_HEADER, request);
+    set_header(&mut response, RESUME_HEADER, resume);
     response
 }
 
-/// A whole answer, given once and in full.
+/// Marks a complete response with its request id and the verdict.
 pub fn completed(request: &str, mut response: Response<Payload>) -> Response<Payload> {
-    set(&mut response, REQUEST_HEADER, request);
-    set(&mut response, VERDICT_HEADER, Verdict::Done.as_str());
+    set_header(&mut response, REQUEST_HEADER, request);
+    set_header(&mut response, VERDICT_HEADER, Verdict::Done.as_str());
     response
 }
 
-/// A refusal as an answer of its own.
+/// Returns a refusal as a response of its own.
 pub fn refusal(request: &str, refusal: &Refusal) -> Response<Payload> {
     let mut response = Response::new(full_body(refusal_body(request, refusal)));
-    *response.status_mut() = status_of(refusal);
-    set(
+    *response.status_mut() = status_code(refusal);
+    set_header(
         &mut response,
         header::CONTENT_TYPE.as_str(),
         "application/json",
     );
-    set(&mut response, REQUEST_HEADER, request);
-    set(&mut response, VERDICT_HEADER, refusal.verdict.as_str());
+    set_header(&mut response, REQUEST_HEADER, request);
+    set_header(&mut response, VERDICT_HEADER, refusal.verdict.as_str());
     if refusal.reason == Reason::Leaving {
-        // The next request is to go elsewhere, over another connection.
-        set(&mut response, header::CONNECTION.as_str(), "close");
+        // The caller must use another connection, to another entry, for its next request.
+        set_header(&mut response, header::CONNECTION.as_str(), "close");
     }
     if let Some(span) = refusal.retry_after {
         let seconds = span.as_millis().div_ceil(1_000);
-        set(
+        set_header(
             &mut response,
             header::RETRY_AFTER.as_str(),
             &seconds.to_string(),
         );
-        set(&mut response, RETRY_HEADER, &span.as_millis().to_string());
+        set_header(
+            &mut response,
+            RETRY_AFTER_MS_HEADER,
+            &span.as_millis().to_string(),
+        );
     }
     response
 }
 
-/// One chunk of a stream.
+/// Formats the event of one chunk.
 pub fn chunk_event(offset: u64, data: &str) -> Bytes {
     Bytes::from(format!("id: {offset}\ndata: {data}\n\n"))
 }
 
-/// The end of a stream that was answered whole.
+/// Formats the final event of a complete stream.
 pub fn done_event() -> Bytes {
     Bytes::from_static(b"data: [DONE]\n\n")
 }
 
-/// Word within a stream that the caller is to come back with another resume word from now on.
+/// Formats the event that replaces the caller's resume token.
 pub fn resume_event(token: &str) -> Bytes {
     let data = json!({ "token": token });
     Bytes::from(format!("event: resume\ndata: {data}\n\n"))
 }
 
-/// The end of a stream that goes on at another entry.
+/// Formats the final event of a stream that continues at another entry.
 pub fn continue_event(address: &str, token: &str) -> Bytes {
     let data = json!({"address": address, "token": token});
     Bytes::from(format!("event: continue\ndata: {data}\n\n"))
 }
 
-/// The end of a stream that failed.
+/// Formats the final event of a failed stream.
 pub fn error_event(request: &str, refusal: &Refusal) -> Bytes {
     Bytes::from(format!(
         "event: error\ndata: {}\n\n",
@@ -140,7 +144,7 @@
     ))
 }
 
-/// The JSON form of a refusal.
+/// Returns the JSON body of a refusal.
 fn refusal_body(request: &str, refusal: &Refusal) -> String {
     let mut error = json!({
         "reason": refusal.reason.as_str(),
@@ -154,8 +158,8 @@
     json!({ "error": error }).to_string()
 }
 
-/// The HTTP status of a refusal.
-fn status_of(refusal: &Refusal) -> StatusCode {
+/// Returns the HTTP status of a refusal.
+fn status_code(refusal: &Refusal) -> StatusCode {
     match refusal.reason {
         Reason::Malformed => StatusCode::BAD_REQUEST,
         Reason::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -174,14 +178,14 @@
     }
 }
 
-/// Sets a header whose value is known to be printable.
-fn set(response: &mut Response<Payload>, name: &'static str, value: &str) {
+/// Sets a header; skips a value that isn't valid in a header.
+fn set_header(response: &mut Response<Payload>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
     }
 }
 
-/// A body read from a channel.
+/// Body that reads from a channel.
 struct ChannelBody {
     receiver: mpsc::Receiver<Bytes>,
 }
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections and answers their calls.
+//! Accepts callers' connections and serves their calls.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -25,57 +25,57 @@
 use crate::response;
 use crate::response::Payload;
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Smallest read buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8_192;
+/// Smallest read buffer that hyper accepts, bytes.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Serves callers until `ended` turns true, then lets every connection finish the answer that it is
-/// in. Runs within a `LocalSet`.
+/// Serves callers until `shutdown` changes, then lets every connection finish its current response. Must run
+/// within a `LocalSet`.
 pub async fn serve(
     listener: TcpListener,
     limit: Limit,
     handler: Rc<dyn Handler>,
-    mut ended: watch::Receiver<bool>,
+    mut shutdown: watch::Receiver<bool>,
 ) {
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             Some(_) = connections.join_next() => continue,
-            _ = ended.changed() => break,
+            _ = shutdown.changed() => break,
         };
         let Ok((socket, _)) = accepted else {
-            // Out of file descriptors: let some connections end before the next try.
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            // Out of file descriptors: give open connections time to close.
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if connections.len() >= limit.connections {
             log::warn!(event = "connection_refused", open = connections.len(); "");
             continue;
         }
-        let connection = connection(socket, limit, Rc::clone(&handler), ended.clone());
+        let connection = serve_connection(socket, limit, Rc::clone(&handler), shutdown.clone());
         connections.spawn_local(connection);
     }
     drop(listener);
     while connections.join_next().await.is_some() {}
 }
 
-/// Serves one connection to its end.
-async fn connection(
+/// Serves one connection until it closes.
+async fn serve_connection(
     socket: TcpStream,
     limit: Limit,
     handler: Rc<dyn Handler>,
-    mut ended: watch::Receiver<bool>,
+    mut shutdown: watch::Receiver<bool>,
 ) {
     let _ = socket.set_nodelay(true);
-    let service = service_fn(move |request| answer_one(request, limit, Rc::clone(&handler)));
-    let builder = builder_of(&limit);
+    let service = service_fn(move |request| serve_call(request, limit, Rc::clone(&handler)));
+    let builder = connection_builder(&limit);
     let mut connection = pin!(builder.serve_connection(TokioIo::new(socket), service));
     let served = tokio::select! {
         served = connection.as_mut() => served,
-        _ = ended.changed() => {
+        _ = shutdown.changed() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -85,14 +85,14 @@
     }
 }
 
-/// HTTP/1.1 and 2 within the limits.
-fn builder_of(limit: &Limit) -> Builder<LocalExecutor> {
+/// Returns the builder for HTTP/1.1 and HTTP/2 connections with the limits.
+fn connection_builder(limit: &Limit) -> Builder<LocalExecutor> {
     let mut builder = Builder::new(LocalExecutor);
     builder
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(limit.head_time.as_duration())
-        .max_buf_size(limit.head_bytes.max(LEAST_BUFFER));
+        .max_buf_size(limit.head_bytes.max(MIN_BUFFER_BYTES));
     builder
         .http2()
         .timer(TokioTimer::new())
@@ -101,7 +101,7 @@
 }
 
 /// Reads and answers one call.
-async fn answer_one(
+async fn serve_call(
     request: Request<Incoming>,
     limit: Limit,
     handler: Rc<dyn Handler>,
@@ -113,7 +113,7 @@
     Ok(response)
 }
 
-/// Spawns the tasks of an HTTP/2 connection on the thread's own loop.
+/// Spawns the tasks of an HTTP/2 connection on the local thread.
 #[derive(Clone, Copy)]
 struct LocalExecutor;
 
--- a/crates/front/tests/chat.rs
+++ b/crates/front/tests/chat.rs
@@ -1,4 +1,4 @@
-//! What is read from the body of a model call.
+//! Parsing of model calls.
 
 use bytes::Bytes;
 use front::chat::Chat;
@@ -8,11 +8,11 @@
 use verdict::Verdict;
 use xxhash_rust::xxh3::xxh3_64;
 
-fn read(body: Value) -> Chat {
-    Chat::read(Bytes::from(body.to_string())).expect("a sound body")
+fn parse(body: Value) -> Chat {
+    Chat::read(Bytes::from(body.to_string())).expect("a valid body")
 }
 
-fn asked(content: &str) -> Value {
+fn chat_body(content: &str) -> Value {
     json!({
         "model": "thesis",
         "messages": [{"role": "user", "content": content}],
@@ -21,39 +21,39 @@
     })
 }
 
-/// Engines name cached prefixes by the hash of all text up to the end of a block of 256 bytes; events
-/// about them are of no use unless the entry hashes the same text.
+/// Engines identify cached prefixes by the hash of all text up to the end of a 256-byte block. The entry
+/// must hash the same text, or the engines' cache events never match.
 #[test]
-fn the_prefix_is_hashed_as_engines_do() {
+fn the_prefix_is_hashed_as_by_engines() {
     let content = "x".repeat(5_000);
-    let flat = format!("user\n{content}\n");
+    let text = format!("user\n{content}\n");
     assert_eq!(
-        read(asked(&content)).prefix,
-        xxh3_64(&flat.as_bytes()[..4_096])
+        parse(chat_body(&content)).prefix,
+        xxh3_64(&text.as_bytes()[..4_096])
     );
     let shorter = "y".repeat(600);
-    let flat = format!("user\n{shorter}\n");
+    let text = format!("user\n{shorter}\n");
     assert_eq!(
-        read(asked(&shorter)).prefix,
-        xxh3_64(&flat.as_bytes()[..512])
+        parse(chat_body(&shorter)).prefix,
+        xxh3_64(&text.as_bytes()[..512])
     );
 }
 
-/// A killer request would look new each time its caller comes back with more of the answer.
+/// A request that crashes engines must not get a new fingerprint each time its caller resumes it.
 #[test]
 fn a_continued_request_has_the_fingerprint_of_the_original() {
-    let original = read(asked("draft a dossier"));
+    let original = parse(chat_body("draft a dossier"));
     let continued = original.continued_body("so far", 2);
-    let again = Chat::read(continued).expect("a sound body");
-    assert_eq!(again.fingerprint, original.fingerprint);
-    assert_eq!(again.prefix, original.prefix);
-    assert_eq!(again.text_so_far.as_deref(), Some("so far"));
-    assert_eq!(again.max_new_tokens, 18);
+    let parsed = Chat::read(continued).expect("a valid body");
+    assert_eq!(parsed.fingerprint, original.fingerprint);
+    assert_eq!(parsed.prefix, original.prefix);
+    assert_eq!(parsed.text_so_far.as_deref(), Some("so far"));
+    assert_eq!(parsed.max_new_tokens, 18);
 }
 
 #[test]
-fn what_is_not_known_is_passed_on() {
-    let continued = read(asked("draft")).continued_body("so far", 2);
+fn unknown_fields_are_forwarded() {
+    let continued = parse(chat_body("draft")).continued_body("so far", 2);
     let body: Value = serde_json::from_slice(&continued).expect("JSON");
     assert_eq!(body["temperature"], json!(0.5));
     assert_eq!(
@@ -62,14 +62,14 @@
     );
 }
 
-/// A stream that was continued once breaks again: the text so far must stand once in the prompt.
+/// A continued stream breaks again: the prompt must contain the text so far only once.
 #[test]
 fn text_so_far_is_replaced_and_not_repeated() {
-    let once = read(asked("draft")).continued_body("so", 1);
-    let again = Chat::read(once)
-        .expect("a sound body")
+    let first = parse(chat_body("draft")).continued_body("so", 1);
+    let second = Chat::read(first)
+        .expect("a valid body")
         .continued_body("so far", 1);
-    let body: Value = serde_json::from_slice(&again).expect("JSON");
+    let body: Value = serde_json::from_slice(&second).expect("JSON");
     assert_eq!(body["messages"].as_array().map(Vec::len), Some(2));
     assert_eq!(body["messages"][1]["content"], json!("so far"));
 }
