--- a/crates/back/src/cloud.rs
+++ b/crates/back/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The instance list and the cloud API.
+//! Client of the cloud API and its instance list.
 
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 use crate::http_client::Exchange;
 use crate::http_client::HttpClient;
 
-/// Longest time for an answer of the cloud.
-const ANSWER_TIME: Duration = Duration::from_secs(3);
+/// Timeout of a cloud response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// One instance, as the list names it.
+/// One instance in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Instance {
-    /// Name of the machine.
+    /// Id of the instance.
     pub id: SmolStr,
-    /// Name of this life of the machine, unique for ever.
+    /// Globally unique id of this run of the instance.
     pub incarnation: SmolStr,
-    /// `host:port` of the server on it.
+    /// `host:port` of its server.
     pub address: SmolStr,
     /// Availability zone.
     pub zone: SmolStr,
@@ -33,7 +33,7 @@
     /// `reclaimable` or `on-demand`.
     #[serde(default)]
     pub market: SmolStr,
-    /// Pool it belongs to.
+    /// Pool of the instance.
     pub pool: SmolStr,
     /// `engine`, `service` or `entry`.
     #[serde(default)]
@@ -42,21 +42,21 @@
     pub state: SmolStr,
 }
 
-/// The cloud's word that an instance will be taken away.
+/// Reclaim notice of the cloud for an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Notice {
-    /// Rises by one with each notice.
+    /// Sequence number; increases by one with each notice.
     pub seq: u64,
-    /// Which life of which machine.
+    /// Incarnation to be reclaimed.
     pub incarnation: SmolStr,
-    /// Milliseconds left when the answer was made.
+    /// Time until the reclaim when the response was created, milliseconds.
     pub deadline_ms: u64,
 }
 
-/// A wish for an instance.
+/// Request to launch an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LaunchRequest {
-    /// Names the attempt; a repeat under the same token starts nothing more.
+    /// Idempotency token: a retry under the same token launches nothing more.
     pub token: SmolStr,
     /// Availability zone.
     pub zone: SmolStr,
@@ -64,11 +64,11 @@
     pub class: SmolStr,
     /// `reclaimable` or `on-demand`.
     pub market: SmolStr,
-    /// Pool.
+    /// Pool of the instance.
     pub pool: SmolStr,
 }
 
-/// What one hour of an instance costs.
+/// Price of an instance type.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Price {
     /// Availability zone.
@@ -77,11 +77,11 @@
     pub class: SmolStr,
     /// `reclaimable` or `on-demand`.
     pub market: SmolStr,
-    /// Price of an hour.
+    /// Price per hour.
     pub per_hour: f64,
 }
 
-/// The cloud at one address.
+/// Client of the cloud at one address.
 #[derive(Clone, Debug)]
 pub struct Cloud<'a> {
     client: &'a HttpClient,
@@ -89,51 +89,56 @@
 }
 
 impl<'a> Cloud<'a> {
-    /// The cloud at `address`.
+    /// Creates a client of the cloud at `address`.
     pub fn new(client: &'a HttpClient, address: &'a str) -> Cloud<'a> {
         Cloud { client, address }
     }
 
-    /// The list of instances; it lags behind reality.
+    /// Lists the instances; the list is eventually consistent.
     pub async fn instances(&self) -> Result<Vec<Instance>, Failure> {
         self.list("/instances", "instances").await
     }
 
-    /// Reclaim notices after `seq`.
+    /// Lists the reclaim notices after `seq`.
     pub async fn notices(&self, seq: u64) -> Result<Vec<Notice>, Failure> {
         self.list(&format!("/notices?after={seq}"), "notices").await
     }
 
-    /// Prices by zone, class and market.
+    /// Lists prices by zone, class and market.
     pub async fn prices(&self) -> Result<Vec<Price>, Failure> {
         self.list("/cloud/prices", "prices").await
     }
 
-    /// Asks for an instance.
+    /// Launches an instance.
     pub async fn start(&self, request: &LaunchRequest) -> Result<Instance, Failure> {
         let body = serde_json::to_vec(request).unwrap_or_default();
-        let exchange = Exchange::new(self.address, Method::POST, "/cloud/instances", ANSWER_TIME)
-            .with_body(body);
-        read_as(self.client.fetch_json(exchange).await?)
+        let exchange = Exchange::new(
+            self.address,
+            Method::POST,
+            "/cloud/instances",
+            RESPONSE_TIMEOUT,
+        )
+        .with_body(body);
+        deserialize(self.client.fetch_json(exchange).await?)
     }
 
-    /// Gives an instance back.
+    /// Terminates an instance.
     pub async fn stop(&self, id: &str) -> Result<(), Failure> {
         let path = format!("/cloud/instances/{id}");
-        let exchange = Exchange::new(self.address, Method::DELETE, &path, ANSWER_TIME);
+        let exchange = Exchange::new(self.address, Method::DELETE, &path, RESPONSE_TIMEOUT);
         self.client.fetch(exchange).await.map(|_| ())
     }
 
-    /// Reads one list.
+    /// Fetches one list.
     async fn list<T: DeserializeOwned>(&self, path: &str, field: &str) -> Result<Vec<T>, Failure> {
-        let exchange = Exchange::new(self.address, Method::GET, path, ANSWER_TIME);
+        let exchange = Exchange::new(self.address, Method::GET, path, RESPONSE_TIMEOUT);
         let mut value = self.client.fetch_json(exchange).await?;
-        read_as(value[field].take())
+        deserialize(value[field].take())
     }
 }
 
-/// Reads a value of known shape.
-fn read_as<T: DeserializeOwned>(value: Value) -> Result<T, Failure> {
+/// Deserializes a value of the expected shape.
+fn deserialize<T: DeserializeOwned>(value: Value) -> Result<T, Failure> {
     serde_json::from_value(value).map_err(|_| Failure::Answered {
         status: 200,
         message: SmolStr::new_static("the cloud's answer has another shape"),
--- a/crates/back/src/engine.rs
+++ b/crates/back/src/engine.rs
@@ -1,4 +1,4 @@
-//! Exchanges with a model engine.
+//! Client of a model engine.
 
 use std::time::Duration;
 
@@ -19,21 +19,21 @@
 use crate::http_client::HttpClient;
 use crate::http_client::read_body;
 
-/// Longest time for short exchanges: load, state, cancel.
-const SHORT_TIME: Duration = Duration::from_secs(2);
+/// Timeout of short exchanges such as load, state and cancel.
+const SHORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time for KV to be exported or imported.
-const TRANSFER_TIME: Duration = Duration::from_secs(20);
+/// Timeout of a KV cache export or import.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Longest time until an engine begins to answer. Waiting in the engine's own queue counts.
-const START_TIME: Duration = Duration::from_secs(120);
+/// Timeout until an engine starts to respond, including the wait in its own queue.
+const START_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What an engine reports of its load.
+/// Load report of an engine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Load {
-    /// Sequences running.
+    /// Running sequences.
     pub running: u32,
-    /// Sequences waiting.
+    /// Waiting sequences.
     pub waiting: u32,
     /// Share of KV memory in use.
     pub kv_used: f64,
@@ -42,43 +42,43 @@
     pub as_of_ms: u64,
 }
 
-/// An engine's word that it holds a prefix, or no longer does.
+/// Event for a prefix stored in, or evicted from, an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct CacheEvent {
-    /// Rises with each event; one that is skipped was never published.
+    /// Sequence number; a number that is skipped was never published.
     pub seq: u64,
-    /// Whether it holds the prefix now.
+    /// Whether the engine now holds the prefix.
     pub stored: bool,
-    /// Hash of the prefix, hexadecimal.
+    /// Hexadecimal hash of the prefix.
     pub prefix: SmolStr,
 }
 
-/// What an engine is ordered to be.
+/// Desired state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// Base model.
     pub model: SmolStr,
-    /// Adapter, empty for none.
+    /// Adapter; empty for none.
     pub adapter: SmolStr,
-    /// Version of both.
+    /// Version of model and adapter.
     pub version: SmolStr,
     /// Role: `serve` or `idle`.
     pub role: SmolStr,
 }
 
-/// What an engine says that it is.
+/// Actual state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct State {
-    /// What it was last ordered to be.
+    /// Target of the last order.
     pub target: Target,
-    /// Whether it has become that.
+    /// Whether the target is loaded.
     pub loaded: bool,
-    /// The highest fencing number that it has seen.
+    /// Highest fencing number seen.
     #[serde(default)]
     pub fence: u64,
 }
 
-/// The engine at one address.
+/// Client of the engine at one address.
 #[derive(Clone, Debug)]
 pub struct Engine<'a> {
     client: &'a HttpClient,
@@ -86,7 +86,7 @@
 }
 
 impl<'a> Engine<'a> {
-    /// The engine at `address`.
+    /// Creates a client of the engine at `address`.
     pub fn new(client: &'a HttpClient, address: &'a str) -> Engine<'a> {
         Engine { client, address }
     }
@@ -102,7 +102,7 @@
             self.address,
             Method::POST,
             "/v1/chat/completions",
-            START_TIME,
+            START_TIMEOUT,
         )
         .with_body(body);
         if let Ok(name) = HeaderValue::from_str(&stream.to_string()) {
@@ -112,41 +112,41 @@
             .headers
             .insert("x-priority", HeaderValue::from(u16::from(priority)));
         let response = self.client.send(exchange).await?;
-        events_of(response).await
+        read_events(response).await
     }
 
-    /// Reads a stream again from `offset` on.
+    /// Resumes a stream from `offset`.
     pub async fn resume(&self, stream: Stream, offset: u64) -> Result<Events, Failure> {
         let path = format!("/v1/streams/{stream}?offset={offset}");
-        let exchange = Exchange::new(self.address, Method::GET, &path, START_TIME);
-        events_of(self.client.send(exchange).await?).await
+        let exchange = Exchange::new(self.address, Method::GET, &path, START_TIMEOUT);
+        read_events(self.client.send(exchange).await?).await
     }
 
-    /// Stops a stream.
+    /// Cancels a stream.
     pub async fn cancel(&self, stream: Stream) -> Result<(), Failure> {
         let path = format!("/v1/streams/{stream}");
-        let exchange = Exchange::new(self.address, Method::DELETE, &path, SHORT_TIME);
+        let exchange = Exchange::new(self.address, Method::DELETE, &path, SHORT_TIMEOUT);
         self.client.fetch(exchange).await.map(|_| ())
     }
 
-    /// Parks a stream and takes its KV cache and state.
+    /// Parks a stream and exports its KV cache and state.
     pub async fn export(&self, stream: Stream) -> Result<Bytes, Failure> {
         let path = format!("/v1/streams/{stream}/export");
-        let exchange = Exchange::new(self.address, Method::POST, &path, TRANSFER_TIME);
+        let exchange = Exchange::new(self.address, Method::POST, &path, TRANSFER_TIMEOUT);
         self.client.fetch(exchange).await
     }
 
-    /// Parks a stream here from what another engine exported.
-    pub async fn import(&self, stream: Stream, blob: Bytes) -> Result<(), Failure> {
+    /// Imports and parks a stream that another engine exported.
+    pub async fn import(&self, stream: Stream, exported: Bytes) -> Result<(), Failure> {
         let path = format!("/v1/streams/{stream}/import");
         let exchange =
-            Exchange::new(self.address, Method::POST, &path, TRANSFER_TIME).with_body(blob);
+            Exchange::new(self.address, Method::POST, &path, TRANSFER_TIMEOUT).with_body(exported);
         self.client.fetch(exchange).await.map(|_| ())
     }
 
-    /// The engine's own report of its load.
+    /// Fetches the load report.
     pub async fn load(&self) -> Result<Load, Failure> {
-        let exchange = Exchange::new(self.address, Method::GET, "/v1/load", SHORT_TIME);
+        let exchange = Exchange::new(self.address, Method::GET, "/v1/load", SHORT_TIMEOUT);
         let value = self.client.fetch_json(exchange).await?;
         serde_json::from_value(value).map_err(|_| Failure::Answered {
             status: 200,
@@ -154,10 +154,10 @@
         })
     }
 
-    /// Cache events after `seq`; they come late and with gaps.
+    /// Fetches cache events after `seq`; they are delayed and may have gaps.
     pub async fn cache_events(&self, seq: u64) -> Result<Vec<CacheEvent>, Failure> {
         let path = format!("/v1/cache-events?after={seq}");
-        let exchange = Exchange::new(self.address, Method::GET, &path, SHORT_TIME);
+        let exchange = Exchange::new(self.address, Method::GET, &path, SHORT_TIMEOUT);
         let mut value = self.client.fetch_json(exchange).await?;
         serde_json::from_value(value["events"].take()).map_err(|_| Failure::Answered {
             status: 200,
@@ -165,17 +165,17 @@
         })
     }
 
-    /// Orders the engine to become `target`, under a fencing number.
+    /// Orders the engine to reach `target`, protected by a fencing number.
     pub async fn order(&self, fence: u64, target: &Target) -> Result<(), Failure> {
         let body = json!({"fence": fence, "target": target}).to_string();
         let exchange =
-            Exchange::new(self.address, Method::POST, "/v1/orders", SHORT_TIME).with_body(body);
+            Exchange::new(self.address, Method::POST, "/v1/orders", SHORT_TIMEOUT).with_body(body);
         self.client.fetch(exchange).await.map(|_| ())
     }
 
-    /// What the engine is.
+    /// Fetches the state of the engine.
     pub async fn state(&self) -> Result<State, Failure> {
-        let exchange = Exchange::new(self.address, Method::GET, "/v1/state", SHORT_TIME);
+        let exchange = Exchange::new(self.address, Method::GET, "/v1/state", SHORT_TIMEOUT);
         let value = self.client.fetch_json(exchange).await?;
         serde_json::from_value(value).map_err(|_| Failure::Answered {
             status: 200,
@@ -184,13 +184,13 @@
     }
 }
 
-/// The events of a successful answer.
-async fn events_of(response: Response<Incoming>) -> Result<Events, Failure> {
+/// Returns the events of a successful response, or its status as a failure.
+async fn read_events(response: Response<Incoming>) -> Result<Events, Failure> {
     let status = response.status();
     if status.is_success() {
         return Ok(Events::new(response.into_body()));
     }
-    read_body(response, SHORT_TIME).await?;
+    read_body(response, SHORT_TIMEOUT).await?;
     Err(Failure::Answered {
         status: status.as_u16(),
         message: SmolStr::from(status.canonical_reason().unwrap_or("error")),
--- a/crates/back/src/events.rs
+++ b/crates/back/src/events.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of a model engine, as they arrive.
+//! Parser for the server-sent events of a model engine.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -7,24 +7,24 @@
 
 use crate::failure::Failure;
 
-/// Longest event that is taken from an engine.
-const EVENT_BYTES: usize = 1024 * 1024;
+/// Largest event accepted from an engine, bytes.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// One event of an engine's stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Chunk {
     /// One token.
     Token {
-        /// Its offset within the engine's stream.
+        /// Offset within the engine's stream.
         offset: u64,
-        /// The JSON text to pass on.
+        /// JSON to forward.
         data: Bytes,
     },
-    /// The engine's word that the answer is whole.
+    /// End of a complete answer.
     Done,
 }
 
-/// Reads events from the body of an answer.
+/// Reads events from a response body.
 #[derive(Debug)]
 pub struct Events {
     body: Incoming,
@@ -32,7 +32,7 @@
 }
 
 impl Events {
-    /// Events of this body.
+    /// Creates a reader of `body`.
     pub fn new(body: Incoming) -> Events {
         Events {
             body,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The next event. A stream that ends without [`Chunk::Done`] is [`Failure::Broken`].
+    /// Returns the next event. A stream that ends without [`Chunk::Done`] is [`Failure::Broken`].
     pub async fn next(&mut self) -> Result<Chunk, Failure> {
         loop {
             while let Some(event) = self.take_event() {
@@ -48,7 +48,7 @@
                     return Ok(chunk);
                 }
             }
-            if self.buffer.len() > EVENT_BYTES {
+            if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(Failure::Broken);
             }
             let Some(Ok(frame)) = self.body.frame().await else {
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Cuts the first whole event off the buffer.
+    /// Removes the first whole event from the buffer.
     fn take_event(&mut self) -> Option<Bytes> {
         let end = self.buffer.windows(2).position(|pair| pair == b"\n\n")?;
         Some(self.buffer.split_to(end + 2).freeze())
     }
 }
 
-/// The chunk of an event, if it is one that we know.
+/// Parses an event; returns none for an unknown one.
 fn parse_event(event: &Bytes) -> Option<Chunk> {
     let mut offset = None;
     let mut data = None;
--- a/crates/back/src/failure.rs
+++ b/crates/back/src/failure.rs
@@ -1,34 +1,34 @@
-//! How an exchange with a backend server failed.
+//! Failures of exchanges with backend servers.
 
 use smol_str::SmolStr;
 
-/// What went wrong, in the terms that decide what may be said to the caller.
+/// Failure of an exchange, classified by whether the request may have run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection came about: no byte of the request left this process.
+    /// No connection was established: no byte of the request was sent.
     NotSent,
-    /// The server said in its protocol that it did not start the request.
+    /// The server reported that it did not start the request.
     NotStarted,
-    /// The server answered with an error of its own.
+    /// The server responded with an error.
     Answered {
-        /// Its HTTP status.
+        /// HTTP status.
         status: u16,
-        /// A short text, without any part of the request.
+        /// Short description, without any part of the request.
         message: SmolStr,
     },
-    /// The connection broke after bytes were handed on.
+    /// The connection broke after bytes were sent.
     Broken,
-    /// No word came in the time allowed.
+    /// The timeout expired without a response.
     TimedOut,
 }
 
 impl Failure {
-    /// Whether the request can't have run there.
+    /// Returns whether the request can't have run.
     pub fn definitely_not_run(&self) -> bool {
         matches!(self, Failure::NotSent | Failure::NotStarted)
     }
 
-    /// The form used in logs.
+    /// Returns the name used in logs.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Failure::NotSent => "not-sent",
--- a/crates/back/src/http_client.rs
+++ b/crates/back/src/http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that all exchanges with backend servers share.
+//! Shared HTTP client for all exchanges with backend servers.
 
 use std::time::Duration;
 
@@ -22,77 +22,77 @@
 
 use crate::failure::Failure;
 
-/// The header by which a server says that it did not start a request.
+/// Header by which a server reports that it did not start a request.
 pub const NOT_STARTED_HEADER: &str = "x-not-started";
 
-/// Longest time for a connection to come about.
-const CONNECT_TIME: Duration = Duration::from_secs(2);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection may fall silent without a word. One that waits long for an answer shows that only by
-/// probes: the first after so long, and as long between them.
-const PROBE_TIME: Duration = Duration::from_secs(1);
+/// Time before the first TCP keepalive probe, and between probes. Only probes detect a connection that
+/// died silently while it waits for a response.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which the peer is gone.
-const PROBES: u32 = 2;
+/// Unanswered probes after which the peer counts as dead.
+const MAX_KEEPALIVE_PROBES: u32 = 2;
 
-/// Bytes unacknowledged for so long mean the same.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+/// Time after which a peer that doesn't acknowledge sent bytes counts as dead.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long an unused connection is kept.
-const IDLE_TIME: Duration = Duration::from_secs(20);
+/// How long an idle connection is kept.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Most unused connections kept for each server.
-const IDLE_CONNECTIONS: usize = 32;
+/// Most idle connections per server.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// Largest answer that is read whole.
-const ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// Largest response that is read whole, bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Sends requests to backend servers by IP number.
+/// Sends requests to backend servers by IP address.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// An exchange to be made.
+/// One HTTP request to a backend server.
 #[derive(Clone, Debug)]
 pub struct Exchange<'a> {
     /// `host:port` of the server.
     pub address: &'a str,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: &'a str,
-    /// Headers besides the usual ones.
+    /// Additional headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// Longest time until the head of the answer.
+    /// Timeout until the head of the response.
     pub head_timeout: Duration,
 }
 
 impl HttpClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     ///
-    /// It never sends a request a second time by itself: only the reducer decides that, because a
-    /// request that may have run must not be repeated in silence.
+    /// It never resends a request on its own: only the reducer decides that, because a request that may
+    /// have run must not be repeated silently.
     pub fn new() -> HttpClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT_TIME));
-        connector.set_keepalive(Some(PROBE_TIME));
-        connector.set_keepalive_interval(Some(PROBE_TIME));
-        connector.set_keepalive_retries(Some(PROBES));
-        connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
+        connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(MAX_KEEPALIVE_PROBES));
+        connector.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_TIME)
-            .pool_max_idle_per_host(IDLE_CONNECTIONS)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .retry_canceled_requests(false)
             .build(connector);
         HttpClient { client }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(&self, exchange: Exchange<'_>) -> Result<Response<Incoming>, Failure> {
         let uri = format!("http://{}{}", exchange.address, exchange.path);
         let mut request = Request::builder()
@@ -107,15 +107,15 @@
             Ok(Err(error)) => return Err(classify(&error)),
             Err(_) => return Err(Failure::TimedOut),
         };
-        let said_not_started = response.status() == StatusCode::SERVICE_UNAVAILABLE
+        let not_started = response.status() == StatusCode::SERVICE_UNAVAILABLE
             && response.headers().contains_key(NOT_STARTED_HEADER);
-        if said_not_started {
+        if not_started {
             return Err(Failure::NotStarted);
         }
         Ok(response)
     }
 
-    /// Sends a request and reads a successful answer whole.
+    /// Sends a request and returns the body of a successful response.
     pub async fn fetch(&self, exchange: Exchange<'_>) -> Result<Bytes, Failure> {
         let head_timeout = exchange.head_timeout;
         let response = self.send(exchange).await?;
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Sends a request and reads a successful answer as JSON.
+    /// Sends a request and parses a successful response as JSON.
     pub async fn fetch_json(&self, exchange: Exchange<'_>) -> Result<Value, Failure> {
         let bytes = self.fetch(exchange).await?;
         serde_json::from_slice(&bytes).map_err(|_| Failure::Answered {
@@ -147,7 +147,7 @@
 }
 
 impl<'a> Exchange<'a> {
-    /// An exchange without headers and body.
+    /// Creates an exchange without headers and body.
     pub fn new(
         address: &'a str,
         method: Method,
@@ -164,24 +164,24 @@
         }
     }
 
-    /// The same exchange with a body.
+    /// Sets the body.
     pub fn with_body(mut self, body: impl Into<Bytes>) -> Exchange<'a> {
         self.body = body.into();
         self
     }
 }
 
-/// Reads an answer's body within time and size.
-pub async fn read_body(response: Response<Incoming>, time: Duration) -> Result<Bytes, Failure> {
-    let reading = Limited::new(response.into_body(), ANSWER_BYTES).collect();
-    match tokio::time::timeout(time, reading).await {
+/// Reads a response body within limits of time and size.
+pub async fn read_body(response: Response<Incoming>, timeout: Duration) -> Result<Bytes, Failure> {
+    let reading = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect();
+    match tokio::time::timeout(timeout, reading).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(_)) => Err(Failure::Broken),
         Err(_) => Err(Failure::TimedOut),
     }
 }
 
-/// Tells a request that never left from one that may have arrived.
+/// Distinguishes a request that was never sent from one that may have arrived.
 fn classify(error: &Error) -> Failure {
     if error.is_connect() {
         return Failure::NotSent;
--- a/crates/back/src/lib.rs
+++ b/crates/back/src/lib.rs
@@ -1,6 +1,6 @@
-//! HTTP towards model engines, plain services and the cloud.
+//! HTTP clients of model engines, plain services and the cloud.
 //!
-//! Every failure is a [`failure::Failure`], which says whether bytes of the request were handed on.
+//! Every error is a [`failure::Failure`], which tells whether bytes of the request were sent.
 
 pub mod cloud;
 pub mod engine;
--- a/crates/back/src/plain.rs
+++ b/crates/back/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls of a plain service.
+//! Client of plain services.
 
 use std::time::Duration;
 
@@ -13,40 +13,41 @@
 use crate::http_client::HttpClient;
 use crate::http_client::read_body;
 
-/// Longest time for a plain service to answer.
-const ANSWER_TIME: Duration = Duration::from_secs(60);
+/// Timeout of a plain service's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Headers that belong to one connection.
+/// Headers that belong to one connection and aren't forwarded.
 const CONNECTION_HEADERS: [&str; 4] = ["connection", "keep-alive", "transfer-encoding", "upgrade"];
 
-/// A call to pass on.
+/// A call to forward.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Method.
+    /// HTTP method.
     pub method: SmolStr,
     /// Path and query.
     pub path: SmolStr,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// The service's whole answer.
+/// Complete response of the service.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// Passes a call on to the service at `address` and reads its whole answer.
+/// Forwards a call to the service at `address` and reads its whole response.
 pub async fn call(client: &HttpClient, address: &str, call: Call) -> Result<Response, Failure> {
     let method = Method::from_bytes(call.method.as_bytes()).map_err(|_| Failure::NotSent)?;
-    let mut exchange = Exchange::new(address, method, &call.path, ANSWER_TIME).with_body(call.body);
+    let mut exchange =
+        Exchange::new(address, method, &call.path, RESPONSE_TIMEOUT).with_body(call.body);
     exchange.headers = call.headers;
     let response = client.send(exchange).await?;
     let status = response.status();
@@ -54,7 +55,7 @@
     for name in CONNECTION_HEADERS {
         headers.remove(name);
     }
-    let body = read_body(response, ANSWER_TIME).await?;
+    let body = read_body(response, RESPONSE_TIMEOUT).await?;
     Ok(Response {
         status,
         headers,
