--- a/crates/client/src/address.rs
+++ b/crates/client/src/address.rs
@@ -48,6 +48,7 @@
     configured_count: usize,
     /// Cached responses by prefix key; the empty key holds the response without one.
     cached: HashMap<SmolStr, CachedAddresses>,
+    /// Expiry of each failure by address.
     failed: HashMap<SmolStr, Time>,
     tickets: Vec<Ticket>,
     random: Pcg64Mcg,
@@ -66,6 +67,7 @@
     expires_at: Time,
 }
 
+/// Entries of a cached response.
 struct CachedAddresses {
     entries: Vec<Entry>,
     expires_at: Time,
@@ -162,9 +164,12 @@
 }
 
 fn is_failed(failed: &HashMap<SmolStr, Time>, now: Time, address: &str) -> bool {
-    failed.get(address).is_some_and(|until| now < *until)
+    failed
+        .get(address)
+        .is_some_and(|expires_at| now < *expires_at)
 }
 
+/// Picks an entry at random in proportion to its weight; the first one if all weights are 0.
 fn pick_weighted(entries: &[&Entry], random: &mut Pcg64Mcg) -> Option<SmolStr> {
     let total: u32 = entries.iter().map(|entry| entry.weight).sum();
     if total == 0 {
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -35,6 +35,7 @@
     pub(crate) shared: Arc<Shared>,
 }
 
+/// State shared by the clones of a client.
 pub(crate) struct Shared {
     pub(crate) config: configs::Client,
     pub(crate) transport: Transport,
@@ -91,6 +92,7 @@
         self.pick(key).ok_or_else(unreachable)
     }
 
+    /// Takes a cached ticket, or fetches new ones if none is left.
     pub(crate) async fn ticket(&self) -> Result<Option<Ticket>, Error> {
         let now = self.clock.now();
         if let Some(ticket) = self.book().take_ticket(now) {
@@ -155,17 +157,18 @@
         Ok(())
     }
 
+    /// Queries the known entries one by one and caches the first response.
     async fn refresh(&self, key: &str) -> Result<Addresses, Error> {
         let now = self.clock.now();
         let order = self.book().query_order(now);
         let mut last_error = unreachable();
         for address in order {
             match self.query(&address, key).await {
-                Ok(answer) => {
+                Ok(response) => {
                     let mut book = self.book();
                     book.mark_reachable(&address);
-                    book.insert(self.clock.now(), &address, key, answer.clone());
-                    return Ok(answer);
+                    book.insert(self.clock.now(), &address, key, response.clone());
+                    return Ok(response);
                 }
                 Err(error) => {
                     self.mark_failed(&address);
@@ -178,6 +181,7 @@
         Err(last_error)
     }
 
+    /// Queries one entry for addresses.
     async fn query(&self, address: &str, key: &str) -> Result<Addresses, Error> {
         let path = if key.is_empty() {
             "/v1/addresses".to_owned()
--- a/crates/client/src/stream.rs
+++ b/crates/client/src/stream.rs
@@ -26,6 +26,7 @@
 use crate::transport;
 
 const CHAT_PATH: &str = "/v1/chat/completions";
+/// Data of the final event of a complete stream.
 const DONE_DATA: &str = "[DONE]";
 
 /// One chunk of an answer.
@@ -47,6 +48,7 @@
     text: String,
     /// Offset of the next chunk to deliver.
     offset: u64,
+    /// Resume token; empty until the first response.
     token: SmolStr,
     request: SmolStr,
     /// Entry named by a redirect.
@@ -64,6 +66,7 @@
     parser: Parser,
 }
 
+/// Result of reading one event or more bytes.
 enum Step {
     Chunk(Chunk),
     Skipped,
@@ -181,6 +184,7 @@
         }
     }
 
+    /// Stores the entry and the token with which the stream continues.
     fn handle_redirect(&mut self, event: &Event) -> Result<Step, Error> {
         let redirect: message::Continue = message::parse(event)?;
         self.token = redirect.token;
@@ -196,6 +200,7 @@
         Ok(Step::Skipped)
     }
 
+    /// Delivers the next chunk; drops a duplicate and reports a gap as a lost connection.
     fn handle_chunk(&mut self, event: &Event) -> Result<Step, Error> {
         let offset = event
             .id
@@ -245,6 +250,7 @@
         }
     }
 
+    /// Sends the call once, with the resume token if there is one.
     async fn attempt(&mut self) -> Result<(), Error> {
         let client = self.client.clone();
         let shared = &client.shared;
--- a/crates/client/src/transport.rs
+++ b/crates/client/src/transport.rs
@@ -36,7 +36,9 @@
 /// Header with the verdict.
 pub const VERDICT: &str = "x-dogwoodspur-verdict";
 
+/// Largest response body that is read whole, bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
+/// How long an idle connection is kept.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Pool of connections to entries.
@@ -138,6 +140,7 @@
     error: Detail,
 }
 
+/// Details of a refusal.
 #[derive(Debug, Deserialize)]
 struct Detail {
     reason: Reason,
