--- a/crates/ops/src/journal.rs
+++ b/crates/ops/src/journal.rs
@@ -20,7 +20,7 @@
 /// Longest detail of a step, bytes.
 const MAX_DETAIL_BYTES: usize = 256;
 
-/// Ring buffer of request traces.
+/// Bounded collection of request traces, oldest evicted first.
 #[derive(Clone, Debug)]
 pub struct Journal {
     entry: SmolStr,
--- a/crates/ops/src/reply.rs
+++ b/crates/ops/src/reply.rs
@@ -167,7 +167,7 @@
     Leaving,
     /// Receives only probes.
     Ejected,
-    /// Receives no work until its model is loaded.
+    /// Receives no work until it has loaded its target.
     Loading,
 }
 
