--- a/crates/back/src/plain.rs
+++ b/crates/back/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls of a plain service.
+//! Client of plain services.
 
 use std::time::Duration;
 
@@ -11,42 +11,43 @@
 use crate::failure::Failure;
 use crate::http_client::Exchange;
 use crate::http_client::HttpClient;
-use crate::http_client::read_whole;
+use crate::http_client::read_body;
 
-/// Longest time for a plain service to answer.
-const ANSWER_TIME: Duration = Duration::from_secs(60);
+/// Timeout of a plain service's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Headers that belong to one connection.
+/// Headers that belong to one connection and aren't forwarded.
 const CONNECTION_HEADERS: [&str; 4] = ["connection", "keep-alive", "transfer-encoding", "upgrade"];
 
-/// A call to pass on.
+/// A call to forward.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Method.
+    /// HTTP method.
     pub method: SmolStr,
     /// Path and query.
     pub path: SmolStr,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// The service's whole answer.
+/// Complete response of the service.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// Status.
+pub struct Response {
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// Passes a call on to the service at `address` and reads its whole answer.
-pub async fn call(client: &HttpClient, address: &str, call: Call) -> Result<Answer, Failure> {
+/// Forwards a call to the service at `address` and reads its whole response.
+pub async fn call(client: &HttpClient, address: &str, call: Call) -> Result<Response, Failure> {
     let method = Method::from_bytes(call.method.as_bytes()).map_err(|_| Failure::NotSent)?;
-    let mut exchange = Exchange::new(address, method, &call.path, ANSWER_TIME).with_body(call.body);
+    let mut exchange =
+        Exchange::new(address, method, &call.path, RESPONSE_TIMEOUT).with_body(call.body);
     exchange.headers = call.headers;
     let response = client.send(exchange).await?;
     let status = response.status();
@@ -54,8 +55,8 @@
     for name in CONNECTION_HEADERS {
         headers.remove(name);
     }
-    let body = read_whole(response, ANSWER_TIME).await?;
-    Ok(Answer {
+    let body = read_body(response, RESPONSE_TIMEOUT).await?;
+    Ok(Response {
         status,
         headers,
         body,
--- a/crates/cli/src/commands/account.rs
+++ b/crates/cli/src/commands/account.rs
@@ -1,21 +1,21 @@
-//! Client accounts and their keys.
+//! Commands for client accounts and their keys.
 
 use argh::FromArgs;
 use config::snapshot::hash_key;
 use ops::request::Edit;
 
-use crate::arguments::How;
-use crate::commands::deployment::configuration;
+use crate::arguments::ChangeOptions;
+use crate::commands::deployment::fetch_configuration;
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output;
 use crate::session::Session;
-use crate::session::random;
+use crate::session::random_hex;
 
-/// Length of a new key, bytes of randomness.
+/// Random bytes in a new key.
 const KEY_BYTES: usize = 32;
 
-/// Works on client accounts.
+/// Manages client accounts.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -24,30 +24,30 @@
     example = "{command_name} rekey branches"
 )]
 pub struct Account {
-    /// what to do
+    /// action to run
     #[argh(subcommand)]
     pub action: Action,
 }
 
-/// What to do with an account.
+/// Actions on an account.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Action {
-    /// Adds one.
+    /// Adds an account.
     Add(Add),
-    /// Changes its shares and limits.
+    /// Changes shares and limits of an account.
     Change(Change),
-    /// Gives it a new key.
+    /// Gives an account a new key.
     Rekey(Rekey),
-    /// Removes it.
+    /// Removes an account.
     Remove(Remove),
-    /// Shows it.
+    /// Shows an account.
     Show(Show),
 }
 
 impl Account {
-    /// Carries the action out.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    /// Runs the action.
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         match self.action {
             Action::Add(add) => add.run(session).await,
             Action::Change(change) => change.run(session).await,
@@ -69,37 +69,37 @@
     /// name of the account
     #[argh(positional)]
     pub name: String,
-    /// share against other accounts when there isn't enough for all (1)
+    /// share relative to other accounts under contention (1)
     #[argh(option, default = "1")]
     pub weight: u32,
-    /// who is shed first under overload: 0 goes last, 9 first (0)
+    /// priority under overload: 9 is shed first, 0 last (0)
     #[argh(option, default = "0")]
     pub priority: u8,
-    /// most tokens a second over all entries, 0 for no limit (0)
+    /// most tokens per second over all entries, 0 for no limit (0)
     #[argh(option, default = "0")]
     pub tokens_per_second: u64,
-    /// most requests open at once over all entries, 0 for no limit (0)
+    /// most concurrent requests over all entries, 0 for no limit (0)
     #[argh(option, default = "0")]
     pub concurrent: u32,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
 }
 
 impl Add {
-    /// Adds the account. That it isn't there is read at the version that the change expects, so that
-    /// two operators who add the same name can't overwrite each other's key.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
-        let (version, whole) = configuration(session).await?;
-        if whole
+    /// Adds the account. The check that it doesn't exist reads the version that the change expects, so
+    /// that two operators who add the same name can't overwrite each other's key.
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
+        let (version, configuration) = fetch_configuration(session).await?;
+        if configuration
             .accounts
             .iter()
             .any(|account| account.name == self.name)
         {
-            let message = format!("account {} is there already", self.name);
-            return Err(Trouble::new(Exit::Refused, message));
+            let message = format!("account {} already exists", self.name);
+            return Err(Error::new(Exit::Refused, message));
         }
-        let key = random(KEY_BYTES)?;
+        let key = random_hex(KEY_BYTES)?;
         let account = config::deployment::Account {
             name: self.name.into(),
             key_hashes: vec![hash_key(&key)],
@@ -108,18 +108,18 @@
             tokens_per_second: self.tokens_per_second,
             concurrent: self.concurrent,
         };
-        let how = How {
+        let options = ChangeOptions {
             change_id: self.change_id,
-            ..How::default()
+            ..ChangeOptions::default()
         };
         let changed = session
-            .change(Edit::PutAccount(account), version, &how)
+            .change(Edit::PutAccount(account), version, &options)
             .await?;
         output::changed::write_with_key(session, &changed, &key)
     }
 }
 
-/// Changes shares and limits of an account; what isn't given stays.
+/// Changes shares and limits of an account; omitted options keep their values.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -130,37 +130,37 @@
     /// name of the account
     #[argh(positional)]
     pub name: String,
-    /// share against other accounts when there isn't enough for all
+    /// share relative to other accounts under contention
     #[argh(option)]
     pub weight: Option<u32>,
-    /// who is shed first under overload: 0 goes last, 9 first
+    /// priority under overload: 9 is shed first, 0 last
     #[argh(option)]
     pub priority: Option<u8>,
-    /// most tokens a second over all entries, 0 for no limit
+    /// most tokens per second over all entries, 0 for no limit
     #[argh(option)]
     pub tokens_per_second: Option<u64>,
-    /// most requests open at once over all entries, 0 for no limit
+    /// most concurrent requests over all entries, 0 for no limit
     #[argh(option)]
     pub concurrent: Option<u32>,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
 }
 
 impl Change {
     /// Changes the account.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let (version, mut account) = find(session, &self.name).await?;
         account.weight = self.weight.unwrap_or(account.weight);
         account.priority = self.priority.unwrap_or(account.priority);
         account.tokens_per_second = self.tokens_per_second.unwrap_or(account.tokens_per_second);
         account.concurrent = self.concurrent.unwrap_or(account.concurrent);
-        let how = How {
+        let options = ChangeOptions {
             change_id: self.change_id,
-            ..How::default()
+            ..ChangeOptions::default()
         };
         let changed = session
-            .change(Edit::PutAccount(account), version, &how)
+            .change(Edit::PutAccount(account), version, &options)
             .await?;
         output::changed::write(session, &changed)
     }
@@ -171,7 +171,7 @@
 #[argh(
     subcommand,
     name = "rekey",
-    note = "Hand the new key to the callers first, then run it again with --drop-earlier, or drop at \
+    note = "Give the new key to the callers first, then run it again with --drop-earlier. Drop at \
 once if a key has leaked.",
     example = "{command_name} branches",
     example = "{command_name} branches --drop-earlier"
@@ -180,61 +180,61 @@
     /// name of the account
     #[argh(positional)]
     pub name: String,
-    /// makes all earlier keys invalid
+    /// invalidate all earlier keys
     #[argh(switch)]
     pub drop_earlier: bool,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
 }
 
 impl Rekey {
-    /// Adds the key.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    /// Adds the key and, on request, drops the earlier ones.
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let (version, mut account) = find(session, &self.name).await?;
         if self.drop_earlier {
             account.key_hashes.clear();
         }
-        let key = random(KEY_BYTES)?;
+        let key = random_hex(KEY_BYTES)?;
         account.key_hashes.push(hash_key(&key));
-        let how = How {
+        let options = ChangeOptions {
             change_id: self.change_id,
-            ..How::default()
+            ..ChangeOptions::default()
         };
         let changed = session
-            .change(Edit::PutAccount(account), version, &how)
+            .change(Edit::PutAccount(account), version, &options)
             .await?;
         output::changed::write_with_key(session, &changed, &key)
     }
 }
 
-/// Removes an account; refused while a deployment grants it something.
+/// Removes an account; refused while a deployment has a grant for it.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "remove", example = "{command_name} branches")]
 pub struct Remove {
     /// name of the account
     #[argh(positional)]
     pub name: String,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
 }
 
 impl Remove {
     /// Removes the account.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
-        let (version, _) = configuration(session).await?;
-        let how = How {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
+        let (version, _) = fetch_configuration(session).await?;
+        let options = ChangeOptions {
             change_id: self.change_id,
-            ..How::default()
+            ..ChangeOptions::default()
         };
         let edit = Edit::RemoveAccount(self.name.into());
-        let changed = session.change(edit, version, &how).await?;
+        let changed = session.change(edit, version, &options).await?;
         output::changed::write(session, &changed)
     }
 }
 
-/// Shows an account; its keys aren't known to the system, only their hashes.
+/// Shows an account; its keys aren't stored, only their hashes.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "show", example = "{command_name} branches")]
 pub struct Show {
@@ -245,21 +245,21 @@
 
 impl Show {
     /// Shows the account.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let (version, account) = find(session, &self.name).await?;
         output::configuration::account(session, version, &account)
     }
 }
 
-/// Asks for one account and the version in which it stands so.
+/// Fetches one account and the version of the configuration that it was read from.
 async fn find(
     session: &Session<'_>,
     name: &str,
-) -> Result<(u64, config::deployment::Account), Trouble> {
-    let (version, whole) = configuration(session).await?;
-    let mut accounts = whole.accounts.into_iter();
+) -> Result<(u64, config::deployment::Account), Error> {
+    let (version, configuration) = fetch_configuration(session).await?;
+    let mut accounts = configuration.accounts.into_iter();
     match accounts.find(|account| account.name == name) {
         Some(account) => Ok((version, account)),
-        None => Err(Trouble::new(Exit::NotFound, format!("no account {name}"))),
+        None => Err(Error::new(Exit::NotFound, format!("no account {name}"))),
     }
 }
--- a/crates/cli/src/commands/deployment.rs
+++ b/crates/cli/src/commands/deployment.rs
@@ -1,19 +1,19 @@
-//! Deployments: create, change, show, list, remove.
+//! Commands for deployments: create, change, show, list and remove.
 
 use argh::FromArgs;
 use ops::Reply;
 use ops::Request;
 use ops::request::Edit;
 
-use crate::arguments::How;
+use crate::arguments::ChangeOptions;
 use crate::definition;
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output;
 use crate::session::Session;
-use crate::session::mismatch;
+use crate::session::unexpected_reply;
 
-/// Adds a deployment that a file defines.
+/// Adds a deployment from a definition file.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -31,7 +31,7 @@
     /// file with the definition
     #[argh(positional)]
     pub file: String,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
     /// longest wait for the change to be in force everywhere, milliseconds
@@ -40,29 +40,29 @@
 }
 
 impl Create {
-    /// Adds the deployment. The newest version will do: a name that is taken is refused.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    /// Adds the deployment, based on the newest version: the entry refuses a name that is taken.
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let definition = definition::read(&self.file)?;
-        let how = How {
+        let options = ChangeOptions {
             expect: None,
             change_id: self.change_id,
             wait_ms: self.wait_ms,
         };
-        let (version, _) = configuration(session).await?;
+        let (version, _) = fetch_configuration(session).await?;
         let edit = Edit::CreateDeployment(definition.deployment);
-        let changed = session.change(edit, version, &how).await?;
+        let changed = session.change(edit, version, &options).await?;
         output::changed::write(session, &changed)
     }
 }
 
-/// Replaces a deployment by what a file defines.
+/// Replaces a deployment from a definition file.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "change",
     note = "The version on which the change is based comes from --expect or from the file's \
-\"version\", which show --json writes. If another change of the deployment came in between, nothing \
-happens, the difference is shown and the exit code is 4.",
+\"version\", which show --json writes. If the deployment has been changed \
+since, the change is rejected with the differences and exit code 4.",
     example = "{command_name} thesis.json",
     example = "{command_name} thesis.jsonc --expect 7"
 )]
@@ -73,7 +73,7 @@
     /// version of the configuration on which the change is based
     #[argh(option, arg_name = "version")]
     pub expect: Option<u64>,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
     /// longest wait for the change to be in force everywhere, milliseconds
@@ -83,25 +83,25 @@
 
 impl Change {
     /// Replaces the deployment.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let definition = definition::read(&self.file)?;
         let Some(version) = self.expect.or(definition.version) else {
-            let message = "which version is the change based on? Give --expect or \"version\" in the \
-file, as show --json writes it";
-            return Err(Trouble::new(Exit::Usage, message));
+            let message = "the change needs a base version: give --expect, or \"version\" in the file as \
+written by show --json";
+            return Err(Error::new(Exit::Usage, message));
         };
-        let how = How {
+        let options = ChangeOptions {
             expect: Some(version),
             change_id: self.change_id,
             wait_ms: self.wait_ms,
         };
         let edit = Edit::ChangeDeployment(definition.deployment);
-        let changed = session.change(edit, version, &how).await?;
+        let changed = session.change(edit, version, &options).await?;
         output::changed::write(session, &changed)
     }
 }
 
-/// Shows one deployment; with --json, as a definition that change takes.
+/// Shows one deployment; with --json, as a definition that change accepts.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -117,14 +117,14 @@
 
 impl Show {
     /// Shows the deployment.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let name = self.name.into();
-        match session.ask(Request::GetDeployment { name }).await? {
+        match session.call(Request::GetDeployment { name }).await? {
             Reply::Deployment {
                 version,
                 deployment,
             } => output::configuration::deployment(session, version, &deployment),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
@@ -135,10 +135,10 @@
 pub struct List {}
 
 impl List {
-    /// Lists them.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
-        let (version, whole) = configuration(session).await?;
-        output::configuration::whole(session, version, &whole)
+    /// Lists deployments and accounts.
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
+        let (version, configuration) = fetch_configuration(session).await?;
+        output::configuration::configuration(session, version, &configuration)
     }
 }
 
@@ -157,7 +157,7 @@
     /// version of the configuration on which the change is based (the newest by default)
     #[argh(option, arg_name = "version")]
     pub expect: Option<u64>,
-    /// name of the change; a repeat under the same name takes effect once (a random one by default)
+    /// id of the change, which is idempotent under it (random by default)
     #[argh(option, arg_name = "id")]
     pub change_id: Option<String>,
     /// longest wait for the change to be in force everywhere, milliseconds
@@ -167,45 +167,45 @@
 
 impl Remove {
     /// Removes the deployment.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
-        let how = How {
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
+        let options = ChangeOptions {
             expect: self.expect,
             change_id: self.change_id,
             wait_ms: self.wait_ms,
         };
-        let version = match how.expect {
+        let version = match options.expect {
             Some(version) => version,
-            None => configuration(session).await?.0,
+            None => fetch_configuration(session).await?.0,
         };
         let edit = Edit::RemoveDeployment(self.name.into());
-        let changed = session.change(edit, version, &how).await?;
+        let changed = session.change(edit, version, &options).await?;
         output::changed::write(session, &changed)
     }
 }
 
-/// Deployments and accounts of one version.
+/// Deployments and accounts of one version of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
-    /// By name.
+pub struct Configuration {
+    /// Deployments by name.
     pub deployments: Vec<config::deployment::Deployment>,
-    /// By name.
+    /// Accounts by name.
     pub accounts: Vec<config::deployment::Account>,
 }
 
-/// Asks for the newest configuration and its version.
-pub async fn configuration(session: &Session<'_>) -> Result<(u64, Whole), Trouble> {
-    match session.ask(Request::ListDeployments).await? {
+/// Fetches the newest configuration and its version.
+pub async fn fetch_configuration(session: &Session<'_>) -> Result<(u64, Configuration), Error> {
+    match session.call(Request::ListDeployments).await? {
         Reply::Configuration {
             version,
             deployments,
             accounts,
         } => Ok((
             version,
-            Whole {
+            Configuration {
                 deployments,
                 accounts,
             },
         )),
-        _ => Err(mismatch()),
+        _ => Err(unexpected_reply()),
     }
 }
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,16 +1,16 @@
-//! The life of one request.
+//! Command that shows the trace of one request.
 
 use argh::FromArgs;
 use ops::Reply;
 use ops::Request;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output;
 use crate::session::Session;
-use crate::session::mismatch;
+use crate::session::unexpected_reply;
 
-/// Shows where a request waited, went and moved, and why.
+/// Shows where a request was queued, ran and moved to, and why.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -25,12 +25,12 @@
 }
 
 impl Explain {
-    /// Shows it.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    /// Shows the trace.
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let request = self.request.into();
-        match session.ask(Request::Explain { request }).await? {
+        match session.call(Request::Explain { request }).await? {
             Reply::Explained(explanation) => output::explanation::write(session, &explanation),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
--- a/crates/cli/src/commands/history.rs
+++ b/crates/cli/src/commands/history.rs
@@ -1,16 +1,16 @@
-//! Past changes.
+//! Command that shows the change history.
 
 use argh::FromArgs;
 use ops::Reply;
 use ops::Request;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::output;
 use crate::session::Session;
-use crate::session::mismatch;
+use crate::session::unexpected_reply;
 
-/// Shows past changes of the configuration, the newest first.
+/// Shows past changes of the configuration, newest first.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -28,15 +28,15 @@
 }
 
 impl History {
-    /// Shows them.
-    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Trouble> {
+    /// Shows the changes.
+    pub async fn run(self, session: &mut Session<'_>) -> Result<Exit, Error> {
         let request = Request::GetHistory {
             before: self.before,
             limit: self.limit,
         };
-        match session.ask(request).await? {
+        match session.call(request).await? {
             Reply::History(changes) => output::history::write(session, &changes),
-            _ => Err(mismatch()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
--- a/crates/cli/src/definition.rs
+++ b/crates/cli/src/definition.rs
@@ -1,4 +1,4 @@
-//! Deployment definitions: files of JSON with comments.
+//! Deployment definitions, written as JSON with comments.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,35 +13,35 @@
 use settings::Faults;
 use settings::check::Findings;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 
-/// The option that names the version on which a definition is based.
-const VERSION: &str = "version";
+/// Field that holds the version on which a definition is based.
+const VERSION_FIELD: &str = "version";
 
-/// A definition as read from a file.
+/// Definition read from a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Definition {
     /// The deployment.
     pub deployment: Deployment,
-    /// Version of the configuration on which it is based, where the file says so.
+    /// Version of the configuration that it is based on, if the file states it.
     pub version: Option<u64>,
 }
 
-/// Reads a definition, or names everything wrong with it.
-pub fn read(file: &str) -> Result<Definition, Trouble> {
+/// Reads and validates a definition file; the error lists all faults.
+pub fn read(file: &str) -> Result<Definition, Error> {
     let text = fs::read_to_string(file)
-        .map_err(|error| Trouble::new(Exit::Usage, format!("{file}: can't be read: {error}")))?;
-    parse(file, &text).map_err(|faults| Trouble::new(Exit::Usage, faults.to_string()))
+        .map_err(|error| Error::new(Exit::Usage, format!("{file}: can't be read: {error}")))?;
+    parse(file, &text).map_err(|faults| Error::new(Exit::Usage, faults.to_string()))
 }
 
-/// Reads the text of a definition.
+/// Parses and validates the text of a definition.
 pub fn parse(file: &str, text: &str) -> Result<Definition, Faults> {
     let tree = settings::check::parse(file, text).map_err(|fault| Faults(vec![fault]))?;
     let schema = schema();
     let mut findings = settings::check::check(file, text, tree.value.as_ref(), &schema);
-    let version = findings.value.get(VERSION).and_then(Value::as_u64);
-    let faults = malformed(&mut findings);
+    let version = findings.value.get(VERSION_FIELD).and_then(Value::as_u64);
+    let faults = schema_faults(&mut findings);
     if !faults.0.is_empty() {
         return Err(faults);
     }
@@ -49,7 +49,7 @@
         .map_err(|error| Faults(vec![Fault::whole(file, error.to_string())]))?;
     let violations = check::deployment(&deployment);
     if !violations.is_empty() {
-        return Err(unsound(file, &findings.lines, violations));
+        return Err(semantic_faults(file, &findings.lines, violations));
     }
     Ok(Definition {
         deployment,
@@ -57,7 +57,7 @@
     })
 }
 
-/// The schema of a definition, with the version beside the deployment's own fields.
+/// Returns the schema of a definition: the fields of a deployment and the version.
 pub fn schema() -> Value {
     let mut schema = SchemaSettings::draft2020_12()
         .for_deserialize()
@@ -71,31 +71,36 @@
             "minimum": 0,
             "description": "Version of the configuration on which the definition is based.",
         });
-        properties.insert(VERSION.to_owned(), version);
+        properties.insert(VERSION_FIELD.to_owned(), version);
     }
     schema
 }
 
-/// Faults of the file's form. Unknown names are among them: here they are slips, not later options.
-fn malformed(findings: &mut Findings) -> Faults {
+/// Returns the schema violations. Unknown fields are errors here, because they are typos and not
+/// options of a later release.
+fn schema_faults(findings: &mut Findings) -> Faults {
     let mut faults = std::mem::take(&mut findings.faults);
     faults.append(&mut findings.warnings);
     faults.sort_by_key(|fault| fault.line);
     Faults(faults)
 }
 
-/// Faults of the deployment itself, with the lines of their fields.
-fn unsound(file: &str, lines: &BTreeMap<String, usize>, violations: Vec<Violation>) -> Faults {
+/// Returns the violations of the deployment's own rules, with the line of each field.
+fn semantic_faults(
+    file: &str,
+    lines: &BTreeMap<String, usize>,
+    violations: Vec<Violation>,
+) -> Faults {
     let fault = |violation: Violation| Fault {
-        line: line(lines, &violation.field),
+        line: nearest_line(lines, &violation.field),
         option: violation.field,
         ..Fault::whole(file, violation.message)
     };
     Faults(violations.into_iter().map(fault).collect())
 }
 
-/// The line of a field, or of the nearest one around it that stands in the file.
-fn line(lines: &BTreeMap<String, usize>, field: &str) -> usize {
+/// Returns the line of a field, or of its nearest ancestor in the file.
+fn nearest_line(lines: &BTreeMap<String, usize>, field: &str) -> usize {
     let mut field = field;
     loop {
         if let Some(line) = lines.get(field) {
--- a/crates/cli/src/output/changed.rs
+++ b/crates/cli/src/output/changed.rs
@@ -1,14 +1,14 @@
-//! What became of a change.
+//! Output for the outcome of a change.
 
 use ops::reply::Changed;
 use ops::reply::Difference;
 use serde::Serialize;
 
+use crate::exit::Error;
 use crate::exit::Exit;
-use crate::exit::Trouble;
 use crate::session::Session;
 
-/// The answer for programs, with a new key where there is one.
+/// JSON output, with the new key if there is one.
 #[derive(Serialize)]
 struct Answer<'a> {
     #[serde(flatten)]
@@ -17,40 +17,40 @@
     key: Option<&'a str>,
 }
 
-/// Writes the result.
-pub fn write(session: &mut Session<'_>, changed: &Changed) -> Result<Exit, Trouble> {
-    answer(session, changed, None)
+/// Writes the outcome.
+pub fn write(session: &mut Session<'_>, changed: &Changed) -> Result<Exit, Error> {
+    write_result(session, changed, None)
 }
 
-/// Writes the result and, if the change took effect, the new key: the only time that it is shown.
+/// Writes the outcome and, if the change took effect, the new key, which can't be shown again.
 pub fn write_with_key(
     session: &mut Session<'_>,
     changed: &Changed,
     key: &str,
-) -> Result<Exit, Trouble> {
+) -> Result<Exit, Error> {
     let took_effect = !matches!(changed, Changed::Conflict { .. });
-    answer(session, changed, took_effect.then_some(key))
+    write_result(session, changed, took_effect.then_some(key))
 }
 
-/// Writes the result and a key.
-fn answer(
+/// Writes the outcome and an optional key as JSON or text.
+fn write_result(
     session: &mut Session<'_>,
     changed: &Changed,
     key: Option<&str>,
-) -> Result<Exit, Trouble> {
+) -> Result<Exit, Error> {
     if session.json {
         session.write_json(&Answer { changed, key })?;
-        return Ok(exit(changed));
+        return Ok(exit_code(changed));
     }
-    text(session, changed)?;
+    write_text(session, changed)?;
     if let Some(key) = key {
         writeln!(session.out, "key (shown only now): {key}")?;
     }
-    Ok(exit(changed))
+    Ok(exit_code(changed))
 }
 
-/// Writes the result for a person.
-fn text(session: &mut Session<'_>, changed: &Changed) -> Result<(), Trouble> {
+/// Writes the outcome as text.
+fn write_text(session: &mut Session<'_>, changed: &Changed) -> Result<(), Error> {
     match changed {
         Changed::Accepted { version } => {
             writeln!(
@@ -73,15 +73,15 @@
             let line = "conflict: nothing was changed; another change came first";
             writeln!(session.out, "{line}, and version {version} is the newest:")?;
             for difference in differences {
-                writeln!(session.out, "  {}", one_line(difference))?;
+                writeln!(session.out, "  {}", format_difference(difference))?;
             }
         }
     }
     Ok(())
 }
 
-/// A difference for a person.
-fn one_line(difference: &Difference) -> String {
+/// Formats a difference as one line.
+fn format_difference(difference: &Difference) -> String {
     let subject = [difference.subject.as_str(), &difference.field].join(" ");
     let subject = subject.trim_end();
     match (difference.before.as_str(), difference.after.as_str()) {
@@ -91,8 +91,8 @@
     }
 }
 
-/// The exit code for a result.
-fn exit(changed: &Changed) -> Exit {
+/// Returns the exit code for an outcome.
+fn exit_code(changed: &Changed) -> Exit {
     match changed {
         Changed::Accepted { .. } => Exit::Done,
         Changed::Committed { .. } => Exit::Committed,
--- a/crates/cli/tests/pages.rs
+++ b/crates/cli/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The operators' pages name only commands, exit codes and tests that exist.
+//! The operators' pages name only exit codes and tests that exist.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -7,27 +7,27 @@
 
 use cli::exit::Exit;
 
-/// The root of the repository.
+/// Returns the root of the repository.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// A page of docs.
+/// Reads a page of the documentation.
 fn page(name: &str) -> String {
     fs::read_to_string(root().join("docs").join(name)).expect("a page")
 }
 
-/// Names of all test functions of the workspace.
-fn tests() -> BTreeSet<String> {
+/// Returns the names of all test functions in the workspace.
+fn test_names() -> BTreeSet<String> {
     let mut names = BTreeSet::new();
-    let mut left = vec![root().join("crates")];
-    while let Some(directory) = left.pop() {
+    let mut directories = vec![root().join("crates")];
+    while let Some(directory) = directories.pop() {
         for entry in fs::read_dir(directory).expect("a directory") {
             let path = entry.expect("an entry").path();
             if path.is_dir() && !path.ends_with("src") {
-                left.push(path);
+                directories.push(path);
             } else if path.extension().is_some_and(|extension| extension == "rs") {
-                collect(
+                collect_function_names(
                     &fs::read_to_string(path).expect("a source file"),
                     &mut names,
                 );
@@ -37,8 +37,8 @@
     names
 }
 
-/// Appends the names of the functions of a source file.
-fn collect(text: &str, names: &mut BTreeSet<String>) {
+/// Adds the names of the functions in a source file.
+fn collect_function_names(text: &str, names: &mut BTreeSet<String>) {
     for line in text.lines() {
         let line = line.trim_start();
         let line = line.strip_prefix("async ").unwrap_or(line);
@@ -52,15 +52,15 @@
 }
 
 #[test]
-fn each_test_that_the_page_of_failures_names_exists() {
-    let known = tests();
+fn each_test_named_by_the_failures_page_exists() {
+    let known = test_names();
     let text = page("failures.md");
     let sections = text.split("\n## ").skip(1);
     for section in sections {
-        let (_, named) = section
+        let (_, test_list) = section
             .split_once("**Tests.**")
             .expect("each failure names its tests");
-        for name in named.split('`').skip(1).step_by(2) {
+        for name in test_list.split('`').skip(1).step_by(2) {
             assert!(known.contains(name), "{name}");
         }
     }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: addresses, tickets and the loop around each try.
+//! The client: addresses, tickets and the bookkeeping of retries.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
@@ -18,46 +18,51 @@
 use smol_str::SmolStr;
 use verdict::Verdict;
 
-use crate::address::Answer;
+use crate::address::Addresses;
 use crate::address::Book;
 use crate::address::Ticket;
 use crate::configs;
 use crate::error::Error;
 use crate::error::Kind;
 use crate::retry;
-use crate::retry::Repeat;
-use crate::wire;
-use crate::wire::Wire;
+use crate::retry::Policy;
+use crate::transport;
+use crate::transport::Transport;
 
-/// Reaches the system for one client account; clones share all they know.
+/// Client of the system for one client account; clones share their state.
 #[derive(Clone)]
 pub struct Client {
     pub(crate) shared: Arc<Shared>,
 }
 
+/// State shared by the clones of a client.
 pub(crate) struct Shared {
     pub(crate) config: configs::Client,
-    pub(crate) wire: Wire,
+    pub(crate) transport: Transport,
     clock: Clock,
     book: Mutex<Book>,
 }
 
-/// Tries of one request so far.
-pub(crate) struct Tries {
-    since: Time,
-    failed: u32,
-    repeat: Repeat,
+/// Attempts at one request.
+pub(crate) struct Attempts {
+    started_at: Time,
+    failures: u32,
+    policy: Policy,
 }
 
 impl Client {
-    /// Knows the entries of the settings and has asked none yet.
+    /// Creates a client; it sends nothing yet.
     pub fn new(config: configs::Client) -> Client {
         let seed = config
             .seed
             .unwrap_or_else(|| RandomState::new().hash_one(0));
         let random = Pcg64Mcg::seed_from_u64(seed);
         let shared = Shared {
-            wire: Wire::new(config.key.clone(), config.connect, config.silence),
+            transport: Transport::new(
+                config.key.clone(),
+                config.connect_timeout,
+                config.idle_timeout,
+            ),
             clock: Clock::start(),
             book: Mutex::new(Book::new(config.entries.clone(), random)),
             config,
@@ -67,13 +72,13 @@
         }
     }
 
-    /// The entry to use for a request with this prefix key; empty for none.
+    /// Returns the entry for a request with this prefix key, which may be empty.
     pub async fn entry(&self, key: &str) -> Result<SmolStr, Error> {
         self.shared.entry(key).await
     }
 
-    /// Asks for addresses anew, whatever is known.
-    pub async fn refresh(&self, key: &str) -> Result<Answer, Error> {
+    /// Queries the addresses again, bypassing the cache.
+    pub async fn refresh(&self, key: &str) -> Result<Addresses, Error> {
         self.shared.refresh(key).await
     }
 }
@@ -87,6 +92,7 @@
         self.pick(key).ok_or_else(unreachable)
     }
 
+    /// Takes a cached ticket, or fetches new ones if none is left.
     pub(crate) async fn ticket(&self) -> Result<Option<Ticket>, Error> {
         let now = self.clock.now();
         if let Some(ticket) = self.book().take_ticket(now) {
@@ -96,72 +102,87 @@
         Ok(self.book().take_ticket(now))
     }
 
-    pub(crate) fn shun(&self, address: &str) {
+    pub(crate) fn mark_failed(&self, address: &str) {
         let now = self.clock.now();
-        self.book().shun(now, address);
+        self.book().mark_failed(now, address);
     }
 
-    pub(crate) fn trust(&self, address: &str) {
-        self.book().trust(address);
+    pub(crate) fn mark_reachable(&self, address: &str) {
+        self.book().mark_reachable(address);
     }
 
-    pub(crate) fn tries(&self, repeat: Repeat) -> Tries {
-        Tries {
-            since: self.clock.now(),
-            failed: 0,
-            repeat,
+    pub(crate) fn attempts(&self, policy: Policy) -> Attempts {
+        Attempts {
+            started_at: self.clock.now(),
+            failures: 0,
+            policy,
         }
     }
 
-    /// Goes on at once at the entry that the last one named, unless that has led nowhere too often.
-    pub(crate) fn hop(&self, tries: &mut Tries, error: Error) -> Result<(), Error> {
-        tries.failed += 1;
-        if tries.failed >= self.config.tries {
+    /// Counts a redirect, or returns the error if the attempts are exhausted.
+    pub(crate) fn count_redirect(
+        &self,
+        attempts: &mut Attempts,
+        error: Error,
+    ) -> Result<(), Error> {
+        attempts.failures += 1;
+        if attempts.failures >= self.config.max_attempts {
             return Err(error);
         }
         Ok(())
     }
 
-    /// Waits before the next try, or gives the error back when there should be none.
-    pub(crate) async fn after(&self, tries: &mut Tries, error: Error) -> Result<(), Error> {
-        tries.failed += 1;
-        if tries.failed >= self.config.tries {
+    /// Waits before the next attempt, or returns the error if there should be none.
+    pub(crate) async fn wait_to_retry(
+        &self,
+        attempts: &mut Attempts,
+        error: Error,
+    ) -> Result<(), Error> {
+        attempts.failures += 1;
+        if attempts.failures >= self.config.max_attempts {
             return Err(error);
         }
-        let wait = retry::wait(&error, tries.repeat, tries.failed, self.book().random());
+        let wait = retry::delay(
+            &error,
+            attempts.policy,
+            attempts.failures,
+            self.book().random(),
+        );
         let Some(wait) = wait else { return Err(error) };
-        let spent = self.clock.now().since(tries.since);
-        if spent + wait > self.config.patience {
+        let spent = self.clock.now().since(attempts.started_at);
+        if spent + wait > self.config.retry_timeout {
             return Err(error);
         }
         tokio::time::sleep(wait.as_duration()).await;
         Ok(())
     }
 
-    async fn refresh(&self, key: &str) -> Result<Answer, Error> {
+    /// Queries the known entries one by one and caches the first response.
+    async fn refresh(&self, key: &str) -> Result<Addresses, Error> {
         let now = self.clock.now();
-        let order = self.book().ask_order(now);
-        let mut last = unreachable();
+        let order = self.book().query_order(now);
+        let mut last_error = unreachable();
         for address in order {
-            match self.ask(&address, key).await {
-                Ok(answer) => {
+            match self.query(&address, key).await {
+                Ok(response) => {
                     let mut book = self.book();
-                    book.trust(&address);
-                    book.keep(self.clock.now(), &address, key, answer.clone());
-                    return Ok(answer);
+                    book.mark_reachable(&address);
+                    book.insert(self.clock.now(), &address, key, response.clone());
+                    return Ok(response);
                 }
                 Err(error) => {
-                    self.shun(&address);
-                    last = error;
+                    self.mark_failed(&address);
+                    last_error = error;
                 }
             }
         }
-        // Only addresses were asked for: whatever went wrong, the request did not run.
-        last.verdict = Verdict::NotRun;
-        Err(last)
+        // Only addresses were queried, so the request itself can't have run.
+        last_error.verdict = Verdict::NotRun;
+        Err(last_error)
     }
 
-    async fn ask(&self, address: &str, key: &str) -> Result<Answer, Error> {
+    /// Queries one entry for addresses.
+    async fn query(&self, address: &str, key: &str) -> Result<Addresses, Error> {
         let path = if key.is_empty() {
             "/v1/addresses".to_owned()
         } else {
@@ -169,19 +190,19 @@
         };
         let request = Request::builder().method(Method::GET);
         let response = self
-            .wire
+            .transport
             .send(address, request, &path, Bytes::new())
             .await?;
         let status = response.status();
-        let bytes = self.wire.read(response).await?;
+        let bytes = self.transport.read(response).await?;
         if status != StatusCode::OK {
-            return Err(wire::refusal(&bytes));
+            return Err(transport::parse_refusal(&bytes));
         }
         serde_json::from_slice(&bytes).map_err(|_| {
             Error::new(
                 Verdict::NotRun,
                 Kind::Protocol,
-                "an address answer that can't be read",
+                "the address response is malformed",
             )
         })
     }
@@ -196,11 +217,11 @@
     }
 }
 
-impl Tries {
-    /// Something was achieved: only failures in a row count.
+impl Attempts {
+    /// Resets the count after progress: only consecutive failures count.
     pub(crate) fn reset(&mut self, now: Time) {
-        self.failed = 0;
-        self.since = now;
+        self.failures = 0;
+        self.started_at = now;
     }
 }
 
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -5,14 +5,14 @@
 use entry::arrival::Arrival;
 use entry::arrival::Work;
 use entry::effect::Addresses;
-use front::answer;
-use front::answer::Payload;
 use front::call::Call;
 use front::call::Credentials;
 use front::call::Plain;
 use front::chat::Chat;
 use front::handler::Handler;
-use front::handler::Pending;
+use front::handler::ResponseFuture;
+use front::response;
+use front::response::Payload;
 use http::Response;
 use request::id::Id;
 use request::id::Incarnation;
@@ -57,7 +57,7 @@
     }
 
     /// Starts the task of a model call.
-    fn start_model_call(&self, credentials: Credentials, chat: Chat) -> Pending {
+    fn start_model_call(&self, credentials: Credentials, chat: Chat) -> ResponseFuture {
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
         let output = Output::new(id.to_string(), chat.stream, head);
@@ -70,7 +70,7 @@
     }
 
     /// Starts the task of a plain call.
-    fn start_plain_call(&self, credentials: Credentials, call: Plain) -> Pending {
+    fn start_plain_call(&self, credentials: Credentials, call: Plain) -> ResponseFuture {
         let id = self.new_id();
         let (head, answer) = oneshot::channel();
         let arrival = plain_arrival(&credentials, &call);
@@ -97,7 +97,7 @@
     }
 
     /// Asks the reducer which entries the caller should use.
-    fn addresses(&self, key: Option<SmolStr>, prefix: Option<u64>) -> Pending {
+    fn addresses(&self, key: Option<SmolStr>, prefix: Option<u64>) -> ResponseFuture {
         let (reply, answer) = oneshot::channel();
         self.shared
             .link
@@ -112,7 +112,7 @@
     }
 
     /// Asks the reducer to cancel a request.
-    fn cancel(&self, key: Option<SmolStr>, request: SmolStr) -> Pending {
+    fn cancel(&self, key: Option<SmolStr>, request: SmolStr) -> ResponseFuture {
         let (reply, answer) = oneshot::channel();
         let name = request.to_string();
         self.shared.link.send(Message::Cancel {
@@ -122,8 +122,10 @@
         });
         Box::pin(async move {
             match answer.await {
-                Ok(None) => answer::json_answer(&json!({"cancelled": name})),
-                Ok(Some(refusal)) => answer::refused(&name, &refusal),
+                Ok(None) => response::json(&json ! ( {
+                "cancelled" : name }
+                )),
+                Ok(Some(refusal)) => response::refusal(&name, &refusal),
                 Err(_) => stopped_response(),
             }
         })
@@ -131,7 +133,7 @@
 }
 
 impl Handler for Callers {
-    fn handle(&self, credentials: Credentials, call: Call) -> Pending {
+    fn handle(&self, credentials: Credentials, call: Call) -> ResponseFuture {
         match call {
             Call::Addresses { prefix } => self.addresses(credentials.key, prefix),
             Call::Model(chat) => self.start_model_call(credentials, chat),
@@ -142,14 +144,14 @@
 }
 
 /// Awaits the response of a call's task.
-fn await_response(answer: oneshot::Receiver<Response<Payload>>) -> Pending {
+fn await_response(answer: oneshot::Receiver<Response<Payload>>) -> ResponseFuture {
     Box::pin(async move { answer.await.unwrap_or_else(|_| stopped_response()) })
 }
 
 /// Creates the response to a call that was open when the process stopped.
 fn stopped_response() -> Response<Payload> {
     let refusal = Refusal::may_have_run(Reason::Leaving, "this entry has stopped");
-    answer::refused("", &refusal)
+    response::refusal("", &refusal)
 }
 
 /// Converts a model call for the reducer.
@@ -215,7 +217,7 @@
         .iter()
         .map(|ticket| seal.sign(ticket))
         .collect();
-    answer::json_answer(&json!({
+    response::json(&json ! ( {
         "addresses": entries,
         "ttl_ms": addresses.ttl.as_millis(),
         "tickets": tickets,
--- a/crates/front/src/handler.rs
+++ b/crates/front/src/handler.rs
@@ -1,19 +1,19 @@
-//! The border to whoever answers the calls.
+//! Interface to the embedder that answers calls.
 
 use std::future::Future;
 use std::pin::Pin;
 
 use http::Response;
 
-use crate::answer::Payload;
 use crate::call::Call;
 use crate::call::Credentials;
+use crate::response::Payload;
 
-/// The answer to come.
-pub type Pending = Pin<Box<dyn Future<Output = Response<Payload>>>>;
+/// Future of a response.
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<Payload>>>>;
 
-/// Answers calls. Dropping the pending answer means that the caller went away.
+/// Answers calls. If a response future is dropped, the caller has disconnected.
 pub trait Handler {
-    /// Begins to answer one call.
-    fn handle(&self, credentials: Credentials, call: Call) -> Pending;
+    /// Starts to answer one call.
+    fn handle(&self, credentials: Credentials, call: Call) -> ResponseFuture;
 }
--- a/crates/ops/src/client.rs
+++ b/crates/ops/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' side: sends a [`Request`], gives the [`Reply`].
+//! gRPC client: sends a [`Request`] and returns the [`Reply`].
 
 use std::error::Error;
 use std::fmt;
@@ -12,8 +12,8 @@
 use tonic::transport::Channel;
 use tonic::transport::Endpoint;
 
-use crate::convert::answer::Garbled;
-use crate::convert::ask;
+use crate::convert::decode_reply::DecodeError;
+use crate::convert::encode_request;
 use crate::reply::Reply;
 use crate::request::Change;
 use crate::request::Edit;
@@ -21,12 +21,12 @@
 use crate::wire;
 use crate::wire::operators_client::OperatorsClient;
 
-/// Longest time for a connection to be made.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest time for one call; more than the server allows itself.
+/// Timeout of one call; longer than the server's own, so that the server's error arrives first.
 const CALL_TIMEOUT: Duration = Duration::from_secs(130);
-/// Most bytes of one answer: a configuration with thousands of accounts is larger than the default.
-const ANSWER_MAX: usize = 64 * 1024 * 1024;
+/// Largest reply; a configuration with thousands of accounts exceeds tonic's default of 4 MiB.
+const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
 /// A connection to the operators' port of one entry.
 #[derive(Clone, Debug)]
@@ -35,38 +35,38 @@
     key: MetadataValue<Ascii>,
 }
 
-/// Why a call failed.
+/// Error of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// What kind of failure.
+    /// Category of the failure.
     pub kind: Kind,
-    /// For a person.
+    /// Human-readable description.
     pub message: String,
 }
 
-/// Kinds of failure.
+/// Categories of failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// The call is malformed.
     Invalid,
     /// The operators' key is missing or wrong.
     Unauthenticated,
-    /// No such thing.
+    /// The subject of the call doesn't exist.
     NotFound,
-    /// It is there already.
+    /// The object to create already exists.
     AlreadyExists,
     /// The change contradicts the configuration.
     Precondition,
-    /// Nothing happened; coming back helps.
+    /// Nothing was changed; a retry may succeed.
     Unavailable,
     /// A change may or may not have taken effect.
     OutcomeUnknown,
-    /// Anything else.
+    /// Any other failure.
     Internal,
 }
 
 impl Failure {
-    /// A failure of that kind.
+    /// Creates a failure of category `kind`.
     pub fn new(kind: Kind, message: impl Into<String>) -> Failure {
         Failure {
             kind,
@@ -87,7 +87,7 @@
     /// Connects to `http://HOST:PORT`.
     pub async fn connect(address: &str, key: &str) -> Result<Client, Failure> {
         let key = format!("Bearer {key}").parse().map_err(|_| {
-            let message = "the operators' key holds characters that no key has";
+            let message = "the operators' key contains invalid characters";
             Failure::new(Kind::Unauthenticated, message)
         })?;
         let endpoint = Endpoint::from_shared(address.to_owned())
@@ -97,89 +97,89 @@
             .timeout(CALL_TIMEOUT)
             .connect()
             .await
-            .map_err(|error| Failure::new(Kind::Unavailable, chain(address, &error)))?;
-        let stub = OperatorsClient::new(channel).max_decoding_message_size(ANSWER_MAX);
+            .map_err(|error| Failure::new(Kind::Unavailable, with_causes(address, &error)))?;
+        let stub = OperatorsClient::new(channel).max_decoding_message_size(MAX_REPLY_BYTES);
         Ok(Client { stub, key })
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for the reply.
     pub async fn call(&mut self, request: Request) -> Result<Reply, Failure> {
         let may_change = request.may_change();
         let result = match request {
             Request::Change(change) => self.change(change).await,
             Request::GetDeployment { name } => {
                 let message = self.with_key(wire::GetDeploymentRequest { name: name.into() });
-                read(self.stub.get_deployment(message).await)
+                decode(self.stub.get_deployment(message).await)
             }
             Request::ListDeployments => {
                 let message = self.with_key(wire::ListDeploymentsRequest {});
-                read(self.stub.list_deployments(message).await)
+                decode(self.stub.list_deployments(message).await)
             }
             Request::GetHistory { before, limit } => {
                 let message = self.with_key(wire::GetHistoryRequest {
                     before_version: before.unwrap_or_default(),
                     limit: u32::try_from(limit).unwrap_or(u32::MAX),
                 });
-                read(self.stub.get_history(message).await)
+                decode(self.stub.get_history(message).await)
             }
             Request::GetStatus => {
                 let message = self.with_key(wire::GetStatusRequest {});
-                read(self.stub.get_status(message).await)
+                decode(self.stub.get_status(message).await)
             }
             Request::Drain(target) => {
-                let message = self.with_key(ask::drain(target));
-                read(self.stub.drain(message).await)
+                let message = self.with_key(encode_request::drain(target));
+                decode(self.stub.drain(message).await)
             }
             Request::Report { deployment } => {
                 let message = self.with_key(wire::ReportRequest {
                     deployment: deployment.unwrap_or_default().into(),
                 });
-                read(self.stub.report(message).await)
+                decode(self.stub.report(message).await)
             }
             Request::Explain { request } => {
                 let message = self.with_key(wire::ExplainRequest {
                     request: request.into(),
                 });
-                read(self.stub.explain(message).await)
+                decode(self.stub.explain(message).await)
             }
         };
         result.map_err(|status| failure(&status, may_change))
     }
 
-    /// Sends a change.
+    /// Sends a change of the configuration.
     async fn change(&mut self, change: Change) -> Result<Reply, Status> {
-        let how = ask::change_to(&change);
+        let change_header = encode_request::change(&change);
         match change.edit {
             Edit::CreateDeployment(deployment) => {
-                let message = self.with_key(ask::create(how, deployment));
-                read(self.stub.create_deployment(message).await)
+                let message = self.with_key(encode_request::create(change_header, deployment));
+                decode(self.stub.create_deployment(message).await)
             }
             Edit::ChangeDeployment(deployment) => {
-                let message = self.with_key(ask::replace(how, deployment));
-                read(self.stub.change_deployment(message).await)
+                let message = self.with_key(encode_request::replace(change_header, deployment));
+                decode(self.stub.change_deployment(message).await)
             }
             Edit::RemoveDeployment(name) => {
                 let message = self.with_key(wire::RemoveDeploymentRequest {
-                    change: how,
+                    change: change_header,
                     name: name.into(),
                 });
-                read(self.stub.remove_deployment(message).await)
+                decode(self.stub.remove_deployment(message).await)
             }
             Edit::PutAccount(account) => {
-                let message = self.with_key(ask::put(how, account));
-                read(self.stub.put_account(message).await)
+                let message = self.with_key(encode_request::put(change_header, account));
+                decode(self.stub.put_account(message).await)
             }
             Edit::RemoveAccount(name) => {
                 let message = self.with_key(wire::RemoveAccountRequest {
-                    change: how,
+                    change: change_header,
                     name: name.into(),
                 });
-                read(self.stub.remove_account(message).await)
+                decode(self.stub.remove_account(message).await)
             }
         }
     }
 
-    /// A message with the operators' key.
+    /// Wraps a message in a request that carries the operators' key.
     fn with_key<M>(&self, message: M) -> tonic::Request<M> {
         let mut request = tonic::Request::new(message);
         request
@@ -189,24 +189,24 @@
     }
 }
 
-/// Reads an answer.
-fn read<M>(result: Result<Response<M>, Status>) -> Result<Reply, Status>
+/// Decodes a response.
+fn decode<M>(result: Result<Response<M>, Status>) -> Result<Reply, Status>
 where
-    Reply: TryFrom<M, Error = Garbled>,
+    Reply: TryFrom<M, Error = DecodeError>,
 {
     let message = result?.into_inner();
-    Reply::try_from(message).map_err(|Garbled(why)| Status::internal(why))
+    Reply::try_from(message).map_err(|DecodeError(reason)| Status::internal(reason))
 }
 
-/// Reads a status.
+/// Converts a status into a failure.
 ///
-/// A connection that breaks while a change is on its way leaves a status with a source, made on this
-/// side: the entry may have carried the change out, so that the outcome is unknown whatever the code.
+/// If the connection breaks during a change, tonic creates the status locally and gives it a source. The
+/// entry may have applied the change all the same, so the outcome is unknown whatever the code.
 fn failure(status: &Status, may_change: bool) -> Failure {
-    let broken = status.source().is_some();
+    let connection_lost = status.source().is_some();
     let kind = match status.code() {
-        _ if broken && may_change => Kind::OutcomeUnknown,
-        _ if broken => Kind::Unavailable,
+        _ if connection_lost && may_change => Kind::OutcomeUnknown,
+        _ if connection_lost => Kind::Unavailable,
         Code::InvalidArgument => Kind::Invalid,
         Code::Unauthenticated => Kind::Unauthenticated,
         Code::NotFound => Kind::NotFound,
@@ -221,8 +221,8 @@
     Failure::new(kind, status.message())
 }
 
-/// An error with its causes.
-fn chain(address: &str, error: &dyn Error) -> String {
+/// Formats an error with its chain of causes.
+fn with_causes(address: &str, error: &dyn Error) -> String {
     let mut text = format!("{address}: {error}");
     let mut cause = error.source();
     while let Some(error) = cause {
--- a/crates/ops/src/convert/configuration.rs
+++ b/crates/ops/src/convert/configuration.rs
@@ -1,4 +1,4 @@
-//! Deployments and accounts.
+//! Conversion of deployments and accounts.
 
 use config::check;
 use config::check::Violation;
@@ -13,17 +13,21 @@
 use crate::wire;
 use crate::wire::deployment::Kind as WireKind;
 
-/// Reads a deployment and names everything wrong with it.
-pub fn deployment_from(message: wire::Deployment) -> Result<Deployment, Vec<Violation>> {
-    let kind = message.kind.map(kind_from);
+/// Decodes and validates a deployment; the error lists all violations.
+pub fn decode_deployment(message: wire::Deployment) -> Result<Deployment, Vec<Violation>> {
+    let kind = message.kind.map(decode_kind);
     let deployment = Deployment {
         name: message.name.into(),
         kind: kind.clone().unwrap_or(Kind::Service),
         pool: message.pool.into(),
-        grants: message.grants.into_iter().map(grant_from).collect(),
-        non_idempotent: message.non_idempotent.into_iter().map(call_from).collect(),
+        grants: message.grants.into_iter().map(decode_grant).collect(),
+        non_idempotent: message
+            .non_idempotent
+            .into_iter()
+            .map(decode_call_pattern)
+            .collect(),
         checks_fencing: message.checks_fencing,
-        fleet: message.fleet.map(fleet_from).unwrap_or_default(),
+        fleet: message.fleet.map(decode_fleet).unwrap_or_default(),
     };
     let mut violations = check::deployment(&deployment);
     if kind.is_none() {
@@ -39,20 +43,25 @@
     }
 }
 
-/// Writes a deployment.
-pub fn deployment_to(deployment: Deployment) -> wire::Deployment {
+/// Encodes a deployment.
+pub fn encode_deployment(deployment: Deployment) -> wire::Deployment {
     wire::Deployment {
         name: deployment.name.into(),
-        kind: Some(kind_to(deployment.kind)),
+        kind: Some(encode_kind(deployment.kind)),
         pool: deployment.pool.into(),
-        grants: deployment.grants.into_iter().map(grant_to).collect(),
-        non_idempotent: deployment.non_idempotent.into_iter().map(call_to).collect(),
+        grants: deployment.grants.into_iter().map(encode_grant).collect(),
+        non_idempotent: deployment
+            .non_idempotent
+            .into_iter()
+            .map(encode_call_pattern)
+            .collect(),
         checks_fencing: deployment.checks_fencing,
-        fleet: fleet_to(deployment.fleet),
+        fleet: encode_fleet(deployment.fleet),
     }
 }
 
-fn fleet_from(fleet: wire::Fleet) -> Fleet {
+/// Decodes fleet bounds.
+fn decode_fleet(fleet: wire::Fleet) -> Fleet {
     Fleet {
         capacity: fleet.capacity,
         least: fleet.least,
@@ -60,8 +69,8 @@
     }
 }
 
-/// Bounds that are all zero are left out, as they were before there were any.
-fn fleet_to(fleet: Fleet) -> Option<wire::Fleet> {
+/// Encodes fleet bounds; all-zero bounds are omitted, as in releases that had none.
+fn encode_fleet(fleet: Fleet) -> Option<wire::Fleet> {
     (fleet != Fleet::default()).then_some(wire::Fleet {
         capacity: fleet.capacity,
         least: fleet.least,
@@ -69,8 +78,8 @@
     })
 }
 
-/// Reads an account and names everything wrong with it.
-pub fn account_from(message: wire::Account) -> Result<Account, Vec<Violation>> {
+/// Decodes and validates an account; the error lists all violations.
+pub fn decode_account(message: wire::Account) -> Result<Account, Vec<Violation>> {
     let priority = u8::try_from(message.priority);
     let account = Account {
         name: message.name.into(),
@@ -92,8 +101,8 @@
     }
 }
 
-/// Writes an account.
-pub fn account_to(account: Account) -> wire::Account {
+/// Encodes an account.
+pub fn encode_account(account: Account) -> wire::Account {
     wire::Account {
         name: account.name.into(),
         key_hashes: account.key_hashes.into_iter().map(String::from).collect(),
@@ -104,8 +113,8 @@
     }
 }
 
-/// Reads what is served.
-fn kind_from(kind: WireKind) -> Kind {
+/// Decodes the kind of a deployment.
+fn decode_kind(kind: WireKind) -> Kind {
     match kind {
         WireKind::Model(model) => Kind::Model {
             model: model.model.into(),
@@ -116,8 +125,8 @@
     }
 }
 
-/// Writes what is served.
-fn kind_to(kind: Kind) -> WireKind {
+/// Encodes the kind of a deployment.
+fn encode_kind(kind: Kind) -> WireKind {
     match kind {
         Kind::Model {
             model,
@@ -132,8 +141,8 @@
     }
 }
 
-/// Reads a promise.
-fn grant_from(grant: wire::Grant) -> Grant {
+/// Decodes a grant.
+fn decode_grant(grant: wire::Grant) -> Grant {
     Grant {
         account: grant.account.into(),
         first_token_ms: grant.first_token_ms,
@@ -142,8 +151,8 @@
     }
 }
 
-/// Writes a promise.
-fn grant_to(grant: Grant) -> wire::Grant {
+/// Encodes a grant.
+fn encode_grant(grant: Grant) -> wire::Grant {
     wire::Grant {
         account: grant.account.into(),
         first_token_ms: grant.first_token_ms,
@@ -152,16 +161,16 @@
     }
 }
 
-/// Reads a rule about calls.
-fn call_from(pattern: wire::CallPattern) -> CallPattern {
+/// Decodes a call pattern.
+fn decode_call_pattern(pattern: wire::CallPattern) -> CallPattern {
     CallPattern {
         method: pattern.method.into(),
         path_prefix: pattern.path_prefix.into(),
     }
 }
 
-/// Writes a rule about calls.
-fn call_to(pattern: CallPattern) -> wire::CallPattern {
+/// Encodes a call pattern.
+fn encode_call_pattern(pattern: CallPattern) -> wire::CallPattern {
     wire::CallPattern {
         method: pattern.method.into(),
         path_prefix: pattern.path_prefix.into(),
--- a/crates/ops/src/convert/ask.rs
+++ b/crates/ops/src/convert/encode_request.rs
@@ -1,14 +1,14 @@
-//! Writes calls.
+//! Encodes requests; used by the client.
 
-use crate::convert::configuration::account_to;
-use crate::convert::configuration::deployment_to;
+use crate::convert::configuration::encode_account;
+use crate::convert::configuration::encode_deployment;
 use crate::request::Change;
 use crate::request::Target;
 use crate::wire;
 use crate::wire::drain_request::Target as WireTarget;
 
-/// Writes what every change carries.
-pub fn change_to(change: &Change) -> Option<wire::Change> {
+/// Encodes the fields that all changes have in common.
+pub fn change(change: &Change) -> Option<wire::Change> {
     Some(wire::Change {
         expected_version: change.expected_version,
         change_id: change.id.to_string(),
@@ -16,40 +16,40 @@
     })
 }
 
-/// Writes a creation.
+/// Encodes the creation of a deployment.
 pub fn create(
     change: Option<wire::Change>,
     deployment: config::deployment::Deployment,
 ) -> wire::CreateDeploymentRequest {
     wire::CreateDeploymentRequest {
         change,
-        deployment: Some(deployment_to(deployment)),
+        deployment: Some(encode_deployment(deployment)),
     }
 }
 
-/// Writes a replacement.
+/// Encodes the replacement of a deployment.
 pub fn replace(
     change: Option<wire::Change>,
     deployment: config::deployment::Deployment,
 ) -> wire::ChangeDeploymentRequest {
     wire::ChangeDeploymentRequest {
         change,
-        deployment: Some(deployment_to(deployment)),
+        deployment: Some(encode_deployment(deployment)),
     }
 }
 
-/// Writes an account's addition or replacement.
+/// Encodes the creation or replacement of an account.
 pub fn put(
     change: Option<wire::Change>,
     account: config::deployment::Account,
 ) -> wire::PutAccountRequest {
     wire::PutAccountRequest {
         change,
-        account: Some(account_to(account)),
+        account: Some(encode_account(account)),
     }
 }
 
-/// Writes what is drained.
+/// Encodes a drain request.
 pub fn drain(target: Target) -> wire::DrainRequest {
     let target = match target {
         Target::Entry(name) => WireTarget::Entry(name.into()),
--- a/crates/ops/src/convert/report.rs
+++ b/crates/ops/src/convert/report.rs
@@ -1,4 +1,4 @@
-//! The burn report.
+//! Conversion of the burn report.
 
 use burn::report::Gap;
 use burn::report::Misses;
@@ -10,30 +10,30 @@
 
 use crate::wire;
 
-/// Writes a report.
-pub fn report_to(report: Report) -> wire::ReportResult {
+/// Encodes a report.
+pub fn encode_report(report: Report) -> wire::ReportResult {
     wire::ReportResult {
-        rows: report.rows.into_iter().map(row_to).collect(),
-        gaps: report.gaps.into_iter().map(gap_to).collect(),
+        rows: report.rows.into_iter().map(encode_row).collect(),
+        gaps: report.gaps.into_iter().map(encode_gap).collect(),
         short_window_ms: report.short_window_ms,
         long_window_ms: report.long_window_ms,
         period_ms: report.period_ms,
     }
 }
 
-/// Reads a report.
-pub fn report_from(message: wire::ReportResult) -> Report {
+/// Decodes a report.
+pub fn decode_report(message: wire::ReportResult) -> Report {
     Report {
-        rows: message.rows.into_iter().map(row_from).collect(),
-        gaps: message.gaps.into_iter().map(gap_from).collect(),
+        rows: message.rows.into_iter().map(decode_row).collect(),
+        gaps: message.gaps.into_iter().map(decode_gap).collect(),
         short_window_ms: message.short_window_ms,
         long_window_ms: message.long_window_ms,
         period_ms: message.period_ms,
     }
 }
 
-/// Writes a row.
-fn row_to(row: Row) -> wire::ReportRow {
+/// Encodes a row.
+fn encode_row(row: Row) -> wire::ReportRow {
     wire::ReportRow {
         deployment: row.deployment.into(),
         target: Some(wire::Grant {
@@ -48,18 +48,18 @@
         budget_left: row.budget_left,
         burn_short: row.burn_short,
         burn_long: row.burn_long,
-        misses: Some(misses_to(row.misses)),
-        first_token_ms: Some(quantiles_to(row.first_token_ms)),
-        worst_gap_ms: Some(quantiles_to(row.worst_gap_ms)),
+        misses: Some(encode_misses(row.misses)),
+        first_token_ms: Some(encode_quantiles(row.first_token_ms)),
+        worst_gap_ms: Some(encode_quantiles(row.worst_gap_ms)),
         cost_micros: row.cost_micros,
         cost_per_within_micros: row.cost_per_within_micros,
         recomputed_tokens: row.recomputed_tokens,
-        points: row.points.into_iter().map(point_to).collect(),
+        points: row.points.into_iter().map(encode_point).collect(),
     }
 }
 
-/// Reads a row.
-fn row_from(row: wire::ReportRow) -> Row {
+/// Decodes a row.
+fn decode_row(row: wire::ReportRow) -> Row {
     let target = row.target.unwrap_or_default();
     Row {
         deployment: row.deployment.into(),
@@ -74,18 +74,18 @@
         budget_left: row.budget_left,
         burn_short: row.burn_short,
         burn_long: row.burn_long,
-        misses: misses_from(row.misses.unwrap_or_default()),
-        first_token_ms: quantiles_from(row.first_token_ms.unwrap_or_default()),
-        worst_gap_ms: quantiles_from(row.worst_gap_ms.unwrap_or_default()),
+        misses: decode_misses(row.misses.unwrap_or_default()),
+        first_token_ms: decode_quantiles(row.first_token_ms.unwrap_or_default()),
+        worst_gap_ms: decode_quantiles(row.worst_gap_ms.unwrap_or_default()),
         cost_micros: row.cost_micros,
         cost_per_within_micros: row.cost_per_within_micros,
         recomputed_tokens: row.recomputed_tokens,
-        points: row.points.into_iter().map(point_from).collect(),
+        points: row.points.into_iter().map(decode_point).collect(),
     }
 }
 
-/// Writes misses by cause.
-fn misses_to(misses: Misses) -> wire::ReportMisses {
+/// Encodes misses by cause.
+fn encode_misses(misses: Misses) -> wire::ReportMisses {
     wire::ReportMisses {
         waiting: misses.waiting,
         slow_backend: misses.slow_backend,
@@ -96,8 +96,8 @@
     }
 }
 
-/// Reads misses by cause.
-fn misses_from(misses: wire::ReportMisses) -> Misses {
+/// Decodes misses by cause.
+fn decode_misses(misses: wire::ReportMisses) -> Misses {
     Misses {
         waiting: misses.waiting,
         slow_backend: misses.slow_backend,
@@ -108,8 +108,8 @@
     }
 }
 
-/// Writes quantiles.
-fn quantiles_to(quantiles: Quantiles) -> wire::Quantiles {
+/// Encodes quantiles.
+fn encode_quantiles(quantiles: Quantiles) -> wire::Quantiles {
     wire::Quantiles {
         p50: quantiles.p50,
         p95: quantiles.p95,
@@ -117,8 +117,8 @@
     }
 }
 
-/// Reads quantiles.
-fn quantiles_from(quantiles: wire::Quantiles) -> Quantiles {
+/// Decodes quantiles.
+fn decode_quantiles(quantiles: wire::Quantiles) -> Quantiles {
     Quantiles {
         p50: quantiles.p50,
         p95: quantiles.p95,
@@ -126,8 +126,8 @@
     }
 }
 
-/// Writes a slice of the course.
-fn point_to(point: Point) -> wire::ReportPoint {
+/// Encodes a point of the time series.
+fn encode_point(point: Point) -> wire::ReportPoint {
     wire::ReportPoint {
         ago_ms: point.ago_ms,
         requests: point.requests,
@@ -135,8 +135,8 @@
     }
 }
 
-/// Reads a slice of the course.
-fn point_from(point: wire::ReportPoint) -> Point {
+/// Decodes a point of the time series.
+fn decode_point(point: wire::ReportPoint) -> Point {
     Point {
         ago_ms: point.ago_ms,
         requests: point.requests,
@@ -144,8 +144,8 @@
     }
 }
 
-/// Writes a gap.
-fn gap_to(gap: Gap) -> wire::ReportGap {
+/// Encodes a gap in the data.
+fn encode_gap(gap: Gap) -> wire::ReportGap {
     wire::ReportGap {
         entry: gap.entry.into(),
         from_ago_ms: gap.from_ago_ms,
@@ -153,8 +153,8 @@
     }
 }
 
-/// Reads a gap.
-fn gap_from(gap: wire::ReportGap) -> Gap {
+/// Decodes a gap in the data.
+fn decode_gap(gap: wire::ReportGap) -> Gap {
     Gap {
         entry: gap.entry.into(),
         from_ago_ms: gap.from_ago_ms,
--- a/crates/ops/src/convert/status.rs
+++ b/crates/ops/src/convert/status.rs
@@ -1,4 +1,4 @@
-//! How things stand.
+//! Conversion of the system status.
 
 use crate::reply::BackendState;
 use crate::reply::BackendStatus;
@@ -7,19 +7,19 @@
 use crate::reply::Status;
 use crate::wire;
 
-/// Writes how things stand.
-pub fn status_to(status: Status) -> wire::GetStatusResult {
+/// Encodes the system status.
+pub fn encode_status(status: Status) -> wire::GetStatusResult {
     wire::GetStatusResult {
         entry: status.entry.into(),
         version: status.version,
         store_available: status.store_available,
-        entries: status.entries.into_iter().map(entry_to).collect(),
-        backends: status.backends.into_iter().map(backend_to).collect(),
+        entries: status.entries.into_iter().map(encode_entry).collect(),
+        backends: status.backends.into_iter().map(encode_backend).collect(),
     }
 }
 
-/// Writes how an entry stands.
-fn entry_to(entry: EntryStatus) -> wire::EntryStatus {
+/// Encodes the status of an entry.
+fn encode_entry(entry: EntryStatus) -> wire::EntryStatus {
     let lease = match entry.lease {
         LeaseState::Held => wire::LeaseState::Held,
         LeaseState::Overdue => wire::LeaseState::Overdue,
@@ -36,8 +36,8 @@
     }
 }
 
-/// Writes how a backend server stands.
-fn backend_to(backend: BackendStatus) -> wire::BackendStatus {
+/// Encodes the status of a backend server.
+fn encode_backend(backend: BackendStatus) -> wire::BackendStatus {
     let state = match backend.state {
         BackendState::Live => wire::BackendState::Live,
         BackendState::Leaving => wire::BackendState::Leaving,
@@ -53,19 +53,19 @@
     }
 }
 
-/// Reads how things stand.
-pub fn status_from(message: wire::GetStatusResult) -> Status {
+/// Decodes the system status.
+pub fn decode_status(message: wire::GetStatusResult) -> Status {
     Status {
         entry: message.entry.into(),
         version: message.version,
         store_available: message.store_available,
-        entries: message.entries.into_iter().map(entry_from).collect(),
-        backends: message.backends.into_iter().map(backend_from).collect(),
+        entries: message.entries.into_iter().map(decode_entry).collect(),
+        backends: message.backends.into_iter().map(decode_backend).collect(),
     }
 }
 
-/// Reads how an entry stands; a state that isn't known here counts as the worst.
-fn entry_from(entry: wire::EntryStatus) -> EntryStatus {
+/// Decodes the status of an entry; an unknown lease state counts as lapsed.
+fn decode_entry(entry: wire::EntryStatus) -> EntryStatus {
     let lease = match entry.lease() {
         wire::LeaseState::Held => LeaseState::Held,
         wire::LeaseState::Overdue => LeaseState::Overdue,
@@ -82,8 +82,8 @@
     }
 }
 
-/// Reads how a backend server stands; a state that isn't known here counts as getting no work.
-fn backend_from(backend: wire::BackendStatus) -> BackendStatus {
+/// Decodes the status of a backend server; an unknown state counts as leaving, which gets no work.
+fn decode_backend(backend: wire::BackendStatus) -> BackendStatus {
     let state = match backend.state() {
         wire::BackendState::Live => BackendState::Live,
         wire::BackendState::Ejected => BackendState::Ejected,
--- a/crates/ops/src/journal.rs
+++ b/crates/ops/src/journal.rs
@@ -1,7 +1,7 @@
-//! What happened to the latest requests, for `explain`.
+//! Traces of the latest requests, for `explain`.
 //!
-//! Bounded in requests and steps: an entry that serves 43 requests a second (36,000 over 840 entries)
-//! remembers the last minute and a half. Older ones are in the log, under the same id.
+//! Both requests and steps are bounded: an entry that serves 43 requests a second (36,000 over 840
+//! entries) keeps the last minute and a half. Older requests are in the log, under the same id.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -13,110 +13,110 @@
 use crate::reply::Explanation;
 use crate::reply::Step;
 
-/// Most requests remembered.
-const REQUESTS: usize = 4_096;
-/// Most steps of one request; the last place says how many more there were.
-const STEPS: usize = 32;
+/// Most requests kept.
+const MAX_REQUESTS: usize = 4_096;
+/// Most steps kept of one request; a final step counts the dropped ones.
+const MAX_STEPS: usize = 32;
 /// Longest detail of a step, bytes.
-const DETAIL: usize = 256;
+const MAX_DETAIL_BYTES: usize = 256;
 
-/// What happened to the latest requests.
+/// Bounded collection of request traces, oldest evicted first.
 #[derive(Clone, Debug)]
 pub struct Journal {
     entry: SmolStr,
-    lives: BTreeMap<SmolStr, Life>,
-    /// The ids of `lives`, the oldest first; each once.
+    traces: BTreeMap<SmolStr, Trace>,
+    /// Request ids in `traces`, oldest first, without duplicates.
     order: VecDeque<SmolStr>,
 }
 
-/// The life of one request.
+/// Trace of one request.
 #[derive(Clone, Debug)]
-struct Life {
-    began: Time,
+struct Trace {
+    arrived_at: Time,
     account: SmolStr,
     deployment: SmolStr,
     steps: Vec<Step>,
-    /// Steps beyond the most that are kept.
-    more: u32,
+    /// Number of steps dropped beyond [`MAX_STEPS`].
+    dropped_steps: u32,
     verdict: Option<Verdict>,
 }
 
 impl Journal {
-    /// An empty one of the entry of that name.
+    /// Creates an empty journal for the entry of that name.
     pub fn new(entry: SmolStr) -> Journal {
         Journal {
             entry,
-            lives: BTreeMap::new(),
+            traces: BTreeMap::new(),
             order: VecDeque::new(),
         }
     }
 
-    /// A request has arrived; the oldest is forgotten if there are too many. One that is known
-    /// already, as when its caller comes back, goes on with the life it has.
+    /// Starts the trace of a request and evicts the oldest one if the journal is full. A known request,
+    /// such as one that its caller resumes, keeps its trace.
     pub fn begin(&mut self, now: Time, request: &SmolStr, account: &SmolStr, deployment: &SmolStr) {
-        if self.lives.contains_key(request) {
+        if self.traces.contains_key(request) {
             return;
         }
-        if self.order.len() >= REQUESTS
+        if self.order.len() >= MAX_REQUESTS
             && let Some(oldest) = self.order.pop_front()
         {
-            self.lives.remove(&oldest);
+            self.traces.remove(&oldest);
         }
-        let life = Life {
-            began: now,
+        let trace = Trace {
+            arrived_at: now,
             account: account.clone(),
             deployment: deployment.clone(),
             steps: Vec::new(),
-            more: 0,
+            dropped_steps: 0,
             verdict: None,
         };
-        self.lives.insert(request.clone(), life);
+        self.traces.insert(request.clone(), trace);
         self.order.push_back(request.clone());
     }
 
-    /// Something happened to a request. `detail` holds key=value pairs, no key and no prompt text.
-    pub fn note(&mut self, now: Time, request: &str, event: &'static str, detail: &str) {
-        let Some(life) = self.lives.get_mut(request) else {
+    /// Records a step of a request. `detail` holds key=value pairs, but no account key and no prompt text.
+    pub fn record(&mut self, now: Time, request: &str, event: &'static str, detail: &str) {
+        let Some(trace) = self.traces.get_mut(request) else {
             return;
         };
-        if life.steps.len() >= STEPS {
-            life.more += 1;
+        if trace.steps.len() >= MAX_STEPS {
+            trace.dropped_steps += 1;
             return;
         }
-        let end = detail.floor_char_boundary(DETAIL);
-        life.steps.push(Step {
-            at_ms: now.since(life.began).as_millis(),
+        let end = detail.floor_char_boundary(MAX_DETAIL_BYTES);
+        trace.steps.push(Step {
+            at_ms: now.since(trace.arrived_at).as_millis(),
             entry: self.entry.clone(),
             event: SmolStr::new_static(event),
             detail: detail.get(..end).unwrap_or_default().to_owned(),
         });
     }
 
-    /// A request has ended.
+    /// Records the verdict of a request.
     pub fn end(&mut self, request: &str, verdict: Verdict) {
-        if let Some(life) = self.lives.get_mut(request) {
-            life.verdict = Some(verdict);
+        if let Some(trace) = self.traces.get_mut(request) {
+            trace.verdict = Some(verdict);
         }
     }
 
-    /// The life of a request, if it is remembered.
+    /// Returns the trace of a request unless it is unknown or evicted.
     pub fn explain(&self, request: &str) -> Option<Explanation> {
-        let life = self.lives.get(request)?;
-        let mut steps = life.steps.clone();
-        if life.more > 0 {
+        let trace = self.traces.get(request)?;
+        let mut steps = trace.steps.clone();
+        if trace.dropped_steps > 0 {
             steps.push(Step {
                 at_ms: steps.last().map_or(0, |step| step.at_ms),
                 entry: self.entry.clone(),
                 event: SmolStr::new_static("more"),
-                detail: format!("steps={}", life.more),
+                detail: format!("steps={}", trace.dropped_steps),
             });
         }
         Some(Explanation {
             request: request.into(),
-            account: life.account.clone(),
-            deployment: life.deployment.clone(),
+            account: trace.account.clone(),
+            deployment: trace.deployment.clone(),
             steps,
-            verdict: life.verdict,
+            verdict: trace.verdict,
         })
     }
 }
