--- a/crates/standin/benches/entry.rs
+++ b/crates/standin/benches/entry.rs
@@ -1,7 +1,7 @@
-//! What an entry costs: latency and throughput against a direct call, memory and time per stream.
+//! Cost of an entry: latency and throughput compared with direct calls, memory and time per stream.
 //!
-//! `cargo bench -p standin --bench entry`. The entry is a process of its own; backend servers, callers
-//! and platform share this process and one thread, which bounds the throughput of both ways alike.
+//! Run with `cargo bench -p standin --bench entry`. The entry runs in its own process; backend servers,
+//! callers and platform share this process and one thread, which limits both throughputs alike.
 
 #![allow(clippy::unwrap_used)]
 
@@ -58,13 +58,13 @@
         let service = local.services[0].0.server.address().to_string();
         println!("at rest: {} KiB resident", resident_kib(&entry));
         calls(&service, entry.address("callers")).await;
-        // Twice, to tell what a stream leaves behind from what the allocator keeps for the next ones.
+        // The second round separates what a stream leaves behind from memory that the allocator reuses.
         streams(&entry).await;
         streams(&entry).await;
     });
 }
 
-/// One entry as a process, with everything deployed.
+/// Starts one entry as a process and deploys the sample.
 async fn entry_of(local: &Local) -> Process {
     let settings = sample::settings(&sample::Entry {
         name: "entry-0",
@@ -94,7 +94,7 @@
     entry
 }
 
-/// Plain calls, direct and through the entry in turn.
+/// Measures plain calls, direct and through the entry in turn.
 async fn calls(service: &str, entry: &str) {
     let direct = format!("http://{service}/catalogue/7");
     let through = format!("http://{entry}/services/{}/catalogue/7", sample::SERVICE);
@@ -112,7 +112,7 @@
     }
 }
 
-/// Median and 99th percentile of the time of a call, microseconds.
+/// Returns the median and the 99th percentile of the latency of sequential calls, microseconds.
 async fn one_by_one(uri: &str) -> (u128, u128) {
     let http: Http = legacy::Client::builder(TokioExecutor::new()).build_http();
     let mut times = Vec::with_capacity(CALLS / 4);
@@ -125,7 +125,7 @@
     (times[times.len() / 2], times[times.len() * 99 / 100])
 }
 
-/// Calls a second.
+/// Returns the throughput of concurrent calls, calls per second.
 async fn side_by_side(uri: &str) -> f64 {
     let http: Http = legacy::Client::builder(TokioExecutor::new()).build_http();
     let begin = Instant::now();
@@ -149,7 +149,7 @@
     response.into_body().collect().await.unwrap();
 }
 
-/// Memory and processor time with many streams open.
+/// Measures memory and processor time with many open streams.
 async fn streams(entry: &Process) {
     let caller = Client::new(client::configs::Client {
         entries: vec![SmolStr::from(entry.address("callers"))],
@@ -187,7 +187,7 @@
     println!("all ended: {} KiB resident", resident_kib(entry));
 }
 
-/// Resident memory of a process.
+/// Returns the resident memory of a process, KiB.
 fn resident_kib(process: &Process) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.id())).unwrap();
     let line = status
@@ -197,7 +197,7 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// Processor time of a process, milliseconds; the kernel counts in hundredths of a second.
+/// Returns the processor time of a process, milliseconds; the kernel counts in hundredths of a second.
 fn processor_ms(process: &Process) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.id())).unwrap();
     let after_name = stat.rsplit(") ").next().unwrap();
--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -57,7 +57,7 @@
     arguments: Vec<String>,
 }
 
-/// Runs what the arguments name.
+/// Runs the selected subcommand.
 pub fn run(arguments: Standin) -> anyhow::Result<ExitCode> {
     match arguments.part {
         Part::Platform(platform) => block_on(part::run_platform(platform)),
@@ -80,7 +80,7 @@
     ExitCode::from(u8::try_from(code).unwrap_or(u8::MAX))
 }
 
-/// A fake has nothing to finish: it stays until its process is ended.
+/// Waits forever: a component runs until its process is killed.
 async fn stay() -> anyhow::Result<ExitCode> {
     std::future::pending().await
 }
--- a/crates/standin/src/command/caller.rs
+++ b/crates/standin/src/command/caller.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! The `caller` subcommand.
 
 use std::io::Write;
 use std::process::ExitCode;
--- a/crates/standin/src/command/part.rs
+++ b/crates/standin/src/command/part.rs
@@ -1,4 +1,4 @@
-//! The outside systems.
+//! Subcommands that run one of the outside systems.
 
 use std::process::ExitCode;
 
--- a/crates/standin/src/command/whole.rs
+++ b/crates/standin/src/command/whole.rs
@@ -1,4 +1,4 @@
-//! Whole installations in this process.
+//! Subcommands that run a whole installation in this process.
 
 use std::process::ExitCode;
 
--- a/crates/standin/src/configs.rs
+++ b/crates/standin/src/configs.rs
@@ -1,4 +1,4 @@
-//! Settings of the parts, with their defaults.
+//! Settings of the stand-in components, with their defaults.
 
 pub mod engine;
 pub mod service;
--- a/crates/standin/src/configs/engine.rs
+++ b/crates/standin/src/configs/engine.rs
@@ -1,31 +1,31 @@
 //! Settings of the stand-in model engine.
 
-/// How an engine behaves when nothing fails.
+/// Behaviour of an engine without faults.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Where to listen.
+    /// Listen address.
     pub listen: String,
-    /// Sequences run at once; more wait.
+    /// Sequences that run concurrently; more are queued.
     pub slots: usize,
     /// Time between two tokens, milliseconds.
     pub token_ms: u64,
-    /// Time to compute a thousand prompt tokens that are not cached, milliseconds.
+    /// Time to compute a thousand uncached prompt tokens, milliseconds.
     pub prefill_ms: u64,
-    /// Blocks of KV cache kept.
+    /// Capacity of the KV cache in blocks.
     pub cache_blocks: usize,
-    /// How late cache events are published, milliseconds.
+    /// Delay before cache events are published, milliseconds.
     pub event_delay_ms: u64,
-    /// One in so many cache events is never published; 0 for none.
+    /// Every n-th cache event is never published; 0 publishes all.
     pub event_gap: u64,
-    /// How old a load report may be, milliseconds.
+    /// Interval at which the load report is refreshed, milliseconds.
     pub load_lag_ms: u64,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order with a stale fencing number is refused.
     pub checks_fencing: bool,
-    /// How long a stream without a reader is kept, milliseconds.
+    /// Time for which a stream without a reader is kept, milliseconds.
     pub resume_window_ms: u64,
-    /// Time to carry out an order, milliseconds.
+    /// Time to execute an order, milliseconds.
     pub order_ms: u64,
-    /// Whether the process ends on a marked prompt; else only its sockets are closed.
+    /// Whether a marked prompt exits the process; otherwise only its sockets are closed.
     pub exit_on_crash: bool,
 }
 
--- a/crates/standin/src/configs/service.rs
+++ b/crates/standin/src/configs/service.rs
@@ -1,11 +1,11 @@
 //! Settings of the stand-in plain service.
 
-/// How a plain service behaves when nothing fails.
+/// Behaviour of a plain service without faults.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Where to listen.
+    /// Listen address.
     pub listen: String,
-    /// Time that a call takes, milliseconds.
+    /// Duration of a call, milliseconds.
     pub call_ms: u64,
 }
 
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -1,4 +1,4 @@
-//! The main job in one process: deploy, stream, reclaim under way, call once, stop.
+//! Demo of the main use case in one process: deploy, stream through a reclaim, make a call, stop.
 
 use std::time::Duration;
 
@@ -21,11 +21,11 @@
 const TOKENS: u32 = 200;
 const TOKEN_MS: u64 = 10;
 
-/// Notice that the cloud gives before it takes an instance, milliseconds: less than the rest of the
-/// stream takes, so that it can't finish where it began.
+/// Reclaim notice that the cloud gives, milliseconds. It is shorter than the rest of the stream, so the
+/// stream can't finish on the engine that started it.
 const NOTICE_MS: u64 = 500;
 
-/// Runs the demo and prints what happens; whether all held.
+/// Runs the demo and prints its progress. Returns whether all checks passed.
 pub async fn run() -> anyhow::Result<bool> {
     let mut checks = Checks::default();
     let mut local = Local::start().await?;
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-/// The engine that has begun a stream.
+/// Returns the index of the engine that started a stream.
 fn serving(local: &Local) -> Option<usize> {
     local
         .engines
@@ -124,7 +124,7 @@
     Ok(())
 }
 
-/// What was checked.
+/// Counts failed checks.
 #[derive(Default)]
 struct Checks {
     failed: u32,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in model engine: batches, streams, prefix cache, KV export and orders.
+//! The stand-in model engine: batching, streams, prefix cache, KV export and orders.
 
 use std::io;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
 
 /// A running engine.
 pub struct Engine {
-    /// Its listener.
+    /// HTTP server of the engine.
     pub server: Rc<Server>,
     state: Rc<State>,
 }
@@ -47,17 +47,17 @@
 }
 
 impl Engine {
-    /// What it has done so far.
+    /// Returns the engine's counters.
     pub fn counts(&self) -> fault::Counts {
         self.state.counts.borrow().clone()
     }
 
-    /// Orders a fault, in place of the one before.
+    /// Replaces the injected fault.
     pub fn set_fault(&self, fault: fault::Fault) {
         self.state.set_fault(fault);
     }
 
-    /// Dies, as on a marked prompt or at the end of a reclaim notice.
+    /// Simulates a crash, as a crash mark or the end of a reclaim notice causes it.
     pub fn kill(&self) {
         self.server.kill();
         self.state.streams.borrow_mut().clear();
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Slots of the running batch, given out by priority and then by arrival.
+//! Slots of the running batch, granted by priority and then in order of arrival.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 
 use tokio::sync::oneshot;
 
-/// The batch.
+/// The running batch and its queue.
 pub struct Batch {
     inner: RefCell<Inner>,
 }
@@ -18,13 +18,13 @@
     waiting: BTreeMap<(u8, u64), oneshot::Sender<Slot>>,
 }
 
-/// A place in the batch, given back when it is dropped.
+/// A slot of the batch, released when dropped.
 pub struct Slot {
     batch: Rc<Batch>,
 }
 
 impl Batch {
-    /// A batch of `slots` places.
+    /// Creates a batch with `slots` slots.
     pub fn new(slots: usize) -> Rc<Batch> {
         let inner = Inner {
             free: slots,
@@ -37,7 +37,7 @@
         })
     }
 
-    /// A place; priority 0 is served first.
+    /// Waits for a slot; priority 0 is served first.
     pub async fn slot(self: &Rc<Batch>, priority: u8) -> Option<Slot> {
         let receiver = {
             let mut inner = self.inner.borrow_mut();
@@ -57,12 +57,12 @@
         receiver.await.ok()
     }
 
-    /// How many run.
+    /// Returns the number of sequences that run.
     pub fn running(&self) -> usize {
         self.inner.borrow().running
     }
 
-    /// How many wait.
+    /// Returns the queue depth.
     pub fn waiting(&self) -> usize {
         let inner = self.inner.borrow();
         let waits = |sender: &&oneshot::Sender<Slot>| !sender.is_closed();
@@ -86,7 +86,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if let Some(sender) = self.batch.next() {
-            // A receiver that went away in between drops the slot, which passes it on again.
+            // If the receiver was dropped meanwhile, the unsent slot is dropped too and goes to the next waiter.
             let _ = sender.send(Slot {
                 batch: Rc::clone(&self.batch),
             });
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache and its events, which are published late and with gaps.
+//! The prefix cache and its events, which are published with a delay and with gaps.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -7,32 +7,32 @@
 
 use serde::Serialize;
 
-/// A change of the cache.
+/// A block that was stored or evicted.
 #[derive(Clone, Debug, Serialize)]
 pub struct Event {
-    /// Rises by one with each change; gaps are changes that were never published.
+    /// Sequence number, one higher for each event; gaps are events that were never published.
     pub seq: u64,
-    /// Stored, or dropped.
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
     /// Hash of the prompt up to the end of the block.
     pub prefix: String,
 }
 
-/// Blocks of KV cache, the longest unused dropped first.
+/// KV cache blocks with least-recently-used eviction.
 pub struct Cache {
     limit: usize,
     delay: Duration,
     gap: u64,
     used: u64,
-    /// When each block was last used; the same blocks as in `order`.
+    /// Time of the last use of each block, in uses of the cache.
     blocks: HashMap<u64, u64>,
-    /// Blocks by last use.
+    /// Blocks ordered by last use; the same blocks as above.
     order: BTreeMap<u64, u64>,
     events: Vec<(Instant, Event)>,
 }
 
 impl Cache {
-    /// An empty cache of `limit` blocks.
+    /// Creates an empty cache with a capacity of `limit` blocks.
     pub fn new(limit: usize, delay: Duration, gap: u64) -> Cache {
         Cache {
             limit,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How many of the first blocks are there; those and the rest are there afterwards.
+    /// Returns how many leading blocks are cached, and stores all of them.
     pub fn touch(&mut self, blocks: &[u64]) -> usize {
         let known = |block: &&u64| self.blocks.contains_key(*block);
         let hits = blocks.iter().take_while(known).count();
@@ -55,7 +55,7 @@
         hits
     }
 
-    /// The published events after `seq`.
+    /// Returns the published events after `seq`.
     pub fn events(&self, after: u64) -> Vec<Event> {
         let published = self.events.iter().filter(|(at, event)| {
             let missing = self.gap > 0 && event.seq % self.gap == 0;
--- a/crates/standin/src/engine/fault.rs
+++ b/crates/standin/src/engine/fault.rs
@@ -1,23 +1,23 @@
-//! What a test orders to go wrong at an engine, and what it counts.
+//! Faults that a test injects into an engine, and the engine's counters.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The engine's fault; it stands until another takes its place.
+/// Injected fault, active until it is replaced.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Times are taken so often: 1 is as usual.
+    /// Factor by which all times are multiplied; 1 is normal speed.
     pub slow: f64,
-    /// Neither takes nor answers anything, and its streams stand still.
+    /// Blocks all requests, responses and streams.
     pub frozen: bool,
-    /// Says of every new request that it did not start it.
+    /// Answers every new request that it was not started.
     pub refuse: bool,
-    /// Cuts the reader's connection in place of this offset, once.
+    /// Cuts the reader's connection once, at this offset.
     pub cut_at: Option<u32>,
-    /// Exports and imports fail.
+    /// Fails KV exports and imports.
     pub no_transfer: bool,
 }
 
@@ -33,29 +33,29 @@
     }
 }
 
-/// What an engine has done so far.
+/// Counters of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Starts by the stream's id, as the entry chose it.
+    /// Starts by stream id, as the entry chose it.
     pub started: BTreeMap<String, u32>,
-    /// Starts by the prompt's hash, continued or not.
+    /// Starts by prompt hash, including continuations.
     pub prompts: BTreeMap<String, u32>,
     /// Prompt tokens computed.
     pub computed_tokens: u64,
-    /// Prompt tokens found in the cache.
+    /// Prompt tokens that were cached.
     pub cached_tokens: u64,
-    /// Prompt tokens computed for continued answers.
+    /// Prompt tokens computed to continue partial answers.
     pub recomputed_tokens: u64,
     /// Tokens generated.
     pub generated_tokens: u64,
-    /// Streams taken over by import.
+    /// Streams imported from another engine.
     pub imported: u64,
     /// Streams resumed by a reader.
     pub resumed: u64,
     /// Streams cancelled.
     pub cancelled: u64,
-    /// Orders carried out.
+    /// Orders accepted.
     pub orders: u64,
-    /// Orders refused for their fencing number.
+    /// Orders refused because of a stale fencing number.
     pub fenced: u64,
 }
--- a/crates/standin/src/engine/generate.rs
+++ b/crates/standin/src/engine/generate.rs
@@ -1,4 +1,4 @@
-//! Runs a stream: waits for a slot, computes the prompt, makes one token after the other.
+//! Runs a stream: waits for a slot, computes the prompt, then generates one token after another.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use crate::tokens::Chat;
 use crate::tokens::blocks;
 
-/// Runs a new stream from its prompt on.
+/// Runs a new stream.
 pub async fn start(state: Rc<State>, stream: Rc<Stream>, chat: Chat) {
     let Some(_slot) = state.batch.slot(stream.priority).await else {
         return;
@@ -28,7 +28,7 @@
     run(&state, &stream).await;
 }
 
-/// Goes on with a stream that was parked; nothing of its prompt is computed again.
+/// Resumes a parked stream without recomputing its prompt.
 pub async fn go_on(state: Rc<State>, stream: Rc<Stream>) {
     let Some(_slot) = state.batch.slot(stream.priority).await else {
         return;
@@ -48,7 +48,7 @@
     }
 }
 
-/// Counts what is computed and what is cached; returns the prompt tokens to compute.
+/// Looks the prompt up in the cache, updates the counters and returns the prompt tokens to compute.
 fn look_up(state: &State, chat: &Chat) -> u64 {
     let text = chat.text();
     let all = prompt_tokens(&text);
@@ -64,7 +64,7 @@
     fresh
 }
 
-/// Tokens of a prompt's text.
+/// Returns the number of tokens in a prompt.
 pub fn prompt_tokens(text: &str) -> u64 {
     text.len().div_ceil(BYTES_PER_TOKEN) as u64
 }
--- a/crates/standin/src/engine/load.rs
+++ b/crates/standin/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! The load report, which lags.
+//! The load report, which is refreshed at intervals and so may be stale.
 
 use std::rc::Weak;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 const KV_CAPACITY_TOKENS: f64 = 262_144.0;
 
-/// Load as it was at some moment.
+/// Load at one point in time.
 #[derive(Clone, Copy)]
 pub struct Load {
     at: Instant,
@@ -20,7 +20,7 @@
     tokens_per_second: f64,
 }
 
-/// The report as it is answered.
+/// Load report as sent to the entry.
 #[derive(Serialize)]
 pub struct Report {
     running: usize,
@@ -31,7 +31,7 @@
 }
 
 impl Load {
-    /// An idle engine.
+    /// Returns the load of an idle engine.
     pub fn now() -> Load {
         Load {
             at: Instant::now(),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The report made of it now.
+    /// Returns the report with its current age.
     pub fn report(&self) -> Report {
         Report {
             running: self.running,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Looks at the engine's load again and again, until the engine is gone.
+/// Refreshes the engine's load at intervals until the engine is dropped.
 pub async fn publish(state: Weak<State>) {
     let mut generated = 0;
     loop {
--- a/crates/standin/src/engine/order.rs
+++ b/crates/standin/src/engine/order.rs
@@ -1,4 +1,4 @@
-//! Orders: which model, adapter and version to hold, and in which role.
+//! Orders: the model, adapter and version to load, and the role to take.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -7,16 +7,16 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// An order.
+/// An order to reach a state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The fencing number of who gives it.
+    /// Fencing number of the sender.
     pub fence: u64,
     /// The state to reach.
     pub target: Target,
 }
 
-/// The state that an engine is ordered to reach.
+/// State that an engine is ordered to reach.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Target {
@@ -24,31 +24,31 @@
     pub model: SmolStr,
     /// Adapter; empty for none.
     pub adapter: SmolStr,
-    /// Version of both.
+    /// Version of model and adapter.
     pub version: SmolStr,
-    /// `serve` takes requests, everything else doesn't; empty is as `serve`.
+    /// `serve` or empty takes requests, any other role doesn't.
     pub role: SmolStr,
 }
 
-/// What the engine answers about itself.
+/// Status that the engine reports about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
-    /// The state last ordered.
+    /// Target of the last accepted order.
     pub target: Target,
-    /// Whether that state is reached.
+    /// Whether the target is reached.
     pub loaded: bool,
-    /// The highest fencing number seen.
+    /// Highest fencing number accepted.
     pub fence: u64,
 }
 
-/// Carries orders out.
+/// Accepts and executes orders.
 pub struct Orders {
     standing: RefCell<Standing>,
     checks_fencing: bool,
 }
 
 impl Orders {
-    /// No order yet; what is asked for counts as loaded.
+    /// Starts without a target; every model counts as loaded.
     pub fn new(checks_fencing: bool) -> Orders {
         let standing = Standing {
             loaded: true,
@@ -60,21 +60,21 @@
         }
     }
 
-    /// Takes an order, or refuses it with the higher fencing number.
+    /// Accepts an order, or returns the higher fencing number that refuses it.
     pub fn take(&self, order: &Order) -> Result<(), u64> {
         let mut standing = self.standing.borrow_mut();
         if self.checks_fencing && order.fence < standing.fence {
             return Err(standing.fence);
         }
         standing.fence = standing.fence.max(order.fence);
-        // The first order names what the engine was started with.
+        // The first order names the model that the engine was started with.
         let held = standing.target == order.target || standing.target == Target::default();
         standing.loaded = standing.loaded && held;
         standing.target = order.target.clone();
         Ok(())
     }
 
-    /// Reaches the state of `order`, unless another order came in the meantime.
+    /// Reaches the target of `order` after `time`, unless another order replaced it meanwhile.
     pub async fn carry_out(&self, order: &Order, time: Duration) {
         tokio::time::sleep(time).await;
         let mut standing = self.standing.borrow_mut();
@@ -83,12 +83,12 @@
         }
     }
 
-    /// What the engine answers about itself.
+    /// Returns the engine's status.
     pub fn standing(&self) -> Standing {
         self.standing.borrow().clone()
     }
 
-    /// Whether requests are taken.
+    /// Returns whether the engine takes requests.
     pub fn serves(&self) -> bool {
         let standing = self.standing.borrow();
         let role = standing.target.role.as_str();
--- a/crates/standin/src/engine/relay.rs
+++ b/crates/standin/src/engine/relay.rs
@@ -1,4 +1,4 @@
-//! Hands a stream to a reader as server-sent events.
+//! Relays a stream to a reader as server-sent events.
 
 use std::io;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 
 const BUFFER: usize = 64;
 
-/// The events of a stream from `offset` on.
+/// Returns a response that streams the events from `offset` on.
 pub fn answer(state: &Rc<State>, id: String, stream: Rc<Stream>, offset: u32) -> Answer {
     let (sender, answer) = server::events(BUFFER);
     stream.enter();
@@ -80,7 +80,7 @@
     due
 }
 
-/// Drops the stream when no reader came back within the resume window.
+/// Drops the stream if no reader returned within the resume window.
 async fn forget_later(state: Rc<State>, id: String, stream: Rc<Stream>, departure: u64) {
     tokio::time::sleep(Duration::from_millis(state.config.resume_window_ms)).await;
     if !stream.is_deserted_since(departure) {
--- a/crates/standin/src/engine/route.rs
+++ b/crates/standin/src/engine/route.rs
@@ -1,4 +1,4 @@
-//! Which call does what.
+//! Routes HTTP requests to the engine's operations.
 
 use std::io;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 use crate::service;
 use crate::tokens::Chat;
 
-/// Answers one call.
+/// Handles one request.
 pub async fn handle(state: Rc<State>, request: Request<Incoming>) -> io::Result<Answer> {
     let path = request.uri().path().to_owned();
     if let Some(rest) = path.strip_prefix("/control/") {
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What an engine holds.
+//! State of an engine.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,10 +18,10 @@
 use crate::gate::Gate;
 use crate::server::Server;
 
-/// Exit code of a process that died on a marked prompt.
+/// Exit code of a process that crashed on a marked prompt.
 const CRASH_CODE: i32 = 101;
 
-/// All that an engine holds.
+/// Shared state of an engine's tasks.
 pub struct State {
     pub config: configs::engine::Engine,
     pub fault: RefCell<Fault>,
@@ -36,7 +36,7 @@
 }
 
 impl State {
-    /// An engine that has done nothing yet.
+    /// Creates the state of an idle engine.
     pub fn new(config: configs::engine::Engine) -> State {
         let delay = Duration::from_millis(config.event_delay_ms);
         State {
@@ -53,18 +53,18 @@
         }
     }
 
-    /// Names the listener that dies with the engine.
+    /// Sets the server that a crash kills.
     pub fn set_server(&self, server: &Rc<Server>) {
         *self.server.borrow_mut() = Rc::downgrade(server);
     }
 
-    /// Orders a fault, in place of the one before.
+    /// Replaces the injected fault.
     pub fn set_fault(&self, fault: Fault) {
         self.gate.set_frozen(fault.frozen);
         *self.fault.borrow_mut() = fault;
     }
 
-    /// Dies: the process ends, or in a shared process every socket is closed.
+    /// Crashes: exits the process, or closes all sockets if other components share it.
     pub fn crash(&self) {
         if self.config.exit_on_crash {
             std::process::exit(CRASH_CODE);
@@ -75,14 +75,14 @@
         }
     }
 
-    /// Takes so many milliseconds, or longer while the engine is slow or frozen.
+    /// Simulates work of `millis` milliseconds, longer while the engine is slow or frozen.
     pub async fn spend(&self, millis: f64) {
         let slow = self.fault.borrow().slow;
         tokio::time::sleep(Duration::from_secs_f64(millis * slow / 1_000.0)).await;
         self.gate.pass().wait().await;
     }
 
-    /// The stream of that id.
+    /// Returns the stream with this id.
     pub fn stream(&self, id: &str) -> Option<Rc<Stream>> {
         self.streams.borrow().get(id).cloned()
     }
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! One stream: what is generated of it, and how its readers wait for more.
+//! A stream of tokens: its progress and its readers.
 
 use std::cell::Cell;
 
@@ -10,11 +10,11 @@
 
 /// One stream of tokens.
 pub struct Stream {
-    /// What is generated.
+    /// Tokens to generate.
     pub plan: Plan,
-    /// Its place in the queue of the batch; 0 is served first.
+    /// Priority in the batch queue; 0 is served first.
     pub priority: u8,
-    /// Tokens that the KV cache of this stream stands for, without those generated.
+    /// Prompt tokens in the KV cache of this stream.
     pub prompt_tokens: u64,
     produced: Cell<u32>,
     phase: Cell<Phase>,
@@ -23,20 +23,20 @@
     changed: Notify,
 }
 
-/// How far a stream is.
+/// Phase of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It waits or generates.
+    /// Waiting for a slot or generating.
     Running,
-    /// It was exported or imported and stands still.
+    /// Exported or imported, and not running.
     Parked,
-    /// All tokens are there.
+    /// Completely generated.
     Finished,
-    /// It was cancelled.
+    /// Cancelled by the entry or after the resume window.
     Cancelled,
 }
 
-/// The form in which a stream travels between engines.
+/// Form in which a stream is transferred between engines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Blob {
     plan: Plan,
@@ -46,7 +46,7 @@
 }
 
 impl Stream {
-    /// A stream of which nothing is generated.
+    /// Creates a stream without generated tokens.
     pub fn new(plan: Plan, priority: u8, prompt_tokens: u64) -> Stream {
         Stream {
             plan,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A parked stream out of its travelling form.
+    /// Creates a parked stream from an export.
     pub fn import(blob: Blob) -> Stream {
         let stream = Stream::new(blob.plan, blob.priority, blob.prompt_tokens);
         stream.produced.set(blob.produced);
@@ -68,7 +68,7 @@
         stream
     }
 
-    /// Parks it and gives its travelling form.
+    /// Parks the stream and returns its export.
     pub fn export(&self) -> Blob {
         if self.phase.get() == Phase::Running {
             self.set_phase(Phase::Parked);
@@ -81,60 +81,60 @@
         }
     }
 
-    /// Tokens generated.
+    /// Returns the number of generated tokens.
     pub fn produced(&self) -> u32 {
         self.produced.get()
     }
 
-    /// How far it is.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Goes to another phase and tells the readers.
+    /// Enters a phase and notifies the readers.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.set(phase);
         self.changed.notify_waiters();
     }
 
-    /// One token more; finishes with the last.
+    /// Adds a token and finishes the stream if it was the last one.
     pub fn advance(&self) {
         self.produced.set(self.produced.get() + 1);
         self.finish_if_whole();
         self.changed.notify_waiters();
     }
 
-    /// Finishes it if nothing is left to generate.
+    /// Finishes the stream if all tokens are generated.
     pub fn finish_if_whole(&self) {
         if self.phase.get() == Phase::Running && self.produced.get() >= self.plan.new {
             self.set_phase(Phase::Finished);
         }
     }
 
-    /// Returns after the next change. No change is missed between a look and this call, because
-    /// everything runs on one thread and nothing is awaited in between.
+    /// Waits for the next change. A change between a caller's check and this call can't be missed, because
+    /// all tasks share one thread and nothing is awaited in between.
     pub async fn change(&self) {
         self.changed.notified().await;
     }
 
-    /// A reader came.
+    /// Adds a reader.
     pub fn enter(&self) {
         self.readers.set(self.readers.get() + 1);
     }
 
-    /// A reader went; returns how often that happened, to tell a later one from this one.
+    /// Removes a reader and returns the number of departures so far.
     pub fn leave(&self) -> u64 {
         self.readers.set(self.readers.get() - 1);
         self.left.set(self.left.get() + 1);
         self.left.get()
     }
 
-    /// Whether no reader came or went since the departure that had this count.
+    /// Returns whether no reader has joined or left since that departure.
     pub fn is_deserted_since(&self, departure: u64) -> bool {
         self.readers.get() == 0 && self.left.get() == departure
     }
 
-    /// Tokens held in memory.
+    /// Returns the tokens held in the KV cache.
     pub fn held_tokens(&self) -> u64 {
         self.prompt_tokens + u64::from(self.produced.get())
     }
--- a/crates/standin/src/gate.rs
+++ b/crates/standin/src/gate.rs
@@ -1,8 +1,8 @@
-//! Holds work up while a part is frozen.
+//! Blocks work while a component is frozen.
 
 use tokio::sync::watch;
 
-/// Open, or shut while the part is frozen.
+/// Blocks waiters while the component is frozen.
 pub struct Gate {
     frozen: watch::Sender<bool>,
 }
@@ -16,12 +16,12 @@
 }
 
 impl Gate {
-    /// Shuts or opens it.
+    /// Closes the gate if `frozen`, opens it otherwise.
     pub fn set_frozen(&self, frozen: bool) {
         self.frozen.send_replace(frozen);
     }
 
-    /// A pass that waits while the gate is shut.
+    /// Returns a handle that waits while the gate is closed.
     pub fn pass(&self) -> Pass {
         Pass {
             frozen: self.frozen.subscribe(),
@@ -29,13 +29,13 @@
     }
 }
 
-/// Waits at a gate.
+/// Waits for a gate to open.
 pub struct Pass {
     frozen: watch::Receiver<bool>,
 }
 
 impl Pass {
-    /// Returns once the gate is open.
+    /// Returns as soon as the gate is open.
     pub async fn wait(&mut self) {
         if self.frozen.wait_for(|frozen| !frozen).await.is_err() {
             std::future::pending::<()>().await;
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for the parts' control APIs.
+//! A small HTTP client for the control APIs of the components.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The client.
+/// HTTP client with a timeout per exchange.
 #[derive(Clone)]
 pub struct Http {
     inner: legacy::Client<HttpConnector, Full<Bytes>>,
@@ -34,7 +34,7 @@
 }
 
 impl Http {
-    /// The JSON behind a path.
+    /// Sends a GET request and parses the JSON response.
     pub async fn get<T: DeserializeOwned>(&self, address: &str, path: &str) -> anyhow::Result<T> {
         let (status, bytes) = self.send(Method::GET, address, path, Bytes::new()).await?;
         if !status.is_success() {
@@ -43,7 +43,7 @@
         Ok(serde_json::from_slice(&bytes)?)
     }
 
-    /// Sends JSON and returns the body of the answer.
+    /// Sends JSON and returns the response body.
     pub async fn post(
         &self,
         address: &str,
@@ -59,7 +59,7 @@
         Ok(bytes)
     }
 
-    /// One exchange, whatever its status.
+    /// Sends a request and returns status and body, whatever the status.
     pub async fn send(
         &self,
         method: Method,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small fakes of the outside systems, with faults that a test can order.
+//! Small fakes of the outside systems, with faults that a test can inject.
 //!
-//! Each part runs as a process of its own (`standin platform` and so on) or, by its `spawn`
-//! function, on the current `LocalSet`, so that a test or the demo holds all parts in one process.
+//! Each component runs as its own process (`standin platform` and so on) or, through its `spawn` function,
+//! on the current `LocalSet`, so that a test or the demo can run all components in one process.
 
 pub mod configs;
 pub mod demo;
--- a/crates/standin/src/local.rs
+++ b/crates/standin/src/local.rs
@@ -29,34 +29,34 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// How often the operator looks whether the entries are ready.
+/// Interval between two readiness checks of an entry.
 const LOOK: Span = Span::from_millis(50);
 
-/// Looks until the operator gives up: ten seconds' worth.
+/// Readiness checks before giving up, ten seconds in total.
 const MAX_LOOKS: u32 = 200;
 
-/// The installation.
+/// A platform with its engines, plain services and entries.
 pub struct Local {
     /// The platform.
     pub platform: Platform,
-    /// Model engines and how the instance list names them.
+    /// Model engines with their instance list entries.
     pub engines: Vec<(Engine, Instance)>,
-    /// Plain services and how the instance list names them.
+    /// Plain services with their instance list entries.
     pub services: Vec<(Service, Instance)>,
     /// Entries.
     pub entries: Vec<Entry>,
 }
 
-/// An entry in this process.
+/// An entry that runs in this process.
 pub struct Entry {
-    /// Where it listens.
+    /// Addresses that it listens on.
     pub bound: Bound,
     stop: mpsc::UnboundedSender<bool>,
     task: JoinHandle<anyhow::Result<()>>,
 }
 
 impl Local {
-    /// An installation with nothing but its platform.
+    /// Starts a platform only.
     pub async fn start() -> anyhow::Result<Local> {
         Ok(Local {
             platform: platform::spawn("127.0.0.1:0").await?,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Adds model engines, over the zones in turn.
+    /// Adds model engines, distributed over the zones.
     pub async fn add_engines(
         &mut self,
         count: usize,
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    /// Adds plain services, over the zones in turn.
+    /// Adds plain services, distributed over the zones.
     pub async fn add_services(&mut self, count: usize) -> anyhow::Result<()> {
         for zone in ZONES.iter().cycle().take(count) {
             self.add_service(zone, configs::service::Service::default())
@@ -103,7 +103,7 @@
         Ok(())
     }
 
-    /// Adds entries, over the zones in turn.
+    /// Adds entries, distributed over the zones.
     pub async fn add_entries(&mut self, count: usize) -> anyhow::Result<()> {
         for zone in ZONES.iter().cycle().take(count) {
             self.add_entry(zone, sample::ANY_PORT).await?;
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// An operator creates the sample at the first entry; returns the version that is in force.
+    /// Deploys the sample through the first entry and returns the version in force.
     pub async fn deploy(&self) -> anyhow::Result<u64> {
         let entry = self.entries.first().context("no entry runs")?;
         let address = format!("http://{}", entry.bound.operators);
@@ -149,7 +149,7 @@
         Ok(version)
     }
 
-    /// A caller that knows all entries.
+    /// Returns a client that knows all entries.
     pub fn caller(&self) -> client::Client {
         let addresses = self.entries.iter().map(|entry| entry.bound.callers);
         client::Client::new(client::configs::Client {
@@ -161,7 +161,7 @@
         })
     }
 
-    /// Waits until an entry has a version in force and admits requests.
+    /// Waits until an entry applies the version and admits requests.
     async fn wait_until_ready(&self, entry: &Entry, version: u64) -> anyhow::Result<()> {
         let address = format!("http://{}", entry.bound.operators);
         let mut client = Client::connect(&address, sample::OPERATORS_KEY).await?;
@@ -201,7 +201,7 @@
         })
     }
 
-    /// Stops it gracefully and waits for its end.
+    /// Stops the entry gracefully and waits until it has ended.
     pub async fn stop(self) -> anyhow::Result<()> {
         let _ = self.stop.send(false);
         self.task.await?
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `standin`: the parts as processes of their own, and the demo.
+//! The `standin` binary: runs each component as its own process, or the demo.
 
 use std::process::ExitCode;
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,6 +1,6 @@
 //! The stand-in platform: table service, object store, instance list and cloud API in one.
 //!
-//! `/control/...` is for tests alone: instances, notices, faults and counts.
+//! Paths below `/control/` are for tests only: instances, notices, faults and counters.
 
 use std::cell::RefCell;
 use std::io;
@@ -30,24 +30,24 @@
 
 /// A running platform.
 pub struct Platform {
-    /// Its listener.
+    /// HTTP server of the platform.
     pub server: Server,
-    /// What it holds; a test in the same process may look and change.
+    /// State that a test in the same process may inspect and change.
     pub state: Rc<RefCell<State>>,
 }
 
-/// All that the platform holds.
+/// State of the platform.
 #[derive(Default)]
 pub struct State {
     /// The table service.
     pub tables: Tables,
     /// The object store.
     pub objects: objects::Objects,
-    /// Instance list, notices and cloud.
+    /// Instances, notices and spares.
     pub fleet: Fleet,
-    /// What goes wrong now.
+    /// Injected faults.
     pub faults: fault::Faults,
-    /// Calls so far.
+    /// Counters of the table service.
     pub counts: Counts,
 }
 
--- a/crates/standin/src/platform/cloud.rs
+++ b/crates/standin/src/platform/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud API, the instance list and the part of the control API that changes them.
+//! The cloud API, the instance list and the control API that changes them.
 
 use std::cell::RefCell;
 use std::io;
@@ -23,7 +23,7 @@
     state: Life,
 }
 
-/// Answers one call.
+/// Handles one request.
 pub async fn handle(
     state: &RefCell<State>,
     path: &str,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Answers one control call of a test.
+/// Handles one request to the control API.
 pub async fn control(
     state: &RefCell<State>,
     path: &str,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Three zones; on-demand costs three times as much as reclaimable.
+/// Returns the prices of three zones; on-demand costs three times as much as reclaimable.
 fn prices() -> serde_json::Value {
     let mut prices = Vec::new();
     for (zone, per_hour) in [("a", 0.9), ("b", 0.8), ("c", 1.1)] {
--- a/crates/standin/src/platform/fault.rs
+++ b/crates/standin/src/platform/fault.rs
@@ -1,10 +1,10 @@
-//! What a test orders to go wrong at the platform.
+//! Faults that a test injects into the platform, and the counters of the table service.
 
 use serde::Deserialize;
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// One part of the platform.
+/// A part of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Part {
@@ -13,14 +13,14 @@
     Tables,
     /// The object store.
     Objects,
-    /// Instance list and notices.
+    /// Instance list and reclaim notices.
     Instances,
-    /// Starting and stopping of instances, prices.
+    /// API that starts and stops instances and lists prices.
     Cloud,
 }
 
 impl Part {
-    /// Which part serves a path.
+    /// Returns the part that serves a path.
     pub fn of(path: &str) -> Option<Part> {
         let first = path.split('/').nth(1)?;
         match first {
@@ -33,50 +33,50 @@
     }
 }
 
-/// The fault of one part; it stands until another takes its place.
+/// Fault of one part, active until it is replaced.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Which part.
+    /// Part that the fault affects.
     pub part: Part,
     /// Delay before a call takes effect, milliseconds.
     pub delay_ms: u64,
     /// Delay after the effect and before the answer, milliseconds.
     pub answer_delay_ms: u64,
-    /// Every call is answered with 503 and has no effect.
+    /// Answers every call with 503, without an effect.
     pub down: bool,
-    /// Every connection is cut before the call has an effect.
+    /// Cuts every connection before the call has an effect.
     pub cut: bool,
-    /// So many transactions take effect and lose their answer.
+    /// Number of transactions that take effect but lose their response.
     pub lose_answers: u32,
-    /// Only transactions that write to this table lose their answer; empty for any.
+    /// Restricts `lose_answers` to transactions that write to this table; empty for any table.
     pub lose_table: SmolStr,
-    /// The instance list shows the state of so long ago, milliseconds.
+    /// Age of the listed instance states, milliseconds.
     pub lag_ms: u64,
-    /// No instance is started.
+    /// Refuses to start instances.
     pub refuse_start: bool,
 }
 
-/// The faults that stand.
+/// Active faults, at most one for each part.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     standing: Vec<Fault>,
 }
 
 impl Faults {
-    /// Takes the place of the part's standing fault.
+    /// Replaces the fault of its part.
     pub fn set(&mut self, fault: Fault) {
         self.standing.retain(|standing| standing.part != fault.part);
         self.standing.push(fault);
     }
 
-    /// The part's standing fault; the default one does nothing.
+    /// Returns the active fault of a part, or the default, which has no effect.
     pub fn get(&self, part: Part) -> Fault {
         let standing = self.standing.iter().find(|fault| fault.part == part);
         standing.cloned().unwrap_or_default()
     }
 
-    /// Whether the answer to a transaction that writes these tables is to be lost; counts it.
+    /// Returns whether to lose the response to a transaction that writes these tables, and counts it.
     pub fn takes_answer<'a>(&mut self, mut tables: impl Iterator<Item = &'a SmolStr>) -> bool {
         let standing = &mut self.standing;
         let Some(fault) = standing.iter_mut().find(|fault| fault.part == Part::Tables) else {
@@ -91,15 +91,15 @@
     }
 }
 
-/// Calls of the table service so far.
+/// Counters of the table service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Rows read singly or by scan.
+    /// Single reads and scans.
     pub reads: u64,
     /// Transactions, committed or not.
     pub transactions: u64,
     /// Rows written by committed transactions.
     pub rows_written: u64,
-    /// Answers lost on order.
+    /// Responses lost on order.
     pub answers_lost: u64,
 }
--- a/crates/standin/src/platform/fleet.rs
+++ b/crates/standin/src/platform/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances and notices as they truly are, and as the lagging instance list shows them.
+//! Actual instances and notices, and the instance list, which lags behind.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,63 +8,63 @@
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
 
-/// One instance of the list.
+/// An instance of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Instance {
-    /// Its name; an incarnation that replaces another may keep it.
+    /// Name; a replacement may reuse it under a new incarnation.
     pub id: SmolStr,
-    /// Unique for ever.
+    /// Incarnation, never reused.
     pub incarnation: SmolStr,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SmolStr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: SmolStr,
-    /// Its machine class.
+    /// Machine class.
     pub class: SmolStr,
     /// `reclaimable` or `on-demand`.
     pub market: SmolStr,
-    /// Which pool it serves.
+    /// Pool that it belongs to.
     pub pool: SmolStr,
     /// `engine`, `service` or `entry`.
     pub kind: SmolStr,
-    /// Live or leaving.
+    /// Lifecycle state.
     pub state: Life,
 }
 
-/// Whether an instance is to stay.
+/// Lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Life {
-    /// It is to stay.
+    /// In service.
     #[default]
     Live,
-    /// It is to go.
+    /// About to be taken away.
     Leaving,
-    /// It is gone, and no longer in the list.
+    /// Terminated and no longer listed.
     Gone,
 }
 
-/// A reclaim notice as it is answered.
+/// A reclaim notice as returned by the API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Rises by one with each notice.
+    /// Sequence number, one higher for each notice.
     pub seq: u64,
-    /// Whose.
+    /// Incarnation that is reclaimed.
     pub incarnation: SmolStr,
-    /// Milliseconds left when the answer was made.
+    /// Milliseconds left when the response was sent.
     pub deadline_ms: u64,
 }
 
-/// Whom a notice is for: one instance, or all of a zone.
+/// Instances to reclaim: one instance, or all of a zone.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Reclaim {
-    /// The instance; empty for none.
+    /// Name of the instance; empty for none.
     pub id: SmolStr,
-    /// The availability zone; empty for none.
+    /// Availability zone; empty for none.
     pub zone: SmolStr,
-    /// Milliseconds until the instance is taken.
+    /// Milliseconds until the instances are taken away.
     pub deadline_ms: u64,
 }
 
@@ -79,20 +79,20 @@
     instances: Vec<Instance>,
 }
 
-/// The fleet.
+/// Instances, spares and notices.
 #[derive(Default)]
 pub struct Fleet {
     instances: Vec<Instance>,
-    /// Instances that already run somewhere and are handed out when one is ordered.
+    /// Running instances that are not listed until an order starts them.
     spares: Vec<Instance>,
-    /// Oldest first; each holds from its time until the next one's.
+    /// Versions of the list, oldest first; each is valid until the next one's time.
     history: Vec<Version>,
     notices: Vec<Announced>,
     next: u64,
 }
 
 impl Fleet {
-    /// Adds an instance and names it where it has no name.
+    /// Adds an instance to the list and fills in a missing name or incarnation.
     pub fn add(&mut self, instance: Instance) -> Instance {
         let named = self.name(instance);
         self.instances.push(named.clone());
@@ -100,14 +100,14 @@
         named
     }
 
-    /// Keeps a running instance ready to be handed out.
+    /// Adds a running instance as a spare.
     pub fn add_spare(&mut self, instance: Instance) -> Instance {
         let named = self.name(instance);
         self.spares.push(named.clone());
         named
     }
 
-    /// Hands out a spare that matches what was ordered.
+    /// Lists a spare that matches the order, if there is one.
     pub fn start(&mut self, order: &Instance) -> Option<Instance> {
         let fits = |spare: &Instance| {
             let same_place = spare.zone == order.zone && spare.class == order.class;
@@ -118,7 +118,7 @@
         Some(self.add(spare))
     }
 
-    /// Changes the state of an instance; false where there is none of that name.
+    /// Changes the state of an instance; returns false if no instance has this name.
     pub fn set_state(&mut self, id: &str, state: Life) -> bool {
         let Some(at) = self.instances.iter().position(|item| item.id == id) else {
             return false;
@@ -133,7 +133,7 @@
         true
     }
 
-    /// Sends notices; returns whose.
+    /// Issues reclaim notices and returns the affected instances.
     pub fn reclaim(&mut self, reclaim: &Reclaim) -> Vec<Instance> {
         let until = Instant::now() + Duration::from_millis(reclaim.deadline_ms);
         let mut chosen = Vec::new();
@@ -155,7 +155,7 @@
         chosen
     }
 
-    /// The notices after `seq`.
+    /// Returns the notices after `after`.
     pub fn notices(&self, after: u64) -> Vec<Notice> {
         let now = Instant::now();
         let later = self.notices.iter().filter(|notice| notice.seq > after);
@@ -168,7 +168,7 @@
             .collect()
     }
 
-    /// The instances as they were `lag` ago.
+    /// Returns the instance list as it was `lag` ago.
     pub fn listed(&self, lag: Duration) -> &[Instance] {
         let now = Instant::now();
         let old_enough = |version: &&Version| now.saturating_duration_since(version.since) >= lag;
--- a/crates/standin/src/platform/objects.rs
+++ b/crates/standin/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! The object store: bytes by key.
+//! The object store: stores bytes by key.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,13 +14,13 @@
 use crate::server;
 use crate::server::Answer;
 
-/// All objects.
+/// Stored objects.
 #[derive(Default)]
 pub struct Objects {
     objects: BTreeMap<String, Bytes>,
 }
 
-/// Answers one call.
+/// Handles one request.
 pub async fn handle(
     state: &RefCell<State>,
     path: &str,
--- a/crates/standin/src/platform/tables.rs
+++ b/crates/standin/src/platform/tables.rs
@@ -1,4 +1,4 @@
-//! The table service: rows under one rising revision, changed by conditional transactions.
+//! The table service: rows with increasing revisions, changed by conditional transactions.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,14 +21,14 @@
 
 const DEFAULT_LIMIT: usize = 1_000;
 
-/// All rows.
+/// Stored rows.
 #[derive(Default)]
 pub struct Tables {
     rows: BTreeMap<Address, Row>,
     revision: u64,
 }
 
-/// A check that did not hold.
+/// A failed check of a transaction, with the current row.
 #[derive(Clone, Debug, Serialize)]
 pub struct Failed {
     #[serde(flatten)]
@@ -43,7 +43,7 @@
 }
 
 impl Tables {
-    /// One row.
+    /// Returns a row.
     pub fn get(&self, table: &str, key: &str) -> Option<&Row> {
         let address = Address {
             table: SmolStr::from(table),
@@ -52,7 +52,7 @@
         self.rows.get(&address)
     }
 
-    /// All rows of a table whose key begins with `prefix`, after `after`, in key order.
+    /// Returns the rows of a table after the key `after` whose keys start with `prefix`, in key order.
     pub fn scan<'a>(
         &'a self,
         table: &str,
@@ -71,7 +71,7 @@
             .filter(move |row| row.key.starts_with(prefix))
     }
 
-    /// All checks hold and all writes happen, or none.
+    /// Applies all writes if all checks hold, otherwise none.
     pub fn transact(&mut self, transaction: &Transaction) -> Result<u64, Vec<Failed>> {
         let failed = self.failed(transaction);
         if !failed.is_empty() {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Answers one call.
+/// Handles one request.
 pub async fn handle(
     state: &RefCell<State>,
     path: &str,
--- a/crates/standin/src/sample.rs
+++ b/crates/standin/src/sample.rs
@@ -1,4 +1,4 @@
-//! A small installation: two deployments, one account, settings of its entries.
+//! A small sample installation: two deployments, one account and the settings of its entries.
 
 use clock::Span;
 use config::deployment::Account;
@@ -12,23 +12,23 @@
 
 use crate::platform::fleet::Instance;
 
-/// Key of the operators.
+/// Key for the operators' API.
 pub const OPERATORS_KEY: &str = "operators-of-the-sample";
-/// Key between the entries.
+/// Shared key for connections between entries.
 pub const PEER_KEY: &str = "peers-of-the-sample-0123";
-/// Key of the account [`ACCOUNT`].
+/// Caller key of the account [`ACCOUNT`].
 pub const ACCOUNT_KEY: &str = "key-of-the-librarians";
-/// The client account.
+/// Name of the client account.
 pub const ACCOUNT: &str = "librarians";
-/// The model deployment, and its pool.
+/// Name of the model deployment and of its pool.
 pub const MODEL: &str = "thesis";
-/// The plain service's deployment, and its pool.
+/// Name of the plain service's deployment and of its pool.
 pub const SERVICE: &str = "records";
 
-/// Longest wait for a change to be in force everywhere.
+/// Maximum time to wait for a change to take effect at all entries.
 pub const CHANGE_WAIT: Span = Span::from_seconds(10);
 
-/// The account that calls.
+/// Returns the client account.
 pub fn account() -> Account {
     Account {
         name: SmolStr::from(ACCOUNT),
@@ -40,7 +40,7 @@
     }
 }
 
-/// The model deployment.
+/// Returns the model deployment.
 pub fn model() -> Deployment {
     Deployment {
         name: SmolStr::from(MODEL),
@@ -57,7 +57,7 @@
     }
 }
 
-/// The plain service's deployment; receipts are written at most once.
+/// Returns the plain service's deployment; its receipts are non-idempotent.
 pub fn service() -> Deployment {
     Deployment {
         name: SmolStr::from(SERVICE),
@@ -82,7 +82,7 @@
     }
 }
 
-/// An instance as the platform's list shows it.
+/// Returns an instance as the platform lists it.
 pub fn instance(kind: &str, pool: &str, zone: &str, address: &str) -> Instance {
     Instance {
         address: SmolStr::from(address),
@@ -95,25 +95,25 @@
     }
 }
 
-/// Where callers find an entry that may take any port.
+/// Loopback address on a port that the system chooses.
 pub const ANY_PORT: &str = "127.0.0.1:0";
 
-/// What differs between the settings of two entries.
+/// Values that differ between the settings of two entries.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry<'a> {
-    /// Its name.
+    /// Name of the entry.
     pub name: &'a str,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: &'a str,
     /// Address of the platform.
     pub platform: &'a str,
-    /// Where it listens for callers.
+    /// Listen address for callers.
     pub callers: &'a str,
-    /// Peer addresses of entries that run already.
+    /// Peer addresses of entries that are already running.
     pub seeds: &'a [String],
 }
 
-/// Settings of an entry; all its ports but the callers' are free ones of the loopback.
+/// Returns the settings of an entry; all ports but the callers' are chosen by the system.
 pub fn settings(entry: &Entry<'_>) -> String {
     let Entry {
         name,
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server on the current `LocalSet`, which can be cut off as if its process died.
+//! A small HTTP server on the current `LocalSet` that can be killed as if its process had died.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -29,16 +29,16 @@
 use tokio::task::AbortHandle;
 use tokio::task::JoinSet;
 
-/// An answer of any of the parts.
+/// HTTP response of a component.
 pub type Answer = Response<UnsyncBoxBody<Bytes, io::Error>>;
 
-/// One piece of a streamed answer; an error cuts the connection.
+/// Frame of a streamed response; an error cuts the connection.
 pub type Piece = Result<Frame<Bytes>, io::Error>;
 
-/// What a part does with a request; an error cuts the connection without an answer.
+/// Handles a request; an error cuts the connection without a response.
 pub type Handler = Rc<dyn Fn(Request<Incoming>) -> LocalBoxFuture<'static, io::Result<Answer>>>;
 
-/// A listening part.
+/// A listening HTTP server.
 pub struct Server {
     address: SocketAddr,
     tasks: AbortHandle,
@@ -46,7 +46,7 @@
 }
 
 impl Server {
-    /// Listens at `address` and serves until the server is dropped or cut off.
+    /// Listens at `address` and serves until the server is dropped or killed.
     pub async fn bind(address: &str, handler: Handler) -> io::Result<Server> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -58,18 +58,18 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the listener and every connection at once, as the death of the process would.
+    /// Closes the listener and all connections at once, as if the process had died.
     pub fn kill(&self) {
         self.dead.set(true);
         self.tasks.abort();
     }
 
-    /// Whether it was cut off.
+    /// Returns whether it was killed.
     pub fn is_dead(&self) -> bool {
         self.dead.get()
     }
@@ -119,7 +119,7 @@
     }
 }
 
-/// An answer whose body is `value` as JSON.
+/// Returns a response with `value` as its JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> io::Result<Answer> {
     let bytes = serde_json::to_vec(value)?;
     let mut answer = plain(status, Bytes::from(bytes));
@@ -130,7 +130,7 @@
     Ok(answer)
 }
 
-/// An answer whose body is `bytes`.
+/// Returns a response with `bytes` as its body.
 pub fn plain(status: StatusCode, bytes: Bytes) -> Answer {
     let body = Full::new(bytes).map_err(|never| match never {});
     let mut answer = Response::new(UnsyncBoxBody::new(body));
@@ -138,12 +138,12 @@
     answer
 }
 
-/// An answer with no body.
+/// Returns a response without a body.
 pub fn empty(status: StatusCode) -> Answer {
     plain(status, Bytes::new())
 }
 
-/// A stream of server-sent events, fed through the sender.
+/// Returns a response that streams server-sent events from the returned sender.
 pub fn events(capacity: usize) -> (mpsc::Sender<Piece>, Answer) {
     let (sender, receiver) = mpsc::channel::<Piece>(capacity);
     let pieces = futures::stream::unfold(receiver, |mut receiver| async move {
@@ -158,13 +158,13 @@
     (sender, answer)
 }
 
-/// The whole body of a request.
+/// Reads the whole body of a request.
 pub async fn read(request: Request<Incoming>) -> io::Result<Bytes> {
     let collected = request.into_body().collect().await;
     Ok(collected.map_err(io::Error::other)?.to_bytes())
 }
 
-/// The body of a request as JSON, or the answer that refuses it.
+/// Parses the body of a request as JSON, or returns the response that refuses it.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
 ) -> io::Result<Result<T, Answer>> {
@@ -177,7 +177,7 @@
     }))
 }
 
-/// The value of a query parameter; percent escapes are decoded.
+/// Returns the percent-decoded value of a query parameter.
 pub fn query<T>(request: &Request<T>, name: &str) -> Option<String> {
     let pairs = request.uri().query()?.split('&');
     for pair in pairs {
@@ -189,7 +189,7 @@
     None
 }
 
-/// Undoes percent escapes.
+/// Decodes percent escapes.
 pub fn decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! The stand-in plain service: echoes a call and counts how often each one was executed.
+//! The stand-in plain service: echoes each call and counts its executions.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,31 +20,31 @@
 
 /// A running plain service.
 pub struct Service {
-    /// Its listener.
+    /// HTTP server of the service.
     pub server: Server,
     state: Rc<State>,
 }
 
-/// What a test orders to go wrong.
+/// Fault that a test injects.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Says that it did not start a call.
+    /// Answers that the call was not started.
     pub refuse: bool,
-    /// Executes the call, then cuts the connection without an answer.
+    /// Executes the call, then cuts the connection without a response.
     pub lose_answer: bool,
     /// Executes the call, then answers 500.
     pub fail: bool,
-    /// Added to the time of a call, milliseconds.
+    /// Extra time for each call, milliseconds.
     pub delay_ms: u64,
-    /// Neither begins nor ends any call.
+    /// Blocks the start and the end of every call.
     pub frozen: bool,
 }
 
-/// Executions by call.
+/// Number of executions of each call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Key: method, path with query and body, separated by spaces.
+    /// Keyed by method, path with query, and body, separated by spaces.
     pub executions: BTreeMap<String, u32>,
 }
 
@@ -81,12 +81,12 @@
 }
 
 impl Service {
-    /// Executions so far.
+    /// Returns the executions so far.
     pub fn counts(&self) -> Counts {
         self.state.counts.borrow().clone()
     }
 
-    /// Orders a fault, in place of the one before.
+    /// Replaces the injected fault.
     pub fn set_fault(&self, fault: Fault) {
         self.state.set_fault(fault);
     }
@@ -152,7 +152,7 @@
     server::json(StatusCode::OK, &echo)
 }
 
-/// The word that a request was not started.
+/// Returns the response for a request that was not started.
 pub fn not_started() -> Answer {
     let mut answer = server::empty(StatusCode::SERVICE_UNAVAILABLE);
     answer.headers_mut().insert(
--- a/crates/standin/src/tokens.rs
+++ b/crates/standin/src/tokens.rs
@@ -1,54 +1,54 @@
 //! The stand-in model: each token is a function of the prompt and its index.
 //!
-//! A test can therefore say what the whole answer must be, whichever engines took part in it.
+//! Tests can therefore predict the whole answer, whichever engines generate it.
 
 use serde::Deserialize;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Prompt text for which one block of KV cache is kept.
+/// Bytes of prompt text in one KV cache block.
 pub const BLOCK_BYTES: usize = 256;
 
-/// Bytes of text counted as one prompt token.
+/// Bytes of prompt text counted as one token.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// A prompt that holds this text makes the engine die when it starts to run it.
+/// Text that crashes the engine when it starts to run a prompt that contains it.
 pub const CRASH_MARK: &str = "[crash]";
 
 const LENGTH_MARK: &str = "[tokens=";
 const DEFAULT_LENGTH: u32 = 24;
 
-/// The body of a model call, as far as the stand-in looks at it.
+/// Body of a model call, reduced to the fields that the stand-in uses.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Chat {
-    /// The deployment.
+    /// Name of the deployment.
     #[serde(default)]
     pub model: String,
-    /// The conversation.
+    /// Messages of the conversation.
     pub messages: Vec<Message>,
-    /// Most new tokens.
+    /// Maximum number of new tokens.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u32>,
-    /// Whether a stream is wanted.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Whether a last message of the assistant is to be continued.
+    /// Whether the last assistant message is continued.
     #[serde(default)]
     pub continue_final_message: bool,
 }
 
-/// One message.
+/// A message of the conversation.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Message {
     /// `system`, `user` or `assistant`.
     pub role: String,
-    /// Its text.
+    /// Text of the message.
     pub content: String,
 }
 
 impl Chat {
-    /// A streamed call with one question, to be answered with `length` tokens.
+    /// Returns a streamed call with one question that is answered with `length` tokens.
     pub fn question(model: &str, text: &str, length: u32) -> Chat {
         Chat {
             model: model.to_owned(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// What the model makes of it.
+    /// Returns what the model generates for this call.
     pub fn plan(&self) -> Plan {
         let continued = self.continued();
         let asked = self.messages.len() - usize::from(continued.is_some());
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The text that the engine has to compute, block by block.
+    /// Returns the text whose KV cache the engine computes, block by block.
     pub fn text(&self) -> String {
         flatten(&self.messages)
     }
@@ -88,21 +88,21 @@
     }
 }
 
-/// What will be generated for a prompt.
+/// Tokens that the model generates for a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Hash of the prompt without the part of the answer that was there already.
+    /// Hash of the prompt without the continued part of the answer.
     pub seed: u64,
-    /// Tokens of the answer that were there already.
+    /// Tokens in the continued part of the answer.
     pub base: u32,
     /// Tokens to generate.
     pub new: u32,
-    /// Whether the engine dies of it.
+    /// Whether the prompt crashes the engine.
     pub crashes: bool,
 }
 
 impl Plan {
-    /// The token at an offset; offset 0 is the first new token.
+    /// Returns the token at an offset; offset 0 is the first new token.
     pub fn token(&self, offset: u32) -> String {
         let index = u64::from(self.base) + u64::from(offset);
         let mut bytes = [0; 16];
@@ -111,13 +111,13 @@
         format!("w{:05x} ", xxh3_64(&bytes) & 0xf_ffff)
     }
 
-    /// The whole of what is to be generated.
+    /// Returns the text of all new tokens.
     pub fn answer(&self) -> String {
         (0..self.new).map(|offset| self.token(offset)).collect()
     }
 }
 
-/// Hash of the text up to the end of each whole block.
+/// Returns, for each full block, the hash of the text up to its end.
 pub fn blocks(text: &str) -> Vec<u64> {
     let mut hasher = Xxh3::new();
     let mut hashes = Vec::with_capacity(text.len() / BLOCK_BYTES);
--- a/crates/standin/tests/callers_page.rs
+++ b/crates/standin/tests/callers_page.rs
@@ -1,4 +1,4 @@
-//! The session of docs/callers.md works as printed.
+//! The session printed in docs/callers.md works as printed.
 
 mod harness;
 
@@ -8,16 +8,16 @@
 use harness::process::scratch;
 use tokio::process::Command;
 
-/// What the page types to name its entry; the test's own entry takes its place.
+/// Line of the page that names the entry; replaced by the entry under test.
 const ENTRY: &str = "ENTRY=127.0.0.1:8000";
 
-/// Stands on the page for what differs from run to run.
+/// Placeholder on the page for text that differs between runs.
 const ANYTHING: &str = "...";
 
-/// Printed by the script before the output of each command.
+/// Line that the script prints before the output of each command.
 const MARK: &str = "=== command";
 
-/// One command of the page, and what it prints there.
+/// A command of the page and its printed output.
 #[derive(Default)]
 struct Step {
     command: String,
@@ -57,7 +57,7 @@
     });
 }
 
-/// The commands of the page's `sh` blocks.
+/// Returns the commands in the page's `sh` blocks.
 fn steps_of(page: &str) -> Vec<Step> {
     let mut steps: Vec<Step> = Vec::new();
     let mut inside = false;
@@ -84,7 +84,7 @@
     steps
 }
 
-/// Whether a text is as printed, where the dots stand for anything.
+/// Returns whether a text matches the printed one, where each placeholder matches anything.
 fn matches(printed: &str, text: &str) -> bool {
     let mut pieces = printed.split(ANYTHING);
     let Some(mut rest) = text.strip_prefix(pieces.next().unwrap_or_default()) else {
--- a/crates/standin/tests/failures_backend.rs
+++ b/crates/standin/tests/failures_backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers that are reclaimed, killed or cut while they serve.
+//! Backend servers that are reclaimed, killed or disconnected while they serve.
 
 mod harness;
 
@@ -20,14 +20,14 @@
     token_ms: 10,
 };
 
-/// Less than the streams of these tests take, so that none can finish where it began.
+/// Shorter than the streams of these tests, so that none can finish on the engine that started it.
 const NOTICE_MS: u64 = 600;
 
-/// Within this a leaving server must be out of use at every entry.
+/// Time within which every entry must stop using a leaving server.
 const FEW_SECONDS: Duration = Duration::from_secs(3);
 
-/// A dossier stops half way: its engine's instance was reclaimed with notice. The stream must go on
-/// at another engine, whole, and with nothing computed again, since KV can still be exported.
+/// An engine's instance is reclaimed with notice in mid-stream. The stream must be moved to another engine
+/// complete and without recomputation, since KV can still be exported.
 #[test]
 fn reclaimed_engine_in_mid_stream() {
     harness::run(async {
@@ -42,7 +42,7 @@
     });
 }
 
-/// The same where the engines can't move KV: prompt and tokens so far are run again elsewhere.
+/// Without KV transfer the prompt and the tokens so far are recomputed on another engine.
 #[test]
 fn reclaimed_engine_without_transfer() {
     harness::run(async {
@@ -61,9 +61,8 @@
     });
 }
 
-/// A county society's portal goes dark with its zone: engines, plain services and the entry of one
-/// zone are reclaimed together in mid-stream. Every stream must end whole, and each receipt be
-/// executed once.
+/// All engines, plain services and the entry of one zone are reclaimed together in mid-stream. Every stream
+/// must end complete, and no receipt may be executed twice.
 #[test]
 fn reclaimed_zone_in_mid_stream() {
     harness::run(async {
@@ -108,8 +107,8 @@
     });
 }
 
-/// A stream stops without any notice: its engine was killed. Prompt and tokens so far are run again
-/// elsewhere, and the reader sees nothing of it.
+/// An engine is killed without notice. The prompt and the tokens so far must be recomputed on another engine,
+/// without an interruption that the reader notices.
 #[test]
 fn killed_engine_in_mid_stream() {
     harness::run(async {
@@ -123,8 +122,8 @@
     });
 }
 
-/// A stream's connection to its engine is cut while the engine lives: the engine keeps the stream,
-/// so that it is resumed there and nothing is computed again.
+/// The connection to a live engine is cut. The engine keeps the stream, so it must be resumed there without
+/// recomputation.
 #[test]
 fn cut_connection_to_an_engine() {
     harness::run(async {
@@ -142,8 +141,8 @@
     });
 }
 
-/// A request is sent to a server that is about to go: the instance list lags by a minute and still
-/// calls it live. The notice alone must keep new work away from it, in this incarnation for ever.
+/// The instance list is stale and still shows a reclaimed server as live. The notice alone must keep new
+/// requests away from this incarnation for good.
 #[test]
 fn leaving_engine_gets_no_new_work() {
     harness::run(async {
@@ -164,8 +163,8 @@
     });
 }
 
-/// A family's filing is lost or doubled: the service executes it and its answer is lost. Nobody can
-/// know more than "may have run", and it must not be executed again.
+/// A service executes a non-idempotent call and its response is lost. The verdict must be "may have run", and
+/// the call must not be executed again.
 #[test]
 fn lost_answer_of_a_service() {
     harness::run(async {
@@ -182,7 +181,7 @@
     });
 }
 
-/// Every service says that it did not start the call: the caller is told "not run", which is true.
+/// Every service answers that it did not start the call: the verdict must be "not run".
 #[test]
 fn refusing_services_are_not_run() {
     harness::run(async {
@@ -202,7 +201,7 @@
     });
 }
 
-/// Sends notices to engines and kills them at the deadline.
+/// Sends reclaim notices to engines and kills them at the deadline.
 async fn reclaim_and_kill(world: &mut World, engines: &[usize]) {
     for at in engines {
         let id = world.engines[*at].instance.id.clone();
@@ -216,7 +215,7 @@
     }
 }
 
-/// Recomputed tokens of all engines but those.
+/// Returns the recomputed tokens of all engines but `but`.
 async fn recomputed(world: &World, but: &[usize]) -> u64 {
     let mut recomputed = 0;
     for at in 0..world.engines.len() {
--- a/crates/standin/tests/failures_config.rs
+++ b/crates/standin/tests/failures_config.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration while operators race, entries freeze and the store fails.
+//! Configuration changes while operators race, entries freeze and the store fails.
 
 mod harness;
 
@@ -18,9 +18,8 @@
     token_ms: 5,
 };
 
-/// A dismissed librarian still gets answers: an entry was frozen while the operator took the key
-/// away, and serves by the old configuration once it thaws. Its lease has lapsed by then, so that it
-/// must admit nothing before it has read the new configuration.
+/// An entry is frozen while an operator revokes a key, and still has the old configuration when it resumes.
+/// Its lease has expired, so it must not admit requests before it has read the new configuration.
 #[test]
 fn frozen_entry_through_a_change() {
     harness::run(async {
@@ -48,7 +47,7 @@
     });
 }
 
-/// An entry is started while the store is down: it takes the configuration from a peer.
+/// An entry that starts during a store outage gets the configuration from a peer.
 #[test]
 fn entry_started_in_an_outage() {
     harness::run(async {
@@ -64,8 +63,8 @@
     });
 }
 
-/// Two operators change the same account at the same moment, at different entries: one wins, the
-/// other is told the newer version and what differs, and no entry ever shows the loser's.
+/// Two operators change the same account concurrently at different entries. One must succeed, the other must
+/// get a conflict with the newer version and the differences, and no entry may apply the loser's change.
 #[test]
 fn operators_racing() {
     harness::run(async {
@@ -96,8 +95,8 @@
     });
 }
 
-/// Two operators change different accounts at the same moment: neither undoes the other's, both are in
-/// force at every entry.
+/// Two operators change different accounts concurrently. Neither may undo the other's change, and both must
+/// be in force at every entry.
 #[test]
 fn operators_at_different_accounts() {
     harness::run(async {
@@ -124,8 +123,8 @@
     });
 }
 
-/// The store's answer to a change is lost after its effect: the operator's repeat under the same
-/// change id takes effect once.
+/// The store's response to a change is lost after the change took effect. The operator's retry under the same
+/// change id must not apply it twice.
 #[test]
 fn lost_answer_of_the_store_on_a_change() {
     harness::run(async {
@@ -158,7 +157,7 @@
     })
 }
 
-/// A new key for one account, the same for all who call this.
+/// Returns an edit that sets the key of one account, the same account for every caller.
 fn rekey(key: &str) -> Edit {
     Edit::PutAccount(Account {
         name: "contested".into(),
--- a/crates/standin/tests/failures_engines.rs
+++ b/crates/standin/tests/failures_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that stand still, go in waves or leave by the instance list alone.
+//! Engines that freeze, are reclaimed together, or leave according to the instance list only.
 
 mod harness;
 
@@ -17,8 +17,8 @@
     token_ms: 10,
 };
 
-/// A report stops in mid-sentence while everything looks alive: its engine's process stands still,
-/// and its connections stay open. The rest must come from another engine.
+/// An engine's process freezes in mid-stream while its connections stay open. The rest of the stream must
+/// come from another engine.
 #[test]
 fn frozen_engine_in_mid_stream() {
     harness::run(async {
@@ -32,8 +32,8 @@
     });
 }
 
-/// A wave takes half of the engines, in all zones, at one moment; one of them dies long before its
-/// deadline. Every stream must end whole.
+/// Half of the engines, in all zones, are reclaimed together, and one dies long before its deadline. Every
+/// stream must end complete.
 #[test]
 fn wave_of_reclaims_with_one_early_death() {
     harness::run(async {
@@ -60,7 +60,7 @@
     });
 }
 
-/// No notice comes, but the instance list says that an engine is leaving: it gets no new work.
+/// An engine that the instance list shows as leaving, without a notice, must get no new requests.
 #[test]
 fn engine_leaving_by_the_list_alone() {
     harness::run(async {
@@ -79,7 +79,7 @@
     });
 }
 
-/// Waits until every entry shows the backend server as leaving, or not at all.
+/// Waits until no entry shows the backend server as live.
 async fn wait_until_known_as_leaving(world: &World, incarnation: &str) {
     for entry in 0..world.entries.len() {
         let mut operator = world.operator(entry).await;
--- a/crates/standin/tests/failures_entry.rs
+++ b/crates/standin/tests/failures_entry.rs
@@ -1,4 +1,4 @@
-//! Entries that are killed, frozen or replaced while callers are served.
+//! Entries that are killed while they serve callers.
 
 mod harness;
 
@@ -16,9 +16,8 @@
     token_ms: 10,
 };
 
-/// An examiner sees a report stop in mid-sentence: the entry that carried it was killed. The caller
-/// comes back to another entry with token and offset; the engine still has the stream, so that the
-/// report goes on where it stopped and nothing is computed again.
+/// The entry that relays a stream is killed. The caller resumes at another entry with token and offset; the
+/// engine still holds the stream, so it must continue without recomputation.
 #[test]
 fn killed_entry_in_mid_stream() {
     harness::run(async {
@@ -40,9 +39,8 @@
     });
 }
 
-/// A branch is billed twice: the entry that handed the receipt on is killed before the answer, and
-/// the branch sends it again. It must be told that it may have run, and the same key must not run it
-/// a second time at any other entry.
+/// An entry is killed after it forwarded a receipt and before the response, and the caller retries. The retry
+/// must be answered "may have run", and no other entry may execute the same key again.
 #[test]
 fn killed_entry_before_the_answer_of_a_non_idempotent_call() {
     harness::run(async {
--- a/crates/standin/tests/failures_fleet.rs
+++ b/crates/standin/tests/failures_fleet.rs
@@ -1,4 +1,4 @@
-//! The entry that gives a deployment's engines their orders is frozen past its lease.
+//! The entry that orders a deployment's engines is frozen past its lease.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,15 +23,14 @@
 
 const ENGINES: usize = 3;
 
-/// An old model version comes back: the entry that orders the engines was frozen, another one took
-/// over and ordered a newer version, and the first gives its old orders once it thaws. Its fencing
-/// number is refused, and it must see that its lease has lapsed before it gives any.
+/// The lease holder is frozen, another entry takes over and orders a newer model version, then the old holder
+/// resumes. Its stale fencing number must be refused, and it must notice that its lease has expired.
 #[test]
 fn frozen_holder_and_engines_that_check_fencing() {
     harness::run(frozen_holder(&[]));
 }
 
-/// The same with engines that take every order: only the holder itself can hold back.
+/// Engines accept every order, so only the old holder itself can prevent stale orders.
 #[test]
 fn frozen_holder_and_engines_that_ignore_fencing() {
     harness::run(frozen_holder(&["--ignores-fencing"]));
@@ -74,7 +73,7 @@
     model
 }
 
-/// The entry that gave the engines their orders.
+/// Returns the index of the entry that ordered the engines.
 async fn holder(world: &World) -> usize {
     let ordered = |log: String| log.contains("event=engine_ordered");
     wait_for("an order", async || {
--- a/crates/standin/tests/failures_killer.rs
+++ b/crates/standin/tests/failures_killer.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each engine that runs it.
+//! A request that crashes every engine that runs it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,12 +17,11 @@
     token_ms: 10,
 };
 
-/// Most engines that one request may take with it, over all entries and all its repeats.
+/// Maximum number of engines that one request may crash, over all entries and all retries.
 const MOST_CRASHES: usize = 2;
 
-/// A family's scan crashes each engine that runs it, and the family sends it again and again, to
-/// every entry. After the second crash it must be answered for good, everywhere, and the streams of
-/// others must come whole.
+/// A request crashes every engine that runs it, and is retried at every entry. After the second crash every
+/// entry must refuse it, and the streams of other callers must end complete.
 #[test]
 fn killer_request() {
     harness::run(async {
--- a/crates/standin/tests/failures_rolling.rs
+++ b/crates/standin/tests/failures_rolling.rs
@@ -1,4 +1,4 @@
-//! Planned replacement of all entries.
+//! Rolling replacement of all entries.
 
 mod harness;
 
@@ -16,8 +16,8 @@
     token_ms: 10,
 };
 
-/// All 8 entries are replaced one after another while callers stream and file. Nothing may be lost,
-/// doubled or cut: each entry stops being named, passes its streams on and ends in good order.
+/// All 8 entries are replaced one after another under load. Nothing may be lost, duplicated or cut: each
+/// entry is removed from the addresses, hands over its streams and exits with code 0.
 #[test]
 fn rolling_replacement_under_load() {
     harness::run(async {
@@ -46,8 +46,8 @@
     });
 }
 
-/// A long report is in progress at an entry that is replaced, and can't end within its grace: the
-/// entry names another one in the stream, which goes on there. Nothing is cut or computed again.
+/// A long stream can't end within the grace of an entry that is stopped. The entry names another one in the
+/// stream, which must continue there without a cut or recomputation.
 #[test]
 fn stopped_entry_passes_long_streams_on() {
     harness::run(async {
--- a/crates/standin/tests/failures_store.rs
+++ b/crates/standin/tests/failures_store.rs
@@ -1,4 +1,4 @@
-//! A platform that is down, slow or loses answers, and operators that race.
+//! A store that is down or loses responses.
 
 mod harness;
 
@@ -27,9 +27,8 @@
     token_ms: 5,
 };
 
-/// A branch is billed twice, or never: the row that gives leave to run a receipt was written, but
-/// the store's answer was lost. The entry must find its own row and run the receipt once; a repeat
-/// under the same key at any entry must not run it again.
+/// The intent row of a non-idempotent call is written, but the store's response is lost. The entry must find
+/// its own row and execute the call once; a retry under the same key must not execute it again at any entry.
 #[test]
 fn lost_answer_of_the_store_on_a_non_idempotent_call() {
     harness::run(async {
@@ -49,7 +48,7 @@
     });
 }
 
-/// One receipt, sent at the same moment to every entry under one key: it is executed once.
+/// A receipt is sent to all entries concurrently under one key, and must be executed once.
 #[test]
 fn same_key_at_all_entries_at_once() {
     harness::run(async {
@@ -68,8 +67,8 @@
     });
 }
 
-/// The store is down: model calls and calls by ticket go on, a call that needs a row is told that it
-/// did not run and when to come back, and a change is not accepted.
+/// The store is down. Model calls and calls by ticket must succeed, a call that needs a row must get
+/// "not run" with a time to retry after, and a change must not be accepted.
 #[test]
 fn store_outage() {
     harness::run(async {
@@ -102,7 +101,7 @@
     });
 }
 
-/// An outage that lasts longer than every lease: requests go on all the same.
+/// Requests must also be served when a store outage outlasts every lease.
 #[test]
 fn store_outage_past_the_leases() {
     harness::run(async {
--- a/crates/standin/tests/failures_tickets.rs
+++ b/crates/standin/tests/failures_tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets of entries that are gone.
+//! Tickets issued by entries that have ended.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,8 +18,8 @@
     token_ms: 10,
 };
 
-/// A branch holds two tickets of an entry that is stopped: one was used, one not. The entry hands its
-/// ledger on, so that another entry can tell them apart: one receipt more, and not the first again.
+/// An entry that issued a used and an unused ticket is stopped. It must hand its ledger over, so that another
+/// entry executes the unused ticket and refuses the used one.
 #[test]
 fn stopped_entry_hands_its_tickets_on() {
     harness::run(async {
@@ -45,8 +45,8 @@
     });
 }
 
-/// A branch holds tickets of an entry that was killed: its ledger is lost, so that nobody can say any
-/// more whether a ticket was used. The answer is "may have run", at once, and nothing runs.
+/// An entry that issued tickets is killed and its ledger is lost, so a used ticket can't be told from an
+/// unused one. Both must get "may have run" at once, without an execution.
 #[test]
 fn killed_entry_takes_its_tickets_along() {
     harness::run(async {
@@ -68,7 +68,7 @@
     });
 }
 
-/// Two tickets of the first entry.
+/// Returns two tickets of the first entry.
 async fn tickets(world: &World) -> (String, String) {
     let answer = world
         .caller_of(world.entries[..1].iter())
@@ -78,7 +78,7 @@
     (answer.tickets[0].to_string(), answer.tickets[1].to_string())
 }
 
-/// Files a receipt by a ticket, with the ticket as its body.
+/// Sends a receipt with a ticket, which is also its body.
 async fn file(world: &World, entry: usize, ticket: &str) -> Raw {
     let name = ("x-dogwoodspur-ticket", ticket);
     receipt_at(&world.entries[entry], ticket, name).await
--- a/crates/standin/tests/harness/caller.rs
+++ b/crates/standin/tests/harness/caller.rs
@@ -1,4 +1,4 @@
-//! What callers send, and what they must get back.
+//! Requests of callers, and the answers they expect.
 
 use bytes::Bytes;
 use client::Client;
@@ -15,7 +15,7 @@
 use crate::harness::raw;
 use crate::harness::raw::Raw;
 
-/// A streamed answer under way, and all that it must become.
+/// Reads a streamed answer and checks it against the expected text.
 pub struct Asked {
     pub stream: Stream,
     pub text: String,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Reads so many chunks.
+    /// Reads `chunks` chunks.
     pub async fn read(&mut self, chunks: usize) {
         for _ in 0..chunks {
             let chunk = self.stream.next().await.expect("more chunks").unwrap();
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Reads the rest; the answer must be whole, with no chunk doubled.
+    /// Reads the rest and checks that the answer is complete, without a duplicate chunk.
     pub async fn finish(&mut self) {
         self.text
             .push_str(&self.stream.collect_text().await.unwrap());
@@ -50,7 +50,7 @@
     }
 }
 
-/// A non-idempotent call.
+/// Returns a non-idempotent call.
 pub fn receipt(body: &str, delivery: Delivery) -> Call {
     Call {
         deployment: SmolStr::from(sample::SERVICE),
@@ -61,12 +61,12 @@
     }
 }
 
-/// How the plain service counts [`receipt`].
+/// Returns the key under which the plain service counts [`receipt`].
 pub fn receipt_key(body: &str) -> String {
     format!("POST /receipts {body}")
 }
 
-/// Sends a receipt to exactly this entry, named by one header: a key of its own or a ticket.
+/// Sends a receipt to this entry only, identified by one header: an idempotency key or a ticket.
 pub async fn receipt_at(entry: &Process, body: &str, name: (&str, &str)) -> Raw {
     let key = format!("Bearer {}", sample::ACCOUNT_KEY);
     let headers = [("authorization", key.as_str()), name];
@@ -74,7 +74,7 @@
     raw::request(entry.address("callers"), line, &headers, body).await
 }
 
-/// Asks exactly this entry a question that is answered with three tokens in one piece.
+/// Asks this entry only a question that is answered with three tokens, not streamed.
 pub async fn ask_at(address: &str, question: &str) -> Raw {
     let chat = Chat {
         stream: false,
@@ -86,7 +86,7 @@
     raw::request(address, "POST /v1/chat/completions", &headers, &body).await
 }
 
-/// Sends a receipt under the caller's own key.
+/// Sends a receipt under an idempotency key.
 pub async fn send_receipt(caller: &Client, body: &str, key: &str) -> Result<(), Error> {
     let call = receipt(body, Delivery::Key(SmolStr::from(key)));
     caller.call(&call).await.map(drop)
--- a/crates/standin/tests/harness/load.rs
+++ b/crates/standin/tests/harness/load.rs
@@ -1,4 +1,4 @@
-//! Callers that go on and on.
+//! Continuous load by callers.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -10,9 +10,9 @@
 use crate::harness::caller::Asked;
 use crate::harness::caller::receipt;
 
-/// Callers that stream and file until they are told to stop.
+/// Callers that stream answers and send receipts until they are stopped.
 pub struct Load {
-    /// Streams that came whole.
+    /// Streams that were received completely.
     pub finished: Rc<Cell<usize>>,
     stop: Rc<Cell<bool>>,
     filed: Rc<RefCell<Vec<String>>>,
@@ -23,7 +23,7 @@
     const STREAMERS: usize = 4;
     const FILERS: usize = 2;
 
-    /// Starts them.
+    /// Starts the callers.
     pub fn start(caller: &Client) -> Load {
         let mut load = Load {
             finished: Rc::default(),
@@ -69,7 +69,7 @@
         )
     }
 
-    /// Lets each caller end what it is in; the receipts that were answered.
+    /// Waits for the current request of each caller and returns the receipts that were answered.
     pub async fn stop(self) -> Vec<String> {
         self.stop.set(true);
         for task in self.tasks {
--- a/crates/standin/tests/harness/mod.rs
+++ b/crates/standin/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the parts and the entries as separate processes, and waits for conditions.
+//! Starts components and entries as separate processes, and waits for conditions.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -12,10 +12,10 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// Longest wait for a condition; far beyond what any of them takes.
+/// Maximum wait for a condition, far longer than any of them takes.
 const PATIENCE: Duration = Duration::from_secs(90);
 
-/// Runs a test on one thread.
+/// Runs a test on a single thread.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -24,7 +24,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Waits until `condition` gives a value.
+/// Waits until `condition` returns a value.
 pub async fn wait_for<T>(what: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> T {
     let begin = tokio::time::Instant::now();
     loop {
--- a/crates/standin/tests/harness/operator.rs
+++ b/crates/standin/tests/harness/operator.rs
@@ -1,4 +1,4 @@
-//! An operator at work, over gRPC.
+//! An operator, connected over gRPC.
 
 use ops::client::Client;
 use ops::client::Failure;
@@ -17,7 +17,7 @@
 }
 
 impl Operator {
-    /// Connects.
+    /// Connects to the operators' port at `address`.
     pub async fn connect(address: &str) -> Operator {
         let address = format!("http://{address}");
         let client = Client::connect(&address, sample::OPERATORS_KEY).await;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Makes a change on the version `expected`.
+    /// Requests a change of the version `expected`.
     pub async fn change(
         &mut self,
         id: &str,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Makes a change that must be accepted; returns the version that it made.
+    /// Requests a change that must be accepted, and returns the new version.
     pub async fn accepted(&mut self, id: &str, expected: u64, edit: Edit) -> u64 {
         match self.change(id, expected, edit).await {
             Ok(Changed::Accepted { version }) => version,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The version in force at this entry.
+    /// Returns the version in force at this entry.
     pub async fn version(&mut self) -> u64 {
         match self.client.call(Request::ListDeployments).await.unwrap() {
             Reply::Configuration { version, .. } => version,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// How things stand.
+    /// Returns the entry's status.
     pub async fn status(&mut self) -> Status {
         match self.client.call(Request::GetStatus).await.unwrap() {
             Reply::Status(status) => status,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Any call.
+    /// Sends any request.
     pub async fn call(&mut self, request: Request) -> Result<Reply, Failure> {
         self.client.call(request).await
     }
--- a/crates/standin/tests/harness/process.rs
+++ b/crates/standin/tests/harness/process.rs
@@ -1,4 +1,4 @@
-//! One child process, killed when it is dropped.
+//! A child process, killed when dropped.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -13,12 +13,12 @@
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
-/// A running child.
+/// A running child process.
 pub struct Process {
     child: Child,
-    /// What it printed in its `listening` line.
+    /// Addresses from its `listening` line, by name.
     pub addresses: BTreeMap<String, String>,
-    /// Where its log goes.
+    /// Path of its log file.
     pub log: PathBuf,
 }
 
@@ -43,7 +43,7 @@
                 break pairs(rest);
             }
         };
-        // The pipe is read on, so that the child never blocks on a full one.
+        // Keeps reading, so that a full pipe never blocks the child.
         tokio::task::spawn_local(async move { while let Ok(Some(_)) = lines.next_line().await {} });
         Process {
             child,
@@ -52,27 +52,27 @@
         }
     }
 
-    /// An address of its `listening` line.
+    /// Returns an address from the `listening` line.
     pub fn address(&self, name: &str) -> &str {
         &self.addresses[name]
     }
 
-    /// Its process id, while it runs.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id().expect("it runs")
     }
 
-    /// Kills it, as the end of a reclaim does.
+    /// Kills the process, as at the end of a reclaim.
     pub async fn kill(&mut self) {
         self.child.kill().await.unwrap();
     }
 
-    /// Whether it has ended.
+    /// Returns whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().unwrap().is_some()
     }
 
-    /// Its exit code, once it has ended.
+    /// Returns the exit code if the process has ended.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().unwrap()?.code()
     }
@@ -88,13 +88,13 @@
         assert!(status.success());
     }
 
-    /// Its log so far.
+    /// Returns the log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap()
     }
 }
 
-/// A fresh path for a file of this run.
+/// Returns a new path for a temporary file.
 pub fn scratch(name: &str) -> PathBuf {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/standin/tests/harness/raw.rs
+++ b/crates/standin/tests/harness/raw.rs
@@ -1,4 +1,4 @@
-//! Requests byte by byte, as a careless or hostile caller sends them.
+//! Raw HTTP requests, as a faulty or hostile caller sends them.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// What came back until the connection was closed.
+/// Everything received until the connection was closed.
 #[derive(Debug)]
 pub struct Raw {
-    /// 0 if nothing came that looks like an answer.
+    /// Status code; 0 if no HTTP response was received.
     pub status: u16,
-    /// Head, in lower case.
+    /// Status line and headers, in lower case.
     pub head: String,
     /// Body.
     pub body: String,
 }
 
 impl Raw {
-    /// The reason in the body of a refusal.
+    /// Returns the reason in the body of a refusal.
     pub fn reason(&self) -> String {
         self.field("reason")
     }
 
-    /// The verdict in the body of a refusal; the header must say the same.
+    /// Returns the verdict in the body of a refusal, and checks that the header has the same.
     pub fn verdict(&self) -> String {
         let verdict = self.field("verdict");
         let header = format!("x-dogwoodspur-verdict: {verdict}");
@@ -34,7 +34,7 @@
         verdict
     }
 
-    /// A header's value; empty where it is missing.
+    /// Returns the value of a header; empty if it is missing.
     pub fn header(&self, name: &str) -> String {
         let lines = self.head.lines().filter_map(|line| line.split_once(": "));
         let mut values = lines.filter(|(header, _)| *header == name);
@@ -50,14 +50,14 @@
     }
 }
 
-/// Sends bytes and reads until the other side closes.
+/// Sends bytes and reads until the peer closes the connection.
 pub async fn exchange(address: &str, bytes: &[u8]) -> Raw {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let _ = stream.write_all(bytes).await;
     read(stream).await
 }
 
-/// Sends a whole HTTP/1.1 request.
+/// Sends a complete HTTP/1.1 request.
 pub async fn request(address: &str, line: &str, headers: &[(&str, &str)], body: &str) -> Raw {
     let mut text = format!("{line} HTTP/1.1\r\nhost: entry\r\nconnection: close\r\n");
     for (name, value) in headers {
@@ -67,7 +67,7 @@
     exchange(address, text.as_bytes()).await
 }
 
-/// Reads until the other side closes.
+/// Reads until the peer closes the connection.
 pub async fn read(mut stream: TcpStream) -> Raw {
     let mut bytes = Vec::new();
     let reading = stream.read_to_end(&mut bytes);
--- a/crates/standin/tests/harness/world.rs
+++ b/crates/standin/tests/harness/world.rs
@@ -1,4 +1,4 @@
-//! A whole installation as separate processes: platform, entries, engines, plain services.
+//! An installation of separate processes: platform, entries, engines, plain services.
 
 use bytes::Bytes;
 use hyper::Method;
@@ -19,7 +19,7 @@
 use crate::harness::process::scratch;
 use crate::harness::wait_for;
 
-/// The installation.
+/// Processes of an installation.
 pub struct World {
     pub http: Http,
     pub platform: Process,
@@ -34,13 +34,13 @@
     pub instance: Instance,
 }
 
-/// How large an installation is to be.
+/// Number of processes of each kind.
 pub struct Size {
-    /// Entries, over the zones in turn.
+    /// Entries, distributed over the zones.
     pub entries: usize,
-    /// Model engines, over the zones in turn.
+    /// Model engines, distributed over the zones.
     pub engines: usize,
-    /// Plain services, over the zones in turn.
+    /// Plain services, distributed over the zones.
     pub services: usize,
     /// Time between two tokens, milliseconds.
     pub token_ms: u64,
@@ -49,7 +49,7 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 impl World {
-    /// Starts everything; nothing is deployed yet.
+    /// Starts all processes without a deployment.
     pub async fn start(size: &Size) -> World {
         let platform = Process::start("platform", &["platform"]).await;
         let mut world = World {
@@ -71,20 +71,20 @@
         world
     }
 
-    /// Starts everything and deploys the sample.
+    /// Starts all processes and deploys the sample.
     pub async fn deployed(size: &Size) -> World {
         let world = World::start(size).await;
         world.deploy().await;
         world
     }
 
-    /// Starts one more engine; returns its index.
+    /// Starts another engine and returns its index.
     pub async fn add_engine(&mut self, zone: &str, token_ms: u64) -> usize {
         let token_ms = token_ms.to_string();
         self.add_engine_with(zone, &["--token-ms", &token_ms]).await
     }
 
-    /// Starts one more engine with these arguments; returns its index.
+    /// Starts another engine with these arguments and returns its index.
     pub async fn add_engine_with(&mut self, zone: &str, arguments: &[&str]) -> usize {
         let name = format!("engine-{}", self.engines.len());
         let arguments = [&["engine"], arguments].concat();
@@ -94,7 +94,7 @@
         self.engines.len() - 1
     }
 
-    /// Starts one more plain service; returns its index.
+    /// Starts another plain service and returns its index.
     pub async fn add_service(&mut self, zone: &str) -> usize {
         let name = format!("service-{}", self.services.len());
         let process = Process::start(&name, &["service"]).await;
@@ -103,7 +103,7 @@
         self.services.len() - 1
     }
 
-    /// Starts one more entry; returns its index.
+    /// Starts another entry and returns its index.
     pub async fn add_entry(&mut self, zone: &str) -> usize {
         let name = format!("entry-{}", self.entries.len());
         let running = self
@@ -125,7 +125,7 @@
         self.entries.len() - 1
     }
 
-    /// An operator creates the account and both deployments, and waits until they can be called.
+    /// Creates the account and both deployments, and waits until they can be called.
     pub async fn deploy(&self) {
         let mut operator = self.operator(0).await;
         let edits = [
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Waits until an entry has a version in force, knows all backend servers that run, and is ready.
+    /// Waits until an entry applies the version, knows all running backend servers and is ready.
     pub async fn wait_until_ready(&self, entry: &Process, version: u64) {
         let mut operator = Operator::connect(entry.address("operators")).await;
         let backends = self.engines.len() + self.services.len();
@@ -160,17 +160,17 @@
         .await;
     }
 
-    /// An operator at an entry.
+    /// Connects an operator to an entry.
     pub async fn operator(&self, entry: usize) -> Operator {
         Operator::connect(self.entries[entry].address("operators")).await
     }
 
-    /// A caller that knows all entries that run.
+    /// Returns a client that knows all entries.
     pub fn caller(&self) -> Client {
         self.caller_of(self.entries.iter())
     }
 
-    /// A caller that knows these entries.
+    /// Returns a client that knows only these entries.
     pub fn caller_of<'a>(&self, entries: impl Iterator<Item = &'a Process>) -> Client {
         Client::new(self.caller_config(entries))
     }
@@ -190,7 +190,7 @@
         }
     }
 
-    /// A caller that gives up after a second try.
+    /// Returns a client that tries each request twice at most.
     pub fn hasty_caller(&self) -> Client {
         Client::new(client::configs::Client {
             max_attempts: 2,
@@ -198,7 +198,7 @@
         })
     }
 
-    /// The entry whose callers use this address.
+    /// Returns the index of the entry that serves callers at this address.
     pub fn entry_at(&self, address: &str) -> usize {
         let at = self
             .entries
@@ -207,22 +207,22 @@
         at.expect("the entry is known")
     }
 
-    /// Sends a notice for instances that this JSON names.
+    /// Sends a reclaim notice for the instances selected by this JSON.
     pub async fn reclaim(&self, whom: serde_json::Value) {
         self.control("/control/notice", &whom).await;
     }
 
-    /// Orders a fault at the platform.
+    /// Injects a fault into the platform.
     pub async fn platform_fault(&self, fault: serde_json::Value) {
         self.control("/control/fault", &fault).await;
     }
 
-    /// What an engine has counted.
+    /// Returns the counters of an engine.
     pub async fn engine_counts(&self, at: usize) -> engine::fault::Counts {
         self.counts(&self.engines[at].process).await
     }
 
-    /// The engine that was given a stream.
+    /// Waits for an engine that has started a stream, and returns its index.
     pub async fn busy_engine(&self) -> usize {
         wait_for("a busy engine", async || {
             for at in 0..self.engines.len() {
@@ -235,12 +235,12 @@
         .await
     }
 
-    /// What a plain service has counted.
+    /// Returns the counters of a plain service.
     pub async fn service_counts(&self, at: usize) -> service::Counts {
         self.counts(&self.services[at].process).await
     }
 
-    /// Executions of a call, such as `POST /receipts?x=1 body`, over all plain services.
+    /// Returns the executions of a call, such as `POST /receipts?x=1 body`, over all plain services.
     pub async fn executions(&self, call: &str) -> u32 {
         let mut executions = 0;
         for at in 0..self.services.len() {
@@ -250,7 +250,7 @@
         executions
     }
 
-    /// Orders a fault at a backend server.
+    /// Injects a fault into a backend server.
     pub async fn fault(&self, process: &Process, fault: serde_json::Value) {
         let address = process.address("address");
         self.http
@@ -259,7 +259,7 @@
             .unwrap();
     }
 
-    /// Changes the state of an instance in the list.
+    /// Changes the state of a listed instance.
     pub async fn set_state(&self, id: &str, state: &str) {
         let path = format!("/control/instances/{id}");
         self.control(&path, &json!({ "state": state })).await;
--- a/crates/standin/tests/metrics.rs
+++ b/crates/standin/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What an entry tells of itself on its admin port.
+//! Metrics on an entry's admin port.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/standin/tests/parts/engine.rs
+++ b/crates/standin/tests/parts/engine.rs
@@ -1,4 +1,4 @@
-//! The model engine.
+//! Tests of the model engine.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -38,7 +38,7 @@
     (engine, address)
 }
 
-/// What a stream said: its text, the next offset, and whether it came to its end.
+/// Output of a stream: its text, the next offset, and whether it is complete.
 #[derive(Debug, Default, PartialEq)]
 struct Heard {
     text: String,
@@ -46,7 +46,7 @@
     whole: bool,
 }
 
-/// Starts a stream and reads it to its end or cut.
+/// Starts a stream and reads it until it ends or is cut.
 async fn ask(address: &str, id: &str, priority: u8, chat: &Chat) -> Heard {
     let request = Request::builder()
         .method(Method::POST)
@@ -57,7 +57,7 @@
     hear(request.unwrap(), 0).await
 }
 
-/// Takes a stream up again.
+/// Resumes a stream at an offset.
 async fn resume(address: &str, id: &str, offset: u32) -> Heard {
     let request = Request::builder()
         .uri(format!("http://{address}/v1/streams/{id}?offset={offset}"))
--- a/crates/standin/tests/parts/main.rs
+++ b/crates/standin/tests/parts/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins keep to the protocols, and their faults are what a test orders.
+//! The stand-ins follow their protocols, and injected faults have their effects.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use standin::http::Http;
 
-/// Runs a test on one thread.
+/// Runs a test on a single thread.
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -22,7 +22,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Posts JSON; the status and the answer, null where it isn't JSON.
+/// Posts JSON and returns the status and the response, null if it isn't JSON.
 async fn post(address: &str, path: &str, value: Value) -> (StatusCode, Value) {
     let body = bytes::Bytes::from(value.to_string());
     let (status, bytes) = Http::default()
@@ -32,7 +32,7 @@
     (status, serde_json::from_slice(&bytes).unwrap_or_default())
 }
 
-/// The JSON behind a path.
+/// Returns the JSON at a path.
 async fn get(address: &str, path: &str) -> Value {
     Http::default().get(address, path).await.unwrap()
 }
--- a/crates/standin/tests/parts/platform.rs
+++ b/crates/standin/tests/parts/platform.rs
@@ -1,4 +1,4 @@
-//! The platform.
+//! Tests of the platform.
 
 use serde_json::Value;
 use serde_json::json;
@@ -16,7 +16,7 @@
     (platform, address)
 }
 
-/// A transaction that writes one row if it is at a revision, or absent.
+/// Returns a transaction that writes one row if it has this revision, or is absent for `None`.
 fn put(key: &str, revision: Option<u64>, value: Value) -> Value {
     json!({
         "token": "t",
--- a/crates/standin/tests/parts/service.rs
+++ b/crates/standin/tests/parts/service.rs
@@ -1,4 +1,4 @@
-//! The plain service.
+//! Tests of the plain service.
 
 use serde_json::json;
 use standin::configs;
--- a/crates/standin/tests/path.rs
+++ b/crates/standin/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path over real sockets, each part a process of its own.
+//! The whole request path over real sockets, with each component in its own process.
 
 mod harness;
 
@@ -19,8 +19,8 @@
     token_ms: 5,
 };
 
-/// An operator creates the deployments at one entry. A caller asks the other one for addresses,
-/// streams a model's answer and calls the plain service. All of it must come whole, and once.
+/// An operator deploys through one entry. A caller of the other one requests addresses, streams a model's
+/// answer and calls the plain service, which must be executed once.
 #[test]
 fn whole_path() {
     harness::run(async {
--- a/crates/standin/tests/repeated_change.rs
+++ b/crates/standin/tests/repeated_change.rs
@@ -1,4 +1,4 @@
-//! An operator's change that is sent again because its answer was lost.
+//! An operator's change that is retried because its response was lost.
 
 mod harness;
 
@@ -15,9 +15,8 @@
     token_ms: 5,
 };
 
-/// An operator creates a deployment and the answer is lost on its way. The command sends the change
-/// again under the same name, to the same entry and to another: each must say that it was accepted,
-/// not that a deployment of that name is there already, which would look like another operator's.
+/// The response to a change is lost, and the command retries it under the same id at the same and at another
+/// entry. Each must answer that it was accepted, not that the deployment exists already.
 #[test]
 fn a_creation_or_removal_that_is_sent_again_gets_the_first_result() {
     harness::run(async {
