--- a/crates/standin/benches/entry.rs
+++ b/crates/standin/benches/entry.rs
@@ -13,10 +13,10 @@
 
 use bytes::Bytes;
 use client::Client;
-use harness::caller::Asked;
+use harness::caller::Reader;
 use harness::operator::Operator;
 use harness::process::Process;
-use harness::process::scratch;
+use harness::process::scratch_path;
 use harness::wait_for;
 use http::Request;
 use http_body_util::BodyExt;
@@ -27,12 +27,12 @@
 use ops::request::Edit;
 use smol_str::SmolStr;
 use standin::configs;
-use standin::local::Local;
+use standin::local::Cluster;
 use standin::sample;
 
 const ENGINES: usize = 64;
 const CALLS: usize = 4_000;
-const CONCURRENT: usize = 32;
+const CONCURRENT_CALLS: usize = 32;
 const ROUNDS: usize = 3;
 const STREAMS: usize = 1_000;
 const STREAM_TOKENS: u32 = 100;
@@ -42,38 +42,38 @@
 
 fn main() {
     harness::run(async {
-        let mut local = Local::start().await.unwrap();
+        let mut cluster = Cluster::start().await.unwrap();
         let engines = configs::engine::Engine {
             token_ms: TOKEN_MS,
             slots: 64,
             ..configs::engine::Engine::default()
         };
-        local.add_engines(ENGINES, &engines).await.unwrap();
-        let quick = configs::service::Service {
+        cluster.add_engines(ENGINES, &engines).await.unwrap();
+        let instant_service = configs::service::Service {
             call_ms: 0,
             ..configs::service::Service::default()
         };
-        local.add_service("a", quick).await.unwrap();
-        let entry = entry_of(&local).await;
-        let service = local.services[0].0.server.address().to_string();
+        cluster.add_service("a", instant_service).await.unwrap();
+        let entry = start_entry(&cluster).await;
+        let service = cluster.services[0].0.server.address().to_string();
         println!("at rest: {} KiB resident", resident_kib(&entry));
-        calls(&service, entry.address("callers")).await;
+        measure_calls(&service, entry.address("callers")).await;
         // The second round separates what a stream leaves behind from memory that the allocator reuses.
-        streams(&entry).await;
-        streams(&entry).await;
+        measure_streams(&entry).await;
+        measure_streams(&entry).await;
     });
 }
 
 /// Starts one entry as a process and deploys the sample.
-async fn entry_of(local: &Local) -> Process {
+async fn start_entry(cluster: &Cluster) -> Process {
     let settings = sample::settings(&sample::Entry {
         name: "entry-0",
         zone: "a",
-        platform: &local.platform.server.address().to_string(),
+        platform: &cluster.platform.server.address().to_string(),
         callers: sample::ANY_PORT,
         seeds: &[],
     });
-    let path = scratch("entry-0.jsonc");
+    let path = scratch_path("entry-0.jsonc");
     std::fs::write(&path, settings).unwrap();
     let path = path.display().to_string();
     let entry = Process::start("entry-0", &["entry", "--settings", &path]).await;
@@ -85,7 +85,7 @@
     ];
     let mut version = 0;
     for (id, edit) in edits {
-        version = operator.accepted(id, version, edit).await;
+        version = operator.expect_accepted(id, version, edit).await;
     }
     wait_for("all backend servers", async || {
         (operator.status().await.backends.len() > ENGINES).then_some(())
@@ -95,47 +95,53 @@
 }
 
 /// Measures plain calls, direct and through the entry in turn.
-async fn calls(service: &str, entry: &str) {
-    let direct = format!("http://{service}/catalogue/7");
-    let through = format!("http://{entry}/services/{}/catalogue/7", sample::SERVICE);
+async fn measure_calls(service: &str, entry: &str) {
+    let direct_uri = format!("http://{service}/catalogue/7");
+    let entry_uri = format!("http://{entry}/services/{}/catalogue/7", sample::SERVICE);
     for round in 0..ROUNDS {
-        let (slow, fast) = (one_by_one(&through).await, one_by_one(&direct).await);
+        let (entry_latency, direct_latency) = (
+            sequential_latency(&entry_uri).await,
+            sequential_latency(&direct_uri).await,
+        );
         println!(
             "round {round}, one at a time: direct p50 {} us, p99 {} us; entry p50 {} us, p99 {} us",
-            fast.0, fast.1, slow.0, slow.1
+            direct_latency.0, direct_latency.1, entry_latency.0, entry_latency.1
+        );
+        let (entry_rate, direct_rate) = (
+            concurrent_throughput(&entry_uri).await,
+            concurrent_throughput(&direct_uri).await,
         );
-        let (slow, fast) = (side_by_side(&through).await, side_by_side(&direct).await);
         println!(
-            "round {round}, {CONCURRENT} at a time: direct {fast:.0}/s, entry {slow:.0}/s, ratio {:.2}",
-            slow / fast
+            "round {round}, {CONCURRENT_CALLS} at a time: direct {direct_rate:.0}/s, entry {entry_rate:.0}/s, ratio {:.2}",
+            entry_rate / direct_rate
         );
     }
 }
 
 /// Returns the median and the 99th percentile of the latency of sequential calls, microseconds.
-async fn one_by_one(uri: &str) -> (u128, u128) {
+async fn sequential_latency(uri: &str) -> (u128, u128) {
     let http: Http = legacy::Client::builder(TokioExecutor::new()).build_http();
     let mut times = Vec::with_capacity(CALLS / 4);
     for _ in 0..CALLS / 4 {
-        let begin = Instant::now();
+        let start = Instant::now();
         call(&http, uri).await;
-        times.push(begin.elapsed().as_micros());
+        times.push(start.elapsed().as_micros());
     }
     times.sort_unstable();
     (times[times.len() / 2], times[times.len() * 99 / 100])
 }
 
 /// Returns the throughput of concurrent calls, calls per second.
-async fn side_by_side(uri: &str) -> f64 {
+async fn concurrent_throughput(uri: &str) -> f64 {
     let http: Http = legacy::Client::builder(TokioExecutor::new()).build_http();
-    let begin = Instant::now();
-    let workers = (0..CONCURRENT).map(async |_| {
-        for _ in 0..CALLS / CONCURRENT {
+    let start = Instant::now();
+    let workers = (0..CONCURRENT_CALLS).map(async |_| {
+        for _ in 0..CALLS / CONCURRENT_CALLS {
             call(&http, uri).await;
         }
     });
     futures::future::join_all(workers).await;
-    CALLS as f64 / begin.elapsed().as_secs_f64()
+    CALLS as f64 / start.elapsed().as_secs_f64()
 }
 
 async fn call(http: &Http, uri: &str) {
@@ -150,39 +156,43 @@
 }
 
 /// Measures memory and processor time with many open streams.
-async fn streams(entry: &Process) {
+async fn measure_streams(entry: &Process) {
     let caller = Client::new(client::configs::Client {
         entries: vec![SmolStr::from(entry.address("callers"))],
         key: SmolStr::from(sample::ACCOUNT_KEY),
         ..client::configs::Client::default()
     });
-    let before = resident_kib(entry);
-    let mut open = Vec::new();
+    let resident_before = resident_kib(entry);
+    let mut open_streams = Vec::new();
     for batch in 0..STREAMS / 50 {
-        let asked = (0..50).map(|number| {
+        let readers = (0..50).map(|number| {
             let question = format!("stream {batch} {number}");
             let caller = caller.clone();
-            async move { Asked::new(&caller, &question, STREAM_TOKENS).await }
+            async move { Reader::new(&caller, &question, STREAM_TOKENS).await }
         });
-        open.extend(futures::future::join_all(asked).await);
+        open_streams.extend(futures::future::join_all(readers).await);
     }
-    let first = futures::future::join_all(open.iter_mut().map(|asked| asked.read(1)));
-    first.await;
-    let (busy, begin) = (processor_ms(entry), Instant::now());
+    let first_tokens =
+        futures::future::join_all(open_streams.iter_mut().map(|reader| reader.read(1)));
+    first_tokens.await;
+    let (processor_before, start) = (processor_ms(entry), Instant::now());
     let after = resident_kib(entry);
     println!(
         "{STREAMS} streams open: {after} KiB resident, {:.1} KiB a stream",
-        (after - before) as f64 / STREAMS as f64
+        (after - resident_before) as f64 / STREAMS as f64
     );
-    let reading = futures::future::join_all(open.iter_mut().map(|asked| asked.read(20)));
+    let reading = futures::future::join_all(open_streams.iter_mut().map(|reader| reader.read(20)));
     reading.await;
-    let (spent, seconds) = (processor_ms(entry) - busy, begin.elapsed().as_secs_f64());
+    let (spent, seconds) = (
+        processor_ms(entry) - processor_before,
+        start.elapsed().as_secs_f64(),
+    );
     println!(
         "20 tokens of each in {seconds:.1} s: {:.0} tokens/s, {:.1} us of the entry's processor a token",
         20.0 * STREAMS as f64 / seconds,
         spent * 1_000.0 / (20.0 * STREAMS as f64)
     );
-    futures::future::join_all(open.iter_mut().map(Asked::finish)).await;
+    futures::future::join_all(open_streams.iter_mut().map(Reader::finish)).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     println!("all ended: {} KiB resident", resident_kib(entry));
 }
--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -9,26 +9,26 @@
 use tokio::task::LocalSet;
 
 use crate::command::caller::Caller;
-use crate::command::part::Engine;
-use crate::command::part::Platform;
-use crate::command::part::Service;
-use crate::command::whole::Demo;
-use crate::command::whole::Sample;
+use crate::command::component::Engine;
+use crate::command::component::Platform;
+use crate::command::component::Service;
+use crate::command::installation::Demo;
+use crate::command::installation::Sample;
 
 mod caller;
-mod part;
-mod whole;
+mod component;
+mod installation;
 
 /// Small fakes of the outside systems.
 #[derive(FromArgs)]
 pub struct Standin {
     #[argh(subcommand)]
-    part: Part,
+    subcommand: Subcommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum Part {
+enum Subcommand {
     Platform(Platform),
     Engine(Engine),
     Service(Service),
@@ -59,18 +59,18 @@
 
 /// Runs the selected subcommand.
 pub fn run(arguments: Standin) -> anyhow::Result<ExitCode> {
-    match arguments.part {
-        Part::Platform(platform) => block_on(part::run_platform(platform)),
-        Part::Engine(engine) => block_on(part::run_engine(engine)),
-        Part::Service(service) => block_on(part::run_service(service)),
-        Part::Entry(entry) => {
+    match arguments.subcommand {
+        Subcommand::Platform(platform) => block_on(component::run_platform(platform)),
+        Subcommand::Engine(engine) => block_on(component::run_engine(engine)),
+        Subcommand::Service(service) => block_on(component::run_service(service)),
+        Subcommand::Entry(entry) => {
             daemon::run(&entry.settings)?;
             Ok(ExitCode::SUCCESS)
         }
-        Part::Operator(operator) => Ok(run_operator(&operator)),
-        Part::Caller(caller) => block_on(caller::run_caller(caller)),
-        Part::Demo(Demo {}) => block_on(whole::run_demo()),
-        Part::Sample(sample) => block_on(whole::run_sample(sample)),
+        Subcommand::Operator(operator) => Ok(run_operator(&operator)),
+        Subcommand::Caller(caller) => block_on(caller::run_caller(caller)),
+        Subcommand::Demo(Demo {}) => block_on(installation::run_demo()),
+        Subcommand::Sample(sample) => block_on(installation::run_sample(sample)),
     }
 }
 
@@ -81,7 +81,7 @@
 }
 
 /// Waits forever: a component runs until its process is killed.
-async fn stay() -> anyhow::Result<ExitCode> {
+async fn run_until_killed() -> anyhow::Result<ExitCode> {
     std::future::pending().await
 }
 
--- a/crates/standin/src/command/part.rs
+++ b/crates/standin/src/command/component.rs
@@ -8,7 +8,7 @@
 use standin::platform;
 use standin::service;
 
-use crate::command::stay;
+use crate::command::run_until_killed;
 
 /// Runs the platform: table service, object store, instance list, cloud API.
 #[derive(FromArgs)]
@@ -70,7 +70,7 @@
 pub async fn run_platform(arguments: Platform) -> anyhow::Result<ExitCode> {
     let platform = platform::spawn(&arguments.listen).await?;
     println!("listening address={}", platform.server.address());
-    stay().await
+    run_until_killed().await
 }
 
 pub async fn run_engine(arguments: Engine) -> anyhow::Result<ExitCode> {
@@ -89,7 +89,7 @@
     };
     let engine = engine::spawn(config).await?;
     println!("listening address={}", engine.server.address());
-    stay().await
+    run_until_killed().await
 }
 
 pub async fn run_service(arguments: Service) -> anyhow::Result<ExitCode> {
@@ -99,5 +99,5 @@
     };
     let service = service::spawn(config).await?;
     println!("listening address={}", service.server.address());
-    stay().await
+    run_until_killed().await
 }
--- a/crates/standin/src/command/whole.rs
+++ b/crates/standin/src/command/installation.rs
@@ -6,10 +6,10 @@
 use argh::FromArgs;
 use standin::configs;
 use standin::demo;
-use standin::local::Local;
+use standin::local::Cluster;
 use standin::sample;
 
-use crate::command::stay;
+use crate::command::run_until_killed;
 
 /// Runs the main job with all parts in this process; exit code 0 only if all held.
 #[derive(FromArgs)]
@@ -26,8 +26,8 @@
 }
 
 pub async fn run_demo() -> anyhow::Result<ExitCode> {
-    let held = demo::run().await?;
-    Ok(if held {
+    let passed = demo::run().await?;
+    Ok(if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -35,16 +35,16 @@
 }
 
 pub async fn run_sample(arguments: Sample) -> anyhow::Result<ExitCode> {
-    let mut local = Local::start().await?;
-    local
+    let mut cluster = Cluster::start().await?;
+    cluster
         .add_engines(3, &configs::engine::Engine::default())
         .await?;
-    local.add_services(1).await?;
-    local.add_entry("a", &arguments.callers).await?;
-    local.add_entry("b", sample::ANY_PORT).await?;
-    local.add_entry("c", sample::ANY_PORT).await?;
-    local.deploy().await?;
-    let bound = local.entries.first().context("no entry runs")?.bound;
+    cluster.add_services(1).await?;
+    cluster.add_entry("a", &arguments.callers).await?;
+    cluster.add_entry("b", sample::ANY_PORT).await?;
+    cluster.add_entry("c", sample::ANY_PORT).await?;
+    cluster.deploy().await?;
+    let bound = cluster.entries.first().context("no entry runs")?.bound;
     println!(
         "listening callers={} operators={} admin={} key={} operators_key={}",
         bound.callers,
@@ -53,5 +53,5 @@
         sample::ACCOUNT_KEY,
         sample::OPERATORS_KEY
     );
-    stay().await
+    run_until_killed().await
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -42,7 +42,7 @@
     });
     let server = Rc::new(Server::bind(&listen, handler).await?);
     state.set_server(&server);
-    tokio::task::spawn_local(load::publish(Rc::downgrade(&state)));
+    tokio::task::spawn_local(load::refresh_periodically(Rc::downgrade(&state)));
     Ok(Engine { server, state })
 }
 
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -14,7 +14,7 @@
 struct Inner {
     free: usize,
     running: usize,
-    arrived: u64,
+    arrivals: u64,
     waiting: BTreeMap<(u8, u64), oneshot::Sender<Slot>>,
 }
 
@@ -29,7 +29,7 @@
         let inner = Inner {
             free: slots,
             running: 0,
-            arrived: 0,
+            arrivals: 0,
             waiting: BTreeMap::new(),
         };
         Rc::new(Batch {
@@ -38,7 +38,7 @@
     }
 
     /// Waits for a slot; priority 0 is served first.
-    pub async fn slot(self: &Rc<Batch>, priority: u8) -> Option<Slot> {
+    pub async fn acquire(self: &Rc<Batch>, priority: u8) -> Option<Slot> {
         let receiver = {
             let mut inner = self.inner.borrow_mut();
             if inner.free > 0 {
@@ -48,10 +48,10 @@
                     batch: Rc::clone(self),
                 });
             }
-            inner.arrived += 1;
-            let place = (priority, inner.arrived);
+            inner.arrivals += 1;
+            let queue_key = (priority, inner.arrivals);
             let (sender, receiver) = oneshot::channel();
-            inner.waiting.insert(place, sender);
+            inner.waiting.insert(queue_key, sender);
             receiver
         };
         receiver.await.ok()
@@ -65,11 +65,11 @@
     /// Returns the queue depth.
     pub fn waiting(&self) -> usize {
         let inner = self.inner.borrow();
-        let waits = |sender: &&oneshot::Sender<Slot>| !sender.is_closed();
-        inner.waiting.values().filter(waits).count()
+        let is_waiting = |sender: &&oneshot::Sender<Slot>| !sender.is_closed();
+        inner.waiting.values().filter(is_waiting).count()
     }
 
-    fn next(&self) -> Option<oneshot::Sender<Slot>> {
+    fn next_waiter(&self) -> Option<oneshot::Sender<Slot>> {
         let mut inner = self.inner.borrow_mut();
         inner.running -= 1;
         while let Some((_, sender)) = inner.waiting.pop_first() {
@@ -85,7 +85,7 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        if let Some(sender) = self.batch.next() {
+        if let Some(sender) = self.batch.next_waiter() {
             // If the receiver was dropped meanwhile, the unsent slot is dropped too and goes to the next waiter.
             let _ = sender.send(Slot {
                 batch: Rc::clone(&self.batch),
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -21,34 +21,34 @@
 /// KV cache blocks with least-recently-used eviction.
 pub struct Cache {
     limit: usize,
-    delay: Duration,
-    gap: u64,
-    used: u64,
-    /// Time of the last use of each block, in uses of the cache.
-    blocks: HashMap<u64, u64>,
-    /// Blocks ordered by last use; the same blocks as above.
-    order: BTreeMap<u64, u64>,
+    event_delay: Duration,
+    event_gap: u64,
+    uses: u64,
+    /// Value of `uses` at the last use of each block.
+    last_uses: HashMap<u64, u64>,
+    /// The blocks of `last_uses` ordered by their last use.
+    by_last_use: BTreeMap<u64, u64>,
     events: Vec<(Instant, Event)>,
 }
 
 impl Cache {
     /// Creates an empty cache with a capacity of `limit` blocks.
-    pub fn new(limit: usize, delay: Duration, gap: u64) -> Cache {
+    pub fn new(limit: usize, event_delay: Duration, event_gap: u64) -> Cache {
         Cache {
             limit,
-            delay,
-            gap,
-            used: 0,
-            blocks: HashMap::new(),
-            order: BTreeMap::new(),
+            event_delay,
+            event_gap,
+            uses: 0,
+            last_uses: HashMap::new(),
+            by_last_use: BTreeMap::new(),
             events: Vec::new(),
         }
     }
 
     /// Returns how many leading blocks are cached, and stores all of them.
     pub fn touch(&mut self, blocks: &[u64]) -> usize {
-        let known = |block: &&u64| self.blocks.contains_key(*block);
-        let hits = blocks.iter().take_while(known).count();
+        let is_cached = |block: &&u64| self.last_uses.contains_key(*block);
+        let hits = blocks.iter().take_while(is_cached).count();
         for block in blocks {
             self.store(*block);
         }
@@ -57,34 +57,34 @@
 
     /// Returns the published events after `seq`.
     pub fn events(&self, after: u64) -> Vec<Event> {
-        let published = self.events.iter().filter(|(at, event)| {
-            let missing = self.gap > 0 && event.seq % self.gap == 0;
-            event.seq > after && at.elapsed() >= self.delay && !missing
+        let published = self.events.iter().filter(|(recorded_at, event)| {
+            let unpublished = self.event_gap > 0 && event.seq % self.event_gap == 0;
+            event.seq > after && recorded_at.elapsed() >= self.event_delay && !unpublished
         });
         published.map(|(_, event)| event.clone()).collect()
     }
 
     fn store(&mut self, block: u64) {
-        self.used += 1;
-        if let Some(before) = self.blocks.insert(block, self.used) {
-            self.order.remove(&before);
+        self.uses += 1;
+        if let Some(previous_use) = self.last_uses.insert(block, self.uses) {
+            self.by_last_use.remove(&previous_use);
         } else {
-            self.announce(block, true);
+            self.record_event(block, true);
         }
-        self.order.insert(self.used, block);
-        if self.blocks.len() > self.limit {
-            self.drop_oldest();
+        self.by_last_use.insert(self.uses, block);
+        if self.last_uses.len() > self.limit {
+            self.evict_oldest();
         }
     }
 
-    fn drop_oldest(&mut self) {
-        if let Some((_, block)) = self.order.pop_first() {
-            self.blocks.remove(&block);
-            self.announce(block, false);
+    fn evict_oldest(&mut self) {
+        if let Some((_, block)) = self.by_last_use.pop_first() {
+            self.last_uses.remove(&block);
+            self.record_event(block, false);
         }
     }
 
-    fn announce(&mut self, block: u64, stored: bool) {
+    fn record_event(&mut self, block: u64, stored: bool) {
         let event = Event {
             seq: self.events.len() as u64 + 1,
             stored,
--- a/crates/standin/src/engine/generate.rs
+++ b/crates/standin/src/engine/generate.rs
@@ -8,11 +8,11 @@
 use crate::tokens::BLOCK_BYTES;
 use crate::tokens::BYTES_PER_TOKEN;
 use crate::tokens::Chat;
-use crate::tokens::blocks;
+use crate::tokens::block_hashes;
 
 /// Runs a new stream.
 pub async fn start(state: Rc<State>, stream: Rc<Stream>, chat: Chat) {
-    let Some(_slot) = state.batch.slot(stream.priority).await else {
+    let Some(_slot) = state.batch.acquire(stream.priority).await else {
         return;
     };
     if stream.phase() != Phase::Running {
@@ -22,24 +22,24 @@
         state.crash();
         return;
     }
-    let fresh = look_up(&state, &chat);
-    let millis = state.config.prefill_ms as f64 * fresh as f64 / 1_000.0;
-    state.spend(millis).await;
+    let uncached = look_up_prompt(&state, &chat);
+    let millis = state.config.prefill_ms as f64 * uncached as f64 / 1_000.0;
+    state.work_for(millis).await;
     run(&state, &stream).await;
 }
 
 /// Resumes a parked stream without recomputing its prompt.
-pub async fn go_on(state: Rc<State>, stream: Rc<Stream>) {
-    let Some(_slot) = state.batch.slot(stream.priority).await else {
+pub async fn resume(state: Rc<State>, stream: Rc<Stream>) {
+    let Some(_slot) = state.batch.acquire(stream.priority).await else {
         return;
     };
     run(&state, &stream).await;
 }
 
 async fn run(state: &State, stream: &Stream) {
-    stream.finish_if_whole();
+    stream.finish_if_complete();
     while stream.phase() == Phase::Running {
-        state.spend(state.config.token_ms as f64).await;
+        state.work_for(state.config.token_ms as f64).await;
         if stream.phase() != Phase::Running {
             return;
         }
@@ -49,19 +49,19 @@
 }
 
 /// Looks the prompt up in the cache, updates the counters and returns the prompt tokens to compute.
-fn look_up(state: &State, chat: &Chat) -> u64 {
+fn look_up_prompt(state: &State, chat: &Chat) -> u64 {
     let text = chat.text();
-    let all = prompt_tokens(&text);
-    let hits = state.cache.borrow_mut().touch(&blocks(&text));
+    let prompt = prompt_tokens(&text);
+    let hits = state.cache.borrow_mut().touch(&block_hashes(&text));
     let cached = (hits * BLOCK_BYTES / BYTES_PER_TOKEN) as u64;
-    let fresh = all.saturating_sub(cached);
+    let uncached = prompt.saturating_sub(cached);
     let mut counts = state.counts.borrow_mut();
     counts.cached_tokens += cached;
-    counts.computed_tokens += fresh;
+    counts.computed_tokens += uncached;
     if chat.plan().base > 0 {
-        counts.recomputed_tokens += fresh;
+        counts.recomputed_tokens += uncached;
     }
-    fresh
+    uncached
 }
 
 /// Returns the number of tokens in a prompt.
--- a/crates/standin/src/engine/load.rs
+++ b/crates/standin/src/engine/load.rs
@@ -13,7 +13,7 @@
 /// Load at one point in time.
 #[derive(Clone, Copy)]
 pub struct Load {
-    at: Instant,
+    sampled_at: Instant,
     running: usize,
     waiting: usize,
     kv_used: f64,
@@ -32,9 +32,9 @@
 
 impl Load {
     /// Returns the load of an idle engine.
-    pub fn now() -> Load {
+    pub fn idle() -> Load {
         Load {
-            at: Instant::now(),
+            sampled_at: Instant::now(),
             running: 0,
             waiting: 0,
             kv_used: 0.0,
@@ -49,35 +49,35 @@
             waiting: self.waiting,
             kv_used: self.kv_used,
             tokens_per_second: self.tokens_per_second,
-            as_of_ms: self.at.elapsed().as_millis() as u64,
+            as_of_ms: self.sampled_at.elapsed().as_millis() as u64,
         }
     }
 }
 
 /// Refreshes the engine's load at intervals until the engine is dropped.
-pub async fn publish(state: Weak<State>) {
-    let mut generated = 0;
+pub async fn refresh_periodically(state: Weak<State>) {
+    let mut previously_generated = 0;
     loop {
         let Some(state) = state.upgrade() else { return };
-        let total = state.counts.borrow().generated_tokens;
-        let before = state.load.get().at;
-        let seconds = before.elapsed().as_secs_f64().max(0.001);
-        let held: u64 = state
+        let total_generated = state.counts.borrow().generated_tokens;
+        let previous_sample = state.load.get().sampled_at;
+        let seconds = previous_sample.elapsed().as_secs_f64().max(0.001);
+        let held_tokens: u64 = state
             .streams
             .borrow()
             .values()
             .map(|stream| stream.held_tokens())
             .sum();
         state.load.set(Load {
-            at: Instant::now(),
+            sampled_at: Instant::now(),
             running: state.batch.running(),
             waiting: state.batch.waiting(),
-            kv_used: held as f64 / KV_CAPACITY_TOKENS,
-            tokens_per_second: (total - generated) as f64 / seconds,
+            kv_used: held_tokens as f64 / KV_CAPACITY_TOKENS,
+            tokens_per_second: (total_generated - previously_generated) as f64 / seconds,
         });
-        generated = total;
-        let lag = Duration::from_millis(state.config.load_lag_ms.max(1));
+        previously_generated = total_generated;
+        let interval = Duration::from_millis(state.config.load_lag_ms.max(1));
         drop(state);
-        tokio::time::sleep(lag).await;
+        tokio::time::sleep(interval).await;
     }
 }
--- a/crates/standin/src/engine/order.rs
+++ b/crates/standin/src/engine/order.rs
@@ -32,7 +32,7 @@
 
 /// Status that the engine reports about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct Status {
     /// Target of the last accepted order.
     pub target: Target,
     /// Whether the target is reached.
@@ -43,55 +43,55 @@
 
 /// Accepts and executes orders.
 pub struct Orders {
-    standing: RefCell<Standing>,
+    status: RefCell<Status>,
     checks_fencing: bool,
 }
 
 impl Orders {
     /// Starts without a target; every model counts as loaded.
     pub fn new(checks_fencing: bool) -> Orders {
-        let standing = Standing {
+        let status = Status {
             loaded: true,
-            ..Standing::default()
+            ..Status::default()
         };
         Orders {
-            standing: RefCell::new(standing),
+            status: RefCell::new(status),
             checks_fencing,
         }
     }
 
     /// Accepts an order, or returns the higher fencing number that refuses it.
-    pub fn take(&self, order: &Order) -> Result<(), u64> {
-        let mut standing = self.standing.borrow_mut();
-        if self.checks_fencing && order.fence < standing.fence {
-            return Err(standing.fence);
+    pub fn accept(&self, order: &Order) -> Result<(), u64> {
+        let mut status = self.status.borrow_mut();
+        if self.checks_fencing && order.fence < status.fence {
+            return Err(status.fence);
         }
-        standing.fence = standing.fence.max(order.fence);
+        status.fence = status.fence.max(order.fence);
         // The first order names the model that the engine was started with.
-        let held = standing.target == order.target || standing.target == Target::default();
-        standing.loaded = standing.loaded && held;
-        standing.target = order.target.clone();
+        let unchanged = status.target == order.target || status.target == Target::default();
+        status.loaded = status.loaded && unchanged;
+        status.target = order.target.clone();
         Ok(())
     }
 
     /// Reaches the target of `order` after `time`, unless another order replaced it meanwhile.
-    pub async fn carry_out(&self, order: &Order, time: Duration) {
+    pub async fn execute(&self, order: &Order, time: Duration) {
         tokio::time::sleep(time).await;
-        let mut standing = self.standing.borrow_mut();
-        if standing.target == order.target {
-            standing.loaded = true;
+        let mut status = self.status.borrow_mut();
+        if status.target == order.target {
+            status.loaded = true;
         }
     }
 
     /// Returns the engine's status.
-    pub fn standing(&self) -> Standing {
-        self.standing.borrow().clone()
+    pub fn status(&self) -> Status {
+        self.status.borrow().clone()
     }
 
     /// Returns whether the engine takes requests.
     pub fn serves(&self) -> bool {
-        let standing = self.standing.borrow();
-        let role = standing.target.role.as_str();
-        standing.loaded && (role.is_empty() || role == "serve")
+        let status = self.status.borrow();
+        let role = status.target.role.as_str();
+        status.loaded && (role.is_empty() || role == "serve")
     }
 }
--- a/crates/standin/src/engine/relay.rs
+++ b/crates/standin/src/engine/relay.rs
@@ -16,28 +16,28 @@
 use crate::server::Answer;
 use crate::server::Piece;
 
-const BUFFER: usize = 64;
+const EVENT_BUFFER: usize = 64;
 
 /// Returns a response that streams the events from `offset` on.
-pub fn answer(state: &Rc<State>, id: String, stream: Rc<Stream>, offset: u32) -> Answer {
-    let (sender, answer) = server::events(BUFFER);
-    stream.enter();
+pub fn respond(state: &Rc<State>, id: String, stream: Rc<Stream>, offset: u32) -> Answer {
+    let (sender, answer) = server::event_stream(EVENT_BUFFER);
+    stream.add_reader();
     let state = Rc::clone(state);
     tokio::task::spawn_local(async move {
         relay(&state, &stream, offset, &sender).await;
         drop(sender);
-        let departure = stream.leave();
-        forget_later(state, id, stream, departure).await;
+        let departures = stream.remove_reader();
+        drop_if_abandoned(state, id, stream, departures).await;
     });
     answer
 }
 
 async fn relay(state: &State, stream: &Stream, mut offset: u32, sender: &mpsc::Sender<Piece>) {
-    let mut gate = state.gate.pass();
+    let mut gate = state.gate.waiter();
     loop {
         gate.wait().await;
         while offset < stream.produced() {
-            let piece = if takes_cut(state, offset) {
+            let piece = if take_cut(state, offset) {
                 Err(io::Error::other("stream cut on order"))
             } else {
                 Ok(Frame::data(chunk(stream, offset)))
@@ -52,18 +52,20 @@
             Phase::Running => {}
             Phase::Parked | Phase::Cancelled => return,
             Phase::Finished => {
-                let _ = sender.send(Ok(Frame::data(Bytes::from_static(DONE)))).await;
+                let _ = sender
+                    .send(Ok(Frame::data(Bytes::from_static(DONE_EVENT))))
+                    .await;
                 return;
             }
         }
         tokio::select! {
-            () = stream.change() => {}
+            () = stream.wait_for_change() => {}
             () = sender.closed() => return,
         }
     }
 }
 
-const DONE: &[u8] = b"data: [DONE]\n\n";
+const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
 fn chunk(stream: &Stream, offset: u32) -> Bytes {
     let token = stream.plan.token(offset);
@@ -71,7 +73,7 @@
     Bytes::from(format!("id: {offset}\ndata: {data}\n\n"))
 }
 
-fn takes_cut(state: &State, offset: u32) -> bool {
+fn take_cut(state: &State, offset: u32) -> bool {
     let mut fault = state.fault.borrow_mut();
     let due = fault.cut_at.is_some_and(|at| offset >= at);
     if due {
@@ -81,9 +83,9 @@
 }
 
 /// Drops the stream if no reader returned within the resume window.
-async fn forget_later(state: Rc<State>, id: String, stream: Rc<Stream>, departure: u64) {
+async fn drop_if_abandoned(state: Rc<State>, id: String, stream: Rc<Stream>, departures: u64) {
     tokio::time::sleep(Duration::from_millis(state.config.resume_window_ms)).await;
-    if !stream.is_deserted_since(departure) {
+    if !stream.is_abandoned_since(departures) {
         return;
     }
     stream.set_phase(Phase::Cancelled);
--- a/crates/standin/src/engine/route.rs
+++ b/crates/standin/src/engine/route.rs
@@ -16,8 +16,8 @@
 use crate::engine::order::Order;
 use crate::engine::relay;
 use crate::engine::state::State;
-use crate::engine::stream::Blob;
 use crate::engine::stream::Phase;
+use crate::engine::stream::Snapshot;
 use crate::engine::stream::Stream;
 use crate::server;
 use crate::server::Answer;
@@ -30,7 +30,7 @@
     if let Some(rest) = path.strip_prefix("/control/") {
         return control(&state, rest, request).await;
     }
-    state.gate.pass().wait().await;
+    state.gate.waiter().wait().await;
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (request.method(), parts.as_slice()) {
         (&Method::POST, ["v1", "chat", "completions"]) => chat(&state, request).await,
@@ -41,7 +41,7 @@
         (&Method::GET, ["v1", "load"]) => server::json(StatusCode::OK, &state.load.get().report()),
         (&Method::GET, ["v1", "cache-events"]) => events(&state, &request),
         (&Method::POST, ["v1", "orders"]) => order(state, request).await,
-        (&Method::GET, ["v1", "state"]) => server::json(StatusCode::OK, &state.orders.standing()),
+        (&Method::GET, ["v1", "state"]) => server::json(StatusCode::OK, &state.orders.status()),
         _ => Ok(server::empty(StatusCode::NOT_FOUND)),
     }
 }
@@ -83,7 +83,7 @@
         .insert(id.clone(), Rc::clone(&stream));
     count_start(state, &id, plan.seed);
     tokio::task::spawn_local(generate::start(Rc::clone(state), Rc::clone(&stream), chat));
-    Ok(relay::answer(state, id, stream, 0))
+    Ok(relay::respond(state, id, stream, 0))
 }
 
 fn count_start(state: &State, id: &str, seed: u64) {
@@ -96,13 +96,13 @@
     let Some(stream) = state.stream(id) else {
         return server::empty(StatusCode::NOT_FOUND);
     };
-    let offset = server::query(request, "offset").and_then(|text| text.parse().ok());
+    let offset = server::query_parameter(request, "offset").and_then(|text| text.parse().ok());
     state.counts.borrow_mut().resumed += 1;
     if stream.phase() == Phase::Parked {
         stream.set_phase(Phase::Running);
-        tokio::task::spawn_local(generate::go_on(Rc::clone(state), Rc::clone(&stream)));
+        tokio::task::spawn_local(generate::resume(Rc::clone(state), Rc::clone(&stream)));
     }
-    relay::answer(state, id.to_owned(), stream, offset.unwrap_or(0))
+    relay::respond(state, id.to_owned(), stream, offset.unwrap_or(0))
 }
 
 fn cancel(state: &State, id: &str) -> Answer {
@@ -130,21 +130,21 @@
     if state.fault.borrow().no_transfer || !state.orders.serves() {
         return Ok(server::empty(StatusCode::INTERNAL_SERVER_ERROR));
     }
-    let blob: Blob = match server::read_json(request).await? {
-        Ok(blob) => blob,
+    let snapshot: Snapshot = match server::read_json(request).await? {
+        Ok(snapshot) => snapshot,
         Err(refusal) => return Ok(refusal),
     };
     if state.stream(id).is_some() {
         return Ok(server::empty(StatusCode::CONFLICT));
     }
     state.counts.borrow_mut().imported += 1;
-    let stream = Rc::new(Stream::import(blob));
+    let stream = Rc::new(Stream::import(snapshot));
     state.streams.borrow_mut().insert(id.to_owned(), stream);
     Ok(server::empty(StatusCode::OK))
 }
 
 fn events(state: &State, request: &Request<Incoming>) -> io::Result<Answer> {
-    let after = server::query(request, "after").and_then(|text| text.parse().ok());
+    let after = server::query_parameter(request, "after").and_then(|text| text.parse().ok());
     let events = state.cache.borrow().events(after.unwrap_or(0));
     server::json(StatusCode::OK, &json!({ "events": events }))
 }
@@ -154,13 +154,13 @@
         Ok(order) => order,
         Err(refusal) => return Ok(refusal),
     };
-    if let Err(fence) = state.orders.take(&order) {
+    if let Err(fence) = state.orders.accept(&order) {
         state.counts.borrow_mut().fenced += 1;
         return server::json(StatusCode::CONFLICT, &json!({ "fence": fence }));
     }
     state.counts.borrow_mut().orders += 1;
     let time = Duration::from_millis(state.config.order_ms);
-    tokio::task::spawn_local(async move { state.orders.carry_out(&order, time).await });
+    tokio::task::spawn_local(async move { state.orders.execute(&order, time).await });
     Ok(server::empty(StatusCode::OK))
 }
 
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -47,7 +47,7 @@
             cache: RefCell::new(Cache::new(config.cache_blocks, delay, config.event_gap)),
             orders: Orders::new(config.checks_fencing),
             streams: RefCell::default(),
-            load: Cell::new(Load::now()),
+            load: Cell::new(Load::idle()),
             server: RefCell::default(),
             config,
         }
@@ -76,10 +76,10 @@
     }
 
     /// Simulates work of `millis` milliseconds, longer while the engine is slow or frozen.
-    pub async fn spend(&self, millis: f64) {
+    pub async fn work_for(&self, millis: f64) {
         let slow = self.fault.borrow().slow;
         tokio::time::sleep(Duration::from_secs_f64(millis * slow / 1_000.0)).await;
-        self.gate.pass().wait().await;
+        self.gate.waiter().wait().await;
     }
 
     /// Returns the stream with this id.
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -19,7 +19,7 @@
     produced: Cell<u32>,
     phase: Cell<Phase>,
     readers: Cell<u32>,
-    left: Cell<u64>,
+    departures: Cell<u64>,
     changed: Notify,
 }
 
@@ -38,7 +38,7 @@
 
 /// Form in which a stream is transferred between engines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Blob {
+pub struct Snapshot {
     plan: Plan,
     priority: u8,
     prompt_tokens: u64,
@@ -55,25 +55,25 @@
             produced: Cell::new(0),
             phase: Cell::new(Phase::Running),
             readers: Cell::new(0),
-            left: Cell::new(0),
+            departures: Cell::new(0),
             changed: Notify::new(),
         }
     }
 
     /// Creates a parked stream from an export.
-    pub fn import(blob: Blob) -> Stream {
-        let stream = Stream::new(blob.plan, blob.priority, blob.prompt_tokens);
-        stream.produced.set(blob.produced);
+    pub fn import(snapshot: Snapshot) -> Stream {
+        let stream = Stream::new(snapshot.plan, snapshot.priority, snapshot.prompt_tokens);
+        stream.produced.set(snapshot.produced);
         stream.phase.set(Phase::Parked);
         stream
     }
 
     /// Parks the stream and returns its export.
-    pub fn export(&self) -> Blob {
+    pub fn export(&self) -> Snapshot {
         if self.phase.get() == Phase::Running {
             self.set_phase(Phase::Parked);
         }
-        Blob {
+        Snapshot {
             plan: self.plan,
             priority: self.priority,
             prompt_tokens: self.prompt_tokens,
@@ -100,12 +100,12 @@
     /// Adds a token and finishes the stream if it was the last one.
     pub fn advance(&self) {
         self.produced.set(self.produced.get() + 1);
-        self.finish_if_whole();
+        self.finish_if_complete();
         self.changed.notify_waiters();
     }
 
     /// Finishes the stream if all tokens are generated.
-    pub fn finish_if_whole(&self) {
+    pub fn finish_if_complete(&self) {
         if self.phase.get() == Phase::Running && self.produced.get() >= self.plan.new {
             self.set_phase(Phase::Finished);
         }
@@ -113,25 +113,25 @@
 
     /// Waits for the next change. A change between a caller's check and this call can't be missed, because
     /// all tasks share one thread and nothing is awaited in between.
-    pub async fn change(&self) {
+    pub async fn wait_for_change(&self) {
         self.changed.notified().await;
     }
 
     /// Adds a reader.
-    pub fn enter(&self) {
+    pub fn add_reader(&self) {
         self.readers.set(self.readers.get() + 1);
     }
 
     /// Removes a reader and returns the number of departures so far.
-    pub fn leave(&self) -> u64 {
+    pub fn remove_reader(&self) -> u64 {
         self.readers.set(self.readers.get() - 1);
-        self.left.set(self.left.get() + 1);
-        self.left.get()
+        self.departures.set(self.departures.get() + 1);
+        self.departures.get()
     }
 
-    /// Returns whether no reader has joined or left since that departure.
-    pub fn is_deserted_since(&self, departure: u64) -> bool {
-        self.readers.get() == 0 && self.left.get() == departure
+    /// Returns whether no reader has joined or left since `departures` departures.
+    pub fn is_abandoned_since(&self, departures: u64) -> bool {
+        self.readers.get() == 0 && self.departures.get() == departures
     }
 
     /// Returns the tokens held in the KV cache.
--- a/crates/standin/src/gate.rs
+++ b/crates/standin/src/gate.rs
@@ -22,19 +22,19 @@
     }
 
     /// Returns a handle that waits while the gate is closed.
-    pub fn pass(&self) -> Pass {
-        Pass {
+    pub fn waiter(&self) -> Waiter {
+        Waiter {
             frozen: self.frozen.subscribe(),
         }
     }
 }
 
 /// Waits for a gate to open.
-pub struct Pass {
+pub struct Waiter {
     frozen: watch::Receiver<bool>,
 }
 
-impl Pass {
+impl Waiter {
     /// Returns as soon as the gate is open.
     pub async fn wait(&mut self) {
         if self.frozen.wait_for(|frozen| !frozen).await.is_err() {
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-const TIMEOUT: Duration = Duration::from_secs(20);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// HTTP client with a timeout per exchange.
 #[derive(Clone)]
@@ -67,7 +67,7 @@
         path: &str,
         body: Bytes,
     ) -> anyhow::Result<(StatusCode, Bytes)> {
-        let what = format!("{method} {address}{path}");
+        let description = format!("{method} {address}{path}");
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"))
@@ -78,7 +78,9 @@
             let bytes = response.into_body().collect().await?.to_bytes();
             anyhow::Ok((status, bytes))
         };
-        let timed = tokio::time::timeout(TIMEOUT, exchange).await;
-        timed.with_context(|| what.clone())?.context(what)
+        let result = tokio::time::timeout(EXCHANGE_TIMEOUT, exchange).await;
+        result
+            .with_context(|| description.clone())?
+            .context(description)
     }
 }
--- a/crates/standin/src/local.rs
+++ b/crates/standin/src/local.rs
@@ -30,13 +30,13 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// Interval between two readiness checks of an entry.
-const LOOK: Span = Span::from_millis(50);
+const READY_CHECK_INTERVAL: Span = Span::from_millis(50);
 
 /// Readiness checks before giving up, ten seconds in total.
-const MAX_LOOKS: u32 = 200;
+const MAX_READY_CHECKS: u32 = 200;
 
 /// A platform with its engines, plain services and entries.
-pub struct Local {
+pub struct Cluster {
     /// The platform.
     pub platform: Platform,
     /// Model engines with their instance list entries.
@@ -55,10 +55,10 @@
     task: JoinHandle<anyhow::Result<()>>,
 }
 
-impl Local {
+impl Cluster {
     /// Starts a platform only.
-    pub async fn start() -> anyhow::Result<Local> {
-        Ok(Local {
+    pub async fn start() -> anyhow::Result<Cluster> {
+        Ok(Cluster {
             platform: platform::spawn("127.0.0.1:0").await?,
             engines: Vec::new(),
             services: Vec::new(),
@@ -75,7 +75,7 @@
         for zone in ZONES.iter().cycle().take(count) {
             let engine = engine::spawn(config.clone()).await?;
             let address = engine.server.address().to_string();
-            let instance = self.list("engine", sample::MODEL, zone, &address);
+            let instance = self.register("engine", sample::MODEL, zone, &address);
             self.engines.push((engine, instance));
         }
         Ok(())
@@ -98,7 +98,7 @@
     ) -> anyhow::Result<()> {
         let service = service::spawn(config).await?;
         let address = service.server.address().to_string();
-        let instance = self.list("service", sample::SERVICE, zone, &address);
+        let instance = self.register("service", sample::SERVICE, zone, &address);
         self.services.push((service, instance));
         Ok(())
     }
@@ -139,7 +139,7 @@
             ("model", Edit::CreateDeployment(sample::model())),
             ("service", Edit::CreateDeployment(sample::service())),
         ];
-        let mut version = version_at(&mut client).await?;
+        let mut version = current_version(&mut client).await?;
         for (id, edit) in edits {
             version = change(&mut client, id, version, edit).await?;
         }
@@ -167,20 +167,20 @@
         let mut client = Client::connect(&address, sample::OPERATORS_KEY).await?;
         let admin = entry.bound.admin.to_string();
         let http = Http::default();
-        for _ in 0..MAX_LOOKS {
-            let applied = version_at(&mut client).await? >= version;
+        for _ in 0..MAX_READY_CHECKS {
+            let applied = current_version(&mut client).await? >= version;
             let (status, _) = http
                 .send(Method::GET, &admin, "/readyz", Bytes::new())
                 .await?;
             if applied && status.is_success() {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK.as_duration()).await;
+            tokio::time::sleep(READY_CHECK_INTERVAL.as_duration()).await;
         }
         anyhow::bail!("an entry does not get ready")
     }
 
-    fn list(&self, kind: &str, pool: &str, zone: &str, address: &str) -> Instance {
+    fn register(&self, kind: &str, pool: &str, zone: &str, address: &str) -> Instance {
         let instance = sample::instance(kind, pool, zone, address);
         self.platform.state.borrow_mut().fleet.add(instance)
     }
@@ -193,11 +193,11 @@
         let sockets = Sockets::bind(&loaded.settings).await?;
         let bound = sockets.bound()?;
         let (stop, stops) = mpsc::unbounded_channel();
-        let serving = daemon::run::serve(loaded.settings, sockets, stops);
+        let server = daemon::run::serve(loaded.settings, sockets, stops);
         Ok(Entry {
             bound,
             stop,
-            task: tokio::task::spawn_local(serving),
+            task: tokio::task::spawn_local(server),
         })
     }
 
@@ -208,7 +208,7 @@
     }
 }
 
-async fn version_at(client: &mut Client) -> anyhow::Result<u64> {
+async fn current_version(client: &mut Client) -> anyhow::Result<u64> {
     match client.call(Request::ListDeployments).await? {
         Reply::Configuration { version, .. } => Ok(version),
         other => anyhow::bail!("a list was answered with {other:?}"),
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -68,7 +68,7 @@
     if let Some(rest) = path.strip_prefix("/control/") {
         return control(&state, rest, request).await;
     }
-    let Some(part) = Part::of(&path) else {
+    let Some(part) = Part::from_path(&path) else {
         return Ok(server::empty(StatusCode::NOT_FOUND));
     };
     let fault = state.borrow().faults.get(part);
--- a/crates/standin/src/platform/cloud.rs
+++ b/crates/standin/src/platform/cloud.rs
@@ -14,13 +14,13 @@
 use crate::platform::State;
 use crate::platform::fault::Part;
 use crate::platform::fleet::Instance;
-use crate::platform::fleet::Life;
+use crate::platform::fleet::Lifecycle;
 use crate::server;
 use crate::server::Answer;
 
 #[derive(Deserialize)]
 struct Change {
-    state: Life,
+    state: Lifecycle,
 }
 
 /// Handles one request.
@@ -32,19 +32,20 @@
     match (request.method(), path) {
         (&Method::GET, "/instances") => instances(&state.borrow()),
         (&Method::GET, "/notices") => {
-            let after = server::query(&request, "after").and_then(|text| text.parse().ok());
+            let after =
+                server::query_parameter(&request, "after").and_then(|text| text.parse().ok());
             let notices = state.borrow().fleet.notices(after.unwrap_or(0));
             server::json(StatusCode::OK, &json!({ "notices": notices }))
         }
         (&Method::GET, "/cloud/prices") => server::json(StatusCode::OK, &prices()),
         (&Method::POST, "/cloud/instances") => match server::read_json(request).await? {
-            Ok(order) => start(&mut state.borrow_mut(), &order),
+            Ok(order) => start_instance(&mut state.borrow_mut(), &order),
             Err(refusal) => Ok(refusal),
         },
         (&Method::DELETE, _) => {
             let id = path.trim_start_matches("/cloud/instances/");
-            let known = state.borrow_mut().fleet.set_state(id, Life::Gone);
-            Ok(server::empty(found(known)))
+            let known = state.borrow_mut().fleet.set_state(id, Lifecycle::Gone);
+            Ok(server::empty(status_if_known(known)))
         }
         _ => Ok(server::empty(StatusCode::NOT_FOUND)),
     }
@@ -58,17 +59,17 @@
 ) -> io::Result<Answer> {
     match path {
         "instances" => match server::read_json(request).await? {
-            Ok(instance) => added(state.borrow_mut().fleet.add(instance)),
+            Ok(instance) => created(state.borrow_mut().fleet.add(instance)),
             Err(refusal) => Ok(refusal),
         },
         "spares" => match server::read_json(request).await? {
-            Ok(instance) => added(state.borrow_mut().fleet.add_spare(instance)),
+            Ok(instance) => created(state.borrow_mut().fleet.add_spare(instance)),
             Err(refusal) => Ok(refusal),
         },
         "notice" => match server::read_json(request).await? {
             Ok(reclaim) => {
-                let chosen = state.borrow_mut().fleet.reclaim(&reclaim);
-                server::json(StatusCode::OK, &json!({ "instances": chosen }))
+                let reclaimed = state.borrow_mut().fleet.reclaim(&reclaim);
+                server::json(StatusCode::OK, &json!({ "instances": reclaimed }))
             }
             Err(refusal) => Ok(refusal),
         },
@@ -76,7 +77,7 @@
             Ok(change) => {
                 let id = path.trim_start_matches("instances/");
                 let known = state.borrow_mut().fleet.set_state(id, change.state);
-                Ok(server::empty(found(known)))
+                Ok(server::empty(status_if_known(known)))
             }
             Err(refusal) => Ok(refusal),
         },
@@ -89,21 +90,21 @@
     server::json(StatusCode::OK, &json!({ "instances": listed }))
 }
 
-fn start(state: &mut State, order: &Instance) -> io::Result<Answer> {
+fn start_instance(state: &mut State, order: &Instance) -> io::Result<Answer> {
     if state.faults.get(Part::Cloud).refuse_start {
         return Ok(server::empty(StatusCode::CONFLICT));
     }
     match state.fleet.start(order) {
-        Some(instance) => added(instance),
+        Some(instance) => created(instance),
         None => Ok(server::empty(StatusCode::CONFLICT)),
     }
 }
 
-fn added(instance: Instance) -> io::Result<Answer> {
+fn created(instance: Instance) -> io::Result<Answer> {
     server::json(StatusCode::CREATED, &instance)
 }
 
-fn found(known: bool) -> StatusCode {
+fn status_if_known(known: bool) -> StatusCode {
     if known {
         StatusCode::OK
     } else {
--- a/crates/standin/src/platform/fault.rs
+++ b/crates/standin/src/platform/fault.rs
@@ -21,7 +21,7 @@
 
 impl Part {
     /// Returns the part that serves a path.
-    pub fn of(path: &str) -> Option<Part> {
+    pub fn from_path(path: &str) -> Option<Part> {
         let first = path.split('/').nth(1)?;
         match first {
             "tables" | "transact" => Some(Part::Tables),
@@ -60,30 +60,31 @@
 /// Active faults, at most one for each part.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    standing: Vec<Fault>,
+    active: Vec<Fault>,
 }
 
 impl Faults {
     /// Replaces the fault of its part.
     pub fn set(&mut self, fault: Fault) {
-        self.standing.retain(|standing| standing.part != fault.part);
-        self.standing.push(fault);
+        self.active.retain(|active| active.part != fault.part);
+        self.active.push(fault);
     }
 
     /// Returns the active fault of a part, or the default, which has no effect.
     pub fn get(&self, part: Part) -> Fault {
-        let standing = self.standing.iter().find(|fault| fault.part == part);
-        standing.cloned().unwrap_or_default()
+        let active = self.active.iter().find(|fault| fault.part == part);
+        active.cloned().unwrap_or_default()
     }
 
     /// Returns whether to lose the response to a transaction that writes these tables, and counts it.
-    pub fn takes_answer<'a>(&mut self, mut tables: impl Iterator<Item = &'a SmolStr>) -> bool {
-        let standing = &mut self.standing;
-        let Some(fault) = standing.iter_mut().find(|fault| fault.part == Part::Tables) else {
+    pub fn take_lost_answer<'a>(&mut self, mut tables: impl Iterator<Item = &'a SmolStr>) -> bool {
+        let active = &mut self.active;
+        let Some(fault) = active.iter_mut().find(|fault| fault.part == Part::Tables) else {
             return false;
         };
-        let chosen = fault.lose_table.is_empty() || tables.any(|table| *table == fault.lose_table);
-        if fault.lose_answers == 0 || !chosen {
+        let affected =
+            fault.lose_table.is_empty() || tables.any(|table| *table == fault.lose_table);
+        if fault.lose_answers == 0 || !affected {
             return false;
         }
         fault.lose_answers -= 1;
--- a/crates/standin/src/platform/fleet.rs
+++ b/crates/standin/src/platform/fleet.rs
@@ -29,13 +29,13 @@
     /// `engine`, `service` or `entry`.
     pub kind: SmolStr,
     /// Lifecycle state.
-    pub state: Life,
+    pub state: Lifecycle,
 }
 
 /// Lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Life {
+pub enum Lifecycle {
     /// In service.
     #[default]
     Live,
@@ -68,10 +68,10 @@
     pub deadline_ms: u64,
 }
 
-struct Announced {
+struct IssuedNotice {
     seq: u64,
     incarnation: SmolStr,
-    until: Instant,
+    deadline: Instant,
 }
 
 struct Version {
@@ -87,72 +87,72 @@
     spares: Vec<Instance>,
     /// Versions of the list, oldest first; each is valid until the next one's time.
     history: Vec<Version>,
-    notices: Vec<Announced>,
-    next: u64,
+    notices: Vec<IssuedNotice>,
+    last_number: u64,
 }
 
 impl Fleet {
     /// Adds an instance to the list and fills in a missing name or incarnation.
     pub fn add(&mut self, instance: Instance) -> Instance {
-        let named = self.name(instance);
+        let named = self.assign_names(instance);
         self.instances.push(named.clone());
-        self.record();
+        self.record_version();
         named
     }
 
     /// Adds a running instance as a spare.
     pub fn add_spare(&mut self, instance: Instance) -> Instance {
-        let named = self.name(instance);
+        let named = self.assign_names(instance);
         self.spares.push(named.clone());
         named
     }
 
     /// Lists a spare that matches the order, if there is one.
     pub fn start(&mut self, order: &Instance) -> Option<Instance> {
-        let fits = |spare: &Instance| {
-            let same_place = spare.zone == order.zone && spare.class == order.class;
-            same_place && spare.market == order.market && spare.pool == order.pool
+        let matches_order = |spare: &Instance| {
+            let same_machine = spare.zone == order.zone && spare.class == order.class;
+            same_machine && spare.market == order.market && spare.pool == order.pool
         };
-        let at = self.spares.iter().position(fits)?;
-        let spare = self.spares.remove(at);
+        let index = self.spares.iter().position(matches_order)?;
+        let spare = self.spares.remove(index);
         Some(self.add(spare))
     }
 
     /// Changes the state of an instance; returns false if no instance has this name.
-    pub fn set_state(&mut self, id: &str, state: Life) -> bool {
-        let Some(at) = self.instances.iter().position(|item| item.id == id) else {
+    pub fn set_state(&mut self, id: &str, state: Lifecycle) -> bool {
+        let Some(index) = self.instances.iter().position(|item| item.id == id) else {
             return false;
         };
         match state {
-            Life::Gone => {
-                self.instances.remove(at);
+            Lifecycle::Gone => {
+                self.instances.remove(index);
             }
-            _ => self.instances[at].state = state,
+            _ => self.instances[index].state = state,
         }
-        self.record();
+        self.record_version();
         true
     }
 
     /// Issues reclaim notices and returns the affected instances.
     pub fn reclaim(&mut self, reclaim: &Reclaim) -> Vec<Instance> {
-        let until = Instant::now() + Duration::from_millis(reclaim.deadline_ms);
-        let mut chosen = Vec::new();
+        let deadline = Instant::now() + Duration::from_millis(reclaim.deadline_ms);
+        let mut reclaimed = Vec::new();
         for instance in &mut self.instances {
             let named = instance.id == reclaim.id;
             let in_zone = !reclaim.zone.is_empty() && instance.zone == reclaim.zone;
             if !named && !in_zone {
                 continue;
             }
-            instance.state = Life::Leaving;
-            self.notices.push(Announced {
+            instance.state = Lifecycle::Leaving;
+            self.notices.push(IssuedNotice {
                 seq: self.notices.len() as u64 + 1,
                 incarnation: instance.incarnation.clone(),
-                until,
+                deadline,
             });
-            chosen.push(instance.clone());
+            reclaimed.push(instance.clone());
         }
-        self.record();
-        chosen
+        self.record_version();
+        reclaimed
     }
 
     /// Returns the notices after `after`.
@@ -163,7 +163,7 @@
             .map(|notice| Notice {
                 seq: notice.seq,
                 incarnation: notice.incarnation.clone(),
-                deadline_ms: notice.until.saturating_duration_since(now).as_millis() as u64,
+                deadline_ms: notice.deadline.saturating_duration_since(now).as_millis() as u64,
             })
             .collect()
     }
@@ -176,18 +176,18 @@
         version.map_or(&[], |version| &version.instances)
     }
 
-    fn name(&mut self, mut instance: Instance) -> Instance {
-        self.next += 1;
+    fn assign_names(&mut self, mut instance: Instance) -> Instance {
+        self.last_number += 1;
         if instance.id.is_empty() {
-            instance.id = format_smolstr!("i-{}", self.next);
+            instance.id = format_smolstr!("i-{}", self.last_number);
         }
         if instance.incarnation.is_empty() {
-            instance.incarnation = format_smolstr!("{}.{}", instance.id, self.next);
+            instance.incarnation = format_smolstr!("{}.{}", instance.id, self.last_number);
         }
         instance
     }
 
-    fn record(&mut self) {
+    fn record_version(&mut self) {
         self.history.push(Version {
             since: Instant::now(),
             instances: self.instances.clone(),
--- a/crates/standin/src/platform/objects.rs
+++ b/crates/standin/src/platform/objects.rs
@@ -26,10 +26,10 @@
     path: &str,
     request: Request<Incoming>,
 ) -> io::Result<Answer> {
-    let key = server::decode(path.trim_start_matches("/objects/"));
+    let key = server::percent_decode(path.trim_start_matches("/objects/"));
     match *request.method() {
         Method::PUT => {
-            let bytes = server::read(request).await?;
+            let bytes = server::read_body(request).await?;
             state.borrow_mut().objects.objects.insert(key, bytes);
             Ok(server::empty(StatusCode::OK))
         }
--- a/crates/standin/src/platform/tables.rs
+++ b/crates/standin/src/platform/tables.rs
@@ -19,7 +19,7 @@
 use crate::server;
 use crate::server::Answer;
 
-const DEFAULT_LIMIT: usize = 1_000;
+const DEFAULT_SCAN_LIMIT: usize = 1_000;
 
 /// Stored rows.
 #[derive(Default)]
@@ -30,7 +30,7 @@
 
 /// A failed check of a transaction, with the current row.
 #[derive(Clone, Debug, Serialize)]
-pub struct Failed {
+pub struct FailedCheck {
     #[serde(flatten)]
     at: Address,
     row: Option<Row>,
@@ -72,8 +72,8 @@
     }
 
     /// Applies all writes if all checks hold, otherwise none.
-    pub fn transact(&mut self, transaction: &Transaction) -> Result<u64, Vec<Failed>> {
-        let failed = self.failed(transaction);
+    pub fn transact(&mut self, transaction: &Transaction) -> Result<u64, Vec<FailedCheck>> {
+        let failed = self.failed_checks(transaction);
         if !failed.is_empty() {
             return Err(failed);
         }
@@ -93,12 +93,12 @@
         Ok(self.revision)
     }
 
-    fn failed(&self, transaction: &Transaction) -> Vec<Failed> {
+    fn failed_checks(&self, transaction: &Transaction) -> Vec<FailedCheck> {
         let mut failed = Vec::new();
         for check in &transaction.checks {
             let row = self.rows.get(&check.address);
             if row.map(|row| row.revision) != check.revision {
-                failed.push(Failed {
+                failed.push(FailedCheck {
                     at: check.address.clone(),
                     row: row.cloned(),
                 });
@@ -122,7 +122,7 @@
     }
     let parts: Vec<&str> = path.splitn(5, '/').collect();
     match parts.as_slice() {
-        ["", "tables", table, "rows", key] => get(state, table, &server::decode(key)),
+        ["", "tables", table, "rows", key] => get(state, table, &server::percent_decode(key)),
         ["", "tables", table, "rows"] => scan(state, table, &request),
         _ => Ok(server::empty(StatusCode::NOT_FOUND)),
     }
@@ -135,7 +135,7 @@
         Ok(revision) => {
             state.counts.rows_written += transaction.writes.len() as u64;
             let written = transaction.writes.iter().map(|write| &write.address.table);
-            if state.faults.takes_answer(written) {
+            if state.faults.take_lost_answer(written) {
                 state.counts.answers_lost += 1;
                 return Err(io::Error::other("answer lost on order"));
             }
@@ -158,10 +158,10 @@
 }
 
 fn scan(state: &RefCell<State>, table: &str, request: &Request<Incoming>) -> io::Result<Answer> {
-    let prefix = server::query(request, "prefix").unwrap_or_default();
-    let after = server::query(request, "after").unwrap_or_default();
-    let limit = server::query(request, "limit").and_then(|text| text.parse().ok());
-    let limit: usize = limit.unwrap_or(DEFAULT_LIMIT);
+    let prefix = server::query_parameter(request, "prefix").unwrap_or_default();
+    let after = server::query_parameter(request, "after").unwrap_or_default();
+    let limit = server::query_parameter(request, "limit").and_then(|text| text.parse().ok());
+    let limit: usize = limit.unwrap_or(DEFAULT_SCAN_LIMIT);
     let mut state = state.borrow_mut();
     state.counts.reads += 1;
     let found = state.tables.scan(table, &prefix, &after);
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -144,7 +144,7 @@
 }
 
 /// Returns a response that streams server-sent events from the returned sender.
-pub fn events(capacity: usize) -> (mpsc::Sender<Piece>, Answer) {
+pub fn event_stream(capacity: usize) -> (mpsc::Sender<Piece>, Answer) {
     let (sender, receiver) = mpsc::channel::<Piece>(capacity);
     let pieces = futures::stream::unfold(receiver, |mut receiver| async move {
         let piece = receiver.recv().await?;
@@ -159,7 +159,7 @@
 }
 
 /// Reads the whole body of a request.
-pub async fn read(request: Request<Incoming>) -> io::Result<Bytes> {
+pub async fn read_body(request: Request<Incoming>) -> io::Result<Bytes> {
     let collected = request.into_body().collect().await;
     Ok(collected.map_err(io::Error::other)?.to_bytes())
 }
@@ -168,7 +168,7 @@
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
 ) -> io::Result<Result<T, Answer>> {
-    let bytes = read(request).await?;
+    let bytes = read_body(request).await?;
     Ok(serde_json::from_slice(&bytes).map_err(|error| {
         plain(
             StatusCode::BAD_REQUEST,
@@ -178,23 +178,23 @@
 }
 
 /// Returns the percent-decoded value of a query parameter.
-pub fn query<T>(request: &Request<T>, name: &str) -> Option<String> {
+pub fn query_parameter<T>(request: &Request<T>, name: &str) -> Option<String> {
     let pairs = request.uri().query()?.split('&');
     for pair in pairs {
         let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
         if key == name {
-            return Some(decode(value));
+            return Some(percent_decode(value));
         }
     }
     None
 }
 
 /// Decodes percent escapes.
-pub fn decode(text: &str) -> String {
+pub fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&first, tail)) = rest.split_first() {
-        match escape(first, tail) {
+        match decode_escape(first, tail) {
             Some(byte) => {
                 bytes.push(byte);
                 rest = &tail[2..];
@@ -208,7 +208,7 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn escape(first: u8, tail: &[u8]) -> Option<u8> {
+fn decode_escape(first: u8, tail: &[u8]) -> Option<u8> {
     if first != b'%' {
         return None;
     }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -119,7 +119,7 @@
 }
 
 async fn call(state: Rc<State>, request: Request<Incoming>) -> io::Result<Answer> {
-    let mut gate = state.gate.pass();
+    let mut gate = state.gate.waiter();
     gate.wait().await;
     let fault = state.fault.borrow().clone();
     if fault.refuse {
@@ -130,7 +130,7 @@
         .uri()
         .path_and_query()
         .map_or_else(String::new, ToString::to_string);
-    let body = server::read(request).await?;
+    let body = server::read_body(request).await?;
     let body = String::from_utf8_lossy(&body);
     state.count(format!("{method} {path} {body}"));
     let millis = state.config.call_ms + fault.delay_ms;
--- a/crates/standin/src/tokens.rs
+++ b/crates/standin/src/tokens.rs
@@ -63,11 +63,11 @@
 
     /// Returns what the model generates for this call.
     pub fn plan(&self) -> Plan {
-        let continued = self.continued();
-        let asked = self.messages.len() - usize::from(continued.is_some());
-        let prompt = flatten(&self.messages[..asked]);
-        let base = continued.map_or(0, |text| text.split_whitespace().count() as u32);
-        let length = length_of(&prompt);
+        let partial_answer = self.partial_answer();
+        let prompt_messages = self.messages.len() - usize::from(partial_answer.is_some());
+        let prompt = flatten(&self.messages[..prompt_messages]);
+        let base = partial_answer.map_or(0, |text| text.split_whitespace().count() as u32);
+        let length = answer_length(&prompt);
         let new = length.saturating_sub(base);
         Plan {
             seed: xxh3_64(prompt.as_bytes()),
@@ -82,7 +82,7 @@
         flatten(&self.messages)
     }
 
-    fn continued(&self) -> Option<&str> {
+    fn partial_answer(&self) -> Option<&str> {
         let last = self.messages.last()?;
         (self.continue_final_message && last.role == "assistant").then_some(last.content.as_str())
     }
@@ -118,7 +118,7 @@
 }
 
 /// Returns, for each full block, the hash of the text up to its end.
-pub fn blocks(text: &str) -> Vec<u64> {
+pub fn block_hashes(text: &str) -> Vec<u64> {
     let mut hasher = Xxh3::new();
     let mut hashes = Vec::with_capacity(text.len() / BLOCK_BYTES);
     for block in text.as_bytes().chunks_exact(BLOCK_BYTES) {
@@ -139,11 +139,11 @@
     text
 }
 
-fn length_of(prompt: &str) -> u32 {
-    let Some(at) = prompt.rfind(LENGTH_MARK) else {
+fn answer_length(prompt: &str) -> u32 {
+    let Some(mark) = prompt.rfind(LENGTH_MARK) else {
         return DEFAULT_LENGTH;
     };
-    let digits = &prompt[at + LENGTH_MARK.len()..];
+    let digits = &prompt[mark + LENGTH_MARK.len()..];
     let end = digits.find(']').unwrap_or(0);
     digits[..end].parse().unwrap_or(DEFAULT_LENGTH)
 }
--- a/crates/standin/tests/callers_page.rs
+++ b/crates/standin/tests/callers_page.rs
@@ -5,17 +5,17 @@
 use std::path::Path;
 
 use harness::process::Process;
-use harness::process::scratch;
+use harness::process::scratch_path;
 use tokio::process::Command;
 
 /// Line of the page that names the entry; replaced by the entry under test.
-const ENTRY: &str = "ENTRY=127.0.0.1:8000";
+const ENTRY_LINE: &str = "ENTRY=127.0.0.1:8000";
 
 /// Placeholder on the page for text that differs between runs.
-const ANYTHING: &str = "...";
+const PLACEHOLDER: &str = "...";
 
 /// Line that the script prints before the output of each command.
-const MARK: &str = "=== command";
+const COMMAND_MARK: &str = "=== command";
 
 /// A command of the page and its printed output.
 #[derive(Default)]
@@ -28,28 +28,28 @@
 fn session_works_as_printed() {
     harness::run(async {
         let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/callers.md");
-        let steps = steps_of(&std::fs::read_to_string(page).unwrap());
+        let steps = parse_steps(&std::fs::read_to_string(page).unwrap());
         assert!(steps.len() > 10);
         let sample = Process::start("sample", &["sample", "--callers", "127.0.0.1:0"]).await;
         let entry = format!("ENTRY={}", sample.address("callers"));
         let mut script = String::new();
         for step in &steps {
-            let command = step.command.replace(ENTRY, &entry);
-            script.push_str(&format!("echo '{MARK}'\n{command}\n"));
+            let command = step.command.replace(ENTRY_LINE, &entry);
+            script.push_str(&format!("echo '{COMMAND_MARK}'\n{command}\n"));
         }
-        let directory = scratch("callers-page");
+        let directory = scratch_path("callers-page");
         std::fs::create_dir(&directory).unwrap();
-        let bash = Command::new("bash")
+        let session = Command::new("bash")
             .args(["-c", &script])
             .current_dir(&directory)
             .output();
-        let output = String::from_utf8(bash.await.unwrap().stdout).unwrap();
-        let outputs: Vec<&str> = output.split(&format!("{MARK}\n")).skip(1).collect();
+        let output = String::from_utf8(session.await.unwrap().stdout).unwrap();
+        let outputs: Vec<&str> = output.split(&format!("{COMMAND_MARK}\n")).skip(1).collect();
         assert_eq!(outputs.len(), steps.len(), "{output}");
         for (step, printed) in steps.iter().zip(outputs) {
-            let same = matches(&step.printed, printed);
+            let is_same = matches_printed(&step.printed, printed);
             assert!(
-                same,
+                is_same,
                 "{}\nprints\n{printed}\nnot\n{}",
                 step.command, step.printed
             );
@@ -58,7 +58,7 @@
 }
 
 /// Returns the commands in the page's `sh` blocks.
-fn steps_of(page: &str) -> Vec<Step> {
+fn parse_steps(page: &str) -> Vec<Step> {
     let mut steps: Vec<Step> = Vec::new();
     let mut inside = false;
     for line in page.lines() {
@@ -85,8 +85,8 @@
 }
 
 /// Returns whether a text matches the printed one, where each placeholder matches anything.
-fn matches(printed: &str, text: &str) -> bool {
-    let mut pieces = printed.split(ANYTHING);
+fn matches_printed(printed: &str, text: &str) -> bool {
+    let mut pieces = printed.split(PLACEHOLDER);
     let Some(mut rest) = text.strip_prefix(pieces.next().unwrap_or_default()) else {
         return false;
     };
--- a/crates/standin/tests/failures_backend.rs
+++ b/crates/standin/tests/failures_backend.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use client::call::Delivery;
-use harness::caller::Asked;
+use harness::caller::Reader;
 use harness::caller::receipt;
 use harness::caller::receipt_key;
-use harness::world::Size;
-use harness::world::World;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
 use serde_json::json;
 use verdict::Verdict;
 
@@ -24,21 +24,21 @@
 const NOTICE_MS: u64 = 600;
 
 /// Time within which every entry must stop using a leaving server.
-const FEW_SECONDS: Duration = Duration::from_secs(3);
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// An engine's instance is reclaimed with notice in mid-stream. The stream must be moved to another engine
 /// complete and without recomputation, since KV can still be exported.
 #[test]
 fn reclaimed_engine_in_mid_stream() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
-        let mut asked = Asked::new(&world.caller(), "reclaimed engine", 150).await;
-        asked.read(40).await;
-        let at = world.busy_engine().await;
-        reclaim_and_kill(&mut world, &[at]).await;
-        asked.finish().await;
-        assert_eq!(asked.stream.reconnects(), 0);
-        assert_eq!(recomputed(&world, &[at]).await, 0);
+        let mut cluster = Cluster::deployed(&SIZE).await;
+        let mut reader = Reader::new(&cluster.caller(), "reclaimed engine", 150).await;
+        reader.read(40).await;
+        let index = cluster.wait_for_busy_engine().await;
+        reclaim_and_kill(&mut cluster, &[index]).await;
+        reader.finish().await;
+        assert_eq!(reader.stream.reconnects(), 0);
+        assert_eq!(recomputed_tokens_except(&cluster, &[index]).await, 0);
     });
 }
 
@@ -46,18 +46,18 @@
 #[test]
 fn reclaimed_engine_without_transfer() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
-        for engine in &world.engines {
-            world
-                .fault(&engine.process, json!({ "no_transfer": true }))
+        let mut cluster = Cluster::deployed(&SIZE).await;
+        for engine in &cluster.engines {
+            cluster
+                .backend_fault(&engine.process, json!({ "no_transfer": true }))
                 .await;
         }
-        let mut asked = Asked::new(&world.caller(), "no transfer", 150).await;
-        asked.read(40).await;
-        let at = world.busy_engine().await;
-        reclaim_and_kill(&mut world, &[at]).await;
-        asked.finish().await;
-        assert!(recomputed(&world, &[at]).await > 0);
+        let mut reader = Reader::new(&cluster.caller(), "no transfer", 150).await;
+        reader.read(40).await;
+        let index = cluster.wait_for_busy_engine().await;
+        reclaim_and_kill(&mut cluster, &[index]).await;
+        reader.finish().await;
+        assert!(recomputed_tokens_except(&cluster, &[index]).await > 0);
     });
 }
 
@@ -66,19 +66,19 @@
 #[test]
 fn reclaimed_zone_in_mid_stream() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
-        let caller = world.caller();
+        let mut cluster = Cluster::deployed(&SIZE).await;
+        let caller = cluster.caller();
         let mut streams = Vec::new();
         for number in 0..12 {
-            let mut asked = Asked::new(&caller, &format!("zone {number}"), 150).await;
-            asked.read(5).await;
-            streams.push(asked);
+            let mut reader = Reader::new(&caller, &format!("zone {number}"), 150).await;
+            reader.read(5).await;
+            streams.push(reader);
         }
-        world
+        cluster
             .reclaim(json!({ "zone": "a", "deadline_ms": NOTICE_MS }))
             .await;
-        world.entries[0].signal("TERM").await;
-        let filing = async {
+        cluster.entries[0].signal("TERM").await;
+        let sending = async {
             for number in 0..10 {
                 let body = format!("zone-{number}");
                 caller
@@ -87,19 +87,19 @@
                     .unwrap();
             }
         };
-        let reading = futures::future::join_all(streams.iter_mut().map(Asked::finish));
-        let taking = async {
+        let reading = futures::future::join_all(streams.iter_mut().map(Reader::finish));
+        let killing = async {
             tokio::time::sleep(Duration::from_millis(NOTICE_MS)).await;
-            world.engines[0].process.kill().await;
-            world.engines[3].process.kill().await;
-            world.services[0].process.kill().await;
+            cluster.engines[0].process.kill().await;
+            cluster.engines[3].process.kill().await;
+            cluster.services[0].process.kill().await;
         };
-        tokio::join!(filing, reading, taking);
+        tokio::join!(sending, reading, killing);
         for number in 0..10 {
             let key = receipt_key(&format!("zone-{number}"));
             let mut executions = 0;
             for service in 1..SIZE.services {
-                let counts = world.service_counts(service).await;
+                let counts = cluster.service_counts(service).await;
                 executions += counts.executions.get(&key).copied().unwrap_or(0);
             }
             assert!(executions <= 1, "{key}: {executions}");
@@ -112,13 +112,13 @@
 #[test]
 fn killed_engine_in_mid_stream() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
-        let mut asked = Asked::new(&world.caller(), "killed engine", 150).await;
-        asked.read(40).await;
-        let at = world.busy_engine().await;
-        world.engines[at].process.kill().await;
-        asked.finish().await;
-        assert_eq!(asked.stream.reconnects(), 0);
+        let mut cluster = Cluster::deployed(&SIZE).await;
+        let mut reader = Reader::new(&cluster.caller(), "killed engine", 150).await;
+        reader.read(40).await;
+        let index = cluster.wait_for_busy_engine().await;
+        cluster.engines[index].process.kill().await;
+        reader.finish().await;
+        assert_eq!(reader.stream.reconnects(), 0);
     });
 }
 
@@ -127,15 +127,17 @@
 #[test]
 fn cut_connection_to_an_engine() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        for engine in &world.engines {
-            world.fault(&engine.process, json!({ "cut_at": 30 })).await;
+        let cluster = Cluster::deployed(&SIZE).await;
+        for engine in &cluster.engines {
+            cluster
+                .backend_fault(&engine.process, json!({ "cut_at": 30 }))
+                .await;
         }
-        let mut asked = Asked::new(&world.caller(), "cut connection", 100).await;
-        asked.finish().await;
+        let mut reader = Reader::new(&cluster.caller(), "cut connection", 100).await;
+        reader.finish().await;
         let mut started = 0;
         for engine in 0..SIZE.engines {
-            started += world.engine_counts(engine).await.started.len();
+            started += cluster.engine_counts(engine).await.started.len();
         }
         assert_eq!(started, 1);
     });
@@ -146,20 +148,20 @@
 #[test]
 fn leaving_engine_gets_no_new_work() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let leaving = &world.engines[0];
-        world
+        let cluster = Cluster::deployed(&SIZE).await;
+        let leaving = &cluster.engines[0];
+        cluster
             .reclaim(json!({ "id": leaving.instance.id, "deadline_ms": 120_000 }))
             .await;
-        world.set_state(&leaving.instance.id, "live").await;
-        tokio::time::sleep(FEW_SECONDS).await;
-        let before = world.engine_counts(0).await.started.len();
-        let caller = world.caller();
+        cluster.set_state(&leaving.instance.id, "live").await;
+        tokio::time::sleep(LEAVE_PROPAGATION_TIME).await;
+        let before = cluster.engine_counts(0).await.started.len();
+        let caller = cluster.caller();
         for number in 0..24 {
-            let mut asked = Asked::new(&caller, &format!("new work {number}"), 2).await;
-            asked.finish().await;
+            let mut reader = Reader::new(&caller, &format!("new work {number}"), 2).await;
+            reader.finish().await;
         }
-        assert_eq!(world.engine_counts(0).await.started.len(), before);
+        assert_eq!(cluster.engine_counts(0).await.started.len(), before);
     });
 }
 
@@ -168,16 +170,16 @@
 #[test]
 fn lost_answer_of_a_service() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        for service in &world.services {
-            world
-                .fault(&service.process, json!({ "lose_answer": true }))
+        let cluster = Cluster::deployed(&SIZE).await;
+        for service in &cluster.services {
+            cluster
+                .backend_fault(&service.process, json!({ "lose_answer": true }))
                 .await;
         }
         let call = receipt("lost", Delivery::Ticket);
-        let error = world.caller().call(&call).await.unwrap_err();
+        let error = cluster.caller().call(&call).await.unwrap_err();
         assert_eq!(error.verdict, Verdict::MayHaveRun);
-        assert_eq!(world.executions(&receipt_key("lost")).await, 1);
+        assert_eq!(cluster.executions(&receipt_key("lost")).await, 1);
     });
 }
 
@@ -185,42 +187,42 @@
 #[test]
 fn refusing_services_are_not_run() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        for service in &world.services {
-            world
-                .fault(&service.process, json!({ "refuse": true }))
+        let cluster = Cluster::deployed(&SIZE).await;
+        for service in &cluster.services {
+            cluster
+                .backend_fault(&service.process, json!({ "refuse": true }))
                 .await;
         }
-        let caller = world.hasty_caller();
+        let caller = cluster.caller_with_two_tries();
         let error = caller
             .call(&receipt("refused", Delivery::Ticket))
             .await
             .unwrap_err();
         assert_eq!(error.verdict, Verdict::NotRun);
-        assert_eq!(world.executions(&receipt_key("refused")).await, 0);
+        assert_eq!(cluster.executions(&receipt_key("refused")).await, 0);
     });
 }
 
 /// Sends reclaim notices to engines and kills them at the deadline.
-async fn reclaim_and_kill(world: &mut World, engines: &[usize]) {
-    for at in engines {
-        let id = world.engines[*at].instance.id.clone();
-        world
+async fn reclaim_and_kill(cluster: &mut Cluster, engines: &[usize]) {
+    for index in engines {
+        let id = cluster.engines[*index].instance.id.clone();
+        cluster
             .reclaim(json!({ "id": id, "deadline_ms": NOTICE_MS }))
             .await;
     }
     tokio::time::sleep(Duration::from_millis(NOTICE_MS)).await;
-    for at in engines {
-        world.engines[*at].process.kill().await;
+    for index in engines {
+        cluster.engines[*index].process.kill().await;
     }
 }
 
-/// Returns the recomputed tokens of all engines but `but`.
-async fn recomputed(world: &World, but: &[usize]) -> u64 {
+/// Returns the recomputed tokens of all engines but the excluded ones.
+async fn recomputed_tokens_except(cluster: &Cluster, excluded: &[usize]) -> u64 {
     let mut recomputed = 0;
-    for at in 0..world.engines.len() {
-        if !but.contains(&at) {
-            recomputed += world.engine_counts(at).await.recomputed_tokens;
+    for index in 0..cluster.engines.len() {
+        if !excluded.contains(&index) {
+            recomputed += cluster.engine_counts(index).await.recomputed_tokens;
         }
     }
     recomputed
--- a/crates/standin/tests/failures_config.rs
+++ b/crates/standin/tests/failures_config.rs
@@ -4,8 +4,8 @@
 
 use config::deployment::Account;
 use harness::caller::ask_at;
-use harness::world::Size;
-use harness::world::World;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
 use ops::reply::Changed;
 use ops::request::Edit;
 use serde_json::json;
@@ -23,13 +23,13 @@
 #[test]
 fn frozen_entry_through_a_change() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let frozen = &world.entries[2];
+        let cluster = Cluster::deployed(&SIZE).await;
+        let frozen = &cluster.entries[2];
         frozen.signal("STOP").await;
         let address = frozen.address("callers").to_owned();
         let request =
             tokio::task::spawn_local(async move { ask_at(&address, "still here?").await });
-        let mut operator = world.operator(0).await;
+        let mut operator = cluster.operator(0).await;
         let mut account = sample::account();
         account.key_hashes = vec![config::snapshot::hash_key("a new key")];
         let version = operator.version().await;
@@ -41,7 +41,7 @@
         assert_eq!(answer.verdict(), "not-run", "{answer:?}");
         let mut started = 0;
         for engine in 0..SIZE.engines {
-            started += world.engine_counts(engine).await.started.len();
+            started += cluster.engine_counts(engine).await.started.len();
         }
         assert_eq!(started, 0);
     });
@@ -51,14 +51,16 @@
 #[test]
 fn entry_started_in_an_outage() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
-        let version = world.operator(0).await.version().await;
-        world
+        let mut cluster = Cluster::deployed(&SIZE).await;
+        let version = cluster.operator(0).await.version().await;
+        cluster
             .platform_fault(json!({ "part": "tables", "down": true }))
             .await;
-        let added = world.add_entry("a").await;
-        world.wait_until_ready(&world.entries[added], version).await;
-        let answer = ask_at(world.entries[added].address("callers"), "young entry").await;
+        let index = cluster.add_entry("a").await;
+        cluster
+            .wait_until_ready(&cluster.entries[index], version)
+            .await;
+        let answer = ask_at(cluster.entries[index].address("callers"), "young entry").await;
         assert_eq!(answer.status, 200, "{answer:?}");
     });
 }
@@ -68,29 +70,29 @@
 #[test]
 fn operators_racing() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let mut first = world.operator(0).await;
-        let mut second = world.operator(1).await;
+        let cluster = Cluster::deployed(&SIZE).await;
+        let mut first = cluster.operator(0).await;
+        let mut second = cluster.operator(1).await;
         let version = first.version().await;
-        let (one, other) = tokio::join!(
-            first.change("one", version, rekey("one")),
-            second.change("other", version, rekey("other")),
+        let (first_result, second_result) = tokio::join!(
+            first.change("one", version, put_contested_account("one")),
+            second.change("other", version, put_contested_account("other")),
         );
-        let outcomes = [one.unwrap(), other.unwrap()];
-        let won = outcomes
+        let outcomes = [first_result.unwrap(), second_result.unwrap()];
+        let accepted = outcomes
             .iter()
             .filter(|outcome| matches!(outcome, Changed::Accepted { .. }));
-        assert_eq!(won.count(), 1, "{outcomes:?}");
-        let lost = outcomes.iter().find_map(|outcome| match outcome {
+        assert_eq!(accepted.count(), 1, "{outcomes:?}");
+        let conflict = outcomes.iter().find_map(|outcome| match outcome {
             Changed::Conflict {
                 version,
                 differences,
             } => Some((*version, differences.len())),
             _ => None,
         });
-        assert_eq!(lost, Some((version + 1, 1)), "{outcomes:?}");
+        assert_eq!(conflict, Some((version + 1, 1)), "{outcomes:?}");
         for entry in 0..SIZE.entries {
-            assert_eq!(world.operator(entry).await.version().await, version + 1);
+            assert_eq!(cluster.operator(entry).await.version().await, version + 1);
         }
     });
 }
@@ -100,15 +102,15 @@
 #[test]
 fn operators_at_different_accounts() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let mut first = world.operator(0).await;
-        let mut second = world.operator(1).await;
+        let cluster = Cluster::deployed(&SIZE).await;
+        let mut first = cluster.operator(0).await;
+        let mut second = cluster.operator(1).await;
         let version = first.version().await;
-        let (one, other) = tokio::join!(
-            first.change("one", version, put("one")),
-            second.change("other", version, put("other")),
+        let (first_result, second_result) = tokio::join!(
+            first.change("one", version, put_account("one")),
+            second.change("other", version, put_account("other")),
         );
-        let mut versions: Vec<u64> = [one.unwrap(), other.unwrap()]
+        let mut versions: Vec<u64> = [first_result.unwrap(), second_result.unwrap()]
             .into_iter()
             .map(|outcome| match outcome {
                 Changed::Accepted { version } => version,
@@ -118,7 +120,7 @@
         versions.sort_unstable();
         assert_eq!(versions, [version + 1, version + 2]);
         for entry in 0..SIZE.entries {
-            assert_eq!(world.operator(entry).await.version().await, version + 2);
+            assert_eq!(cluster.operator(entry).await.version().await, version + 2);
         }
     });
 }
@@ -128,14 +130,16 @@
 #[test]
 fn lost_answer_of_the_store_on_a_change() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let mut operator = world.operator(0).await;
+        let cluster = Cluster::deployed(&SIZE).await;
+        let mut operator = cluster.operator(0).await;
         let version = operator.version().await;
-        let lossy = json!({ "part": "tables", "lose_answers": 1, "lose_table": "config" });
-        world.platform_fault(lossy).await;
-        let first = operator.change("lossy", version, put("second")).await;
+        let lost_answer = json!({ "part": "tables", "lose_answers": 1, "lose_table": "config" });
+        cluster.platform_fault(lost_answer).await;
+        let first = operator
+            .change("lossy", version, put_account("second"))
+            .await;
         let repeat = operator
-            .change("lossy", version, put("second"))
+            .change("lossy", version, put_account("second"))
             .await
             .unwrap();
         assert_eq!(
@@ -149,7 +153,7 @@
     });
 }
 
-fn put(name: &str) -> Edit {
+fn put_account(name: &str) -> Edit {
     Edit::PutAccount(Account {
         name: name.into(),
         key_hashes: vec![config::snapshot::hash_key(name)],
@@ -158,7 +162,7 @@
 }
 
 /// Returns an edit that sets the key of one account, the same account for every caller.
-fn rekey(key: &str) -> Edit {
+fn put_contested_account(key: &str) -> Edit {
     Edit::PutAccount(Account {
         name: "contested".into(),
         key_hashes: vec![config::snapshot::hash_key(key)],
--- a/crates/standin/tests/failures_engines.rs
+++ b/crates/standin/tests/failures_engines.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
-use harness::caller::Asked;
+use harness::caller::Reader;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
 use harness::wait_for;
-use harness::world::Size;
-use harness::world::World;
 use serde_json::json;
 
 const SIZE: Size = Size {
@@ -22,13 +22,13 @@
 #[test]
 fn frozen_engine_in_mid_stream() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let mut asked = Asked::new(&world.caller(), "frozen engine", 150).await;
-        asked.read(40).await;
-        let at = world.busy_engine().await;
-        world.engines[at].process.signal("STOP").await;
-        asked.finish().await;
-        world.engines[at].process.signal("CONT").await;
+        let cluster = Cluster::deployed(&SIZE).await;
+        let mut reader = Reader::new(&cluster.caller(), "frozen engine", 150).await;
+        reader.read(40).await;
+        let index = cluster.wait_for_busy_engine().await;
+        cluster.engines[index].process.signal("STOP").await;
+        reader.finish().await;
+        cluster.engines[index].process.signal("CONT").await;
     });
 }
 
@@ -37,26 +37,28 @@
 #[test]
 fn wave_of_reclaims_with_one_early_death() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
-        let caller = world.caller();
+        let mut cluster = Cluster::deployed(&SIZE).await;
+        let caller = cluster.caller();
         let mut streams = Vec::new();
         for number in 0..12 {
-            let mut asked = Asked::new(&caller, &format!("wave {number}"), 200).await;
-            asked.read(5).await;
-            streams.push(asked);
+            let mut reader = Reader::new(&caller, &format!("wave {number}"), 200).await;
+            reader.read(5).await;
+            streams.push(reader);
         }
-        for at in [0, 1, 2] {
-            let id = world.engines[at].instance.id.clone();
-            world.reclaim(json!({ "id": id, "deadline_ms": 800 })).await;
+        for index in [0, 1, 2] {
+            let id = cluster.engines[index].instance.id.clone();
+            cluster
+                .reclaim(json!({ "id": id, "deadline_ms": 800 }))
+                .await;
         }
-        world.engines[1].process.kill().await;
-        let reading = futures::future::join_all(streams.iter_mut().map(Asked::finish));
-        let taking = async {
+        cluster.engines[1].process.kill().await;
+        let reading = futures::future::join_all(streams.iter_mut().map(Reader::finish));
+        let killing = async {
             tokio::time::sleep(Duration::from_millis(800)).await;
-            world.engines[0].process.kill().await;
-            world.engines[2].process.kill().await;
+            cluster.engines[0].process.kill().await;
+            cluster.engines[2].process.kill().await;
         };
-        tokio::join!(reading, taking);
+        tokio::join!(reading, killing);
     });
 }
 
@@ -64,25 +66,25 @@
 #[test]
 fn engine_leaving_by_the_list_alone() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        world
-            .set_state(&world.engines[0].instance.id, "leaving")
+        let cluster = Cluster::deployed(&SIZE).await;
+        cluster
+            .set_state(&cluster.engines[0].instance.id, "leaving")
             .await;
-        wait_until_known_as_leaving(&world, &world.engines[0].instance.incarnation).await;
-        let before = world.engine_counts(0).await.started.len();
-        let caller = world.caller();
+        wait_until_not_live(&cluster, &cluster.engines[0].instance.incarnation).await;
+        let before = cluster.engine_counts(0).await.started.len();
+        let caller = cluster.caller();
         for number in 0..24 {
-            let mut asked = Asked::new(&caller, &format!("by the list {number}"), 2).await;
-            asked.finish().await;
+            let mut reader = Reader::new(&caller, &format!("by the list {number}"), 2).await;
+            reader.finish().await;
         }
-        assert_eq!(world.engine_counts(0).await.started.len(), before);
+        assert_eq!(cluster.engine_counts(0).await.started.len(), before);
     });
 }
 
 /// Waits until no entry shows the backend server as live.
-async fn wait_until_known_as_leaving(world: &World, incarnation: &str) {
-    for entry in 0..world.entries.len() {
-        let mut operator = world.operator(entry).await;
+async fn wait_until_not_live(cluster: &Cluster, incarnation: &str) {
+    for entry in 0..cluster.entries.len() {
+        let mut operator = cluster.operator(entry).await;
         wait_for("a leaving engine", async || {
             let status = operator.status().await;
             let live = status.backends.iter().any(|backend| {
--- a/crates/standin/tests/failures_entry.rs
+++ b/crates/standin/tests/failures_entry.rs
@@ -2,12 +2,12 @@
 
 mod harness;
 
-use harness::caller::Asked;
+use harness::caller::Reader;
 use harness::caller::receipt_at;
 use harness::caller::receipt_key;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
 use harness::wait_for;
-use harness::world::Size;
-use harness::world::World;
 
 const SIZE: Size = Size {
     entries: 3,
@@ -21,17 +21,20 @@
 #[test]
 fn killed_entry_in_mid_stream() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
-        let mut asked = Asked::new(&world.caller(), "killed entry", 150).await;
-        asked.read(40).await;
-        let at = world.entry_at(asked.stream.entry());
-        world.entries[at].kill().await;
-        asked.finish().await;
-        assert_eq!(asked.stream.reconnects(), 1);
-        assert_ne!(asked.stream.entry(), world.entries[at].address("callers"));
+        let mut cluster = Cluster::deployed(&SIZE).await;
+        let mut reader = Reader::new(&cluster.caller(), "killed entry", 150).await;
+        reader.read(40).await;
+        let index = cluster.entry_at(reader.stream.entry());
+        cluster.entries[index].kill().await;
+        reader.finish().await;
+        assert_eq!(reader.stream.reconnects(), 1);
+        assert_ne!(
+            reader.stream.entry(),
+            cluster.entries[index].address("callers")
+        );
         let (mut started, mut recomputed) = (0, 0);
         for engine in 0..SIZE.engines {
-            let counts = world.engine_counts(engine).await;
+            let counts = cluster.engine_counts(engine).await;
             started += counts.started.values().sum::<u32>();
             recomputed += counts.recomputed_tokens;
         }
@@ -44,32 +47,35 @@
 #[test]
 fn killed_entry_before_the_answer_of_a_non_idempotent_call() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
+        let mut cluster = Cluster::deployed(&SIZE).await;
         let slow = serde_json::json!({ "delay_ms": 3_000 });
-        world.fault(&world.services[0].process, slow).await;
+        cluster
+            .backend_fault(&cluster.services[0].process, slow)
+            .await;
         let key = receipt_key("killed");
-        let name = ("idempotency-key", "filing-1");
-        let cut = {
-            let killed = &world.entries[0];
-            let (cut, ()) = tokio::join!(receipt_at(killed, "killed", name), async {
-                wait_for("the receipt at the service", async || {
-                    (world.executions(&key).await == 1).then_some(())
-                })
-                .await;
-                killed.signal("KILL").await;
-            });
-            cut
+        let id_header = ("idempotency-key", "filing-1");
+        let cut_response = {
+            let killed_entry = &cluster.entries[0];
+            let (cut_response, ()) =
+                tokio::join!(receipt_at(killed_entry, "killed", id_header), async {
+                    wait_for("the receipt at the service", async || {
+                        (cluster.executions(&key).await == 1).then_some(())
+                    })
+                    .await;
+                    killed_entry.signal("KILL").await;
+                });
+            cut_response
         };
-        assert_eq!(cut.status, 0, "{cut:?}");
-        wait_for("its end", async || {
-            world.entries[0].has_ended().then_some(())
+        assert_eq!(cut_response.status, 0, "{cut_response:?}");
+        wait_for("the end of the entry", async || {
+            cluster.entries[0].has_ended().then_some(())
         })
         .await;
-        for entry in &world.entries[1..] {
-            let again = receipt_at(entry, "killed", name).await;
-            assert_eq!(again.verdict(), "may-have-run");
-            assert_eq!(again.reason(), "repeated");
+        for entry in &cluster.entries[1..] {
+            let retry = receipt_at(entry, "killed", id_header).await;
+            assert_eq!(retry.verdict(), "may-have-run");
+            assert_eq!(retry.reason(), "repeated");
         }
-        assert_eq!(world.executions(&key).await, 1);
+        assert_eq!(cluster.executions(&key).await, 1);
     });
 }
--- a/crates/standin/tests/failures_fleet.rs
+++ b/crates/standin/tests/failures_fleet.rs
@@ -6,12 +6,12 @@
 
 use config::deployment::Deployment;
 use config::deployment::Kind;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
 use harness::wait_for;
-use harness::world::Size;
-use harness::world::World;
 use ops::reply::Changed;
 use ops::request::Edit;
-use standin::engine::order::Standing;
+use standin::engine::order::Status;
 use standin::sample;
 
 const SIZE: Size = Size {
@@ -37,35 +37,35 @@
 }
 
 async fn frozen_holder(arguments: &[&str]) {
-    let mut world = World::start(&SIZE).await;
+    let mut cluster = Cluster::start(&SIZE).await;
     for zone in ["a", "b", "c"].iter().cycle().take(ENGINES) {
-        world.add_engine_with(zone, arguments).await;
+        cluster.add_engine_with(zone, arguments).await;
     }
-    world.deploy().await;
-    wait_until_loaded(&world, "v1").await;
-    let holder = holder(&world).await;
-    world.entries[holder].signal("STOP").await;
-    let mut operator = world.operator((holder + 1) % SIZE.entries).await;
+    cluster.deploy().await;
+    wait_until_loaded(&cluster, "v1").await;
+    let holder = lease_holder(&cluster).await;
+    cluster.entries[holder].signal("STOP").await;
+    let mut operator = cluster.operator((holder + 1) % SIZE.entries).await;
     let version = operator.version().await;
-    let mut model = at_version("v2");
+    let mut model = model_at_version("v2");
     model.checks_fencing = arguments.is_empty();
     let changed = operator
         .change("v2", version, Edit::ChangeDeployment(model))
         .await
         .unwrap();
     assert!(matches!(changed, Changed::Accepted { .. }), "{changed:?}");
-    wait_until_loaded(&world, "v2").await;
-    world.entries[holder].signal("CONT").await;
-    world
-        .wait_until_ready(&world.entries[holder], version + 1)
+    wait_until_loaded(&cluster, "v2").await;
+    cluster.entries[holder].signal("CONT").await;
+    cluster
+        .wait_until_ready(&cluster.entries[holder], version + 1)
         .await;
-    for at in 0..ENGINES {
-        let standing = standing(&world, at).await;
-        assert_eq!(standing.target.version, "v2", "engine {at}: {standing:?}");
+    for index in 0..ENGINES {
+        let status = engine_status(&cluster, index).await;
+        assert_eq!(status.target.version, "v2", "engine {index}: {status:?}");
     }
 }
 
-fn at_version(name: &str) -> Deployment {
+fn model_at_version(name: &str) -> Deployment {
     let mut model = sample::model();
     if let Kind::Model { version, .. } = &mut model.kind {
         *version = name.into();
@@ -74,25 +74,28 @@
 }
 
 /// Returns the index of the entry that ordered the engines.
-async fn holder(world: &World) -> usize {
+async fn lease_holder(cluster: &Cluster) -> usize {
     let ordered = |log: String| log.contains("event=engine_ordered");
     wait_for("an order", async || {
-        world.entries.iter().position(|entry| ordered(entry.log()))
+        cluster
+            .entries
+            .iter()
+            .position(|entry| ordered(entry.log()))
     })
     .await
 }
 
-async fn wait_until_loaded(world: &World, version: &str) {
-    for at in 0..ENGINES {
+async fn wait_until_loaded(cluster: &Cluster, version: &str) {
+    for index in 0..ENGINES {
         wait_for("a loaded version", async || {
-            let standing = standing(world, at).await;
-            (standing.loaded && standing.target.version == version).then_some(())
+            let status = engine_status(cluster, index).await;
+            (status.loaded && status.target.version == version).then_some(())
         })
         .await;
     }
 }
 
-async fn standing(world: &World, at: usize) -> Standing {
-    let address = world.engines[at].process.address("address");
-    world.http.get(address, "/v1/state").await.unwrap()
+async fn engine_status(cluster: &Cluster, index: usize) -> Status {
+    let address = cluster.engines[index].process.address("address");
+    cluster.http.get(address, "/v1/state").await.unwrap()
 }
--- a/crates/standin/tests/failures_rolling.rs
+++ b/crates/standin/tests/failures_rolling.rs
@@ -2,12 +2,12 @@
 
 mod harness;
 
-use harness::caller::Asked;
+use harness::caller::Reader;
 use harness::caller::receipt_key;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
 use harness::load::Load;
 use harness::wait_for;
-use harness::world::Size;
-use harness::world::World;
 
 const SIZE: Size = Size {
     entries: 8,
@@ -21,28 +21,30 @@
 #[test]
 fn rolling_replacement_under_load() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
-        let caller = world.caller();
+        let mut cluster = Cluster::deployed(&SIZE).await;
+        let caller = cluster.caller();
         let load = Load::start(&caller);
-        for at in 0..SIZE.entries {
-            let added = world.add_entry(["a", "b", "c"][at % 3]).await;
-            let version = world.operator(added).await.version().await;
-            world.wait_until_ready(&world.entries[added], version).await;
-            let before = load.finished.get();
-            world.entries[at].signal("TERM").await;
-            let entry = &mut world.entries[at];
+        for index in 0..SIZE.entries {
+            let added = cluster.add_entry(["a", "b", "c"][index % 3]).await;
+            let version = cluster.operator(added).await.version().await;
+            cluster
+                .wait_until_ready(&cluster.entries[added], version)
+                .await;
+            let before = load.finished_streams.get();
+            cluster.entries[index].signal("TERM").await;
+            let entry = &mut cluster.entries[index];
             let code = wait_for("the end of an entry", async || entry.exit_code()).await;
             assert_eq!(code, 0);
             wait_for("requests after it", async || {
-                (load.finished.get() > before).then_some(())
+                (load.finished_streams.get() > before).then_some(())
             })
             .await;
         }
-        let filed = load.stop().await;
-        for body in &filed {
-            assert_eq!(world.executions(&receipt_key(body)).await, 1, "{body}");
+        let receipts = load.stop().await;
+        for body in &receipts {
+            assert_eq!(cluster.executions(&receipt_key(body)).await, 1, "{body}");
         }
-        assert!(filed.len() >= SIZE.entries);
+        assert!(receipts.len() >= SIZE.entries);
     });
 }
 
@@ -51,22 +53,22 @@
 #[test]
 fn stopped_entry_passes_long_streams_on() {
     harness::run(async {
-        let mut world = World::deployed(&Size { entries: 3, ..SIZE }).await;
-        let mut asked = Asked::new(&world.caller(), "a long report", 300).await;
-        asked.read(20).await;
-        let at = world.entry_at(asked.stream.entry());
-        world.entries[at].signal("TERM").await;
-        asked.finish().await;
+        let mut cluster = Cluster::deployed(&Size { entries: 3, ..SIZE }).await;
+        let mut reader = Reader::new(&cluster.caller(), "a long report", 300).await;
+        reader.read(20).await;
+        let index = cluster.entry_at(reader.stream.entry());
+        cluster.entries[index].signal("TERM").await;
+        reader.finish().await;
         assert_eq!(
-            (asked.stream.redirects(), asked.stream.reconnects()),
+            (reader.stream.redirects(), reader.stream.reconnects()),
             (1, 0)
         );
-        let entry = &mut world.entries[at];
+        let entry = &mut cluster.entries[index];
         let code = wait_for("the end of the entry", async || entry.exit_code()).await;
         assert_eq!(code, 0);
         let mut started = 0;
         for engine in 0..SIZE.engines {
-            started += world.engine_counts(engine).await.started.len();
+            started += cluster.engine_counts(engine).await.started.len();
         }
         assert_eq!(started, 1);
     });
--- a/crates/standin/tests/failures_store.rs
+++ b/crates/standin/tests/failures_store.rs
@@ -5,14 +5,14 @@
 use client::call::Delivery;
 use client::error::Kind;
 use config::deployment::Account;
-use harness::caller::Asked;
+use harness::caller::Reader;
 use harness::caller::receipt;
 use harness::caller::receipt_at;
 use harness::caller::receipt_key;
 use harness::caller::send_receipt;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
 use harness::wait_for;
-use harness::world::Size;
-use harness::world::World;
 use ops::reply::Changed;
 use ops::request::Edit;
 use serde_json::json;
@@ -32,19 +32,19 @@
 #[test]
 fn lost_answer_of_the_store_on_a_non_idempotent_call() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let lossy = json!({ "part": "tables", "lose_answers": 1, "lose_table": "intents" });
-        world.platform_fault(lossy).await;
-        send_receipt(&world.caller(), "lost row", "filing-7")
+        let cluster = Cluster::deployed(&SIZE).await;
+        let lost_answer = json!({ "part": "tables", "lose_answers": 1, "lose_table": "intents" });
+        cluster.platform_fault(lost_answer).await;
+        send_receipt(&cluster.caller(), "lost row", "filing-7")
             .await
             .unwrap();
-        for entry in &world.entries {
-            let name = ("idempotency-key", "filing-7");
-            let again = receipt_at(entry, "lost row", name).await;
-            assert_eq!(again.reason(), "repeated");
-            assert_eq!(again.verdict(), "may-have-run");
+        for entry in &cluster.entries {
+            let id_header = ("idempotency-key", "filing-7");
+            let retry = receipt_at(entry, "lost row", id_header).await;
+            assert_eq!(retry.reason(), "repeated");
+            assert_eq!(retry.verdict(), "may-have-run");
         }
-        assert_eq!(world.executions(&receipt_key("lost row")).await, 1);
+        assert_eq!(cluster.executions(&receipt_key("lost row")).await, 1);
     });
 }
 
@@ -52,18 +52,18 @@
 #[test]
 fn same_key_at_all_entries_at_once() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let name = ("idempotency-key", "filing-8");
-        let sent = world
+        let cluster = Cluster::deployed(&SIZE).await;
+        let id_header = ("idempotency-key", "filing-8");
+        let requests = cluster
             .entries
             .iter()
-            .map(|entry| receipt_at(entry, "race", name));
-        let answers = futures::future::join_all(sent).await;
+            .map(|entry| receipt_at(entry, "race", id_header));
+        let answers = futures::future::join_all(requests).await;
         assert_eq!(
             answers.iter().filter(|answer| answer.status == 200).count(),
             1
         );
-        assert_eq!(world.executions(&receipt_key("race")).await, 1);
+        assert_eq!(cluster.executions(&receipt_key("race")).await, 1);
     });
 }
 
@@ -72,28 +72,30 @@
 #[test]
 fn store_outage() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let caller = world.hasty_caller();
+        let cluster = Cluster::deployed(&SIZE).await;
+        let caller = cluster.caller_with_two_tries();
         caller.refresh("").await.unwrap();
-        world
+        cluster
             .platform_fault(json!({ "part": "tables", "down": true }))
             .await;
-        Asked::new(&caller, "outage", 20).await.finish().await;
+        Reader::new(&caller, "outage", 20).await.finish().await;
         caller
             .call(&receipt("by ticket", Delivery::Ticket))
             .await
             .unwrap();
-        assert_eq!(world.executions(&receipt_key("by ticket")).await, 1);
+        assert_eq!(cluster.executions(&receipt_key("by ticket")).await, 1);
         let error = send_receipt(&caller, "by row", "filing-9")
             .await
             .unwrap_err();
         assert_eq!(error.kind, Kind::Refused(Reason::StoreUnavailable));
         assert_eq!(error.verdict, Verdict::NotRun);
         assert!(error.retry_after.is_some());
-        assert_eq!(world.executions(&receipt_key("by row")).await, 0);
-        let mut operator = world.operator(0).await;
+        assert_eq!(cluster.executions(&receipt_key("by row")).await, 0);
+        let mut operator = cluster.operator(0).await;
         let version = operator.version().await;
-        let changed = operator.change("outage", version, put("second")).await;
+        let changed = operator
+            .change("outage", version, put_account("second"))
+            .await;
         assert!(
             !matches!(changed, Ok(Changed::Accepted { .. })),
             "{changed:?}"
@@ -105,14 +107,14 @@
 #[test]
 fn store_outage_past_the_leases() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let caller = world.caller();
-        world
+        let cluster = Cluster::deployed(&SIZE).await;
+        let caller = cluster.caller();
+        cluster
             .platform_fault(json!({ "part": "tables", "down": true }))
             .await;
         tokio::time::sleep(std::time::Duration::from_secs(6)).await;
-        Asked::new(&caller, "long outage", 20).await.finish().await;
-        world.platform_fault(json!({ "part": "tables" })).await;
+        Reader::new(&caller, "long outage", 20).await.finish().await;
+        cluster.platform_fault(json!({ "part": "tables" })).await;
         wait_for("the store again", async || {
             send_receipt(&caller, "afterwards", "filing-10").await.ok()
         })
@@ -120,7 +122,7 @@
     });
 }
 
-fn put(name: &str) -> Edit {
+fn put_account(name: &str) -> Edit {
     Edit::PutAccount(Account {
         name: name.into(),
         key_hashes: vec![config::snapshot::hash_key(name)],
--- a/crates/standin/tests/failures_tickets.rs
+++ b/crates/standin/tests/failures_tickets.rs
@@ -6,10 +6,10 @@
 
 use harness::caller::receipt_at;
 use harness::caller::receipt_key;
-use harness::raw::Raw;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
+use harness::raw::Response;
 use harness::wait_for;
-use harness::world::Size;
-use harness::world::World;
 
 const SIZE: Size = Size {
     entries: 3,
@@ -23,25 +23,25 @@
 #[test]
 fn stopped_entry_hands_its_tickets_on() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
-        let (used, unused) = tickets(&world).await;
-        let first = file(&world, 0, &used).await;
+        let mut cluster = Cluster::deployed(&SIZE).await;
+        let (used, unused) = two_tickets(&cluster).await;
+        let first = use_ticket(&cluster, 0, &used).await;
         assert_eq!(first.status, 200, "{first:?}");
-        world.entries[0].signal("TERM").await;
-        let entry = &mut world.entries[0];
+        cluster.entries[0].signal("TERM").await;
+        let entry = &mut cluster.entries[0];
         let code = wait_for("the end of the entry", async || entry.exit_code()).await;
         assert_eq!(code, 0);
-        for at in 1..3 {
-            let again = file(&world, at, &used).await;
+        for entry in 1..3 {
+            let retry = use_ticket(&cluster, entry, &used).await;
             assert_eq!(
-                (again.status, again.verdict().as_str()),
+                (retry.status, retry.verdict().as_str()),
                 (409, "may-have-run")
             );
         }
-        let other = file(&world, 1, &unused).await;
+        let other = use_ticket(&cluster, 1, &unused).await;
         assert_eq!(other.status, 200, "{other:?}");
-        assert_eq!(world.executions(&receipt_key(&used)).await, 1);
-        assert_eq!(world.executions(&receipt_key(&unused)).await, 1);
+        assert_eq!(cluster.executions(&receipt_key(&used)).await, 1);
+        assert_eq!(cluster.executions(&receipt_key(&unused)).await, 1);
     });
 }
 
@@ -50,28 +50,28 @@
 #[test]
 fn killed_entry_takes_its_tickets_along() {
     harness::run(async {
-        let mut world = World::deployed(&SIZE).await;
-        let (used, unused) = tickets(&world).await;
-        assert_eq!(file(&world, 0, &used).await.status, 200);
-        world.entries[0].kill().await;
-        for at in 1..3 {
+        let mut cluster = Cluster::deployed(&SIZE).await;
+        let (used, unused) = two_tickets(&cluster).await;
+        assert_eq!(use_ticket(&cluster, 0, &used).await.status, 200);
+        cluster.entries[0].kill().await;
+        for entry in 1..3 {
             for ticket in [&used, &unused] {
-                let answer = file(&world, at, ticket).await;
+                let answer = use_ticket(&cluster, entry, ticket).await;
                 assert_eq!(
                     (answer.status, answer.verdict().as_str()),
                     (409, "may-have-run")
                 );
             }
         }
-        assert_eq!(world.executions(&receipt_key(&used)).await, 1);
-        assert_eq!(world.executions(&receipt_key(&unused)).await, 0);
+        assert_eq!(cluster.executions(&receipt_key(&used)).await, 1);
+        assert_eq!(cluster.executions(&receipt_key(&unused)).await, 0);
     });
 }
 
 /// Returns two tickets of the first entry.
-async fn tickets(world: &World) -> (String, String) {
-    let answer = world
-        .caller_of(world.entries[..1].iter())
+async fn two_tickets(cluster: &Cluster) -> (String, String) {
+    let answer = cluster
+        .caller_at(cluster.entries[..1].iter())
         .refresh("")
         .await
         .unwrap();
@@ -79,7 +79,7 @@
 }
 
 /// Sends a receipt with a ticket, which is also its body.
-async fn file(world: &World, entry: usize, ticket: &str) -> Raw {
-    let name = ("x-dogwoodspur-ticket", ticket);
-    receipt_at(&world.entries[entry], ticket, name).await
+async fn use_ticket(cluster: &Cluster, entry: usize, ticket: &str) -> Response {
+    let id_header = ("x-dogwoodspur-ticket", ticket);
+    receipt_at(&cluster.entries[entry], ticket, id_header).await
 }
--- a/crates/standin/tests/harness/caller.rs
+++ b/crates/standin/tests/harness/caller.rs
@@ -13,24 +13,24 @@
 
 use crate::harness::process::Process;
 use crate::harness::raw;
-use crate::harness::raw::Raw;
+use crate::harness::raw::Response;
 
 /// Reads a streamed answer and checks it against the expected text.
-pub struct Asked {
+pub struct Reader {
     pub stream: Stream,
     pub text: String,
-    whole: String,
+    expected: String,
 }
 
-impl Asked {
+impl Reader {
     /// Sends a question that is answered with `length` tokens.
-    pub async fn new(caller: &Client, question: &str, length: u32) -> Asked {
+    pub async fn new(caller: &Client, question: &str, length: u32) -> Reader {
         let chat = Chat::question(sample::MODEL, question, length);
         let body = serde_json::to_value(&chat).unwrap();
-        Asked {
+        Reader {
             stream: caller.stream(body, "").await.unwrap(),
             text: String::new(),
-            whole: chat.plan().answer(),
+            expected: chat.plan().answer(),
         }
     }
 
@@ -46,7 +46,7 @@
     pub async fn finish(&mut self) {
         self.text
             .push_str(&self.stream.collect_text().await.unwrap());
-        assert_eq!(self.text, self.whole);
+        assert_eq!(self.text, self.expected);
     }
 }
 
@@ -67,15 +67,15 @@
 }
 
 /// Sends a receipt to this entry only, identified by one header: an idempotency key or a ticket.
-pub async fn receipt_at(entry: &Process, body: &str, name: (&str, &str)) -> Raw {
+pub async fn receipt_at(entry: &Process, body: &str, id_header: (&str, &str)) -> Response {
     let key = format!("Bearer {}", sample::ACCOUNT_KEY);
-    let headers = [("authorization", key.as_str()), name];
-    let line = "POST /services/records/receipts";
-    raw::request(entry.address("callers"), line, &headers, body).await
+    let headers = [("authorization", key.as_str()), id_header];
+    let request_line = "POST /services/records/receipts";
+    raw::request(entry.address("callers"), request_line, &headers, body).await
 }
 
 /// Asks this entry only a question that is answered with three tokens, not streamed.
-pub async fn ask_at(address: &str, question: &str) -> Raw {
+pub async fn ask_at(address: &str, question: &str) -> Response {
     let chat = Chat {
         stream: false,
         ..Chat::question(sample::MODEL, question, 3)
--- a/crates/standin/tests/harness/world.rs
+++ b/crates/standin/tests/harness/cluster.rs
@@ -16,11 +16,11 @@
 
 use crate::harness::operator::Operator;
 use crate::harness::process::Process;
-use crate::harness::process::scratch;
+use crate::harness::process::scratch_path;
 use crate::harness::wait_for;
 
 /// Processes of an installation.
-pub struct World {
+pub struct Cluster {
     pub http: Http,
     pub platform: Process,
     pub entries: Vec<Process>,
@@ -48,34 +48,34 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-impl World {
+impl Cluster {
     /// Starts all processes without a deployment.
-    pub async fn start(size: &Size) -> World {
+    pub async fn start(size: &Size) -> Cluster {
         let platform = Process::start("platform", &["platform"]).await;
-        let mut world = World {
+        let mut cluster = Cluster {
             http: Http::default(),
             platform,
             entries: Vec::new(),
             engines: Vec::new(),
             services: Vec::new(),
         };
-        for at in 0..size.engines {
-            world.add_engine(ZONES[at % 3], size.token_ms).await;
+        for index in 0..size.engines {
+            cluster.add_engine(ZONES[index % 3], size.token_ms).await;
         }
-        for at in 0..size.services {
-            world.add_service(ZONES[at % 3]).await;
+        for index in 0..size.services {
+            cluster.add_service(ZONES[index % 3]).await;
         }
-        for at in 0..size.entries {
-            world.add_entry(ZONES[at % 3]).await;
+        for index in 0..size.entries {
+            cluster.add_entry(ZONES[index % 3]).await;
         }
-        world
+        cluster
     }
 
     /// Starts all processes and deploys the sample.
-    pub async fn deployed(size: &Size) -> World {
-        let world = World::start(size).await;
-        world.deploy().await;
-        world
+    pub async fn deployed(size: &Size) -> Cluster {
+        let cluster = Cluster::start(size).await;
+        cluster.deploy().await;
+        cluster
     }
 
     /// Starts another engine and returns its index.
@@ -89,7 +89,7 @@
         let name = format!("engine-{}", self.engines.len());
         let arguments = [&["engine"], arguments].concat();
         let process = Process::start(&name, &arguments).await;
-        let backend = self.list("engine", sample::MODEL, zone, process).await;
+        let backend = self.register("engine", sample::MODEL, zone, process).await;
         self.engines.push(backend);
         self.engines.len() - 1
     }
@@ -98,7 +98,9 @@
     pub async fn add_service(&mut self, zone: &str) -> usize {
         let name = format!("service-{}", self.services.len());
         let process = Process::start(&name, &["service"]).await;
-        let backend = self.list("service", sample::SERVICE, zone, process).await;
+        let backend = self
+            .register("service", sample::SERVICE, zone, process)
+            .await;
         self.services.push(backend);
         self.services.len() - 1
     }
@@ -117,7 +119,7 @@
             callers: sample::ANY_PORT,
             seeds: &running.collect::<Vec<String>>(),
         });
-        let path = scratch(&format!("{name}.jsonc"));
+        let path = scratch_path(&format!("{name}.jsonc"));
         std::fs::write(&path, text).unwrap();
         let path = path.display().to_string();
         let process = Process::start(&name, &["entry", "--settings", &path]).await;
@@ -135,7 +137,7 @@
         ];
         let mut version = operator.version().await;
         for (id, edit) in edits {
-            version = operator.accepted(id, version, edit).await;
+            version = operator.expect_accepted(id, version, edit).await;
         }
         for entry in &self.entries {
             self.wait_until_ready(entry, version).await;
@@ -152,10 +154,10 @@
         })
         .await;
         wait_for("a ready entry", async || {
-            let asked =
+            let request =
                 self.http
                     .send(Method::GET, entry.address("admin"), "/readyz", Bytes::new());
-            asked.await.unwrap().0.is_success().then_some(())
+            request.await.unwrap().0.is_success().then_some(())
         })
         .await;
     }
@@ -167,11 +169,11 @@
 
     /// Returns a client that knows all entries.
     pub fn caller(&self) -> Client {
-        self.caller_of(self.entries.iter())
+        self.caller_at(self.entries.iter())
     }
 
     /// Returns a client that knows only these entries.
-    pub fn caller_of<'a>(&self, entries: impl Iterator<Item = &'a Process>) -> Client {
+    pub fn caller_at<'a>(&self, entries: impl Iterator<Item = &'a Process>) -> Client {
         Client::new(self.caller_config(entries))
     }
 
@@ -191,7 +193,7 @@
     }
 
     /// Returns a client that tries each request twice at most.
-    pub fn hasty_caller(&self) -> Client {
+    pub fn caller_with_two_tries(&self) -> Client {
         Client::new(client::configs::Client {
             max_attempts: 2,
             ..self.caller_config(self.entries.iter())
@@ -200,16 +202,16 @@
 
     /// Returns the index of the entry that serves callers at this address.
     pub fn entry_at(&self, address: &str) -> usize {
-        let at = self
+        let index = self
             .entries
             .iter()
             .position(|entry| entry.address("callers") == address);
-        at.expect("the entry is known")
+        index.expect("the entry is known")
     }
 
     /// Sends a reclaim notice for the instances selected by this JSON.
-    pub async fn reclaim(&self, whom: serde_json::Value) {
-        self.control("/control/notice", &whom).await;
+    pub async fn reclaim(&self, selection: serde_json::Value) {
+        self.control("/control/notice", &selection).await;
     }
 
     /// Injects a fault into the platform.
@@ -218,16 +220,16 @@
     }
 
     /// Returns the counters of an engine.
-    pub async fn engine_counts(&self, at: usize) -> engine::fault::Counts {
-        self.counts(&self.engines[at].process).await
+    pub async fn engine_counts(&self, index: usize) -> engine::fault::Counts {
+        self.counts(&self.engines[index].process).await
     }
 
     /// Waits for an engine that has started a stream, and returns its index.
-    pub async fn busy_engine(&self) -> usize {
+    pub async fn wait_for_busy_engine(&self) -> usize {
         wait_for("a busy engine", async || {
-            for at in 0..self.engines.len() {
-                if !self.engine_counts(at).await.started.is_empty() {
-                    return Some(at);
+            for index in 0..self.engines.len() {
+                if !self.engine_counts(index).await.started.is_empty() {
+                    return Some(index);
                 }
             }
             None
@@ -236,22 +238,22 @@
     }
 
     /// Returns the counters of a plain service.
-    pub async fn service_counts(&self, at: usize) -> service::Counts {
-        self.counts(&self.services[at].process).await
+    pub async fn service_counts(&self, index: usize) -> service::Counts {
+        self.counts(&self.services[index].process).await
     }
 
     /// Returns the executions of a call, such as `POST /receipts?x=1 body`, over all plain services.
     pub async fn executions(&self, call: &str) -> u32 {
         let mut executions = 0;
-        for at in 0..self.services.len() {
-            let counts = self.service_counts(at).await;
+        for index in 0..self.services.len() {
+            let counts = self.service_counts(index).await;
             executions += counts.executions.get(call).copied().unwrap_or(0);
         }
         executions
     }
 
     /// Injects a fault into a backend server.
-    pub async fn fault(&self, process: &Process, fault: serde_json::Value) {
+    pub async fn backend_fault(&self, process: &Process, fault: serde_json::Value) {
         let address = process.address("address");
         self.http
             .post(address, "/control/fault", &fault)
@@ -265,17 +267,17 @@
         self.control(&path, &json!({ "state": state })).await;
     }
 
-    async fn list(&self, kind: &str, pool: &str, zone: &str, process: Process) -> Backend {
+    async fn register(&self, kind: &str, pool: &str, zone: &str, process: Process) -> Backend {
         let instance = sample::instance(kind, pool, zone, process.address("address"));
         let address = self.platform.address("address");
-        let added = self
+        let response = self
             .http
             .post(address, "/control/instances", &instance)
             .await
             .unwrap();
         Backend {
             process,
-            instance: serde_json::from_slice(&added).unwrap(),
+            instance: serde_json::from_slice(&response).unwrap(),
         }
     }
 
--- a/crates/standin/tests/harness/mod.rs
+++ b/crates/standin/tests/harness/mod.rs
@@ -3,17 +3,17 @@
 #![allow(dead_code, clippy::unwrap_used)]
 
 pub mod caller;
+pub mod cluster;
 pub mod load;
 pub mod operator;
 pub mod process;
 pub mod raw;
-pub mod world;
 
 use std::future::Future;
 use std::time::Duration;
 
 /// Maximum wait for a condition, far longer than any of them takes.
-const PATIENCE: Duration = Duration::from_secs(90);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// Runs a test on a single thread.
 pub fn run(test: impl Future<Output = ()>) {
@@ -25,13 +25,16 @@
 }
 
 /// Waits until `condition` returns a value.
-pub async fn wait_for<T>(what: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> T {
+pub async fn wait_for<T>(description: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> T {
     let begin = tokio::time::Instant::now();
     loop {
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(begin.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(
+            begin.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for {description}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/standin/tests/harness/operator.rs
+++ b/crates/standin/tests/harness/operator.rs
@@ -46,7 +46,7 @@
     }
 
     /// Requests a change that must be accepted, and returns the new version.
-    pub async fn accepted(&mut self, id: &str, expected: u64, edit: Edit) -> u64 {
+    pub async fn expect_accepted(&mut self, id: &str, expected: u64, edit: Edit) -> u64 {
         match self.change(id, expected, edit).await {
             Ok(Changed::Accepted { version }) => version,
             other => panic!("{id}: {other:?}"),
--- a/crates/standin/tests/harness/process.rs
+++ b/crates/standin/tests/harness/process.rs
@@ -11,7 +11,7 @@
 use tokio::process::Child;
 use tokio::process::Command;
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_FILE_NUMBER: AtomicU32 = AtomicU32::new(0);
 
 /// A running child process.
 pub struct Process {
@@ -25,7 +25,7 @@
 impl Process {
     /// Starts `standin` with these arguments and waits until it listens.
     pub async fn start(name: &str, arguments: &[&str]) -> Process {
-        let log = scratch(&format!("{name}.log"));
+        let log = scratch_path(&format!("{name}.log"));
         let file = std::fs::File::create(&log).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_standin"))
             .args(arguments)
@@ -40,7 +40,7 @@
             let line = lines.next_line().await.unwrap();
             let line = line.unwrap_or_else(|| panic!("{name} ended; its log: {}", log.display()));
             if let Some(rest) = line.strip_prefix("listening ") {
-                break pairs(rest);
+                break parse_pairs(rest);
             }
         };
         // Keeps reading, so that a full pipe never blocks the child.
@@ -95,13 +95,13 @@
 }
 
 /// Returns a new path for a temporary file.
-pub fn scratch(name: &str) -> PathBuf {
+pub fn scratch_path(name: &str) -> PathBuf {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed);
     directory.join(format!("{}-{number}-{name}", std::process::id()))
 }
 
-fn pairs(text: &str) -> BTreeMap<String, String> {
+fn parse_pairs(text: &str) -> BTreeMap<String, String> {
     let pairs = text
         .split_whitespace()
         .filter_map(|pair| pair.split_once('='));
--- a/crates/standin/tests/harness/raw.rs
+++ b/crates/standin/tests/harness/raw.rs
@@ -1,4 +1,4 @@
-//! Raw HTTP requests, as a faulty or hostile caller sends them.
+//! Response HTTP requests, as a faulty or hostile caller sends them.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Everything received until the connection was closed.
 #[derive(Debug)]
-pub struct Raw {
+pub struct Response {
     /// Status code; 0 if no HTTP response was received.
     pub status: u16,
     /// Status line and headers, in lower case.
@@ -20,7 +20,7 @@
     pub body: String,
 }
 
-impl Raw {
+impl Response {
     /// Returns the reason in the body of a refusal.
     pub fn reason(&self) -> String {
         self.field("reason")
@@ -51,15 +51,20 @@
 }
 
 /// Sends bytes and reads until the peer closes the connection.
-pub async fn exchange(address: &str, bytes: &[u8]) -> Raw {
+pub async fn exchange(address: &str, bytes: &[u8]) -> Response {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let _ = stream.write_all(bytes).await;
     read(stream).await
 }
 
 /// Sends a complete HTTP/1.1 request.
-pub async fn request(address: &str, line: &str, headers: &[(&str, &str)], body: &str) -> Raw {
-    let mut text = format!("{line} HTTP/1.1\r\nhost: entry\r\nconnection: close\r\n");
+pub async fn request(
+    address: &str,
+    request_line: &str,
+    headers: &[(&str, &str)],
+    body: &str,
+) -> Response {
+    let mut text = format!("{request_line} HTTP/1.1\r\nhost: entry\r\nconnection: close\r\n");
     for (name, value) in headers {
         text.push_str(&format!("{name}: {value}\r\n"));
     }
@@ -68,10 +73,10 @@
 }
 
 /// Reads until the peer closes the connection.
-pub async fn read(mut stream: TcpStream) -> Raw {
+pub async fn read(mut stream: TcpStream) -> Response {
     let mut bytes = Vec::new();
-    let reading = stream.read_to_end(&mut bytes);
-    let _ = tokio::time::timeout(PATIENCE, reading)
+    let read = stream.read_to_end(&mut bytes);
+    let _ = tokio::time::timeout(READ_TIMEOUT, read)
         .await
         .expect("the connection is closed");
     let text = String::from_utf8_lossy(&bytes);
@@ -80,7 +85,7 @@
         .split(' ')
         .nth(1)
         .and_then(|status| status.parse().ok());
-    Raw {
+    Response {
         status: status.unwrap_or(0),
         head: head.to_lowercase(),
         body: body.to_owned(),
--- a/crates/standin/tests/metrics.rs
+++ b/crates/standin/tests/metrics.rs
@@ -4,11 +4,11 @@
 
 mod harness;
 
-use harness::caller::Asked;
+use harness::caller::Reader;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
 use harness::raw;
 use harness::wait_for;
-use harness::world::Size;
-use harness::world::World;
 
 const SIZE: Size = Size {
     entries: 1,
@@ -20,12 +20,12 @@
 #[test]
 fn answered_requests_show_in_the_metrics() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        Asked::new(&world.caller(), "counted", 5)
+        let cluster = Cluster::deployed(&SIZE).await;
+        Reader::new(&cluster.caller(), "counted", 5)
             .await
             .finish()
             .await;
-        let admin = world.entries[0].address("admin").to_owned();
+        let admin = cluster.entries[0].address("admin").to_owned();
         let text = wait_for("the request among the metrics", async || {
             let answer = raw::exchange(
                 &admin,
--- a/crates/standin/tests/parts/engine.rs
+++ b/crates/standin/tests/parts/engine.rs
@@ -22,7 +22,7 @@
 use crate::post;
 use crate::run;
 
-const QUICK: u64 = 1;
+const TOKEN_MS: u64 = 1;
 
 async fn start() -> (Engine, String) {
     start_with(configs::engine::Engine::default()).await
@@ -30,7 +30,7 @@
 
 async fn start_with(config: configs::engine::Engine) -> (Engine, String) {
     let config = configs::engine::Engine {
-        token_ms: QUICK,
+        token_ms: TOKEN_MS,
         ..config
     };
     let engine = engine::spawn(config).await.unwrap();
@@ -40,65 +40,65 @@
 
 /// Output of a stream: its text, the next offset, and whether it is complete.
 #[derive(Debug, Default, PartialEq)]
-struct Heard {
+struct Output {
     text: String,
-    next: u32,
-    whole: bool,
+    next_offset: u32,
+    complete: bool,
 }
 
 /// Starts a stream and reads it until it ends or is cut.
-async fn ask(address: &str, id: &str, priority: u8, chat: &Chat) -> Heard {
+async fn ask(address: &str, id: &str, priority: u8, chat: &Chat) -> Output {
     let request = Request::builder()
         .method(Method::POST)
         .uri(format!("http://{address}/v1/chat/completions"))
         .header("x-stream", id)
         .header("x-priority", u16::from(priority))
         .body(Full::new(Bytes::from(serde_json::to_vec(chat).unwrap())));
-    hear(request.unwrap(), 0).await
+    read_events(request.unwrap(), 0).await
 }
 
 /// Resumes a stream at an offset.
-async fn resume(address: &str, id: &str, offset: u32) -> Heard {
+async fn resume(address: &str, id: &str, offset: u32) -> Output {
     let request = Request::builder()
         .uri(format!("http://{address}/v1/streams/{id}?offset={offset}"))
         .body(Full::default());
-    hear(request.unwrap(), offset).await
+    read_events(request.unwrap(), offset).await
 }
 
-async fn hear(request: Request<Full<Bytes>>, from: u32) -> Heard {
+async fn read_events(request: Request<Full<Bytes>>, offset: u32) -> Output {
     let http = legacy::Client::builder(TokioExecutor::new()).build_http();
     let mut body = http.request(request).await.unwrap().into_body();
     let mut bytes = Vec::new();
     while let Some(Ok(frame)) = body.frame().await {
         bytes.extend_from_slice(&frame.into_data().unwrap());
     }
-    let mut heard = Heard {
-        next: from,
-        ..Heard::default()
+    let mut output = Output {
+        next_offset: offset,
+        ..Output::default()
     };
     for event in String::from_utf8(bytes).unwrap().split_terminator("\n\n") {
         if event == "data: [DONE]" {
-            heard.whole = true;
+            output.complete = true;
             continue;
         }
         let (id, data) = event.split_once("\ndata: ").unwrap();
-        assert_eq!(id, format!("id: {}", heard.next));
+        assert_eq!(id, format!("id: {}", output.next_offset));
         let data: Value = serde_json::from_str(data).unwrap();
-        heard
+        output
             .text
             .push_str(data["choices"][0]["delta"]["content"].as_str().unwrap());
-        heard.next += 1;
+        output.next_offset += 1;
     }
-    heard
+    output
 }
 
 #[test]
-fn continued_answer_goes_on_where_the_text_ended() {
+fn continued_answer_starts_where_the_text_ended() {
     run(async {
         let (engine, address) = start().await;
         let chat = Chat::question("m", "why?", 30);
-        let whole = ask(&address, "s-1", 5, &chat).await;
-        assert_eq!(whole.text, chat.plan().answer());
+        let complete = ask(&address, "s-1", 5, &chat).await;
+        assert_eq!(complete.text, chat.plan().answer());
         let mut continued = chat.clone();
         continued.continue_final_message = true;
         let so_far: String = (0..12).map(|offset| chat.plan().token(offset)).collect();
@@ -107,8 +107,8 @@
             content: so_far.clone(),
         });
         let rest = ask(&address, "s-2", 5, &continued).await;
-        assert_eq!(rest.next, 18);
-        assert_eq!(so_far + &rest.text, whole.text);
+        assert_eq!(rest.next_offset, 18);
+        assert_eq!(so_far + &rest.text, complete.text);
         assert!(engine.counts().recomputed_tokens > 0);
     });
 }
@@ -123,37 +123,37 @@
         });
         let chat = Chat::question("m", "why?", 20);
         let first = ask(&address, "s-1", 5, &chat).await;
-        assert!(!first.whole);
-        let rest = resume(&address, "s-1", first.next).await;
-        assert!(rest.whole);
+        assert!(!first.complete);
+        let rest = resume(&address, "s-1", first.next_offset).await;
+        assert!(rest.complete);
         assert_eq!(first.text + &rest.text, chat.plan().answer());
         assert_eq!(engine.counts().started["s-1"], 1);
     });
 }
 
 #[test]
-fn exported_stream_goes_on_elsewhere_without_computing() {
+fn imported_stream_continues_without_recomputation() {
     run(async {
         let (first, from) = start().await;
         let (second, to) = start().await;
         let chat = Chat::question("m", "why?", 400);
-        let (heard, blob) = tokio::join!(ask(&from, "s-1", 5, &chat), async {
+        let (output, blob) = tokio::join!(ask(&from, "s-1", 5, &chat), async {
             while first.counts().generated_tokens < 5 {
                 tokio::task::yield_now().await;
             }
             post(&from, "/v1/streams/s-1/export", json!({})).await.1
         });
-        assert!(!heard.whole);
+        assert!(!output.complete);
         assert_eq!(post(&to, "/v1/streams/s-1/import", blob).await.0, 200);
-        let rest = resume(&to, "s-1", heard.next).await;
-        assert_eq!(heard.text + &rest.text, chat.plan().answer());
+        let rest = resume(&to, "s-1", output.next_offset).await;
+        assert_eq!(output.text + &rest.text, chat.plan().answer());
         assert_eq!(second.counts().computed_tokens, 0);
         assert_eq!(second.counts().imported, 1);
     });
 }
 
 #[test]
-fn equal_prefix_is_cached_and_told_late_and_with_gaps() {
+fn equal_prefix_is_cached_and_published_late_and_with_gaps() {
     run(async {
         let (engine, address) = start_with(configs::engine::Engine {
             event_delay_ms: 100,
@@ -164,13 +164,13 @@
         let bundle = "deed and census extract ".repeat(50);
         ask(&address, "s-1", 5, &Chat::question("m", &bundle, 2)).await;
         assert_eq!(engine.counts().cached_tokens, 0);
-        let early = get(&address, "/v1/cache-events?after=0").await;
-        assert_eq!(early["events"].as_array().unwrap().len(), 0);
+        let before_delay = get(&address, "/v1/cache-events?after=0").await;
+        assert_eq!(before_delay["events"].as_array().unwrap().len(), 0);
         ask(&address, "s-2", 5, &Chat::question("m", &bundle, 3)).await;
         assert_eq!(engine.counts().cached_tokens, 4 * 64);
         tokio::time::sleep(std::time::Duration::from_millis(150)).await;
-        let late = get(&address, "/v1/cache-events?after=0").await;
-        let seqs: Vec<u64> = late["events"]
+        let after_delay = get(&address, "/v1/cache-events?after=0").await;
+        let seqs: Vec<u64> = after_delay["events"]
             .as_array()
             .unwrap()
             .iter()
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn old_fencing_number_is_refused_only_where_it_is_checked() {
+fn stale_fencing_number_is_refused_only_where_it_is_checked() {
     run(async {
         for checks_fencing in [true, false] {
             let (engine, address) = start_with(configs::engine::Engine {
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn urgent_request_goes_before_waiting_ones() {
+fn urgent_request_is_served_before_waiting_ones() {
     run(async {
         let (engine, address) = start_with(configs::engine::Engine {
             slots: 1,
@@ -216,7 +216,7 @@
         let long = Chat::question("m", "long", 300);
         let short = Chat::question("m", "short", 5);
         let order = std::cell::RefCell::new(Vec::new());
-        let asked = async |id: &'static str, priority, chat: &Chat, after| {
+        let ask_after = async |id: &'static str, priority, chat: &Chat, after| {
             while engine.counts().started.len() < after {
                 tokio::task::yield_now().await;
             }
@@ -224,20 +224,20 @@
             order.borrow_mut().push(id);
         };
         tokio::join!(
-            asked("running", 4, &long, 0),
-            asked("patient", 8, &short, 1),
-            asked("urgent", 0, &short, 2),
+            ask_after("running", 4, &long, 0),
+            ask_after("patient", 8, &short, 1),
+            ask_after("urgent", 0, &short, 2),
         );
         assert_eq!(*order.borrow(), ["running", "urgent", "patient"]);
     });
 }
 
 #[test]
-fn marked_prompt_kills_the_engine() {
+fn marked_prompt_crashes_the_engine() {
     run(async {
         let (engine, address) = start().await;
-        let heard = ask(&address, "s-1", 5, &Chat::question("m", "[crash]", 20)).await;
-        assert_eq!(heard, Heard::default());
+        let output = ask(&address, "s-1", 5, &Chat::question("m", "[crash]", 20)).await;
+        assert_eq!(output, Output::default());
         assert!(engine.server.is_dead());
         let path = "/v1/load";
         assert!(Http::default().get::<Value>(&address, path).await.is_err());
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn refusing_engine_says_that_it_did_not_start() {
+fn refusing_engine_answers_not_started() {
     run(async {
         let (engine, address) = start().await;
         engine.set_fault(Fault {
--- a/crates/standin/tests/parts/platform.rs
+++ b/crates/standin/tests/parts/platform.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn scan_gives_pages_in_key_order() {
+fn scan_returns_pages_in_key_order() {
     run(async {
         let (_platform, address) = start().await;
         for key in ["b/2", "a/1", "b/1", "b/3"] {
@@ -128,9 +128,9 @@
             post(&address, "/control/instances", instance(zone)).await;
         }
         let lag = json!({ "part": "instances", "lag_ms": 60_000 });
-        let whom = json!({ "zone": "a", "deadline_ms": 5_000 });
-        let chosen = post(&address, "/control/notice", whom).await.1;
-        assert_eq!(chosen["instances"].as_array().unwrap().len(), 2);
+        let reclaim = json!({ "zone": "a", "deadline_ms": 5_000 });
+        let reclaimed = post(&address, "/control/notice", reclaim).await.1;
+        assert_eq!(reclaimed["instances"].as_array().unwrap().len(), 2);
         let listed = get(&address, "/instances").await;
         assert_eq!(listed["instances"][0]["state"], "leaving");
         assert_eq!(listed["instances"][1]["state"], "live");
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn order_of_an_instance_is_met_from_spares_or_refused() {
+fn ordered_instance_is_taken_from_spares_or_refused() {
     run(async {
         let (_platform, address) = start().await;
         let order = json!({ "token": "t", "zone": "a", "pool": "thesis" });
--- a/crates/standin/tests/parts/service.rs
+++ b/crates/standin/tests/parts/service.rs
@@ -10,7 +10,7 @@
 use crate::run;
 
 #[test]
-fn call_is_echoed_and_counted_whether_its_answer_is_lost_or_not() {
+fn call_is_echoed_and_counted_even_if_its_answer_is_lost() {
     run(async {
         let service = service::spawn(configs::service::Service::default())
             .await
--- a/crates/standin/tests/path.rs
+++ b/crates/standin/tests/path.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use client::call::Call;
 use client::call::Delivery;
-use harness::world::Size;
-use harness::world::World;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
 use http::Method;
 use smol_str::SmolStr;
 use standin::sample;
@@ -24,8 +24,8 @@
 #[test]
 fn whole_path() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let caller = world.caller_of(world.entries[1..].iter());
+        let cluster = Cluster::deployed(&SIZE).await;
+        let caller = cluster.caller_at(cluster.entries[1..].iter());
         harness::wait_for("an address answer that names every entry", async || {
             let answer = caller.refresh("").await.unwrap();
             (answer.addresses.len() == SIZE.entries).then_some(())
@@ -48,6 +48,6 @@
         assert!(answer.status.is_success());
         let body = String::from_utf8(answer.body.to_vec()).unwrap();
         assert!(body.contains("\"path\":\"/receipts/7?copy=1\""), "{body}");
-        assert_eq!(world.executions("POST /receipts/7?copy=1 one").await, 1);
+        assert_eq!(cluster.executions("POST /receipts/7?copy=1 one").await, 1);
     });
 }
--- a/crates/standin/tests/repeated_change.rs
+++ b/crates/standin/tests/repeated_change.rs
@@ -2,8 +2,8 @@
 
 mod harness;
 
-use harness::world::Size;
-use harness::world::World;
+use harness::cluster::Cluster;
+use harness::cluster::Size;
 use ops::client::Kind;
 use ops::request::Edit;
 use standin::sample;
@@ -20,25 +20,33 @@
 #[test]
 fn a_creation_or_removal_that_is_sent_again_gets_the_first_result() {
     harness::run(async {
-        let world = World::deployed(&SIZE).await;
-        let mut first = world.operator(0).await;
-        let mut other = world.operator(1).await;
+        let cluster = Cluster::deployed(&SIZE).await;
+        let mut first = cluster.operator(0).await;
+        let mut other = cluster.operator(1).await;
         let mut second = sample::model();
         second.name = "second".into();
-        let base = first.version().await;
+        let base_version = first.version().await;
         let create = Edit::CreateDeployment(second);
-        let created = first.accepted("create", base, create.clone()).await;
+        let created = first
+            .expect_accepted("create", base_version, create.clone())
+            .await;
         let remove = Edit::RemoveDeployment("second".into());
         for operator in [&mut first, &mut other] {
-            let again = operator.accepted("create", base, create.clone()).await;
-            assert_eq!(again, created);
+            let retry = operator
+                .expect_accepted("create", base_version, create.clone())
+                .await;
+            assert_eq!(retry, created);
         }
-        let anew = first.change("create-2", created, create).await.unwrap_err();
-        assert_eq!(anew.kind, Kind::AlreadyExists);
-        let removed = first.accepted("remove", created, remove.clone()).await;
+        let second_creation = first.change("create-2", created, create).await.unwrap_err();
+        assert_eq!(second_creation.kind, Kind::AlreadyExists);
+        let removed = first
+            .expect_accepted("remove", created, remove.clone())
+            .await;
         for operator in [&mut first, &mut other] {
-            let again = operator.accepted("remove", created, remove.clone()).await;
-            assert_eq!(again, removed);
+            let retry = operator
+                .expect_accepted("remove", created, remove.clone())
+                .await;
+            assert_eq!(retry, removed);
         }
     });
 }
