--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -43,7 +43,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "entry")]
 struct Entry {
-    /// its settings file
+    /// path of its settings file
     #[argh(option)]
     settings: PathBuf,
 }
--- a/crates/standin/src/command/caller.rs
+++ b/crates/standin/src/command/caller.rs
@@ -24,7 +24,7 @@
     /// the deployment
     #[argh(option)]
     deployment: String,
-    /// path at the plain service; the deployment is a model without it
+    /// path at the plain service; without it the deployment is a model
     #[argh(option)]
     path: Option<String>,
     /// the plain call must run at most once
--- a/crates/standin/src/command/component.rs
+++ b/crates/standin/src/command/component.rs
@@ -14,7 +14,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "platform")]
 pub struct Platform {
-    /// where to listen
+    /// listen address
     #[argh(option, default = "String::from(\"127.0.0.1:0\")")]
     listen: String,
 }
@@ -23,10 +23,10 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "engine")]
 pub struct Engine {
-    /// where to listen
+    /// listen address
     #[argh(option, default = "configs::engine::Engine::default().listen")]
     listen: String,
-    /// sequences run at once
+    /// sequences that run concurrently
     #[argh(option, default = "configs::engine::Engine::default().slots")]
     slots: usize,
     /// time between two tokens, milliseconds
@@ -35,22 +35,22 @@
     /// time to compute a thousand prompt tokens, milliseconds
     #[argh(option, default = "configs::engine::Engine::default().prefill_ms")]
     prefill_ms: u64,
-    /// how late cache events are published, milliseconds
+    /// delay before cache events are published, milliseconds
     #[argh(option, default = "configs::engine::Engine::default().event_delay_ms")]
     event_delay_ms: u64,
-    /// one in so many cache events is never published
+    /// every n-th cache event is never published; 0 publishes all
     #[argh(option, default = "configs::engine::Engine::default().event_gap")]
     event_gap: u64,
-    /// how old a load report may be, milliseconds
+    /// interval at which the load report is refreshed, milliseconds
     #[argh(option, default = "configs::engine::Engine::default().load_lag_ms")]
     load_lag_ms: u64,
-    /// how long a stream without a reader is kept, milliseconds
+    /// time for which a stream without a reader is kept, milliseconds
     #[argh(
         option,
         default = "configs::engine::Engine::default().resume_window_ms"
     )]
     resume_window_ms: u64,
-    /// carry out orders with an old fencing number
+    /// accept orders with a stale fencing number
     #[argh(switch)]
     ignores_fencing: bool,
 }
@@ -59,10 +59,10 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "service")]
 pub struct Service {
-    /// where to listen
+    /// listen address
     #[argh(option, default = "configs::service::Service::default().listen")]
     listen: String,
-    /// time that a call takes, milliseconds
+    /// duration of a call, milliseconds
     #[argh(option, default = "configs::service::Service::default().call_ms")]
     call_ms: u64,
 }
--- a/crates/standin/src/command/installation.rs
+++ b/crates/standin/src/command/installation.rs
@@ -11,16 +11,16 @@
 
 use crate::command::run_until_killed;
 
-/// Runs the main job with all parts in this process; exit code 0 only if all held.
+/// Runs the demo with all components in this process; exits with 0 only if all checks passed.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 pub struct Demo {}
 
-/// Runs a small installation in this process until it is ended: 3 entries, 3 engines, 1 plain service.
+/// Runs a small installation in this process until it is killed: 3 entries, 3 engines, 1 plain service.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "sample")]
 pub struct Sample {
-    /// where the first entry listens for callers
+    /// address where the first entry listens for callers
     #[argh(option, default = "String::from(\"127.0.0.1:8000\")")]
     callers: String,
 }
--- a/crates/standin/src/local.rs
+++ b/crates/standin/src/local.rs
@@ -193,11 +193,11 @@
         let sockets = Sockets::bind(&loaded.settings).await?;
         let bound = sockets.bound()?;
         let (stop, stops) = mpsc::unbounded_channel();
-        let server = daemon::run::serve(loaded.settings, sockets, stops);
+        let serving = daemon::run::serve(loaded.settings, sockets, stops);
         Ok(Entry {
             bound,
             stop,
-            task: tokio::task::spawn_local(server),
+            task: tokio::task::spawn_local(serving),
         })
     }
 
--- a/crates/standin/src/platform/tables.rs
+++ b/crates/standin/src/platform/tables.rs
@@ -134,8 +134,8 @@
     match state.tables.transact(transaction) {
         Ok(revision) => {
             state.counts.rows_written += transaction.writes.len() as u64;
-            let written = transaction.writes.iter().map(|write| &write.address.table);
-            if state.faults.take_lost_answer(written) {
+            let written_tables = transaction.writes.iter().map(|write| &write.address.table);
+            if state.faults.take_lost_answer(written_tables) {
                 state.counts.answers_lost += 1;
                 return Err(io::Error::other("answer lost on order"));
             }
--- a/crates/standin/src/tokens.rs
+++ b/crates/standin/src/tokens.rs
@@ -64,8 +64,8 @@
     /// Returns what the model generates for this call.
     pub fn plan(&self) -> Plan {
         let partial_answer = self.partial_answer();
-        let prompt_messages = self.messages.len() - usize::from(partial_answer.is_some());
-        let prompt = flatten(&self.messages[..prompt_messages]);
+        let prompt_length = self.messages.len() - usize::from(partial_answer.is_some());
+        let prompt = flatten(&self.messages[..prompt_length]);
         let base = partial_answer.map_or(0, |text| text.split_whitespace().count() as u32);
         let length = answer_length(&prompt);
         let new = length.saturating_sub(base);
--- a/crates/standin/tests/failures_tickets.rs
+++ b/crates/standin/tests/failures_tickets.rs
@@ -31,8 +31,8 @@
         let entry = &mut cluster.entries[0];
         let code = wait_for("the end of the entry", async || entry.exit_code()).await;
         assert_eq!(code, 0);
-        for entry in 1..3 {
-            let retry = use_ticket(&cluster, entry, &used).await;
+        for index in 1..3 {
+            let retry = use_ticket(&cluster, index, &used).await;
             assert_eq!(
                 (retry.status, retry.verdict().as_str()),
                 (409, "may-have-run")
@@ -54,9 +54,9 @@
         let (used, unused) = two_tickets(&cluster).await;
         assert_eq!(use_ticket(&cluster, 0, &used).await.status, 200);
         cluster.entries[0].kill().await;
-        for entry in 1..3 {
+        for index in 1..3 {
             for ticket in [&used, &unused] {
-                let answer = use_ticket(&cluster, entry, ticket).await;
+                let answer = use_ticket(&cluster, index, ticket).await;
                 assert_eq!(
                     (answer.status, answer.verdict().as_str()),
                     (409, "may-have-run")
--- a/crates/standin/tests/harness/raw.rs
+++ b/crates/standin/tests/harness/raw.rs
@@ -75,8 +75,8 @@
 /// Reads until the peer closes the connection.
 pub async fn read(mut stream: TcpStream) -> Response {
     let mut bytes = Vec::new();
-    let read = stream.read_to_end(&mut bytes);
-    let _ = tokio::time::timeout(READ_TIMEOUT, read)
+    let reading = stream.read_to_end(&mut bytes);
+    let _ = tokio::time::timeout(READ_TIMEOUT, reading)
         .await
         .expect("the connection is closed");
     let text = String::from_utf8_lossy(&bytes);
--- a/crates/standin/tests/parts/engine.rs
+++ b/crates/standin/tests/parts/engine.rs
@@ -134,18 +134,25 @@
 #[test]
 fn imported_stream_continues_without_recomputation() {
     run(async {
-        let (first, from) = start().await;
-        let (second, to) = start().await;
+        let (first, first_address) = start().await;
+        let (second, second_address) = start().await;
         let chat = Chat::question("m", "why?", 400);
-        let (output, blob) = tokio::join!(ask(&from, "s-1", 5, &chat), async {
+        let (output, snapshot) = tokio::join!(ask(&first_address, "s-1", 5, &chat), async {
             while first.counts().generated_tokens < 5 {
                 tokio::task::yield_now().await;
             }
-            post(&from, "/v1/streams/s-1/export", json!({})).await.1
+            post(&first_address, "/v1/streams/s-1/export", json!({}))
+                .await
+                .1
         });
         assert!(!output.complete);
-        assert_eq!(post(&to, "/v1/streams/s-1/import", blob).await.0, 200);
-        let rest = resume(&to, "s-1", output.next_offset).await;
+        assert_eq!(
+            post(&second_address, "/v1/streams/s-1/import", snapshot)
+                .await
+                .0,
+            200
+        );
+        let rest = resume(&second_address, "s-1", output.next_offset).await;
         assert_eq!(output.text + &rest.text, chat.plan().answer());
         assert_eq!(second.counts().computed_tokens, 0);
         assert_eq!(second.counts().imported, 1);
