--- a/crates/standin/benches/entry.rs
+++ b/crates/standin/benches/entry.rs
@@ -32,7 +32,7 @@
 
 const ENGINES: usize = 64;
 const CALLS: usize = 4_000;
-const CONCURRENT_CALLS: usize = 32;
+const CONCURRENCY: usize = 32;
 const ROUNDS: usize = 3;
 const STREAMS: usize = 1_000;
 const STREAM_TOKENS: u32 = 100;
@@ -112,7 +112,8 @@
             concurrent_throughput(&direct_uri).await,
         );
         println!(
-            "round {round}, {CONCURRENT_CALLS} at a time: direct {direct_rate:.0}/s, entry {entry_rate:.0}/s, ratio {:.2}",
+            "round {round}, {CONCURRENCY} at a time: direct {direct_rate:.0}/s, \
+             entry {entry_rate:.0}/s, ratio {:.2}",
             entry_rate / direct_rate
         );
     }
@@ -135,8 +136,8 @@
 async fn concurrent_throughput(uri: &str) -> f64 {
     let http: Http = legacy::Client::builder(TokioExecutor::new()).build_http();
     let start = Instant::now();
-    let workers = (0..CONCURRENT_CALLS).map(async |_| {
-        for _ in 0..CALLS / CONCURRENT_CALLS {
+    let workers = (0..CONCURRENCY).map(async |_| {
+        for _ in 0..CALLS / CONCURRENCY {
             call(&http, uri).await;
         }
     });
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -86,7 +86,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if let Some(sender) = self.batch.next_waiter() {
-            // If the receiver was dropped meanwhile, the unsent slot is dropped too and goes to the next waiter.
+            // A slot whose receiver was dropped meanwhile is dropped too, and so goes to the next waiter.
             let _ = sender.send(Slot {
                 batch: Rc::clone(&self.batch),
             });
--- a/crates/standin/src/engine/generate.rs
+++ b/crates/standin/src/engine/generate.rs
@@ -51,10 +51,10 @@
 /// Looks the prompt up in the cache, updates the counters and returns the prompt tokens to compute.
 fn look_up_prompt(state: &State, chat: &Chat) -> u64 {
     let text = chat.text();
-    let prompt = prompt_tokens(&text);
+    let total = prompt_tokens(&text);
     let hits = state.cache.borrow_mut().touch(&block_hashes(&text));
     let cached = (hits * BLOCK_BYTES / BYTES_PER_TOKEN) as u64;
-    let uncached = prompt.saturating_sub(cached);
+    let uncached = total.saturating_sub(cached);
     let mut counts = state.counts.borrow_mut();
     counts.cached_tokens += cached;
     counts.computed_tokens += uncached;
