--- a/crates/wire/schema/peer.capnp
+++ b/crates/wire/schema/peer.capnp
@@ -1,49 +1,50 @@
 @0xd0f8a5b1c3e79642;
 
-# What entries say to each other. Rules of change: ordinals are never used again, nothing is
-# renumbered, a new field or method goes at the end; an older entry passes over what it doesn't know.
+# The protocol between entries. Compatibility: ordinals are never reused or renumbered, new fields and
+# methods are appended, and an older entry ignores what it doesn't know.
 
 interface Door {
-  # What a new connection offers before the other side has proved itself.
+  # Bootstrap interface of a new connection; authenticates both sides.
 
   greet @0 (nonce :Data) -> (nonce :Data, proof :Data);
-  # The caller's nonce for the callee's nonce and its proof: HMAC-SHA-256 under the entries' common
-  # key over "callee", the caller's nonce and the callee's nonce.
+  # Exchanges nonces and returns the callee's proof: HMAC-SHA-256 with the entries' shared key over
+  # "callee", the caller's nonce and the callee's nonce.
 
   enter @1 (proof :Data) -> (entry :Entry);
-  # The caller's proof, over "caller" and the same nonces, for the entry itself.
+  # Checks the caller's proof, over "caller" and the same nonces, and returns the entry.
 }
 
 interface Entry {
-  # An entry, to a peer that has proved itself.
+  # Calls of an authenticated peer.
 
   spend @0 (ticket :Text) -> (answer :Answer);
-  # Asks the holder of a ticket's ledger to spend it. The ticket is sealed, as callers carry it.
+  # Asks the holder of the ticket's ledger to spend the ticket, which is sealed as callers carry it.
 
   inherit @1 (estates :Data) -> (taken :Bool, by :UInt64);
-  # Hands ledgers on; JSON. `by` is the incarnation that holds them from now on.
+  # Transfers ledgers, encoded as JSON, to the callee. `by` is the incarnation that holds them then.
 
   digest @2 (digest :Digest);
-  # A bounded digest of news, see crates/member.
+  # Delivers a gossip digest of bounded size, see crates/member.
 
   configure @3 (from :UInt64, message :Data);
-  # A message about the configuration, see crates/config; JSON. `from` is the sender's incarnation.
+  # Delivers a configuration message, encoded as JSON, see crates/config. `from` is the sender's
+  # incarnation.
 
   charge @4 (account :UInt64, tokens :UInt64) -> (bucket :UInt64, granted :Bool, retryMs :UInt64);
-  # Charges a request to the quota of an account, by the hash of its name, for all entries. If it is granted,
-  # `bucket` names what was charged; else `retryMs` says when to come back.
+  # Charges a request to the account's quota over all entries; `account` is the hash of its name. If
+  # granted, `bucket` identifies the bucket that was charged; otherwise retry after `retryMs`.
 
   refund @5 (bucket :UInt64, tokens :UInt64);
-  # Gives back what `charge` took for a request that didn't run.
+  # Refunds the charge for a request that didn't run.
 }
 
 enum Answer {
   unknown @0;
-  # It can't be said any more whether the ticket was spent.
+  # It is no longer known whether the ticket was spent.
   granted @1;
-  # It was unspent and is spent now.
+  # The ticket was unspent and is now spent.
   spent @2;
-  # It was spent before.
+  # The ticket had been spent before.
 }
 
 struct Digest {
@@ -52,24 +53,24 @@
   records @2 :List(Record);
   items @3 :List(Item);
   greeting @4 :Bool;
-  # The sender knows no peers yet.
+  # The sender knows no peers yet and asks for a snapshot of all members.
 }
 
 struct Beat {
   # A member's heartbeat.
   id @0 :UInt64;
   count @1 :UInt64;
-  # Rises while the member runs.
+  # Increases while the member runs.
   applied @2 :UInt64;
-  # Configuration version that it has in force.
+  # Configuration version that the member has applied.
   load @3 :UInt8;
-  # How full it is, 0 to 255.
+  # Load of the member, 0 to 255.
   storeLost @4 :Bool;
-  # The table service doesn't answer it.
+  # The member gets no answer from the table service.
 }
 
 struct Record {
-  # A member's row.
+  # A member's row as others know it.
   id @0 :UInt64;
   zone @1 :Text;
   address @2 :Text;
@@ -80,9 +81,10 @@
   renewals @7 :UInt64;
   # Orders records of the same member.
   heir @8 :UInt64;
-  # Holder of its ledger; counts only where hasHeir is set.
+  # Holder of the member's ledger; valid only if hasHeir is set.
   hasHeir @9 :Bool;
   gone @10 :Bool;
+  # The lease lapsed or the row was removed; a record with more renewals refutes that.
 }
 
 enum State {
@@ -92,31 +94,42 @@
 }
 
 struct Item {
-  # One piece of news.
+  # A versioned gossip item; topic and key identify its subject.
   topic @0 :Topic;
   key @1 :Text;
   version @2 :UInt64;
-  # Orders pieces on the same subject.
+  # Orders items on the same subject.
   ageMs @3 :UInt64;
   payload @4 :Data;
 }
 
 enum Topic {
   leaving @0;
+  # A backend server incarnation, named by the key, is leaving.
   quarantine @1;
+  # A quarantined fingerprint of a request that crashes backend servers.
   heir @2;
+  # The heir of the ledger of an entry that left; the key names that entry.
   demand @3;
+  # Accounts' demand at one entry; the key names the entry.
   count @4;
+  # One entry's counts; the key names the entry.
   ended @5;
+  # The row of a backend server incarnation, named by the key, ended.
   list @6;
+  # One entry's report on the list of backend servers; the key names the entry.
   resigned @7;
+  # The holder of a lease, named by the key, resigned; the version is its fencing token.
   renewed @8;
+  # The holder of a lease, named by the key, renewed it.
   rollout @9;
+  # The stage of a service's roll-out, from its leader; the key names the service.
   silent @10;
+  # A member, named by the key, is suspected to have failed.
 }
 
 struct News {
-  # The payload of an item on demand or quarantine, packed.
+  # Payload of items on the topics demand and quarantine, packed.
   claims @0 :List(Claim);
   suspects @1 :List(Suspect);
   crashes @2 :List(Crash);
@@ -124,22 +137,31 @@
 }
 
 struct Claim {
-  # One account at one entry.
+  # One entry's claim on one account's limits.
   name @0 :UInt64;
   # Hash of the account's name.
   demand @1 :Float64;
+  # Tokens per second offered to the entry, refused ones included.
   wanted @2 :Float64;
+  # Requests that are open or were refused by the limits.
   tokens @3 :Float64;
+  # Tokens per second that the entry may grant.
   open @4 :UInt32;
+  # Open requests that the entry holds or may grant.
 }
 
 struct Suspect {
-  # What is held against one request.
+  # Evidence that a request, identified by its fingerprint, crashes replicas.
   fingerprint @0 :UInt64;
+  # Hash of the request's content.
   crashes @1 :List(UInt64);
+  # Replicas that crashed while the request ran there.
   acquitted @2 :List(UInt64);
+  # Replicas whose crashes it was acquitted of because it later ran to completion.
   judged @3 :Bool;
+  # The sender has quarantined it, so no further evidence is needed.
   leftMs @4 :UInt64;
+  # Remaining validity when sent; relative because clocks aren't compared.
 }
 
 struct Crash {
@@ -150,7 +172,7 @@
 }
 
 struct Alone {
-  # A suspect that runs alone.
+  # A replica reserved for a suspect, which runs there alone.
   fingerprint @0 :UInt64;
   replica @1 :UInt64;
 }
