--- a/crates/burn/src/summary.rs
+++ b/crates/burn/src/summary.rs
@@ -39,7 +39,7 @@
         unix_ms.saturating_sub(self.made_unix_ms) > EXPIRY_MS
     }
 
-    /// Splits the summary into parts of at max_series `max_series` series each; at least one part.
+    /// Splits the summary into parts of at most `max_series` series each; at least one part.
     pub fn into_parts(mut self, max_series: usize) -> Vec<Summary> {
         let mut parts = Vec::new();
         while self.series.len() > max_series {
