--- a/crates/matrix/examples/faults.rs
+++ b/crates/matrix/examples/faults.rs
@@ -1,4 +1,4 @@
-//! Draws docs/FAULTS.md: `cargo run --release -p matrix --example faults > docs/FAULTS.md`.
+//! Prints docs/FAULTS.md: `cargo run --release -p matrix --example faults > docs/FAULTS.md`.
 
 use matrix::page;
 use matrix::run;
--- a/crates/matrix/examples/histories.rs
+++ b/crates/matrix/examples/histories.rs
@@ -1,4 +1,4 @@
-//! Runs random histories: `cargo run --release -p matrix --example histories -- --seeds 10000`.
+//! Runs and checks random histories: `cargo run --release -p matrix --example histories -- --seeds 10000`.
 
 use std::collections::BTreeMap;
 
@@ -46,7 +46,7 @@
     report(&outcomes)
 }
 
-/// How one seed went.
+/// Result of one seed.
 struct Outcome {
     seed: u64,
     steps: u64,
--- a/crates/matrix/src/cell.rs
+++ b/crates/matrix/src/cell.rs
@@ -1,31 +1,31 @@
-//! The two sides of the fault matrix.
+//! The two axes of the fault matrix: steps and faults.
 
-/// A step of a request, or an action of control, that a fault meets.
+/// Stage of a request, or control action, at which a fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
     /// A request reaches an entry.
     Arrived,
-    /// It waits for the word of the entry that holds its ticket's ledger.
+    /// It waits for the answer of the entry that holds its ticket's ledger.
     LeaveByTicket,
-    /// It waits for its row in the table service.
+    /// It waits for its row to be written to the table service.
     LeaveByRow,
     /// It waits for a backend server.
     Queued,
     /// A plain call runs at a service.
     PlainRuns,
-    /// A model engine has been given it.
+    /// A model engine has received it.
     Started,
-    /// Its caller holds the head of the answer.
+    /// Its caller has received the head of the answer.
     Head,
-    /// Its answer is being passed on.
+    /// Its answer is being streamed to its caller.
     Streaming,
     /// Its stream has been moved to another replica.
     Moved,
-    /// All tokens were passed on, the end was not yet.
+    /// All tokens were streamed, but not the end of the answer.
     Ended,
-    /// Its caller has come back after a cut.
+    /// Its caller has reconnected after a disconnect.
     Resumed,
-    /// A stopping entry has named another one to its caller.
+    /// A stopping entry has redirected its caller to another one.
     HandedOff,
     /// Its caller has cancelled it.
     Cancelled,
@@ -33,36 +33,36 @@
     LeaseRenewal,
     /// A change of the configuration is being written.
     ConfigCommit,
-    /// A change has been written and is being put in force.
+    /// A change has been written and is being applied.
     ConfigApply,
     /// An entry is stopping with requests open.
     Drain,
-    /// A stopping entry hands its ledger on.
+    /// A stopping entry hands over its ledger.
     LedgerHandover,
     /// A backend server is leaving with a stream running.
     InstanceLeave,
 }
 
-/// What happens at a step.
+/// Fault, as a column of the matrix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trouble {
     /// The entry is killed.
     KillEntry,
     /// The backend server dies without notice.
     KillBackend,
-    /// The entry stands still for 3 s.
+    /// The entry is frozen for 3 s.
     Freeze,
-    /// The entry stands still until after its lease has lapsed.
+    /// The entry is frozen until after its lease has lapsed.
     LeaseLapsed,
-    /// What the entry sends to its peers is lost.
+    /// Messages from the entry to its peers are lost.
     CutOut,
-    /// What its peers send to the entry is lost.
+    /// Messages from its peers to the entry are lost.
     CutIn,
     /// Callers' connections break.
     CutCallers,
     /// Connections to model engines break.
     CutEngines,
-    /// Peers answer slowly.
+    /// Peers are slow.
     Slow,
     /// Answers of the table service and of services are lost after their effect.
     LostAnswer,
@@ -78,15 +78,15 @@
     ReclaimEntry,
     /// The entry is asked to stop.
     StopEntry,
-    /// The instance is reclaimed, and the cloud starts no other.
+    /// The backend server's instance is reclaimed, and the cloud starts no replacement.
     RefusedReplacement,
-    /// Two operators change the same account.
+    /// Two operators change the same account concurrently.
     OperatorsRace,
     /// A request crashes each model engine that runs it.
     KillerRequest,
 }
 
-/// All steps, in the order of the page.
+/// All steps, in the order of the rendered page.
 pub const STEPS: [Step; 19] = [
     Step::Arrived,
     Step::LeaveByTicket,
@@ -109,7 +109,7 @@
     Step::InstanceLeave,
 ];
 
-/// All troubles, in the order of the page.
+/// All faults, in the order of the rendered page.
 pub const TROUBLES: [Trouble; 19] = [
     Trouble::KillEntry,
     Trouble::KillBackend,
@@ -132,13 +132,13 @@
     Trouble::KillerRequest,
 ];
 
-/// One cell: a step met by one trouble, or by two at once.
+/// One cell: a step combined with one fault, or with two concurrent ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cell {
-    /// Which step.
+    /// Step at which the faults are injected.
     pub step: Step,
-    /// What happens at it.
+    /// First fault.
     pub first: Trouble,
-    /// What happens as well.
+    /// Second, concurrent fault.
     pub second: Option<Trouble>,
 }
--- a/crates/matrix/src/check.rs
+++ b/crates/matrix/src/check.rs
@@ -1,4 +1,4 @@
-//! Judges a history against the seven points; knows nothing of the reducer.
+//! Checks a history for breaches of the system's guarantees, independently of the reducer.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,42 +15,42 @@
 use crate::history::Kind;
 use crate::history::Try;
 
-/// Within this a leaving server must be out of use everywhere.
+/// Time after a reclaim notice within which no entry may send new work to the leaving server any more.
 pub const LEAVE_LIMIT: Span = Span::from_seconds(5);
 
-/// One of the seven points.
+/// Guarantee of the system to its callers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Point {
-    /// An accepted request is answered whole.
+    /// An accepted request is answered completely.
     Survives,
-    /// Each caller gets its own whole answer, each token once and in order.
+    /// Each caller gets its own complete answer, each token exactly once and in order.
     OwnAnswer,
-    /// A request said to be "not run" did not run.
+    /// A request refused as "not run" did not run.
     NotRunIsTrue,
     /// A non-idempotent request runs at most once.
     AtMostOnce,
     /// A leaving backend server gets no new work.
     LeavesAlone,
-    /// A planned stop cuts nothing.
+    /// A planned stop cuts no connection.
     StopsGracefully,
-    /// An accepted configuration never reverts, and nobody admits under an older one.
+    /// An accepted configuration is never reverted, and no entry admits under an older one.
     NeverReverts,
-    /// A change is in force everywhere soon, once all faults are over.
+    /// A change comes into force everywhere once all faults are over.
     InForce,
 }
 
-/// One breach of a point.
+/// Breach of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which point.
+    /// The breached guarantee.
     pub point: Point,
-    /// When it was seen.
+    /// Time of the observation.
     pub at: Time,
-    /// What was seen.
+    /// Description of the observation.
     pub what: String,
 }
 
-/// All breaches in a history that ran to its end.
+/// Returns all breaches in a history that ran to completion, by time.
 pub fn check(history: &History) -> Vec<Breach> {
     let mut breaches = Vec::new();
     survives(history, &mut breaches);
@@ -68,8 +68,8 @@
     breaches.push(Breach { point, at, what });
 }
 
-/// Every request whose caller holds the head of its answer ends whole, unless its caller leaves it or
-/// it crashes its servers; and every sending of any other has a last word.
+/// Checks that every request with a head is answered completely, unless its caller disconnected or it
+/// crashes engines, and that every other try gets a final response.
 fn survives(history: &History, breaches: &mut Vec<Breach>) {
     let mut headed = BTreeMap::new();
     let mut excused = BTreeSet::new();
@@ -118,7 +118,7 @@
     }
 }
 
-/// On each sending tokens come in order from the offset that was wanted, and are the caller's own.
+/// Checks that the tokens of each try are the caller's own and come in order from the wanted offset.
 fn own_answer(history: &History, breaches: &mut Vec<Breach>) {
     let mut kinds = BTreeMap::new();
     let mut next: BTreeMap<Try, u64> = BTreeMap::new();
@@ -162,8 +162,8 @@
     }
 }
 
-/// No sending that was refused as "not run" ran, before or after; nor is that said of a request whose
-/// caller came back for the rest of its answer.
+/// Checks that no try refused as "not run" ran, before or after, and that no request whose caller had
+/// received the head of its answer was refused so.
 fn not_run_is_true(history: &History, breaches: &mut Vec<Breach>) {
     let mut ran = BTreeSet::new();
     for (_, fact) in &history.records {
@@ -190,7 +190,7 @@
     }
 }
 
-/// A non-idempotent request is begun once at most, over all its sendings.
+/// Checks that a non-idempotent request starts at most once across all its tries.
 fn at_most_once(history: &History, breaches: &mut Vec<Breach>) {
     let mut once = BTreeSet::new();
     let mut ran = BTreeSet::new();
@@ -214,7 +214,7 @@
     }
 }
 
-/// No server begins anything later than the limit after its end was announced.
+/// Checks that no server starts new work later than the limit after its reclaim notice.
 fn leaves_alone(history: &History, breaches: &mut Vec<Breach>) {
     let mut noticed: BTreeMap<&SmolStr, Time> = BTreeMap::new();
     for (at, fact) in &history.records {
@@ -236,10 +236,10 @@
     }
 }
 
-/// No connection ends because its entry stopped as planned.
+/// Checks that no planned stop of an entry cuts a connection.
 ///
-/// An instance that is taken away while its entry stands still, or stood still during the notice,
-/// could not be cleared in time.
+/// A reclaim of an entry that was frozen at any time before is exempt: it may not have had the time to
+/// drain.
 fn stops_gracefully(history: &History, breaches: &mut Vec<Breach>) {
     let mut paused = BTreeSet::new();
     for (at, fact) in &history.records {
@@ -263,8 +263,8 @@
     }
 }
 
-/// Versions shown by an entry only rise; no key admits that was replaced by an accepted change before
-/// the request was sent; and once all faults are over, a change is accepted.
+/// Checks that the versions reported by an entry only rise, that no key admits a request sent after an
+/// accepted change replaced the key, and that the last change is accepted.
 fn never_reverts(history: &History, breaches: &mut Vec<Breach>) {
     let mut shown = BTreeMap::new();
     let mut set_by: BTreeMap<&SmolStr, u64> = BTreeMap::new();
--- a/crates/matrix/src/fault.rs
+++ b/crates/matrix/src/fault.rs
@@ -1,48 +1,48 @@
-//! Faults, as data.
+//! Faults that can be injected.
 
 use clock::Span;
 
-/// One fault. Entries and backend servers are named by slot; each slot holds one life at a time.
+/// One fault. Entries and backend servers are named by slot; each slot holds one process at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// An entry's process is killed; a new life starts after a while.
+    /// Kills an entry's process; a new one starts after a while.
     KillEntry(usize),
-    /// An entry stands still for some time and runs on without knowing.
+    /// Freezes an entry for some time; it resumes without noticing.
     Freeze(usize, Span),
-    /// What entry `.0` sends to entry `.1` is lost for some time.
+    /// Loses messages from entry `.0` to entry `.1` for some time.
     CutPeers(usize, usize, Span),
-    /// Connections between an entry and all model engines break, once.
+    /// Breaks all connections between an entry and model engines once.
     BreakEngines(usize),
-    /// Callers' connections to an entry break, once.
+    /// Breaks all connections of callers to an entry once.
     BreakCallers(usize),
-    /// An entry's peers answer slowly for some time.
+    /// Slows messages between an entry and its peers for some time.
     SlowPeers(usize, Span),
-    /// The next answers of plain services are lost after their effect.
+    /// Loses the next answers of plain services after the calls took effect.
     LoseServiceAnswers(u32),
-    /// The next calls of backend servers are refused as not started.
+    /// Makes backend servers refuse the next calls as not started.
     RefuseStarts(u32),
-    /// The table service is down for some time.
+    /// Makes the table service unavailable for some time.
     StoreDown(Span),
-    /// The table service is slow for some time.
+    /// Slows the table service for some time.
     StoreSlow(Span),
-    /// The next answers of the table service are lost after their effect.
+    /// Loses the next answers of the table service after the calls took effect.
     LoseStoreAnswers(u32),
-    /// The next calls of the table service are lost before their effect.
+    /// Loses the next calls to the table service before they take effect.
     LoseStoreCalls(u32),
-    /// A backend server's instance is announced to end.
+    /// Announces the reclaim of a backend server's instance.
     Reclaim(usize, Span),
-    /// All instances of a zone are announced to end, entries too.
+    /// Announces the reclaim of all instances of an availability zone, entries included.
     ReclaimZone(usize, Span),
-    /// An entry's instance is announced to end.
+    /// Announces the reclaim of an entry's instance.
     ReclaimEntry(usize, Span),
-    /// An entry is asked to stop; a new life starts when it has ended.
+    /// Asks an entry to stop; a new process starts when it has ended.
     StopEntry(usize),
-    /// A backend server dies without notice.
+    /// Kills a backend server without notice.
     KillBackend(usize),
-    /// The cloud starts no instance for some time.
+    /// Makes the cloud refuse new instances for some time.
     RefuseInstances(Span),
-    /// Two operators change the same account at the same moment, at different entries.
+    /// Lets two operators change the same account concurrently.
     RaceOperators,
-    /// A caller sends a request that crashes each model engine that runs it.
+    /// Sends a request that crashes each model engine that runs it.
     KillerRequest,
 }
--- a/crates/matrix/src/history.rs
+++ b/crates/matrix/src/history.rs
@@ -1,28 +1,28 @@
-//! What a run recorded, as callers, backend servers, operators and the cloud saw it.
+//! Record of a run, as callers, backend servers, operators and the cloud observed it.
 
 use clock::Time;
 use smol_str::SmolStr;
 use verdict::Reason;
 use verdict::Verdict;
 
-/// Names one request of one caller over all its tries.
+/// Identifies one request of one caller across all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ask(pub u32);
 
-/// Names one sending of a request; never used again.
+/// Identifies one try of a request; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Try(pub u32);
 
-/// Names one life of an entry.
+/// Identifies one process of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Life(pub u32);
 
-/// What a caller asks for.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A streamed answer of so many tokens.
+    /// Request for a streamed answer.
     Model {
-        /// Length of the whole answer.
+        /// Length of the whole answer in tokens.
         tokens: u64,
     },
     /// A plain call.
@@ -32,173 +32,172 @@
     },
 }
 
-/// Why a connection ended without a last word.
+/// Why a connection ended without a final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The entry's process ended in good order.
+    /// The entry's process exited after an orderly stop.
     Exit,
-    /// The entry's instance was taken away at the end of its notice.
+    /// The entry's instance was reclaimed at the end of its notice.
     Reclaim,
     /// The entry was killed.
     Kill,
     /// The connection broke.
     Link,
-    /// The caller waited too long for a word.
+    /// The caller timed out waiting for a response.
     Patience,
 }
 
-/// One thing that was seen.
+/// One observation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fact {
-    /// A caller has a request; `killer` crashes each model engine that runs it.
+    /// A caller created a request.
     Asked {
-        /// Its name.
+        /// The new request.
         ask: Ask,
-        /// What it asks for.
+        /// Kind of the request.
         kind: Kind,
-        /// Whether it crashes model engines.
+        /// Whether it crashes each model engine that runs it.
         killer: bool,
     },
-    /// It was sent; the caller wants `offset` first.
+    /// A try of a request was sent.
     Sent {
-        /// Which request.
+        /// The request.
         ask: Ask,
-        /// Which sending.
+        /// The new try.
         number: Try,
-        /// To which entry.
+        /// Entry that it was sent to.
         life: Life,
-        /// Offset of the first token wanted.
+        /// Offset of the first token that the caller lacks.
         offset: u64,
     },
-    /// The caller got the head of its stream.
+    /// The caller received the head of its answer.
     Head {
-        /// Which request.
+        /// The request.
         ask: Ask,
     },
-    /// The caller got a token.
+    /// The caller received a token.
     Chunk {
-        /// Which request.
+        /// The request.
         ask: Ask,
-        /// On which sending.
+        /// Try on which the token came.
         number: Try,
-        /// Its offset as told.
+        /// Offset that the entry gave the token.
         offset: u64,
-        /// Whose answer it belongs to.
+        /// Request whose answer the token belongs to.
         owner: Ask,
-        /// Its place in that answer.
+        /// Position of the token in that answer.
         index: u64,
     },
-    /// The caller got the end of a whole answer.
+    /// The caller received the end of a whole answer.
     Whole {
-        /// Which request.
+        /// The request.
         ask: Ask,
-        /// On which sending.
+        /// Try on which the end came.
         number: Try,
-        /// Whose answer it was.
+        /// Request whose answer ended.
         owner: Ask,
     },
-    /// The caller got a refusal.
+    /// The caller received a refusal.
     Refused {
-        /// Which request.
+        /// The request.
         ask: Ask,
-        /// Which sending.
+        /// The refused try.
         number: Try,
-        /// What is said of its execution.
+        /// Whether the request may have run.
         verdict: Verdict,
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
     },
-    /// The caller was told to go on at another entry.
+    /// The caller was redirected to another entry.
     Continued {
-        /// Which request.
+        /// The request.
         ask: Ask,
     },
-    /// The caller's connection ended without a last word.
+    /// The caller's connection ended without a final response.
     Cut {
-        /// Which request.
+        /// The request.
         ask: Ask,
-        /// At which entry.
+        /// Entry at the other end of the connection.
         life: Life,
-        /// Why.
+        /// Why the connection ended.
         cause: Cause,
     },
-    /// The caller went away or cancelled for good.
+    /// The caller disconnected for good or cancelled.
     Dropped {
-        /// Which request.
+        /// The request.
         ask: Ask,
     },
     /// A backend server began to run a request.
     Ran {
-        /// Which request.
+        /// The request.
         ask: Ask,
-        /// Which sending led to it.
+        /// Try on whose behalf it runs.
         number: Try,
         /// Incarnation of the server.
         server: SmolStr,
     },
-    /// The cloud announced the end of a backend server's instance.
+    /// The cloud announced the reclaim of a backend server's instance.
     Noticed {
         /// Incarnation of the server.
         server: SmolStr,
     },
-    /// An operator was told that a change of an account's key is in force everywhere.
+    /// An operator's change of an account's key was reported to be in force everywhere.
     Accepted {
-        /// Which account.
+        /// The changed account.
         account: SmolStr,
-        /// Its only key from now on.
+        /// The account's only key from this version on.
         key: SmolStr,
-        /// The version that holds it.
+        /// Configuration version that contains the change.
         version: u64,
     },
-    /// An operator was told that a change is committed, not yet in force everywhere.
+    /// An operator's change was reported as committed, but not yet in force everywhere.
     Committed {
-        /// Which account.
+        /// The changed account.
         account: SmolStr,
-        /// Its only key from then on.
+        /// The account's only key from this version on.
         key: SmolStr,
-        /// The version that holds it.
+        /// Configuration version that contains the change.
         version: u64,
     },
-    /// A request with a key of an account that operators change was sent at `sent`, and not refused
-    /// for its key or for the entry's state.
+    /// A probe with a key of a watched account was not refused because of its key or of the entry's state.
     Admitted {
-        /// Which account.
+        /// The watched account.
         account: SmolStr,
-        /// The key that came along.
+        /// The key that the probe presented.
         key: SmolStr,
-        /// When it was sent.
+        /// Time at which the probe was sent.
         sent: Time,
     },
-    /// An entry showed its configuration.
+    /// An entry reported its configuration version.
     Showed {
-        /// Which entry.
+        /// The entry.
         life: Life,
-        /// Its version.
+        /// The reported version.
         version: u64,
     },
-    /// The last change, made when all faults were over, and how it went.
+    /// The last change, made after all faults were over, finished.
     LastChange {
         /// Whether it was accepted.
         accepted: bool,
     },
-    /// An entry stopped running or ran on.
+    /// An entry was frozen or thawed.
     Paused {
-        /// Which entry.
+        /// The entry.
         life: Life,
-        /// Whether it runs again.
+        /// Whether it was thawed.
         over: bool,
     },
 }
 
-/// All that was seen, in order.
+/// All observations in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
-    /// Facts with the true time.
+    /// Observations with their simulated time.
     pub records: Vec<(Time, Fact)>,
 }
 
 impl History {
-    /// Adds what is seen now.
+    /// Appends an observation.
     pub fn note(&mut self, at: Time, fact: Fact) {
         self.records.push((at, fact));
     }
--- a/crates/matrix/src/lib.rs
+++ b/crates/matrix/src/lib.rs
@@ -1,8 +1,8 @@
-//! The fault matrix and random histories over the reducer that ships.
+//! Fault matrix and random histories for the entry's reducer.
 //!
 //! [`world::World`] runs several [`entry::entry::Entry`] reducers in virtual time against small fakes
-//! of everything around them. It records what callers, backend servers, operators and the cloud see;
-//! [`check`] judges that record against the seven points and knows nothing of the reducer.
+//! of everything around them. It records what callers, backend servers, operators and the cloud observe;
+//! [`check`] verifies that record against the guarantees in [`check::Point`], independently of the reducer.
 
 pub mod cell;
 pub mod check;
--- a/crates/matrix/src/page.rs
+++ b/crates/matrix/src/page.rs
@@ -1,4 +1,4 @@
-//! docs/FAULTS.md, drawn from the cells and how they went.
+//! Renders docs/FAULTS.md from the cells and their outcomes.
 
 use std::fmt::Write;
 
@@ -11,7 +11,7 @@
 use crate::run::Outcome;
 use crate::run::SEEDS;
 
-/// The page's beginning.
+/// Introduction of the page.
 const HEAD: &str = "# The fault matrix
 
 Drawn by `cargo run --release -p matrix --example faults`; `cargo test -p matrix` runs every cell and
@@ -23,7 +23,7 @@
 proved. `P` proved, and also by a test with real processes on real sockets.
 ";
 
-/// What the matrix doesn't speak of.
+/// Limits of the matrix, at the end of the page.
 const TAIL: &str = "
 ## What \"proved\" does not cover
 
@@ -38,7 +38,7 @@
 - Real clocks, sockets and memory: the tests named below, and no others, run whole processes.
 ";
 
-/// The whole page.
+/// Renders the whole page.
 pub fn draw(cells: &[Cell], outcomes: &[Outcome]) -> String {
     let mut page = String::from(HEAD);
     let _ = writeln!(page, "\n{}\n", counts(outcomes));
@@ -52,7 +52,7 @@
     page
 }
 
-/// How many cells went how.
+/// Renders the number of cells by outcome.
 pub fn counts(outcomes: &[Outcome]) -> String {
     let count = |sort: fn(&Outcome) -> bool| outcomes.iter().filter(|one| sort(one)).count();
     let impossible = count(|one| matches!(one, Outcome::Impossible(_)));
@@ -67,14 +67,14 @@
     )
 }
 
-/// What the columns stand for.
+/// Appends the numbered legend of the columns.
 fn columns(page: &mut String) {
     for (number, trouble) in TROUBLES.iter().enumerate() {
         let _ = writeln!(page, "{}. {}", number + 1, name_of(*trouble));
     }
 }
 
-/// The table of single faults.
+/// Appends the table of single faults.
 fn singles(page: &mut String, cells: &[Cell], outcomes: &[Outcome]) {
     let _ = write!(page, "\n| step |");
     for number in 1..=TROUBLES.len() {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Pairs of faults.
+/// Appends the table of pairs of faults.
 fn pairs(page: &mut String, cells: &[Cell], outcomes: &[Outcome]) {
     page.push_str("\n## Pairs\n\n| step | faults at once | |\n| --- | --- | --- |\n");
     for (cell, outcome) in cells.iter().zip(outcomes) {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Why cells can't happen.
+/// Appends the reasons why cells are impossible.
 fn impossible(page: &mut String, cells: &[Cell], outcomes: &[Outcome]) {
     page.push_str("\n## Impossible\n\n");
     for (cell, outcome) in cells.iter().zip(outcomes) {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Why cells are not proved.
+/// Appends the reasons why cells are not proved.
 fn not_proved(page: &mut String, cells: &[Cell], outcomes: &[Outcome]) {
     page.push_str("\n## Not proved\n\n");
     let mut none = true;
@@ -143,7 +143,7 @@
     }
 }
 
-/// Tests with real processes.
+/// Appends the table of tests with real processes.
 fn processes(page: &mut String) {
     page.push_str("\n## With real processes\n\n");
     page.push_str("| step | fault | test in `crates/standin/tests/` |\n| --- | --- | --- |\n");
--- a/crates/matrix/src/plan.rs
+++ b/crates/matrix/src/plan.rs
@@ -1,4 +1,4 @@
-//! Random runs: what callers ask and which faults happen, drawn from a seed.
+//! Random runs: requests and faults, generated from a seed.
 
 use clock::Span;
 use rand::Rng;
@@ -15,37 +15,37 @@
 use crate::world::Shape;
 use crate::world::World;
 
-/// Time in which callers ask and faults begin, milliseconds.
+/// Time during which requests and faults start, in milliseconds.
 const BUSY: u64 = 20_000;
 
-/// Zones of every world.
+/// Number of availability zones of every world.
 const ZONES: u64 = 3;
 
-/// One random run.
+/// Description of one random run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Feeds all else.
+    /// Seed of the world and its requests.
     pub seed: u64,
-    /// How large the world is.
+    /// Number of simulated processes of each kind.
     pub shape: Shape,
-    /// Requests of each kind.
+    /// Number of requests of each kind.
     pub requests: u64,
-    /// Faults and when they begin.
+    /// Faults and their start times.
     pub faults: Vec<(Span, Fault)>,
 }
 
-/// How a run went.
+/// Result of a run.
 pub struct Run {
-    /// What was seen.
+    /// Everything that was observed.
     pub history: History,
-    /// What the checker found.
+    /// Breaches that the checker found.
     pub breaches: Vec<Breach>,
-    /// Steps of reducers that it took.
+    /// Number of reducer steps taken.
     pub steps: u64,
 }
 
 impl Plan {
-    /// The run of a seed.
+    /// Generates the run of a seed.
     pub fn new(seed: u64) -> Plan {
         let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
         let shape = Shape {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Runs it to its end.
+    /// Runs to completion and checks the history.
     pub fn run(&self, bug: Bug) -> Run {
         let mut world = World::new(self.seed, self.shape, bug);
         let mut draw = Draw(Pcg64Mcg::seed_from_u64(!self.seed));
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The same run with as few faults as still breach the same point first, in the same way.
+    /// Removes every fault without which the run still starts with the same breach.
     pub fn shrunk(&self, bug: Bug) -> Plan {
         let mut least = self.clone();
         let point = |plan: &Plan| {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Draws from a seed.
+/// Seeded random generator.
 struct Draw(Pcg64Mcg);
 
 impl Draw {
@@ -129,7 +129,7 @@
         self.below(slots as u64) as usize
     }
 
-    /// One request of each kind; a few callers go away.
+    /// Schedules one request of each kind; a few callers disconnect.
     fn requests(&mut self, world: &mut World) {
         let when = |draw: &mut Draw| draw.span(0, BUSY);
         let tokens = 1 + self.below(400);
--- a/crates/matrix/src/process.rs
+++ b/crates/matrix/src/process.rs
@@ -1,9 +1,9 @@
-//! Cells that are also run as real processes on real sockets, by tests of the `standin` crate.
+//! Cells that tests of the `standin` crate also cover with real processes on real sockets.
 
 use crate::cell::Step;
 use crate::cell::Trouble;
 
-/// Step, fault, and `file::test` in `crates/standin/tests/`.
+/// Step, fault and `file::test` in `crates/standin/tests/`.
 pub const TESTS: &[(Step, Trouble, &str)] = &[
     (
         Step::Streaming,
@@ -107,7 +107,7 @@
     ),
 ];
 
-/// Whether a cell has such a test.
+/// Returns whether a test with real processes covers a cell.
 pub fn has_test(step: Step, trouble: Trouble) -> bool {
     TESTS
         .iter()
--- a/crates/matrix/src/run.rs
+++ b/crates/matrix/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs one cell: brings the step about, lets the trouble happen, and has the history checked.
+//! Runs one cell: reaches the step, injects the faults and checks the history.
 
 use clock::Span;
 
@@ -15,36 +15,36 @@
 use crate::world::Shape;
 use crate::world::World;
 
-/// Seeds that each cell runs with.
+/// Seeds of every cell.
 pub const SEEDS: [u64; 3] = [11, 12, 13];
 
-/// Longest time until the step is reached.
+/// Longest time to reach the step.
 const STEP_TIME: Span = Span::from_seconds(60);
 
-/// Cells that run at once.
+/// Number of threads that run cells.
 const THREADS: usize = 4;
 
-/// Length of streams that don't end by themselves during the trouble.
+/// Length of streams that are still running when the faults are over, in tokens.
 const LONG: u64 = 500;
 
-/// How long lasting troubles last.
+/// Duration of faults that last.
 const LASTING: Span = Span::from_seconds(20);
 
-/// The size of every cell's world.
+/// Number of simulated processes of each kind.
 const SHAPE: Shape = Shape {
     entries: 4,
     engines: 4,
     services: 3,
 };
 
-/// How a cell went.
+/// Outcome of a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The step was reached with every seed, and nothing was breached.
+    /// The step was reached with every seed, and no guarantee was breached.
     Proved,
-    /// It can't happen, and why.
+    /// The step and the fault can't be combined; holds the reason.
     Impossible(&'static str),
-    /// It was not reached, or something was breached.
+    /// The step was not reached, or a guarantee was breached; holds the details.
     NotProved(String),
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Run {
-    /// Brings a step about; gives whether it was reached.
+    /// Runs until a step is reached; returns whether it was.
     fn reach(&mut self, step: Step) -> bool {
         self.background();
         match step {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Requests of every kind beside the one that matters.
+    /// Schedules requests of every kind beside the subject.
     fn background(&mut self) {
         for at in 0..6 {
             let after = Span::from_millis(at * 400);
@@ -140,12 +140,12 @@
         }
     }
 
-    /// The slot of the entry that holds the request, or the first.
+    /// Returns the slot of the entry that serves the subject, or the first.
     fn entry(&self) -> usize {
         self.world.slot_of(self.subject).unwrap_or(0)
     }
 
-    /// The slot of the backend server that ran it, or the first.
+    /// Returns the slot of the backend server that last ran the subject, or the first.
     fn backend(&self) -> usize {
         self.world.backend_of(self.subject).unwrap_or(0)
     }
@@ -199,7 +199,7 @@
         true
     }
 
-    /// Runs until so many facts of one sort were seen of the request.
+    /// Runs until `count` matching facts about the subject have been recorded.
     fn seen(&mut self, count: usize, sort: impl Fn(&Fact, Ask) -> bool) -> bool {
         let subject = self.subject;
         self.world.run_to(STEP_TIME, |world| {
@@ -293,7 +293,7 @@
     }
 }
 
-/// Runs cells side by side and gives how each went, in order.
+/// Runs cells in parallel and returns their outcomes in order.
 pub fn run_all(cells: &[Cell]) -> Vec<Outcome> {
     std::thread::scope(|scope| {
         let size = cells.len().div_ceil(THREADS).max(1);
--- a/crates/matrix/src/table.rs
+++ b/crates/matrix/src/table.rs
@@ -1,4 +1,4 @@
-//! The cells: all single ones, the pairs that matter, what can't happen and what isn't proved.
+//! Cells of the matrix: every step with every fault, selected pairs, and impossible combinations.
 
 use crate::cell::Cell;
 use crate::cell::STEPS;
@@ -6,7 +6,7 @@
 use crate::cell::TROUBLES;
 use crate::cell::Trouble;
 
-/// Pairs that matter: the second fault hits what guards against the first.
+/// Pairs in which the second fault disables a safeguard against the first.
 pub const PAIRS: [(Step, Trouble, Trouble); 18] = [
     (Step::LeaveByTicket, Trouble::CutIn, Trouble::StopEntry),
     (Step::LeaveByTicket, Trouble::Slow, Trouble::LeaseLapsed),
@@ -40,7 +40,7 @@
     (Step::LedgerHandover, Trouble::CutIn, Trouble::StoreDown),
 ];
 
-/// All cells.
+/// Returns all cells.
 pub fn cells() -> Vec<Cell> {
     let mut cells = Vec::new();
     for step in STEPS {
@@ -62,7 +62,7 @@
     cells
 }
 
-/// Why a cell can't happen, if so.
+/// Returns the reason why a cell is impossible, if it is.
 pub fn impossible(cell: &Cell) -> Option<&'static str> {
     let no_engine = [
         Step::Arrived,
--- a/crates/matrix/src/world/answers.rs
+++ b/crates/matrix/src/world/answers.rs
@@ -1,4 +1,4 @@
-//! What callers make of the words that they hear.
+//! How callers handle responses and decide on retries.
 
 use clock::Span;
 use verdict::Reason;
@@ -16,14 +16,14 @@
 use crate::world::callers::Once;
 use crate::world::callers::PAUSE;
 
-/// Longest time before a caller comes back after many refusals.
+/// Longest delay before a retry after repeated refusals.
 const LONGEST_PAUSE: Span = Span::from_seconds(2);
 
-/// Repeats of a call that must not run twice, once it may have run: a caller that doesn't give up.
+/// Uncertain outcomes of a non-idempotent call after which its caller stops retrying.
 const STUBBORN: u32 = 4;
 
 impl World {
-    /// A word reaches a caller; words of connections that it closed are not read.
+    /// Handles a response to a caller; responses on connections that it has closed are dropped.
     pub(crate) fn caller_hears(&mut self, name: Try, word: CallerWord) {
         let number = self.tries[name.0 as usize];
         let now = self.now;
@@ -101,7 +101,7 @@
         if !certain {
             caller.uncertain += 1;
         }
-        // A new ticket only when nothing can have run under the old one.
+        // A new ticket is safe only if nothing can have run under the old one.
         if certain && caller.uncertain == 0 {
             caller.ticket = None;
         }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// A caller comes back, unless its call must not run twice and nothing would recognise a repeat.
+    /// Schedules a retry, unless a non-idempotent call could run twice because no key or ticket identifies it.
     fn come_back(&mut self, number: usize, after: Span) {
         let caller = &mut self.callers[number];
         let non_idempotent = matches!(
@@ -150,7 +150,7 @@
         self.after(after + HOP, Happening::CallerActs(number));
     }
 
-    /// A trial of a watched key has come to its end; gives whether it was one.
+    /// Finishes the probe of a watched key; returns whether the request was one.
     fn probe_ended(&mut self, number: usize, reason: Option<Reason>) -> bool {
         let Some((account, key, sent)) = self.callers[number].watched.clone() else {
             return false;
--- a/crates/matrix/src/world/backend.rs
+++ b/crates/matrix/src/world/backend.rs
@@ -19,13 +19,13 @@
 /// Pool of the plain services.
 pub(crate) const SERVICE_POOL: &str = "records";
 
-/// How far the instance list lags.
+/// Delay after which the instance list shows a change.
 pub(crate) const LIST_LAG: Span = Span::from_millis(2_000);
 
 /// Time to start a new instance.
 const START_TIME: Span = Span::from_millis(4_000);
 
-/// One slot; its address stays, its lives change.
+/// One backend slot; its address stays, its instances change.
 pub(crate) struct Backend {
     pub address: SmolStr,
     pub zone: &'static str,
@@ -34,9 +34,9 @@
     lives: u32,
     pub alive: bool,
     pub born: Time,
-    /// When its end was announced, and when it comes.
+    /// Times of the reclaim's announcement and of the reclaim itself.
     pub leaving: Option<(Time, Time)>,
-    /// Lives that ended, for the lagging list.
+    /// Ended instances, shown by the lagging list for a while.
     pub ended: Vec<(Time, Instance)>,
     pub streams: Streams,
 }
@@ -65,14 +65,14 @@
         }
     }
 
-    /// The slot that lives at an address.
+    /// Returns the slot of the live backend server at an address.
     pub(crate) fn backend_at(&self, address: &str) -> Option<usize> {
         self.backends
             .iter()
             .position(|backend| backend.alive && backend.address == address)
     }
 
-    /// A life ends, if it is still the one that was meant.
+    /// Ends a backend server, if it is still the given incarnation.
     pub(crate) fn backend_dies(&mut self, slot: usize, incarnation: &str) {
         let now = self.now;
         let backend = &mut self.backends[slot];
@@ -86,7 +86,7 @@
         self.after(START_TIME, Happening::BackendBorn(slot));
     }
 
-    /// A new life starts in a slot, unless the cloud refuses.
+    /// Starts a new instance in a slot, unless the cloud refuses.
     pub(crate) fn backend_born(&mut self, slot: usize) {
         if self.refusing_instances {
             return self.after(START_TIME, Happening::BackendBorn(slot));
@@ -100,7 +100,7 @@
         backend.leaving = None;
     }
 
-    /// The list as it is shown now: it lags.
+    /// Returns the instance list as it is shown now; it lags.
     pub(crate) fn instance_list(&self, tell_leaves: bool) -> Vec<Instance> {
         let mut list = Vec::new();
         for backend in &self.backends {
--- a/crates/matrix/src/world/callers.rs
+++ b/crates/matrix/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they send, come back after a cut, and repeat by ticket or key at other entries.
+//! Callers: they send requests, resume after a disconnect, and retry by ticket or key at other entries.
 
 use clock::Span;
 use clock::Time;
@@ -24,24 +24,24 @@
 use crate::world::node::Asker;
 use crate::world::operators::CALLER_KEY;
 
-/// How long a caller waits for any word.
+/// Longest time that a caller waits for the next response.
 const PATIENCE: Span = Span::from_seconds(9);
 
-/// Time before a caller comes back where no other time is told.
+/// Delay before a retry if the entry names none.
 pub(super) const PAUSE: Span = Span::from_millis(200);
 
-/// How a caller asks that its call run at most once.
+/// How a caller ensures that its call runs at most once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Once {
-    /// Not at all.
+    /// Without any protection.
     No,
-    /// By a key of its own.
+    /// By an idempotency key of its own.
     Key,
     /// By a ticket.
     Ticket,
 }
 
-/// What a caller hears on the connection of one sending.
+/// Response that a caller receives on the connection of one try.
 #[derive(Clone)]
 pub(crate) enum CallerWord {
     Head {
@@ -69,47 +69,47 @@
     pub(super) kind: Kind,
     pub(super) once: Once,
     pub(super) killer: bool,
-    /// Set for a trial of a key that operators change.
+    /// Account, key and send time of a probe of a key that operators change.
     pub(super) watched: Option<(SmolStr, SmolStr, Time)>,
     pub(super) key: SmolStr,
     pub(super) ticket: Option<SmolStr>,
     pub(super) token: Option<SmolStr>,
     pub(super) next: u64,
-    /// The open sending, and the entry it went to.
+    /// The open try, and the node that serves it.
     pub(super) open: Option<(Try, usize)>,
-    /// Where to go next, if it was told.
+    /// Node to send to next, if an entry named one.
     pub(super) told: Option<usize>,
     pub(super) heard: Time,
     pub(super) sent: u32,
     pub(super) uncertain: u32,
-    /// Set once the caller holds the head of its answer.
+    /// Whether the caller has received the head of its answer.
     pub(super) headed: bool,
     pub(super) done: bool,
 }
 
 impl World {
-    /// A caller sends a request for a streamed answer.
+    /// Schedules a request for a streamed answer.
     pub fn ask_model(&mut self, after: Span, tokens: u64) -> Ask {
         self.add_caller(after, Kind::Model { tokens }, Once::No, false)
     }
 
-    /// A caller makes a plain call.
+    /// Schedules a plain call.
     pub fn ask_plain(&mut self, after: Span, non_idempotent: bool, once: Once) -> Ask {
         self.add_caller(after, Kind::Plain { non_idempotent }, once, false)
     }
 
-    /// A caller sends a request that crashes each engine that runs it.
+    /// Sends a request that crashes every engine that runs it.
     pub(crate) fn add_killer(&mut self) {
         self.add_caller(HOP, Kind::Model { tokens: 20 }, Once::No, true);
     }
 
-    /// A caller goes away for good later.
+    /// Schedules the final disconnect of a caller.
     pub fn drop_later(&mut self, after: Span, ask: Ask) {
         let caller = ask.0 as usize;
         self.after(after, Happening::CallerWaits(caller, Try(u32::MAX)));
     }
 
-    /// A caller cancels its request now and wants no answer any more.
+    /// Cancels a request; its caller expects no answer any more.
     pub fn cancel(&mut self, ask: Ask) {
         let number = ask.0 as usize;
         let open = self.callers[number].open;
@@ -136,30 +136,30 @@
         self.after(HOP, Happening::Input(node, input));
     }
 
-    /// Whether every caller has come to its end.
+    /// Returns whether every caller has finished.
     pub(crate) fn callers_done(&self) -> bool {
         self.callers
             .iter()
             .all(|caller| caller.done || caller.watched.is_some())
     }
 
-    /// Whether a request's caller holds the head of its answer.
+    /// Returns whether a request's caller has received the head of its answer.
     pub fn is_headed(&self, ask: Ask) -> bool {
         self.callers[ask.0 as usize].headed
     }
 
-    /// Whether a request has come to its end.
+    /// Returns whether a request has finished.
     pub fn is_done(&self, ask: Ask) -> bool {
         self.callers[ask.0 as usize].done
     }
 
-    /// The entry slot that a request is open at.
+    /// Returns the entry slot at which a request is open.
     pub fn slot_of(&self, ask: Ask) -> Option<usize> {
         let (_, node) = self.callers[ask.0 as usize].open?;
         Some(self.nodes[node].slot)
     }
 
-    /// The backend slot that last began to run a request.
+    /// Returns the backend slot that last began to run a request.
     pub fn backend_of(&self, ask: Ask) -> Option<usize> {
         let mut facts = self.history.records.iter().rev();
         let server = facts.find_map(|(_, fact)| match fact {
@@ -199,7 +199,7 @@
         ask
     }
 
-    /// One trial of a watched key.
+    /// Sends one probe of a watched key.
     pub(crate) fn send_probe(&mut self, node: usize, account: SmolStr, key: SmolStr) {
         let non_idempotent = false;
         let number = self.callers.len();
@@ -216,12 +216,12 @@
         self.caller_acts(number);
     }
 
-    /// Whose sending it was.
+    /// Returns the request that a try belongs to.
     pub(crate) fn ask_of(&self, number: Try) -> Ask {
         self.callers[self.tries[number.0 as usize]].ask
     }
 
-    /// A caller sends its request, once more perhaps.
+    /// Sends a caller's request, or retries it.
     pub(crate) fn caller_acts(&mut self, number: usize) {
         let caller = &self.callers[number];
         if caller.done || caller.open.is_some() {
@@ -254,18 +254,18 @@
         };
         let input = Input::Asked(Asker::Addresses(number), Box::new(event));
         self.after(HOP, Happening::Input(node, input));
-        // The answer may be lost, or bring no ticket.
+        // The answer may be lost or contain no ticket.
         self.after(Span::from_millis(900), Happening::CallerActs(number));
     }
 
-    /// An entry answers with addresses and tickets.
+    /// Handles an entry's answer with addresses and tickets.
     pub(crate) fn addresses_given(&mut self, node: usize, call: u64, answer: Addresses) {
         let Some(Asker::Addresses(number)) = self.nodes[node].askers.remove(&call) else {
             return;
         };
         let ticket = answer.tickets.first();
         let sealed = ticket.map(|ticket| SmolStr::from(self.seals.ticket.sign(ticket)));
-        // Some use the ticket where they got it, others elsewhere.
+        // Some callers use the ticket at the entry that issued it, others elsewhere.
         let here = self.draw(2) == 0;
         let caller = &mut self.callers[number];
         if caller.ticket.is_some() || caller.open.is_some() {
@@ -310,7 +310,7 @@
         self.after(PATIENCE, Happening::CallerWaits(number, name));
     }
 
-    /// A caller looks whether it has waited too long, or goes away for good.
+    /// Checks whether a caller's try has timed out; `Try(u32::MAX)` disconnects the caller for good.
     pub(crate) fn caller_waits(&mut self, number: usize, name: Try) {
         let for_good = name == Try(u32::MAX);
         let caller = &self.callers[number];
--- a/crates/matrix/src/world/cloud.rs
+++ b/crates/matrix/src/world/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: notices, ends of instances, and new ones.
+//! The cloud: reclaim notices, and ends and starts of instances.
 
 use clock::Span;
 use clock::Time;
@@ -12,11 +12,11 @@
 use crate::world::World;
 use crate::world::backend::LIST_LAG;
 
-/// Time until a new life of an entry starts.
+/// Time to start a new process of an entry.
 const ENTRY_START_TIME: Span = Span::from_millis(3_000);
 
 impl World {
-    /// All notices that hold now.
+    /// Returns all reclaim notices in force.
     pub(crate) fn notices(&self) -> Vec<Notice> {
         let mut notices = Vec::new();
         for backend in self.backends.iter().filter(|backend| backend.alive) {
@@ -38,7 +38,7 @@
         notices
     }
 
-    /// Addresses of entries as the list shows them now: it lags.
+    /// Returns the addresses of the entries in the instance list, which lags.
     pub(crate) fn entry_list(&self) -> Vec<SmolStr> {
         let shown = self.nodes.iter().filter(|node| {
             let since = node.ended.unwrap_or(self.now);
@@ -51,7 +51,7 @@
             .collect()
     }
 
-    /// Announces the end of a backend server's instance.
+    /// Announces the reclaim of a backend server's instance.
     pub(crate) fn reclaim_backend(&mut self, slot: usize, left: Span) {
         let now = self.now;
         let Some(backend) = self.backends.get_mut(slot) else {
@@ -68,7 +68,7 @@
         self.after(left, Happening::BackendDies(slot, server));
     }
 
-    /// Announces the end of an entry's instance.
+    /// Announces the reclaim of an entry's instance.
     pub(crate) fn reclaim_entry(&mut self, slot: usize, left: Span) {
         let Some(node) = self.slots.get(slot).copied() else {
             return;
@@ -83,7 +83,7 @@
         self.after(left, Happening::EntryDies(node));
     }
 
-    /// An entry's instance is taken away.
+    /// Takes an entry's instance away at the end of its notice.
     pub(crate) fn entry_dies(&mut self, node: usize) {
         if !self.nodes[node].alive {
             return;
@@ -92,12 +92,12 @@
         self.entry_replaced(self.nodes[node].slot);
     }
 
-    /// A new life of an entry is ordered.
+    /// Schedules the start of a new process in an entry slot.
     pub(crate) fn entry_replaced(&mut self, slot: usize) {
         self.after(ENTRY_START_TIME, Happening::EntryBorn(slot));
     }
 
-    /// A new life of an entry starts, unless the cloud refuses or one runs.
+    /// Starts a new process of an entry, unless one runs or the cloud refuses.
     pub(crate) fn entry_born(&mut self, slot: usize) {
         if self.nodes[self.slots[slot]].alive {
             return;
@@ -108,7 +108,7 @@
         self.start_entry(slot);
     }
 
-    /// An entry is asked to stop.
+    /// Asks an entry to stop.
     pub(crate) fn stop_entry(&mut self, slot: usize) {
         let Some(node) = self.slots.get(slot).copied() else {
             return;
--- a/crates/matrix/src/world/effects.rs
+++ b/crates/matrix/src/world/effects.rs
@@ -1,4 +1,4 @@
-//! Carries the effects of a reducer out, as the shell of the daemon does.
+//! Performs the effects of a reducer, as the daemon's shell does.
 
 use clock::Span;
 use entry::attempt::Report;
@@ -18,14 +18,14 @@
 use crate::world::input::Input;
 use crate::world::node::Asker;
 
-/// How long a call of a peer waits for its word.
+/// Time after which a call to a peer without an answer fails.
 const PEER_WAIT: Span = Span::from_millis(800);
 
-/// What a slow link adds at most.
+/// Largest extra delay of a slow link, in milliseconds.
 const SLOW: u64 = 1_500;
 
 impl World {
-    /// Carries one effect out.
+    /// Performs one effect.
     pub(crate) fn perform(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Flight { serial, command } => self.flight_commanded(node, serial, command),
@@ -65,7 +65,7 @@
                 self.send_peer(node, &address, Input::Event(event));
             }
             Effect::Exit => self.exits(node),
-            // The fleet is proved by itself, in the tests of its own crate.
+            // Fleet control is covered by the tests of its own crate.
             Effect::ReadEngine { .. }
             | Effect::OrderEngine { .. }
             | Effect::StartInstance { .. }
@@ -73,12 +73,12 @@
         }
     }
 
-    /// An event of the process itself: it takes its turn in the loop.
+    /// Queues an event of the process itself for its loop.
     pub(crate) fn tell(&mut self, node: usize, event: Event) {
         self.after(HOP, Happening::Input(node, Input::Event(event)));
     }
 
-    /// The report of a request's task on an attempt.
+    /// Queues the report of a request's task on an attempt.
     pub(crate) fn tell_attempt(&mut self, node: usize, serial: u64, attempt: u32, report: Report) {
         let event = Event::Attempt {
             serial,
@@ -88,7 +88,7 @@
         self.tell(node, event);
     }
 
-    /// The entry living at a peer address, unless what is sent there is lost.
+    /// Returns the live node at a peer address, unless messages to it are lost.
     fn peer_at(&self, from: usize, address: &SmolStr) -> Option<usize> {
         let to = self
             .nodes
@@ -98,7 +98,7 @@
         (self.nodes[to].alive && !self.cut.contains(&slots)).then_some(to)
     }
 
-    /// Time to a peer.
+    /// Returns the delay of a message to a peer.
     fn peer_time(&mut self, from: usize, to: usize) -> Span {
         let slots = [self.nodes[from].slot, self.nodes[to].slot];
         let slow = slots.iter().any(|slot| self.slow.contains(slot));
@@ -106,7 +106,7 @@
         HOP + Span::from_millis(more)
     }
 
-    /// Sends something that may get lost.
+    /// Sends a message that may get lost.
     fn send_peer(&mut self, from: usize, address: &SmolStr, input: Input) {
         if let Some(to) = self.peer_at(from, address) {
             let time = self.peer_time(from, to);
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Calls a peer; a call whose word is lost or late ends with `lost`.
+    /// Calls a peer; a call whose answer is lost or late ends with `lost`.
     fn call_peer(&mut self, from: usize, address: &SmolStr, input: Input, lost: Event) {
         let to = self.peer_at(from, address);
         let wait = if to.is_some() { PEER_WAIT } else { HOP };
@@ -122,11 +122,11 @@
             let time = self.peer_time(from, to);
             self.after(time, Happening::Input(to, input));
         }
-        // A word that came in time makes the reducer pass over the loss that follows.
+        // If the answer came in time, the reducer ignores this event.
         self.after(wait, Happening::Input(from, Input::Event(lost)));
     }
 
-    /// Gives a peer its answer, unless it is lost on the way back.
+    /// Answers a peer's call; the answer may get lost.
     fn answer_peer(&mut self, node: usize, to: usize, event: Event) {
         let address = self.nodes[to].identity.peer_address.clone();
         self.send_peer(node, &address, Input::Event(event));
@@ -145,19 +145,19 @@
         }
     }
 
-    /// The process ends in good order.
+    /// Ends the process after an orderly stop.
     fn exits(&mut self, node: usize) {
         let slot = self.nodes[node].slot;
         self.end_entry(node, Cause::Exit);
         self.entry_replaced(slot);
     }
 
-    /// Passes a word on to the caller of a sending.
+    /// Sends a response to the caller of a try.
     pub(crate) fn tell_caller(&mut self, number: Try, word: CallerWord) {
         self.after(HOP, Happening::ToCaller(number, word));
     }
 
-    /// Notes that a backend server began to run a request.
+    /// Records that a backend server began to run a request.
     pub(crate) fn note_ran(&mut self, number: Try, server: SmolStr) {
         let ask = self.ask_of(number);
         self.note(Fact::Ran {
--- a/crates/matrix/src/world/engine.rs
+++ b/crates/matrix/src/world/engine.rs
@@ -1,4 +1,4 @@
-//! Fake model engines: streams of known tokens, a resume window, and KV cache that can be moved.
+//! Fake model engines: streams of known tokens, a resume window and movable KV cache.
 
 use std::collections::BTreeMap;
 
@@ -17,16 +17,16 @@
 use crate::world::World;
 use crate::world::input::Input;
 
-/// Time between two tokens.
+/// Time to generate one token.
 const TOKEN_TIME: Span = Span::from_millis(40);
 
-/// How long a stream is kept whose reader went away.
+/// Time for which a stream without a reader is kept.
 const RESUME_WINDOW: Span = Span::from_seconds(30);
 
-/// Time to a prompt's first token.
+/// Time to the first token of a prompt.
 const PREFILL: Span = Span::from_millis(60);
 
-/// Who reads a stream.
+/// Connection of an entry's task that reads a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Reader {
     pub node: usize,
@@ -34,14 +34,14 @@
     pub link: u64,
 }
 
-/// One order on its way.
+/// One order in flight.
 pub(crate) struct EngineCall {
     pub reader: Reader,
     pub address: SmolStr,
     pub order: Order,
 }
 
-/// What an engine is asked to do.
+/// Order to an engine.
 pub(crate) enum Order {
     Start {
         stream: Stream,
@@ -62,7 +62,7 @@
     Import(Moving, EngineStream),
 }
 
-/// A move that is under way.
+/// Transfer of a stream between two engines.
 #[derive(Clone)]
 pub(crate) struct Moving {
     pub from: Endpoint,
@@ -74,7 +74,7 @@
     pub how: Transfer,
 }
 
-/// What the task of a request hears.
+/// Reply to the task of a request.
 pub(crate) enum Word {
     Opened(Option<Transfer>),
     NotOpened { failure: Failure, moved: bool },
@@ -84,7 +84,7 @@
     PlainDone { ask: Ask },
 }
 
-/// Why something did not begin.
+/// Why an attempt could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
     NotSent,
@@ -101,7 +101,7 @@
     end: u64,
     made: u64,
     reader: Option<Reader>,
-    /// Tokens given to the reader.
+    /// Number of tokens sent to the reader.
     given: u64,
     unread_since: Time,
     parked: bool,
@@ -111,7 +111,7 @@
 pub(crate) type Streams = BTreeMap<Stream, EngineStream>;
 
 impl World {
-    /// An order reaches the address of an engine.
+    /// Executes an order that has reached an engine's address.
     pub(crate) fn engine_lands(&mut self, call: EngineCall) {
         let EngineCall {
             reader,
@@ -234,7 +234,7 @@
         self.resume(Some(slot), reader, new, offset, Some(how));
     }
 
-    /// Neither engine is to go on with it.
+    /// Removes the stream from both engines and reports that the move failed.
     fn move_failed(&mut self, reader: Reader, moving: Moving) {
         for (endpoint, stream) in [(moving.from, moving.old), (moving.to, moving.new)] {
             if let Some(slot) = self.backend_at(&endpoint.address) {
@@ -244,7 +244,7 @@
         self.not_opened_word(reader, Failure::Broken, true);
     }
 
-    /// A stream makes its next token.
+    /// Generates the next token of a stream.
     pub(crate) fn engine_steps(&mut self, slot: usize, name: Stream) {
         let now = self.now;
         let Some(stream) = self.backends[slot].streams.get_mut(&name) else {
@@ -266,7 +266,7 @@
         self.after(TOKEN_TIME, Happening::EngineStep(slot, name));
     }
 
-    /// Gives a stream's reader what it has not got yet.
+    /// Sends a stream's reader the tokens that it lacks.
     fn give(&mut self, slot: usize, name: Stream) {
         let Some(stream) = self.backends[slot].streams.get_mut(&name) else {
             return;
@@ -287,7 +287,7 @@
                 stream.reader = None;
                 stream.unread_since = self.now;
             }
-            // Kept for the window, for a caller that lost the end.
+            // Kept for the resume window, for a caller that lost the end.
             self.after(
                 RESUME_WINDOW + TOKEN_TIME,
                 Happening::EngineStep(slot, name),
@@ -295,7 +295,7 @@
         }
     }
 
-    /// A word on its way to an entry's task; the connection may be broken by then.
+    /// Sends a reply to an entry's task; the connection may be broken by the time it arrives.
     pub(crate) fn word(&mut self, reader: Reader, word: Word) {
         let Reader { node, serial, link } = reader;
         let input = Input::Word { serial, link, word };
@@ -306,17 +306,17 @@
         self.word(reader, Word::NotOpened { failure, moved });
     }
 
-    /// All connections of an entry to engines are gone; streams wait for their window.
+    /// Closes all connections of an entry to engines; their streams are kept for the resume window.
     pub(crate) fn drop_readers_of(&mut self, node: usize) {
         self.drop_readers(|reader| reader.node == node);
     }
 
-    /// The connection of one request to its engine is gone.
+    /// Closes the connection of one request to its engine.
     pub(crate) fn drop_reader(&mut self, node: usize, serial: u64) {
         self.drop_readers(|reader| reader.node == node && reader.serial == serial);
     }
 
-    /// Breaks connections of an entry; its tasks see it.
+    /// Breaks all connections of an entry to engines and reports that to its tasks.
     pub(crate) fn break_readers_of(&mut self, node: usize) {
         let readers: Vec<Reader> = self
             .backends
@@ -345,7 +345,7 @@
         }
     }
 
-    /// Streams of an engine that died end for their readers.
+    /// Ends all streams of an engine that died and reports that to their readers.
     pub(crate) fn end_streams(&mut self, slot: usize) {
         let streams = std::mem::take(&mut self.backends[slot].streams);
         for reader in streams.into_values().filter_map(|stream| stream.reader) {
--- a/crates/matrix/src/world/faults.rs
+++ b/crates/matrix/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Lets faults happen and heals them.
+//! Injects faults and recovers from them.
 
 use clock::Span;
 use store::fake::Fault as StoreFault;
@@ -13,7 +13,7 @@
 use crate::world::input::Input;
 
 impl World {
-    /// Lets a fault happen now.
+    /// Injects a fault now.
     pub(crate) fn strike(&mut self, fault: Fault) {
         self.last_until(Span::ZERO);
         match fault {
@@ -101,7 +101,7 @@
         self.after(span, Happening::Heal(healing));
     }
 
-    /// Notes that a fault lasts so long from now.
+    /// Extends the time until which faults last.
     fn last_until(&mut self, span: Span) {
         self.calm_from = self.calm_from.max(self.now + span);
     }
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Callers' connections to an entry break; both sides see it, the entry a little later.
+    /// Breaks the callers' connections to an entry; the entry notices it a little later than they do.
     fn break_callers(&mut self, slot: usize) {
         let Some(node) = self.slots.get(slot).copied() else {
             return;
--- a/crates/matrix/src/world/flight.rs
+++ b/crates/matrix/src/world/flight.rs
@@ -1,4 +1,4 @@
-//! The task of one open model call: the daemon's, without its sockets.
+//! Task of one open model call, as in the daemon but without sockets.
 
 use clock::Span;
 use entry::arrival::Arrival;
@@ -34,17 +34,17 @@
     pub(super) ask: Ask,
     pub(super) origin: Id,
     pub(super) killer: bool,
-    /// Length of the whole answer; 0 for a plain call.
+    /// Length of the whole answer in tokens; 0 for a plain call.
     pub(super) tokens: u64,
     pub(super) account_deployment: SmolStr,
     pub plain: bool,
-    /// Whether the reducer was told that the caller is gone.
+    /// Whether the reducer knows that the caller has disconnected.
     pub left: bool,
-    /// Number of the plain attempt that runs.
+    /// Number of the running plain attempt; 0 before the first.
     pub plain_attempt: u32,
     pub(super) relay: Sequencer,
     pub(super) running: Option<Running>,
-    /// Names the connection whose words count; 0 for none.
+    /// Identifies the connection whose replies are accepted; 0 for none.
     pub(super) link: u64,
     pub(super) unreported: u32,
     pub(super) passed: u64,
@@ -52,7 +52,7 @@
     pub(super) emitted: u64,
 }
 
-/// The attempt that runs.
+/// The running attempt.
 #[derive(Clone)]
 pub(super) struct Running {
     pub(super) attempt: u32,
@@ -63,7 +63,7 @@
     pub(super) how: Asked,
 }
 
-/// How the stream that is read now was asked for.
+/// How the current stream was opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Asked {
     Fresh,
@@ -72,7 +72,7 @@
 }
 
 impl Flight {
-    /// A call that was read whole.
+    /// Creates the task of a call that was received completely.
     pub fn new(
         number: Try,
         ask: Ask,
@@ -101,24 +101,24 @@
         }
     }
 
-    /// Which sending it serves.
+    /// Returns the try that this call serves.
     pub fn number(&self) -> Try {
         self.number
     }
 
-    /// Whose answer it is.
+    /// Returns the request that this call serves.
     pub fn ask(&self) -> Ask {
         self.ask
     }
 
-    /// Whether it goes on when its caller is gone.
+    /// Returns whether the call goes on after its caller has disconnected.
     pub fn outlives_caller(&self) -> bool {
         self.plain && (self.left || self.plain_attempt > 0)
     }
 }
 
 impl World {
-    /// The task of a request gets a command of the reducer.
+    /// Carries out a reducer's command for a request.
     pub(crate) fn flight_commanded(&mut self, node: usize, serial: u64, command: Command) {
         let Some(flight) = self.nodes[node].flights.get(&serial) else {
             return;
@@ -223,7 +223,7 @@
         self.call_engine(node, serial, link, endpoint, order);
     }
 
-    /// The answer was cut between its last token and its end.
+    /// Finishes an answer that was cut between its last token and its end.
     fn whole(&mut self, node: usize, serial: u64, stream: Stream) {
         let Some(flight) = self.nodes[node].flights.remove(&serial) else {
             return;
@@ -294,7 +294,7 @@
         self.call_engine(node, serial, link, old.endpoint, Order::Export(moving));
     }
 
-    /// The sealed word with which the caller can come back to the running stream.
+    /// Returns the signed token with which the caller can resume the running stream.
     pub(super) fn token(&mut self, node: usize, serial: u64) -> Option<SmolStr> {
         let flight = self.nodes[node].flights.get(&serial)?;
         let running = flight.running.as_ref()?;
@@ -310,7 +310,7 @@
         Some(SmolStr::from(self.seals.resume.sign(&word)))
     }
 
-    /// Stops the engine's work on a call that nobody waits for.
+    /// Cancels the engine's work on a call that nobody waits for.
     pub(super) fn give_up_stream(&mut self, node: usize, serial: u64) {
         let Some(flight) = self.flight(node, serial) else {
             return;
@@ -322,7 +322,7 @@
         }
     }
 
-    /// Sends an order to an engine; it lands though the sender stops meanwhile.
+    /// Sends an order to an engine; it arrives even if the sender ends meanwhile.
     fn call_engine(
         &mut self,
         node: usize,
@@ -341,7 +341,7 @@
         self.after(time, Happening::Engine(call));
     }
 
-    /// Names a new connection.
+    /// Returns a fresh connection number.
     pub(crate) fn new_link(&mut self) -> u64 {
         self.next += 1;
         self.next
--- a/crates/matrix/src/world/input.rs
+++ b/crates/matrix/src/world/input.rs
@@ -1,4 +1,4 @@
-//! What reaches an entry's process.
+//! Inputs of an entry's process.
 
 use entry::arrival::Arrival;
 use entry::event::Event;
@@ -10,13 +10,13 @@
 use crate::world::flight::Flight;
 use crate::world::node::Asker;
 
-/// One thing that reaches an entry's process.
+/// One input of an entry's process.
 pub(crate) enum Input {
-    /// An event for the reducer.
+    /// Event for the reducer.
     Event(Event),
-    /// An event whose answer somebody waits for; the number is put in here.
+    /// Event that expects an answer; the closure gets the call's number.
     Asked(Asker, Box<dyn FnOnce(u64) -> Event>),
-    /// A caller's request.
+    /// Request of a caller.
     Open {
         number: Try,
         ask: Ask,
@@ -24,14 +24,14 @@
         killer: bool,
         tokens: u64,
     },
-    /// A backend server's word for the task of a request.
+    /// Reply of a backend server to the task of a request.
     Word { serial: u64, link: u64, word: Word },
-    /// The caller of a request is gone.
+    /// The caller of a request has disconnected.
     Gone { number: Try },
 }
 
 impl World {
-    /// Lets an entry's process take something in; a frozen one does so when it thaws.
+    /// Delivers an input to an entry's process; a frozen one queues it until it thaws.
     pub(crate) fn feed(&mut self, node: usize, input: Input) {
         if !self.nodes[node].alive {
             return;
@@ -70,10 +70,10 @@
         }
     }
 
-    /// The task of a request whose caller is gone tells the reducer.
+    /// Reports to the reducer that the caller of a request has disconnected.
     ///
-    /// A plain call that runs is waited for: its outcome is still wanted. One that doesn't run stays
-    /// until the reducer, which may just have handed it on, drops it.
+    /// A plain call that runs goes on, as its outcome is still recorded. One that doesn't run stays until
+    /// the reducer drops it, because the reducer may just have dispatched it.
     fn caller_left(&mut self, node: usize, number: Try) {
         let flights = &mut self.nodes[node].flights;
         let found = flights.iter().find(|(_, flight)| flight.number() == number);
--- a/crates/matrix/src/world/mod.rs
+++ b/crates/matrix/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! Several entries and small fakes of all that is around them, in virtual time.
+//! Simulates several entries and fakes of their surroundings in virtual time.
 
 mod answers;
 mod backend;
@@ -45,25 +45,25 @@
 
 pub use crate::world::callers::Once;
 
-/// The entries' common key.
+/// Secret key shared by all entries.
 const SHARED_KEY: &str = "a key that all entries share";
 
-/// One way over the network.
+/// One-way network delay.
 const HOP: Span = Span::from_millis(1);
 
-/// Time between two ticks of an entry.
+/// Interval between two ticks of an entry.
 const TICK: Span = Span::from_millis(50);
 
-/// Time between two readings of the instance list and the notices.
+/// Interval between two reads of the instance list and the notices.
 const POLL: Span = Span::from_millis(500);
 
-/// Time after the last fault in which everything has to come to its end.
+/// Longest time after the last fault in which every request and change has to finish.
 const CALM: Span = Span::from_seconds(150);
 
-/// Time for the last words of what is on its way.
+/// Time after the last request in which messages in flight are still delivered.
 const LAST_WORDS: Span = Span::from_seconds(10);
 
-/// Wrong behaviour that can be switched on, to show that the checker catches it.
+/// Faulty behaviour that can be injected, to show that the checker detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Bug {
     /// None.
@@ -71,23 +71,23 @@
     None,
     /// Streams that should be handed off end with an error.
     LoseHandedOff,
-    /// Each tenth token is given to the caller twice.
+    /// Every tenth token is sent to the caller twice.
     DoubleChunk,
-    /// Each refusal says "not run".
+    /// Every refusal claims that the request did not run.
     SayNotRun,
     /// A lost answer of a service is reported as not started.
     CallLostNotStarted,
-    /// The table service takes every row of a key, whatever is there.
+    /// The table service applies writes to intents without their preconditions.
     IgnoreChecks,
-    /// Neither notices nor list tell of a leave.
+    /// Neither the notices nor the instance list announce that an instance is leaving.
     HideNotices,
-    /// An entry asked to stop ends at once.
+    /// An entry that is asked to stop ends immediately.
     StopAtOnce,
-    /// Operators are told "accepted" as soon as they ask.
+    /// Operators are told that a change is accepted as soon as they submit it.
     AcceptEarly,
 }
 
-/// How large a world is.
+/// Number of simulated processes of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
     /// Entries.
@@ -108,7 +108,7 @@
     }
 }
 
-/// Something that happens at a point in time.
+/// Event that the simulation dispatches at a point in time.
 pub(crate) enum Happening {
     Tick(usize),
     Poll(usize),
@@ -133,7 +133,7 @@
     EntryBorn(usize),
 }
 
-/// The end of a fault that lasts.
+/// Recovery from a fault that lasts.
 pub(crate) enum Healing {
     Link(usize, usize),
     SlowPeers(usize),
@@ -142,7 +142,7 @@
     Instances,
 }
 
-/// The whole run.
+/// State of one simulation run.
 pub struct World {
     shape: Shape,
     now: Time,
@@ -150,11 +150,11 @@
     next: u64,
     random: Pcg64Mcg,
     bug: Bug,
-    /// All lives of all entries.
+    /// Every process of every entry, ended ones included.
     nodes: Vec<Node>,
-    /// The newest life in each entry slot.
+    /// Index of the newest process in each entry slot.
     slots: Vec<usize>,
-    /// Directed losses between slots.
+    /// Pairs of slots (from, to) whose messages are lost.
     cut: BTreeSet<(usize, usize)>,
     slow: BTreeSet<usize>,
     store: StoreState,
@@ -163,29 +163,29 @@
     refuse_starts: u32,
     lose_service_answers: u32,
     callers: Vec<Caller>,
-    /// The caller of each sending.
+    /// Index of the caller behind each try.
     tries: Vec<usize>,
     operators: Operators,
     seals: Seals,
-    /// Whether old keys are tried.
+    /// Whether probes of account keys are still sent.
     probing: bool,
-    /// When the last fault is over.
+    /// Time at which the last fault is over.
     calm_from: Time,
-    /// Steps of reducers taken so far.
+    /// Number of reducer steps taken so far.
     steps: u64,
-    /// Ledgers offered so far.
+    /// Number of ledger hand-overs offered so far.
     handovers: u64,
     history: History,
 }
 
-/// Seals as the shells use them.
+/// Signers of the tokens and tickets that the shell issues.
 struct Seals {
     resume: Signer,
     ticket: Signer,
 }
 
 impl World {
-    /// A world that has just been started; its entries have to find each other.
+    /// Creates a world and runs it until its entries have found each other and admit requests.
     pub fn new(seed: u64, shape: Shape, bug: Bug) -> World {
         let mut world = World {
             shape,
@@ -225,36 +225,36 @@
         world
     }
 
-    /// The true time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Steps of reducers taken so far.
+    /// Returns the number of reducer steps taken so far.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// Lets a fault happen later.
+    /// Schedules a fault.
     pub fn fault_in(&mut self, after: Span, fault: Fault) {
         self.after(after, Happening::Fault(fault));
     }
 
-    /// Runs for some time.
+    /// Advances the simulation by `span`.
     pub fn run_for(&mut self, span: Span) {
         let end = self.now + span;
         self.run_until(end, |_| false);
     }
 
-    /// Runs until something holds, but no longer than `most`; gives whether it holds.
+    /// Runs until `holds` returns true, for at most `most`; returns whether it does.
     pub fn run_to(&mut self, most: Span, holds: impl Fn(&World) -> bool) -> bool {
         let end = self.now + most;
         self.run_until(end, &holds);
         holds(self)
     }
 
-    /// Lets everything come to its end after the last fault; gives what was seen, and the steps of
-    /// reducers.
+    /// Runs until every request and change has finished after the last fault; returns the history and the
+    /// number of reducer steps.
     pub fn finish(mut self) -> (History, u64) {
         let last = self.calm_from;
         self.run_until(last, |_| false);
@@ -268,12 +268,12 @@
         (self.history, self.steps)
     }
 
-    /// Ledgers offered so far.
+    /// Returns the number of ledger hand-overs offered so far.
     pub fn handovers(&self) -> u64 {
         self.handovers
     }
 
-    /// Whether a write to a table of the service is on its way.
+    /// Returns whether a write to `table` is in flight to the table service.
     pub fn is_writing(&self, table: &str) -> bool {
         self.queue.values().any(|happening| match happening {
             Happening::Store(arrival) => arrival.writes_to(table),
@@ -281,7 +281,7 @@
         })
     }
 
-    /// What was seen so far.
+    /// Returns the history recorded so far.
     pub fn history(&self) -> &History {
         &self.history
     }
@@ -338,7 +338,7 @@
         self.history.note(self.now, fact);
     }
 
-    /// A number below `limit`, from the seed.
+    /// Returns a seeded random number below `limit`.
     fn draw(&mut self, limit: u64) -> u64 {
         self.random.next_u64() % limit.max(1)
     }
--- a/crates/matrix/src/world/node.rs
+++ b/crates/matrix/src/world/node.rs
@@ -1,4 +1,4 @@
-//! One life of an entry: its reducer, its own clock, and what its shell holds.
+//! One process of an entry: its reducer, its clock and the state of its shell.
 
 use std::collections::BTreeMap;
 
@@ -25,50 +25,50 @@
 use crate::world::flight::Flight;
 use crate::world::input::Input;
 
-/// Zones of every world.
+/// Availability zones of every world.
 pub(crate) const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// One life of an entry.
+/// One process of an entry.
 pub(crate) struct Node {
     pub slot: usize,
     pub entry: Entry,
     pub identity: Identity,
-    /// Its platform name.
+    /// Name of its instance on the platform.
     pub instance: SmolStr,
-    /// When its own clock read zero.
+    /// Simulated time at which its own clock read zero.
     pub born: Time,
     pub alive: bool,
     pub ended: Option<Time>,
     pub frozen: bool,
-    /// What came while it stood still.
+    /// Inputs that arrived while it was frozen.
     pub inbox: Vec<Input>,
     pub flights: BTreeMap<u64, Flight>,
     pub next_serial: u64,
     pub askers: BTreeMap<u64, Asker>,
     pub next_asker: u64,
-    /// When its instance will be taken away.
+    /// Time at which its instance will be reclaimed.
     pub leaving: Option<Time>,
     pub stopping: bool,
 }
 
-/// Who waits for an answer of a reducer.
+/// Party that waits for an answer of a reducer.
 pub(crate) enum Asker {
-    /// A caller for addresses.
+    /// Caller that asks for addresses and tickets.
     Addresses(usize),
-    /// An operator.
+    /// Operator that submits a change.
     Operator(usize),
-    /// A caller that cancels.
+    /// Caller that cancels a request.
     Cancel,
-    /// A look at the version.
+    /// Probe of the configuration version.
     Version,
-    /// A peer for leave to spend a ticket.
+    /// Peer that asks for permission to spend a ticket.
     Spend { from: usize, serial: u64 },
-    /// A peer that hands its ledger on.
+    /// Peer that hands over its ledger.
     Heir { from: usize },
 }
 
 impl World {
-    /// Starts a new life in an entry slot.
+    /// Starts a new process in an entry slot.
     pub(crate) fn start_entry(&mut self, slot: usize) {
         let node = self.nodes.len();
         let seed = self.draw(u64::MAX);
@@ -108,7 +108,7 @@
         self.after(first, Happening::Poll(node));
     }
 
-    /// One tick of an entry's loop.
+    /// Runs one tick of an entry's loop and schedules the next.
     pub(crate) fn tick(&mut self, node: usize) {
         if !self.nodes[node].alive {
             return;
@@ -119,7 +119,7 @@
         }
     }
 
-    /// An entry reads list and notices.
+    /// Reads the instance list and the notices for an entry.
     pub(crate) fn poll(&mut self, node: usize) {
         if !self.nodes[node].alive {
             return;
@@ -139,7 +139,7 @@
             incarnation: instance,
             leaving: false,
         };
-        // Answers come in any order.
+        // The answers may arrive in any order.
         let entries = Event::EntriesRead(self.entry_list());
         let mut events = vec![
             own,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Takes one event into a reducer and carries out what follows.
+    /// Passes one event to a reducer and performs its effects.
     pub(crate) fn step(&mut self, node: usize, event: Event) {
         let mut effects = Vec::new();
         let now = self.local(node);
@@ -169,18 +169,18 @@
         }
     }
 
-    /// The entry's own time.
+    /// Returns the time on the entry's own clock.
     pub(crate) fn local(&self, node: usize) -> Time {
         let born = self.nodes[node].born;
         Time::ZERO + self.now.since(born)
     }
 
-    /// Whether an entry can take a connection.
+    /// Returns whether an entry accepts connections.
     pub(crate) fn is_up(&self, node: usize) -> bool {
         self.nodes[node].alive
     }
 
-    /// Stops an entry without its knowing.
+    /// Freezes an entry; its clock runs on meanwhile.
     pub(crate) fn freeze(&mut self, node: usize, span: Span) {
         if !self.nodes[node].alive || self.nodes[node].frozen {
             return;
@@ -191,7 +191,7 @@
         self.after(span, Happening::Thaw(node));
     }
 
-    /// Lets it run on: it takes in what came meanwhile, before or after the first tick.
+    /// Thaws an entry; its queued inputs are delivered before or after the first tick.
     pub(crate) fn thaw(&mut self, node: usize) {
         if !self.nodes[node].alive || !self.nodes[node].frozen {
             return;
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Ends a life, and with it all its connections.
+    /// Ends a process and closes all its connections.
     pub(crate) fn end_entry(&mut self, node: usize, cause: Cause) {
         if !self.nodes[node].alive {
             return;
--- a/crates/matrix/src/world/operators.rs
+++ b/crates/matrix/src/world/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who change keys, and callers who try old ones.
+//! Operators that change account keys, and probes that try replaced keys.
 
 use clock::Span;
 use clock::Time;
@@ -38,20 +38,20 @@
 /// Accounts whose keys operators change.
 const WATCHED: [&str; 2] = ["branch", "society"];
 
-/// How long an operator lets a change take.
+/// Time that an operator allows for a change to be accepted.
 const CHANGE_WAIT: Span = Span::from_seconds(15);
 
-/// After this an operator asks again, elsewhere, under the same name.
+/// Time after which an operator retries its change under the same id, possibly at another entry.
 const PATIENCE: Span = Span::from_seconds(20);
 
-/// Time between two trials of old keys.
+/// Interval between two probes.
 const PROBE_TIME: Span = Span::from_millis(400);
 
-/// Changes that have been made and are being made.
+/// All changes, finished and in progress.
 #[derive(Default)]
 pub(crate) struct Operators {
     changes: Vec<Asked>,
-    /// Keys by watched account, with the version that set them, where it is known.
+    /// Watched accounts and their keys, oldest first.
     keys: Vec<(SmolStr, SmolStr)>,
     last: Option<usize>,
 }
@@ -66,19 +66,19 @@
     asked: Time,
     tries: u32,
     base: u64,
-    /// Made only after this one.
+    /// Index of the change that has to finish first.
     after: Option<usize>,
 }
 
 impl Operators {
-    /// Whether the last change has come to its end.
+    /// Returns whether the last change has finished.
     pub(crate) fn last_done(&self) -> bool {
         self.last.is_some_and(|last| self.changes[last].done)
     }
 }
 
 impl World {
-    /// Makes the first changes, and waits until all entries admit.
+    /// Makes the first changes and waits until all entries admit requests.
     pub(crate) fn set_up(&mut self) {
         let accounts = [CALLER_ACCOUNT, WATCHED[0], WATCHED[1]];
         for account in accounts {
@@ -106,7 +106,7 @@
         self.after(PROBE_TIME, Happening::Probe);
     }
 
-    /// Whether every entry admits requests.
+    /// Returns whether every entry admits requests.
     pub fn all_ready(&self) -> bool {
         self.slots.iter().all(|node| {
             let now = self.local(*node);
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Two operators change the same account at once.
+    /// Lets two operators change the same account concurrently.
     pub(crate) fn race_operators(&mut self) {
         let account = WATCHED[self.draw(2) as usize];
         for _ in 0..2 {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Changes a key when all faults are over.
+    /// Changes a key after all faults are over.
     pub(crate) fn change_last(&mut self) {
         let key = format_smolstr!("{}-last", WATCHED[0]);
         let change = self.put_account(WATCHED[0], key);
@@ -163,7 +163,7 @@
         self.operators.changes.len() - 1
     }
 
-    /// The newest version that any entry has shown or told of.
+    /// Returns the newest version that any entry has reported.
     fn newest_shown(&self) -> u64 {
         let facts = self.history.records.iter().rev();
         facts
@@ -177,7 +177,7 @@
             .unwrap_or(0)
     }
 
-    /// An operator makes its change, or asks again under the same name.
+    /// Submits a change, or retries it under the same id.
     pub(crate) fn operator_acts(&mut self, number: usize) {
         if self.operators.changes[number].done || self.operators.changes[number].tries > 12 {
             self.operators.changes[number].done = true;
@@ -215,7 +215,7 @@
         self.after(HOP, Happening::Input(node, input));
     }
 
-    /// An entry answers an operator.
+    /// Handles an entry's answer to an operator or a version probe.
     pub(crate) fn operator_answered(
         &mut self,
         node: usize,
@@ -257,7 +257,7 @@
                 })
             }
             Ok(Reply::Changed(Changed::Conflict { version, .. })) => {
-                // The last change has to be made in any case; a racing one has lost.
+                // The last change is retried until it is made; a racing one has lost.
                 match self.operators.last == Some(number) {
                     true => {
                         self.operators.changes[number].base = version;
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Somebody tries all keys of an account but its newest at every entry.
+    /// Tries all replaced keys of an account at every entry.
     pub(crate) fn try_old_keys(&mut self, account: &SmolStr) {
         if !self.probing {
             return;
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Somebody tries a key, perhaps an old one, at some entry; and looks at its version.
+    /// Tries a random key at a random entry, and sometimes reads its configuration version.
     pub(crate) fn probe(&mut self) {
         if !self.probing {
             return;
--- a/crates/matrix/src/world/plain.rs
+++ b/crates/matrix/src/world/plain.rs
@@ -1,4 +1,4 @@
-//! The task of one open plain call: the daemon's, without its sockets.
+//! Task of one open plain call, as in the daemon but without sockets.
 
 use entry::attempt::Report;
 use entry::effect::Command;
@@ -15,7 +15,7 @@
 use crate::world::service::ServiceCall;
 
 impl World {
-    /// The task of a plain call gets a command of the reducer.
+    /// Carries out a reducer's command for a plain call.
     pub(crate) fn plain_commanded(&mut self, node: usize, serial: u64, command: Command) {
         match command {
             Command::Refuse(refusal) => {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The task of a plain call hears how its attempt ended.
+    /// Handles the reply to a plain attempt.
     pub(crate) fn plain_hears(&mut self, node: usize, serial: u64, link: u64, word: Word) {
         let Some(flight) = self.nodes[node].flights.get(&serial) else {
             return;
--- a/crates/matrix/src/world/service.rs
+++ b/crates/matrix/src/world/service.rs
@@ -1,4 +1,4 @@
-//! Fake plain services: each execution is noted.
+//! Fake plain services that record each execution.
 
 use clock::Span;
 use smol_str::SmolStr;
@@ -11,7 +11,7 @@
 use crate::world::engine::Reader;
 use crate::world::engine::Word;
 
-/// One call on its way.
+/// One call in flight.
 pub(crate) struct ServiceCall {
     pub reader: Reader,
     pub address: SmolStr,
@@ -28,7 +28,7 @@
 }
 
 impl World {
-    /// A call reaches the address of a service.
+    /// Executes a call that has reached a service's address.
     pub(crate) fn service_lands(&mut self, call: ServiceCall) {
         let Some(slot) = self.backend_at(&call.address) else {
             return self.not_opened_word(call.reader, Failure::NotSent, false);
@@ -48,7 +48,7 @@
         self.after(time, Happening::ServiceEnds(running));
     }
 
-    /// A call has been executed, if its service still lives.
+    /// Answers an executed call, if its service is still alive.
     pub(crate) fn service_ends(&mut self, running: Running) {
         let backend = &self.backends[running.slot];
         let lives = backend.alive && backend.incarnation == running.incarnation;
@@ -60,7 +60,7 @@
         self.word(running.reader, Word::PlainDone { ask: running.ask });
     }
 
-    /// Whether a backend server refuses this call as not started.
+    /// Returns whether a backend server refuses this call as not started.
     pub(crate) fn refuses_start(&mut self) -> bool {
         let refuses = self.refuse_starts > 0;
         self.refuse_starts = self.refuse_starts.saturating_sub(1);
--- a/crates/matrix/src/world/store.rs
+++ b/crates/matrix/src/world/store.rs
@@ -1,4 +1,4 @@
-//! The table service, with answers that come late or never.
+//! Fake table service whose answers may be late or lost.
 
 use clock::Span;
 use entry::event::Event;
@@ -14,10 +14,10 @@
 use crate::world::World;
 use crate::world::input::Input;
 
-/// After this the sender of a call gives up waiting.
+/// Time after which the sender of a call stops waiting.
 const WAIT: Span = Span::from_millis(1_000);
 
-/// What a slow service adds at most.
+/// Largest extra delay of a slow service in each direction, in milliseconds.
 const SLOW: u64 = 2_500;
 
 /// The service and its state.
@@ -27,18 +27,18 @@
     pub slow: bool,
 }
 
-/// A call on its way to the service.
+/// A call in flight to the service.
 pub(crate) struct Arrival {
     node: usize,
     id: Id,
     call: Call,
-    /// Whether its sender has given up waiting by the time the answer comes.
+    /// Whether its sender times out before the answer arrives.
     late: bool,
     back: Span,
 }
 
 impl Arrival {
-    /// Whether it is a write to that table.
+    /// Returns whether the call writes to `table`.
     pub fn writes_to(&self, table: &str) -> bool {
         match &self.call {
             Call::Transact(transaction) => transaction
@@ -51,7 +51,7 @@
 }
 
 impl World {
-    /// A reducer asks the service something.
+    /// Sends a reducer's call to the service.
     pub(crate) fn store_asked(&mut self, node: usize, id: Id, call: Call) {
         let slow = self.store.slow;
         let most = if slow { SLOW } else { 4 };
@@ -73,7 +73,7 @@
         self.after(there, Happening::Store(arrival));
     }
 
-    /// A call reaches the service; it takes effect though its sender may be gone.
+    /// Applies a call that has reached the service, even if its sender no longer waits.
     pub(crate) fn store_lands(&mut self, arrival: Arrival) {
         let call = match (self.bug, arrival.call) {
             (Bug::IgnoreChecks, Call::Transact(mut transaction)) => {
@@ -101,7 +101,7 @@
         self.after(back, Happening::Input(arrival.node, Input::Event(event)));
     }
 
-    /// Queues faults of the service.
+    /// Queues `count` faults of the service.
     pub(crate) fn store_faults(&mut self, count: u32, fault: Fault) {
         for _ in 0..count {
             self.store.table.push_fault(fault);
@@ -109,7 +109,7 @@
     }
 }
 
-/// What the sender of a call sees that waited too long.
+/// Returns the outcome that the sender of a timed-out call assumes.
 fn given_up(call: &Call) -> Outcome {
     match call {
         Call::Transact(_) => Outcome::Unknown,
--- a/crates/matrix/src/world/stream.rs
+++ b/crates/matrix/src/world/stream.rs
@@ -1,4 +1,4 @@
-//! What the words of engines do to the task of a model call.
+//! Handles the replies of engines in the task of a model call.
 
 use clock::Span;
 use entry::attempt::Report;
@@ -15,11 +15,11 @@
 use crate::world::flight::Asked;
 use crate::world::flight::Running;
 
-/// Tokens are reported so many at a time.
+/// Number of tokens in one report to the reducer.
 const REPORT_EACH: u32 = 8;
 
 impl World {
-    /// A word of an engine; words of connections that were given up are dropped.
+    /// Handles a reply of an engine; replies on closed connections are dropped.
     pub(crate) fn flight_hears(&mut self, node: usize, serial: u64, link: u64, word: Word) {
         let Some(flight) = self.flight(node, serial) else {
             return;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The stream broke: the same engine is asked for it again once.
+    /// Handles a broken stream: the same engine is asked to resume it, but only once.
     fn broken(&mut self, node: usize, serial: u64, end: End) {
         let Some(flight) = self.flight(node, serial) else {
             return;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Reports counts now and then.
+    /// Reports the token count to the reducer if at least `least` are unreported.
     fn report_tokens(&mut self, node: usize, serial: u64, least: u32) {
         if let Some(flight) = self.flight(node, serial)
             && flight.unreported >= least
--- a/crates/matrix/tests/broken.rs
+++ b/crates/matrix/tests/broken.rs
@@ -1,4 +1,4 @@
-//! Each point of the checker catches a world that breaks it: a check that can't fail proves nothing.
+//! The checker detects a violation of each guarantee that is injected into the world.
 
 use clock::Span;
 use matrix::check::Point;
@@ -7,10 +7,10 @@
 use matrix::world::Bug;
 use matrix::world::Shape;
 
-/// Seeds within which a broken world must be caught.
+/// Number of seeds, at least one of which must detect an injected bug.
 const SEEDS: u64 = 20;
 
-/// Faults that bring about what the points speak of.
+/// Returns a plan whose faults exercise every guarantee.
 fn plan(seed: u64) -> Plan {
     let at = Span::from_millis;
     Plan {
--- a/crates/matrix/tests/cells.rs
+++ b/crates/matrix/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Runs every cell of the fault matrix and compares docs/FAULTS.md with how they went.
+//! Runs every cell of the fault matrix and compares the outcomes with docs/FAULTS.md.
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use matrix::run::Outcome;
 use matrix::table;
 
-/// Every cell with its outcome; run once for all tests.
+/// Returns every cell with its outcome; they run only once for all tests.
 fn outcomes() -> &'static (Vec<Cell>, Vec<Outcome>) {
     static OUTCOMES: OnceLock<(Vec<Cell>, Vec<Outcome>)> = OnceLock::new();
     OUTCOMES.get_or_init(|| {
--- a/crates/matrix/tests/histories.rs
+++ b/crates/matrix/tests/histories.rs
@@ -1,4 +1,4 @@
-//! Random histories over the reducer, with all faults, judged by the checker of the seven points.
+//! Random histories with all faults satisfy the checker.
 
 use matrix::check::Breach;
 use matrix::check::Point;
@@ -12,13 +12,13 @@
 use proptest::test_runner::TestCaseError;
 use proptest::test_runner::TestRunner;
 
-/// Histories of the main test.
+/// Number of histories of the main test.
 const CASES: u32 = 300;
 
-/// Histories of a test that looks for one thing.
+/// Number of histories of a test of one guarantee.
 const FEW_CASES: u32 = 150;
 
-/// Runs random histories; gives an error for each breach that counts.
+/// Runs random histories and fails on any breach that `counts`.
 fn run(seed: u64, cases: u32, counts: impl Fn(&Plan, &Breach) -> bool) {
     let config = Config {
         cases,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Seeds that breached a point once, run before any others.
+/// Runs seeds that breached a guarantee before.
 fn kept(seeds: &[u64], counts: impl Fn(&Plan, &Breach) -> bool) {
     for seed in seeds {
         let plan = Plan::new(*seed);
@@ -66,9 +66,9 @@
     });
 }
 
-/// A stream stops in mid-answer with "quarantined": its engine was crashed by another caller's
-/// request, and so was the one where it was run again, by the same request's second copy. Two crashes
-/// beside it made it a suspect, though it never crashed anything.
+/// A killer request ran beside a stream on one engine, and its second copy crashed the engine to which
+/// the stream had been moved. The two crashes made the innocent stream a suspect, and it was refused as
+/// "quarantined" in mid-answer.
 #[test]
 fn a_stream_beside_a_killer_request_is_answered_whole() {
     let counts = |plan: &Plan, breach: &Breach| breach.point == Point::Survives && has_killer(plan);
@@ -76,8 +76,8 @@
     run(2, FEW_CASES, counts);
 }
 
-/// An operator's change is committed and never said to be accepted: entries that died without a word
-/// stay members for a day, and with as many dead as live ones no majority comes together.
+/// A change was committed but never reported as accepted: entries that had crashed stay members for a
+/// day, and with as many dead as live members there was no majority.
 #[test]
 fn a_change_is_accepted_once_all_is_calm() {
     let counts = |_: &Plan, breach: &Breach| breach.point == Point::InForce;
--- a/crates/matrix/tests/long.rs
+++ b/crates/matrix/tests/long.rs
@@ -1,4 +1,4 @@
-//! Long and wide failures: an hour without the table service, half of all instances, all entries.
+//! Long or wide failures: an hour-long store outage, a reclaim of half of all instances, a rolling restart.
 
 use clock::Span;
 use matrix::check;
@@ -11,7 +11,7 @@
 use matrix::world::Shape;
 use matrix::world::World;
 
-/// Every request of the list that ended whole.
+/// Counts the requests of the list that were answered completely.
 fn whole(history: &History, asks: &[Ask]) -> usize {
     let facts = history.records.iter();
     facts
@@ -19,8 +19,8 @@
         .count()
 }
 
-/// The platform's store is down for an hour. Students must still get their answers, and branches
-/// their receipts by ticket: leases lapse in the meantime, and nobody can renew one.
+/// Answers and receipts by ticket must go on through an hour without the table service, in which leases
+/// lapse and can't be renewed.
 #[test]
 fn requests_go_on_while_the_store_is_down_for_an_hour() {
     let hour = 3_600_000;
@@ -39,8 +39,8 @@
     assert_eq!(before, asks.len());
 }
 
-/// A wave takes half of all backend servers at once, and the cloud starts no others for a while. The
-/// dossiers that run there must be ended elsewhere, whole.
+/// Half of all backend servers are reclaimed at once, and the cloud starts no replacements for a while.
+/// The streams that run there must complete elsewhere.
 #[test]
 fn streams_survive_a_wave_that_takes_half_of_the_instances() {
     let shape = Shape {
@@ -63,8 +63,7 @@
     assert_eq!(whole(&history, &asks), asks.len());
 }
 
-/// All 8 entries are replaced one after another while callers stream and file. Nothing may be lost,
-/// doubled or cut.
+/// All 8 entries are replaced one after another under load. No answer may be lost, duplicated or cut.
 #[test]
 fn all_entries_are_replaced_one_after_another() {
     let shape = Shape {
--- a/crates/matrix/tests/quiet.rs
+++ b/crates/matrix/tests/quiet.rs
@@ -1,4 +1,4 @@
-//! A run without faults.
+//! A run without faults breaches no guarantee.
 
 use clock::Span;
 use matrix::check;
--- a/crates/matrix/tests/seeds.rs
+++ b/crates/matrix/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! Random histories that once breached a point, kept as they were found, with the fewest faults.
+//! Random histories that breached a guarantee before, reduced to the fewest faults.
 
 use clock::Span;
 use matrix::fault::Fault;
@@ -19,8 +19,8 @@
     assert_eq!(plan.run(Bug::None).breaches, vec![]);
 }
 
-/// A receipt is begun at a service that is about to be taken away: its entry stood still while the
-/// notice came, and sent the call right after it thawed, before it had read any notice.
+/// A call was sent to a service that was about to be reclaimed: its entry was frozen while the notice
+/// arrived, and sent the call right after it thawed, before it read any notice.
 #[test]
 fn seed_3445_work_for_a_leaving_server_after_a_freeze() {
     let millis = Span::from_millis;
