--- a/crates/matrix/examples/faults.rs
+++ b/crates/matrix/examples/faults.rs
@@ -7,5 +7,5 @@
 fn main() {
     let cells = table::cells();
     let outcomes = run::run_all(&cells);
-    print!("{}", page::draw(&cells, &outcomes));
+    print!("{}", page::render(&cells, &outcomes));
 }
--- a/crates/matrix/examples/histories.rs
+++ b/crates/matrix/examples/histories.rs
@@ -89,7 +89,7 @@
 }
 
 fn shrink(seed: u64) -> anyhow::Result<()> {
-    let plan = Plan::new(seed).shrunk(Bug::None);
+    let plan = Plan::new(seed).shrink(Bug::None);
     println!("{plan:#?}");
     let run = plan.run(Bug::None);
     for (at, fact) in &run.history.records {
--- a/crates/matrix/src/check.rs
+++ b/crates/matrix/src/check.rs
@@ -8,12 +8,12 @@
 use smol_str::SmolStr;
 use verdict::Verdict;
 
-use crate::history::Ask;
 use crate::history::Cause;
 use crate::history::Fact;
 use crate::history::History;
 use crate::history::Kind;
-use crate::history::Try;
+use crate::history::RequestId;
+use crate::history::TryId;
 
 /// Time after a reclaim notice within which no entry may send new work to the leaving server any more.
 pub const LEAVE_LIMIT: Span = Span::from_seconds(5);
@@ -73,47 +73,51 @@
 fn survives(history: &History, breaches: &mut Vec<Breach>) {
     let mut headed = BTreeMap::new();
     let mut excused = BTreeSet::new();
-    let mut open: BTreeMap<Ask, Time> = BTreeMap::new();
-    let mut last = BTreeMap::new();
+    let mut unanswered: BTreeMap<RequestId, Time> = BTreeMap::new();
+    let mut last_reason = BTreeMap::new();
     for (at, fact) in &history.records {
         match fact {
-            Fact::Asked {
-                ask, killer: true, ..
+            Fact::Requested {
+                request,
+                killer: true,
+                ..
             }
-            | Fact::Dropped { ask } => {
-                excused.insert(*ask);
-                open.remove(ask);
+            | Fact::Abandoned { request } => {
+                excused.insert(*request);
+                unanswered.remove(request);
             }
-            Fact::Sent { ask, .. } => {
-                open.insert(*ask, *at);
+            Fact::Sent { request, .. } => {
+                unanswered.insert(*request, *at);
             }
-            Fact::Head { ask } => {
-                headed.insert(*ask, *at);
+            Fact::Head { request } => {
+                headed.insert(*request, *at);
             }
-            Fact::Whole { ask, .. } => {
-                headed.remove(ask);
-                open.remove(ask);
+            Fact::Completed { request, .. } => {
+                headed.remove(request);
+                unanswered.remove(request);
             }
-            Fact::Refused { ask, reason, .. } => {
-                open.remove(ask);
-                last.insert(*ask, reason.as_str());
+            Fact::Refused {
+                request, reason, ..
+            } => {
+                unanswered.remove(request);
+                last_reason.insert(*request, reason.as_str());
             }
-            Fact::Cut { ask, .. } | Fact::Continued { ask } => {
-                open.remove(ask);
+            Fact::Disconnected { request, .. } | Fact::Redirected { request } => {
+                unanswered.remove(request);
             }
             _ => {}
         }
     }
-    for (ask, at) in headed {
-        if !excused.contains(&ask) {
-            let reason = last.get(&ask).unwrap_or(&"nothing");
+    for (request, at) in headed {
+        if !excused.contains(&request) {
+            let reason = last_reason.get(&request).unwrap_or(&"nothing");
             let what =
-                format!("{ask:?} was accepted and never answered whole; last heard: {reason}");
+                format!("{request:?} was accepted and never answered whole; last heard: {reason}");
             breach(breaches, Point::Survives, at, what);
         }
     }
-    for (ask, at) in open {
-        let what = format!("{ask:?} has no last word");
+    for (request, at) in unanswered {
+        let what = format!("{request:?} has no last word");
         breach(breaches, Point::Survives, at, what);
     }
 }
@@ -121,39 +125,43 @@
 /// Checks that the tokens of each try are the caller's own and come in order from the wanted offset.
 fn own_answer(history: &History, breaches: &mut Vec<Breach>) {
     let mut kinds = BTreeMap::new();
-    let mut next: BTreeMap<Try, u64> = BTreeMap::new();
+    let mut next: BTreeMap<TryId, u64> = BTreeMap::new();
     for (at, fact) in &history.records {
         match fact {
-            Fact::Asked { ask, kind, .. } => {
-                kinds.insert(*ask, *kind);
+            Fact::Requested { request, kind, .. } => {
+                kinds.insert(*request, *kind);
             }
-            Fact::Sent { number, offset, .. } => {
-                next.insert(*number, *offset);
+            Fact::Sent { try_id, offset, .. } => {
+                next.insert(*try_id, *offset);
             }
             Fact::Chunk {
-                ask,
-                number,
+                request,
+                try_id,
                 offset,
                 owner,
                 index,
             } => {
-                let wanted = next.get(number).copied().unwrap_or(0);
-                if *offset != wanted || *index != wanted || owner != ask {
+                let wanted = next.get(try_id).copied().unwrap_or(0);
+                if *offset != wanted || *index != wanted || owner != request {
                     let what = format!(
-                        "{ask:?} got offset {offset} (token {index} of {owner:?}) and not {wanted}"
+                        "{request:?} got offset {offset} (token {index} of {owner:?}) and not {wanted}"
                     );
                     breach(breaches, Point::OwnAnswer, *at, what);
                 }
-                next.insert(*number, wanted + 1);
+                next.insert(*try_id, wanted + 1);
             }
-            Fact::Whole { ask, number, owner } => {
-                let got = next.get(number).copied().unwrap_or(0);
-                let whole = match kinds.get(ask) {
+            Fact::Completed {
+                request,
+                try_id,
+                owner,
+            } => {
+                let got = next.get(try_id).copied().unwrap_or(0);
+                let whole = match kinds.get(request) {
                     Some(Kind::Model { tokens }) => got == *tokens,
                     _ => true,
                 };
-                if !whole || owner != ask {
-                    let what = format!("{ask:?} ended at {got} with the end of {owner:?}");
+                if !whole || owner != request {
+                    let what = format!("{request:?} ended at {got} with the end of {owner:?}");
                     breach(breaches, Point::OwnAnswer, *at, what);
                 }
             }
@@ -167,24 +175,24 @@
 fn not_run_is_true(history: &History, breaches: &mut Vec<Breach>) {
     let mut ran = BTreeSet::new();
     for (_, fact) in &history.records {
-        if let Fact::Ran { number, .. } = fact {
-            ran.insert(*number);
+        if let Fact::Started { try_id, .. } = fact {
+            ran.insert(*try_id);
         }
     }
     let mut headed = BTreeSet::new();
     for (at, fact) in &history.records {
-        if let Fact::Head { ask } = fact {
-            headed.insert(*ask);
+        if let Fact::Head { request } = fact {
+            headed.insert(*request);
         }
         if let Fact::Refused {
-            ask,
-            number,
+            request,
+            try_id,
             verdict: Verdict::NotRun,
             reason,
         } = fact
-            && (ran.contains(number) || headed.contains(ask))
+            && (ran.contains(try_id) || headed.contains(request))
         {
-            let what = format!("{ask:?} was refused as not run ({reason}) and ran");
+            let what = format!("{request:?} was refused as not run ({reason}) and ran");
             breach(breaches, Point::NotRunIsTrue, *at, what);
         }
     }
@@ -192,21 +200,23 @@
 
 /// Checks that a non-idempotent request starts at most once across all its tries.
 fn at_most_once(history: &History, breaches: &mut Vec<Breach>) {
-    let mut once = BTreeSet::new();
+    let mut non_idempotent = BTreeSet::new();
     let mut ran = BTreeSet::new();
     for (at, fact) in &history.records {
         match fact {
-            Fact::Asked {
-                ask,
+            Fact::Requested {
+                request,
                 kind: Kind::Plain {
                     non_idempotent: true,
                 },
                 ..
             } => {
-                once.insert(*ask);
+                non_idempotent.insert(*request);
             }
-            Fact::Ran { ask, server, .. } if once.contains(ask) && !ran.insert(*ask) => {
-                let what = format!("{ask:?} ran again, at {server}");
+            Fact::Started {
+                request, server, ..
+            } if non_idempotent.contains(request) && !ran.insert(*request) => {
+                let what = format!("{request:?} ran again, at {server}");
                 breach(breaches, Point::AtMostOnce, *at, what);
             }
             _ => {}
@@ -219,15 +229,17 @@
     let mut noticed: BTreeMap<&SmolStr, Time> = BTreeMap::new();
     for (at, fact) in &history.records {
         match fact {
-            Fact::Noticed { server } => {
+            Fact::ReclaimAnnounced { server } => {
                 noticed.insert(server, *at);
             }
-            Fact::Ran { ask, server, .. } => {
+            Fact::Started {
+                request, server, ..
+            } => {
                 let late = noticed
                     .get(server)
                     .is_some_and(|from| at.since(*from) > LEAVE_LIMIT);
                 if late {
-                    let what = format!("{ask:?} was begun at {server}, which is leaving");
+                    let what = format!("{request:?} was begun at {server}, which is leaving");
                     breach(breaches, Point::LeavesAlone, *at, what);
                 }
             }
@@ -244,17 +256,21 @@
     let mut paused = BTreeSet::new();
     for (at, fact) in &history.records {
         match fact {
-            Fact::Paused { life, .. } => {
-                paused.insert(*life);
+            Fact::Paused { process, .. } => {
+                paused.insert(*process);
             }
-            Fact::Cut { ask, life, cause } => {
+            Fact::Disconnected {
+                request,
+                process,
+                cause,
+            } => {
                 let planned = match cause {
                     Cause::Exit => true,
-                    Cause::Reclaim => !paused.contains(life),
-                    Cause::Kill | Cause::Link | Cause::Patience => false,
+                    Cause::Reclaim => !paused.contains(process),
+                    Cause::Kill | Cause::Link | Cause::Timeout => false,
                 };
                 if planned {
-                    let what = format!("{ask:?} was cut by the planned stop of {life:?}");
+                    let what = format!("{request:?} was cut by the planned stop of {process:?}");
                     breach(breaches, Point::StopsGracefully, *at, what);
                 }
             }
@@ -266,20 +282,20 @@
 /// Checks that the versions reported by an entry only rise, that no key admits a request sent after an
 /// accepted change replaced the key, and that the last change is accepted.
 fn never_reverts(history: &History, breaches: &mut Vec<Breach>) {
-    let mut shown = BTreeMap::new();
-    let mut set_by: BTreeMap<&SmolStr, u64> = BTreeMap::new();
+    let mut newest = BTreeMap::new();
+    let mut version_by_key: BTreeMap<&SmolStr, u64> = BTreeMap::new();
     let mut accepted: Vec<(Time, &SmolStr, u64)> = Vec::new();
     for (_, fact) in &history.records {
         if let Fact::Accepted { key, version, .. } | Fact::Committed { key, version, .. } = fact {
-            set_by.insert(key, *version);
+            version_by_key.insert(key, *version);
         }
     }
     for (at, fact) in &history.records {
         match fact {
-            Fact::Showed { life, version } => {
-                let before = shown.insert(*life, *version).unwrap_or(0);
+            Fact::VersionReported { process, version } => {
+                let before = newest.insert(*process, *version).unwrap_or(0);
                 if *version < before {
-                    let what = format!("{life:?} went back from {before} to {version}");
+                    let what = format!("{process:?} went back from {before} to {version}");
                     breach(breaches, Point::NeverReverts, *at, what);
                 }
             }
@@ -287,9 +303,11 @@
                 account, version, ..
             } => accepted.push((*at, account, *version)),
             Fact::Admitted { account, key, sent } => {
-                let version = set_by.get(key).copied();
-                let newer = accepted.iter().find(|(when, whose, newer)| {
-                    when < sent && *whose == account && version.is_some_and(|old| *newer > old)
+                let version = version_by_key.get(key).copied();
+                let newer = accepted.iter().find(|(accepted_at, changed, newer)| {
+                    accepted_at < sent
+                        && *changed == account
+                        && version.is_some_and(|old| *newer > old)
                 });
                 if let Some((_, _, newer)) = newer {
                     let what = format!("{key} admitted though version {newer} replaced it");
--- a/crates/matrix/src/history.rs
+++ b/crates/matrix/src/history.rs
@@ -7,15 +7,15 @@
 
 /// Identifies one request of one caller across all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ask(pub u32);
+pub struct RequestId(pub u32);
 
 /// Identifies one try of a request; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Try(pub u32);
+pub struct TryId(pub u32);
 
 /// Identifies one process of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life(pub u32);
+pub struct ProcessId(pub u32);
 
 /// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,16 +44,16 @@
     /// The connection broke.
     Link,
     /// The caller timed out waiting for a response.
-    Patience,
+    Timeout,
 }
 
 /// One observation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fact {
     /// A caller created a request.
-    Asked {
+    Requested {
         /// The new request.
-        ask: Ask,
+        request: RequestId,
         /// Kind of the request.
         kind: Kind,
         /// Whether it crashes each model engine that runs it.
@@ -62,82 +62,82 @@
     /// A try of a request was sent.
     Sent {
         /// The request.
-        ask: Ask,
+        request: RequestId,
         /// The new try.
-        number: Try,
+        try_id: TryId,
         /// Entry that it was sent to.
-        life: Life,
+        process: ProcessId,
         /// Offset of the first token that the caller lacks.
         offset: u64,
     },
     /// The caller received the head of its answer.
     Head {
         /// The request.
-        ask: Ask,
+        request: RequestId,
     },
     /// The caller received a token.
     Chunk {
         /// The request.
-        ask: Ask,
+        request: RequestId,
         /// Try on which the token came.
-        number: Try,
+        try_id: TryId,
         /// Offset that the entry gave the token.
         offset: u64,
         /// Request whose answer the token belongs to.
-        owner: Ask,
+        owner: RequestId,
         /// Position of the token in that answer.
         index: u64,
     },
     /// The caller received the end of a whole answer.
-    Whole {
+    Completed {
         /// The request.
-        ask: Ask,
+        request: RequestId,
         /// Try on which the end came.
-        number: Try,
+        try_id: TryId,
         /// Request whose answer ended.
-        owner: Ask,
+        owner: RequestId,
     },
     /// The caller received a refusal.
     Refused {
         /// The request.
-        ask: Ask,
+        request: RequestId,
         /// The refused try.
-        number: Try,
+        try_id: TryId,
         /// Whether the request may have run.
         verdict: Verdict,
         /// Reason of the refusal.
         reason: Reason,
     },
     /// The caller was redirected to another entry.
-    Continued {
+    Redirected {
         /// The request.
-        ask: Ask,
+        request: RequestId,
     },
     /// The caller's connection ended without a final response.
-    Cut {
+    Disconnected {
         /// The request.
-        ask: Ask,
+        request: RequestId,
         /// Entry at the other end of the connection.
-        life: Life,
+        process: ProcessId,
         /// Why the connection ended.
         cause: Cause,
     },
     /// The caller disconnected for good or cancelled.
-    Dropped {
+    Abandoned {
         /// The request.
-        ask: Ask,
+        request: RequestId,
     },
     /// A backend server began to run a request.
-    Ran {
+    Started {
         /// The request.
-        ask: Ask,
+        request: RequestId,
         /// Try on whose behalf it runs.
-        number: Try,
+        try_id: TryId,
         /// Incarnation of the server.
         server: SmolStr,
     },
     /// The cloud announced the reclaim of a backend server's instance.
-    Noticed {
+    ReclaimAnnounced {
         /// Incarnation of the server.
         server: SmolStr,
     },
@@ -169,9 +169,9 @@
         sent: Time,
     },
     /// An entry reported its configuration version.
-    Showed {
+    VersionReported {
         /// The entry.
-        life: Life,
+        process: ProcessId,
         /// The reported version.
         version: u64,
     },
@@ -183,9 +183,9 @@
     /// An entry was frozen or thawed.
     Paused {
         /// The entry.
-        life: Life,
+        process: ProcessId,
         /// Whether it was thawed.
-        over: bool,
+        resumed: bool,
     },
 }
 
@@ -198,7 +198,7 @@
 
 impl History {
     /// Appends an observation.
-    pub fn note(&mut self, at: Time, fact: Fact) {
+    pub fn record(&mut self, at: Time, fact: Fact) {
         self.records.push((at, fact));
     }
 }
--- a/crates/matrix/src/page.rs
+++ b/crates/matrix/src/page.rs
@@ -12,7 +12,7 @@
 use crate::run::SEEDS;
 
 /// Introduction of the page.
-const HEAD: &str = "# The fault matrix
+const INTRODUCTION: &str = "# The fault matrix
 
 Drawn by `cargo run --release -p matrix --example faults`; `cargo test -p matrix` runs every cell and
 compares. Each cell brings a step about in a world of 4 entries (the reducers that ship) and small
@@ -24,7 +24,7 @@
 ";
 
 /// Limits of the matrix, at the end of the page.
-const TAIL: &str = "
+const LIMITS: &str = "
 ## What \"proved\" does not cover
 
 - Orders to model engines (load, version, role) and their fencing: the reducers of this matrix give
@@ -39,24 +39,25 @@
 ";
 
 /// Renders the whole page.
-pub fn draw(cells: &[Cell], outcomes: &[Outcome]) -> String {
-    let mut page = String::from(HEAD);
+pub fn render(cells: &[Cell], outcomes: &[Outcome]) -> String {
+    let mut page = String::from(INTRODUCTION);
     let _ = writeln!(page, "\n{}\n", counts(outcomes));
-    columns(&mut page);
+    legend(&mut page);
     singles(&mut page, cells, outcomes);
     pairs(&mut page, cells, outcomes);
     impossible(&mut page, cells, outcomes);
     not_proved(&mut page, cells, outcomes);
-    processes(&mut page);
-    page.push_str(TAIL);
+    process_tests(&mut page);
+    page.push_str(LIMITS);
     page
 }
 
 /// Renders the number of cells by outcome.
 pub fn counts(outcomes: &[Outcome]) -> String {
-    let count = |sort: fn(&Outcome) -> bool| outcomes.iter().filter(|one| sort(one)).count();
-    let impossible = count(|one| matches!(one, Outcome::Impossible(_)));
-    let proved = count(|one| *one == Outcome::Proved);
+    let count =
+        |matches: fn(&Outcome) -> bool| outcomes.iter().filter(|outcome| matches(outcome)).count();
+    let impossible = count(|outcome| matches!(outcome, Outcome::Impossible(_)));
+    let proved = count(|outcome| *outcome == Outcome::Proved);
     let not_proved = outcomes.len() - impossible - proved;
     let run = outcomes.len() - impossible;
     format!(
@@ -68,9 +69,9 @@
 }
 
 /// Appends the numbered legend of the columns.
-fn columns(page: &mut String) {
+fn legend(page: &mut String) {
     for (number, trouble) in TROUBLES.iter().enumerate() {
-        let _ = writeln!(page, "{}. {}", number + 1, name_of(*trouble));
+        let _ = writeln!(page, "{}. {}", number + 1, trouble_name(*trouble));
     }
 }
 
@@ -109,7 +110,7 @@
     for (cell, outcome) in cells.iter().zip(outcomes) {
         if let Some(second) = cell.second {
             let sign = letter(cell.step, cell.first, Some(outcome)).to_lowercase();
-            let (first, second) = (name_of(cell.first), name_of(second));
+            let (first, second) = (trouble_name(cell.first), trouble_name(second));
             let step = step_name(cell.step);
             let _ = writeln!(page, "| {step} | {first}; {second} | {sign} |");
         }
@@ -120,9 +121,9 @@
 fn impossible(page: &mut String, cells: &[Cell], outcomes: &[Outcome]) {
     page.push_str("\n## Impossible\n\n");
     for (cell, outcome) in cells.iter().zip(outcomes) {
-        if let Outcome::Impossible(why) = outcome {
-            let (step, first) = (step_name(cell.step), name_of(cell.first));
-            let _ = writeln!(page, "- {step}, {first}: {why}");
+        if let Outcome::Impossible(reason) = outcome {
+            let (step, first) = (step_name(cell.step), trouble_name(cell.first));
+            let _ = writeln!(page, "- {step}, {first}: {reason}");
         }
     }
 }
@@ -132,10 +133,10 @@
     page.push_str("\n## Not proved\n\n");
     let mut none = true;
     for (cell, outcome) in cells.iter().zip(outcomes) {
-        if let Outcome::NotProved(why) = outcome {
+        if let Outcome::NotProved(reason) = outcome {
             none = false;
-            let (step, first) = (step_name(cell.step), name_of(cell.first));
-            let _ = writeln!(page, "- {step}, {first}: {why}");
+            let (step, first) = (step_name(cell.step), trouble_name(cell.first));
+            let _ = writeln!(page, "- {step}, {first}: {reason}");
         }
     }
     if none {
@@ -144,11 +145,11 @@
 }
 
 /// Appends the table of tests with real processes.
-fn processes(page: &mut String) {
+fn process_tests(page: &mut String) {
     page.push_str("\n## With real processes\n\n");
     page.push_str("| step | fault | test in `crates/standin/tests/` |\n| --- | --- | --- |\n");
     for (step, trouble, test) in process::TESTS {
-        let (step, trouble) = (step_name(*step), name_of(*trouble));
+        let (step, trouble) = (step_name(*step), trouble_name(*trouble));
         let _ = writeln!(page, "| {step} | {trouble} | `{test}` |");
     }
 }
@@ -177,7 +178,7 @@
     }
 }
 
-fn name_of(trouble: Trouble) -> &'static str {
+fn trouble_name(trouble: Trouble) -> &'static str {
     match trouble {
         Trouble::KillEntry => "entry killed",
         Trouble::KillBackend => "backend server killed",
--- a/crates/matrix/src/plan.rs
+++ b/crates/matrix/src/plan.rs
@@ -8,15 +8,15 @@
 use crate::check;
 use crate::check::Breach;
 use crate::fault::Fault;
-use crate::history::Ask;
 use crate::history::History;
+use crate::history::RequestId;
 use crate::world::Bug;
-use crate::world::Once;
+use crate::world::Dedup;
 use crate::world::Shape;
 use crate::world::World;
 
 /// Time during which requests and faults start, in milliseconds.
-const BUSY: u64 = 20_000;
+const BUSY_MILLIS: u64 = 20_000;
 
 /// Number of availability zones of every world.
 const ZONES: u64 = 3;
@@ -56,7 +56,7 @@
         let count = draw.below(9);
         let mut faults: Vec<(Span, Fault)> = (0..count)
             .map(|_| {
-                let at = Span::from_millis(draw.below(BUSY));
+                let at = Span::from_millis(draw.below(BUSY_MILLIS));
                 (at, draw.fault(shape))
             })
             .collect();
@@ -77,9 +77,9 @@
             draw.requests(&mut world);
         }
         for (after, fault) in &self.faults {
-            world.fault_in(*after, *fault);
+            world.schedule_fault(*after, *fault);
         }
-        world.run_for(Span::from_millis(BUSY));
+        world.run_for(Span::from_millis(BUSY_MILLIS));
         let (history, steps) = world.finish();
         let breaches = check::check(&history);
         Run {
@@ -90,26 +90,26 @@
     }
 
     /// Removes every fault without which the run still starts with the same breach.
-    pub fn shrunk(&self, bug: Bug) -> Plan {
-        let mut least = self.clone();
-        let point = |plan: &Plan| {
+    pub fn shrink(&self, bug: Bug) -> Plan {
+        let mut smallest = self.clone();
+        let first_breach = |plan: &Plan| {
             let run = plan.run(bug);
             let first = run.breaches.first()?;
             let way = first.what.rsplit(';').next()?.to_owned();
             Some((first.point, way))
         };
-        let wanted = point(self);
+        let expected = first_breach(self);
         let mut at = 0;
-        while at < least.faults.len() {
-            let mut fewer = least.clone();
+        while at < smallest.faults.len() {
+            let mut fewer = smallest.clone();
             fewer.faults.remove(at);
-            if point(&fewer) == wanted {
-                least = fewer;
+            if first_breach(&fewer) == expected {
+                smallest = fewer;
             } else {
                 at += 1;
             }
         }
-        least
+        smallest
     }
 }
 
@@ -131,26 +131,26 @@
 
     /// Schedules one request of each kind; a few callers disconnect.
     fn requests(&mut self, world: &mut World) {
-        let when = |draw: &mut Draw| draw.span(0, BUSY);
+        let start = |draw: &mut Draw| draw.span(0, BUSY_MILLIS);
         let tokens = 1 + self.below(400);
-        let after = when(self);
-        let model = world.ask_model(after, tokens);
-        let after = when(self);
-        world.ask_plain(after, true, Once::Ticket);
-        let after = when(self);
-        world.ask_plain(after, true, Once::Key);
-        let after = when(self);
-        world.ask_plain(after, true, Once::No);
-        let after = when(self);
-        let plain = world.ask_plain(after, false, Once::No);
+        let after = start(self);
+        let model = world.schedule_model(after, tokens);
+        let after = start(self);
+        world.schedule_plain(after, true, Dedup::Ticket);
+        let after = start(self);
+        world.schedule_plain(after, true, Dedup::Key);
+        let after = start(self);
+        world.schedule_plain(after, true, Dedup::None);
+        let after = start(self);
+        let plain = world.schedule_plain(after, false, Dedup::None);
         self.drop_some(world, &[model, plain]);
     }
 
-    fn drop_some(&mut self, world: &mut World, asks: &[Ask]) {
-        for ask in asks {
+    fn drop_some(&mut self, world: &mut World, requests: &[RequestId]) {
+        for request in requests {
             if self.below(8) == 0 {
-                let after = self.span(0, BUSY);
-                world.drop_later(after, *ask);
+                let after = self.span(0, BUSY_MILLIS);
+                world.schedule_disconnect(after, *request);
             }
         }
     }
--- a/crates/matrix/src/process.rs
+++ b/crates/matrix/src/process.rs
@@ -109,7 +109,7 @@
 
 /// Returns whether a test with real processes covers a cell.
 pub fn has_test(step: Step, trouble: Trouble) -> bool {
-    TESTS
-        .iter()
-        .any(|(of, by, _)| *of == step && *by == trouble)
+    TESTS.iter().any(|(covered_step, covered_trouble, _)| {
+        *covered_step == step && *covered_trouble == trouble
+    })
 }
--- a/crates/matrix/src/run.rs
+++ b/crates/matrix/src/run.rs
@@ -7,11 +7,11 @@
 use crate::cell::Trouble;
 use crate::check;
 use crate::fault::Fault;
-use crate::history::Ask;
 use crate::history::Fact;
+use crate::history::RequestId;
 use crate::table;
 use crate::world::Bug;
-use crate::world::Once;
+use crate::world::Dedup;
 use crate::world::Shape;
 use crate::world::World;
 
@@ -25,10 +25,10 @@
 const THREADS: usize = 4;
 
 /// Length of streams that are still running when the faults are over, in tokens.
-const LONG: u64 = 500;
+const LONG_STREAM_TOKENS: u64 = 500;
 
 /// Duration of faults that last.
-const LASTING: Span = Span::from_seconds(20);
+const FAULT_TIME: Span = Span::from_seconds(20);
 
 /// Number of simulated processes of each kind.
 const SHAPE: Shape = Shape {
@@ -50,20 +50,20 @@
 
 /// Runs one cell with every seed.
 pub fn run(cell: &Cell) -> Outcome {
-    if let Some(why) = table::impossible(cell) {
-        return Outcome::Impossible(why);
+    if let Some(reason) = table::impossible(cell) {
+        return Outcome::Impossible(reason);
     }
     for seed in SEEDS {
         let mut run = Run {
             world: World::new(seed, SHAPE, Bug::None),
-            subject: Ask(0),
+            subject: RequestId(0),
         };
         if !run.reach(cell.step) {
             return Outcome::NotProved(format!("seed {seed}: the step was not reached"));
         }
-        run.strike(cell.first);
+        run.inject(cell.first);
         if let Some(second) = cell.second {
-            run.strike(second);
+            run.inject(second);
         }
         run.world.run_for(Span::from_millis(1));
         let (history, _) = run.world.finish();
@@ -79,7 +79,7 @@
 struct Run {
     world: World,
     /// The request that the step is about.
-    subject: Ask,
+    subject: RequestId,
 }
 
 impl Run {
@@ -87,45 +87,71 @@
     fn reach(&mut self, step: Step) -> bool {
         self.background();
         match step {
-            Step::Arrived => self.plain(false, Once::No) && self.sent(),
-            Step::LeaveByTicket => self.plain(true, Once::Ticket) && self.sent_and(2),
-            Step::LeaveByRow => self.plain(true, Once::Key) && self.sent_and(3),
+            Step::Arrived => self.plain(false, Dedup::None) && self.sent(),
+            Step::LeaveByTicket => self.plain(true, Dedup::Ticket) && self.sent_then_wait(2),
+            Step::LeaveByRow => self.plain(true, Dedup::Key) && self.sent_then_wait(3),
             Step::Queued => {
-                self.world.fault_in(Span::ZERO, Fault::RefuseStarts(3));
-                self.model(20) && self.sent_and(3)
+                self.world
+                    .schedule_fault(Span::ZERO, Fault::RefuseStarts(3));
+                self.model(20) && self.sent_then_wait(3)
             }
-            Step::PlainRuns => self.plain(true, Once::Key) && self.ran(1),
-            Step::Started => self.model(LONG) && self.ran(1),
-            Step::Head => self.model(LONG) && self.headed(),
-            Step::Streaming => self.model(LONG) && self.chunks(10),
+            Step::PlainRuns => self.plain(true, Dedup::Key) && self.started(1),
+            Step::Started => self.model(LONG_STREAM_TOKENS) && self.started(1),
+            Step::Head => self.model(LONG_STREAM_TOKENS) && self.head_received(),
+            Step::Streaming => self.model(LONG_STREAM_TOKENS) && self.chunks(10),
             Step::Moved => {
-                self.model(LONG) && self.chunks(10) && self.reclaim_backend() && self.ran(2)
+                self.model(LONG_STREAM_TOKENS)
+                    && self.chunks(10)
+                    && self.reclaim_backend()
+                    && self.started(2)
             }
             Step::Ended => self.model(30) && self.chunks(30),
             Step::Resumed => {
-                self.model(LONG) && self.chunks(10) && self.cut_callers() && self.tries(2)
+                self.model(LONG_STREAM_TOKENS)
+                    && self.chunks(10)
+                    && self.cut_callers()
+                    && self.tries(2)
             }
             Step::HandedOff => {
-                self.model(LONG) && self.chunks(10) && self.stop() && self.continued()
+                self.model(LONG_STREAM_TOKENS)
+                    && self.chunks(10)
+                    && self.stop_entry()
+                    && self.redirected()
+            }
+            Step::Cancelled => self.model(LONG_STREAM_TOKENS) && self.chunks(10) && self.cancel(),
+            Step::LeaseRenewal => {
+                self.model(LONG_STREAM_TOKENS) && self.chunks(10) && self.write_in_flight("members")
             }
-            Step::Cancelled => self.model(LONG) && self.chunks(10) && self.cancel(),
-            Step::LeaseRenewal => self.model(LONG) && self.chunks(10) && self.writes("members"),
             Step::ConfigCommit => {
-                self.model(LONG) && self.chunks(10) && self.change() && self.writes("config")
+                self.model(LONG_STREAM_TOKENS)
+                    && self.chunks(10)
+                    && self.change()
+                    && self.write_in_flight("config")
             }
             Step::ConfigApply => {
-                self.model(LONG)
+                self.model(LONG_STREAM_TOKENS)
                     && self.chunks(10)
                     && self.change()
-                    && self.writes("config")
+                    && self.write_in_flight("config")
                     && self.wait(6)
             }
-            Step::Drain => self.model(LONG) && self.chunks(10) && self.stop() && self.wait(100),
+            Step::Drain => {
+                self.model(LONG_STREAM_TOKENS)
+                    && self.chunks(10)
+                    && self.stop_entry()
+                    && self.wait(100)
+            }
             Step::LedgerHandover => {
-                self.plain(true, Once::Ticket) && self.sent() && self.stop() && self.handed_over()
+                self.plain(true, Dedup::Ticket)
+                    && self.sent()
+                    && self.stop_entry()
+                    && self.handed_over()
             }
             Step::InstanceLeave => {
-                self.model(LONG) && self.chunks(10) && self.reclaim_backend() && self.wait(700)
+                self.model(LONG_STREAM_TOKENS)
+                    && self.chunks(10)
+                    && self.reclaim_backend()
+                    && self.wait(700)
             }
         }
     }
@@ -134,23 +160,23 @@
     fn background(&mut self) {
         for at in 0..6 {
             let after = Span::from_millis(at * 400);
-            self.world.ask_model(after, 40);
-            self.world.ask_plain(after, true, Once::Ticket);
-            self.world.ask_plain(after, true, Once::Key);
+            self.world.schedule_model(after, 40);
+            self.world.schedule_plain(after, true, Dedup::Ticket);
+            self.world.schedule_plain(after, true, Dedup::Key);
         }
     }
 
     /// Returns the slot of the entry that serves the subject, or the first.
     fn entry(&self) -> usize {
-        self.world.slot_of(self.subject).unwrap_or(0)
+        self.world.entry_slot_of(self.subject).unwrap_or(0)
     }
 
     /// Returns the slot of the backend server that last ran the subject, or the first.
     fn backend(&self) -> usize {
-        self.world.backend_of(self.subject).unwrap_or(0)
+        self.world.backend_slot_of(self.subject).unwrap_or(0)
     }
 
-    fn strike(&mut self, trouble: Trouble) {
+    fn inject(&mut self, trouble: Trouble) {
         let (entry, backend) = (self.entry(), self.backend());
         let others = (0..SHAPE.entries).filter(|other| *other != entry);
         let faults: Vec<Fault> = match trouble {
@@ -159,22 +185,22 @@
             Trouble::Freeze => vec![Fault::Freeze(entry, Span::from_seconds(3))],
             Trouble::LeaseLapsed => vec![Fault::Freeze(entry, Span::from_seconds(12))],
             Trouble::CutOut => others
-                .map(|other| Fault::CutPeers(entry, other, LASTING))
+                .map(|other| Fault::CutPeers(entry, other, FAULT_TIME))
                 .collect(),
             Trouble::CutIn => others
-                .map(|other| Fault::CutPeers(other, entry, LASTING))
+                .map(|other| Fault::CutPeers(other, entry, FAULT_TIME))
                 .collect(),
             Trouble::CutCallers => vec![Fault::BreakCallers(entry)],
             Trouble::CutEngines => vec![Fault::BreakEngines(entry)],
-            Trouble::Slow => vec![Fault::SlowPeers(entry, LASTING)],
+            Trouble::Slow => vec![Fault::SlowPeers(entry, FAULT_TIME)],
             Trouble::LostAnswer => {
                 vec![Fault::LoseStoreAnswers(3), Fault::LoseServiceAnswers(2)]
             }
-            Trouble::StoreDown => vec![Fault::StoreDown(LASTING)],
-            Trouble::StoreSlow => vec![Fault::StoreSlow(LASTING)],
+            Trouble::StoreDown => vec![Fault::StoreDown(FAULT_TIME)],
+            Trouble::StoreSlow => vec![Fault::StoreSlow(FAULT_TIME)],
             Trouble::ReclaimInstance => vec![Fault::Reclaim(backend, Span::from_seconds(10))],
-            Trouble::ReclaimZone => vec![Fault::ReclaimZone(entry % 3, LASTING)],
-            Trouble::ReclaimEntry => vec![Fault::ReclaimEntry(entry, LASTING)],
+            Trouble::ReclaimZone => vec![Fault::ReclaimZone(entry % 3, FAULT_TIME)],
+            Trouble::ReclaimEntry => vec![Fault::ReclaimEntry(entry, FAULT_TIME)],
             Trouble::StopEntry => vec![Fault::StopEntry(entry)],
             Trouble::RefusedReplacement => vec![
                 Fault::RefuseInstances(Span::from_seconds(40)),
@@ -184,27 +210,27 @@
             Trouble::KillerRequest => vec![Fault::KillerRequest],
         };
         for fault in faults {
-            self.world.fault_in(Span::ZERO, fault);
+            self.world.schedule_fault(Span::ZERO, fault);
         }
     }
 
     fn model(&mut self, tokens: u64) -> bool {
-        self.subject = self.world.ask_model(Span::from_millis(1_500), tokens);
+        self.subject = self.world.schedule_model(Span::from_millis(1_500), tokens);
         true
     }
 
-    fn plain(&mut self, non_idempotent: bool, once: Once) -> bool {
+    fn plain(&mut self, non_idempotent: bool, dedup: Dedup) -> bool {
         let after = Span::from_millis(1_500);
-        self.subject = self.world.ask_plain(after, non_idempotent, once);
+        self.subject = self.world.schedule_plain(after, non_idempotent, dedup);
         true
     }
 
     /// Runs until `count` matching facts about the subject have been recorded.
-    fn seen(&mut self, count: usize, sort: impl Fn(&Fact, Ask) -> bool) -> bool {
+    fn observed(&mut self, count: usize, matches: impl Fn(&Fact, RequestId) -> bool) -> bool {
         let subject = self.subject;
-        self.world.run_to(STEP_TIME, |world| {
+        self.world.run_until(STEP_TIME, |world| {
             let facts = world.history().records.iter();
-            facts.filter(|(_, fact)| sort(fact, subject)).count() >= count
+            facts.filter(|(_, fact)| matches(fact, subject)).count() >= count
         })
     }
 
@@ -212,42 +238,42 @@
         self.tries(1)
     }
 
-    fn sent_and(&mut self, millis: u64) -> bool {
+    fn sent_then_wait(&mut self, millis: u64) -> bool {
         self.sent() && self.wait(millis)
     }
 
     fn tries(&mut self, count: usize) -> bool {
-        self.seen(
+        self.observed(
             count,
-            |fact, subject| matches!(fact, Fact::Sent { ask, .. } if *ask == subject),
+            |fact, subject| matches!(fact, Fact::Sent { request, .. } if *request == subject),
         )
     }
 
-    fn ran(&mut self, count: usize) -> bool {
-        self.seen(
+    fn started(&mut self, count: usize) -> bool {
+        self.observed(
             count,
-            |fact, subject| matches!(fact, Fact::Ran { ask, .. } if *ask == subject),
+            |fact, subject| matches!(fact, Fact::Started { request, .. } if *request == subject),
         )
     }
 
     fn chunks(&mut self, count: usize) -> bool {
-        self.seen(
+        self.observed(
             count,
-            |fact, subject| matches!(fact, Fact::Chunk { ask, .. } if *ask == subject),
+            |fact, subject| matches!(fact, Fact::Chunk { request, .. } if *request == subject),
         )
     }
 
-    fn continued(&mut self) -> bool {
-        self.seen(
+    fn redirected(&mut self) -> bool {
+        self.observed(
             1,
-            |fact, subject| matches!(fact, Fact::Continued { ask } if *ask == subject),
+            |fact, subject| matches!(fact, Fact::Redirected { request } if *request == subject),
         )
     }
 
-    fn headed(&mut self) -> bool {
+    fn head_received(&mut self) -> bool {
         let subject = self.subject;
         self.world
-            .run_to(STEP_TIME, |world| world.is_headed(subject))
+            .run_until(STEP_TIME, |world| world.has_head(subject))
     }
 
     fn wait(&mut self, millis: u64) -> bool {
@@ -255,35 +281,38 @@
         true
     }
 
-    fn writes(&mut self, table: &str) -> bool {
+    fn write_in_flight(&mut self, table: &str) -> bool {
         self.world
-            .run_to(STEP_TIME, |world| world.is_writing(table))
+            .run_until(STEP_TIME, |world| world.is_writing(table))
     }
 
     fn handed_over(&mut self) -> bool {
-        self.world.run_to(STEP_TIME, |world| world.handovers() > 0)
+        self.world
+            .run_until(STEP_TIME, |world| world.handovers() > 0)
     }
 
     fn change(&mut self) -> bool {
-        self.world.fault_in(Span::ZERO, Fault::RaceOperators);
+        self.world.schedule_fault(Span::ZERO, Fault::RaceOperators);
         self.wait(1)
     }
 
-    fn stop(&mut self) -> bool {
+    fn stop_entry(&mut self) -> bool {
         let slot = self.entry();
-        self.world.fault_in(Span::ZERO, Fault::StopEntry(slot));
+        self.world
+            .schedule_fault(Span::ZERO, Fault::StopEntry(slot));
         true
     }
 
     fn cut_callers(&mut self) -> bool {
         let slot = self.entry();
-        self.world.fault_in(Span::ZERO, Fault::BreakCallers(slot));
+        self.world
+            .schedule_fault(Span::ZERO, Fault::BreakCallers(slot));
         true
     }
 
     fn reclaim_backend(&mut self) -> bool {
         let fault = Fault::Reclaim(self.backend(), Span::from_seconds(10));
-        self.world.fault_in(Span::ZERO, fault);
+        self.world.schedule_fault(Span::ZERO, fault);
         true
     }
 
--- a/crates/matrix/src/world/answers.rs
+++ b/crates/matrix/src/world/answers.rs
@@ -7,96 +7,100 @@
 
 use crate::history::Fact;
 use crate::history::Kind;
-use crate::history::Try;
+use crate::history::TryId;
 use crate::world::Bug;
-use crate::world::HOP;
-use crate::world::Happening;
+use crate::world::NETWORK_DELAY;
+use crate::world::Occurrence;
 use crate::world::World;
-use crate::world::callers::CallerWord;
-use crate::world::callers::Once;
-use crate::world::callers::PAUSE;
+use crate::world::callers::Dedup;
+use crate::world::callers::RETRY_DELAY;
+use crate::world::callers::Response;
 
 /// Longest delay before a retry after repeated refusals.
-const LONGEST_PAUSE: Span = Span::from_seconds(2);
+const MAX_RETRY_DELAY: Span = Span::from_seconds(2);
 
 /// Uncertain outcomes of a non-idempotent call after which its caller stops retrying.
-const STUBBORN: u32 = 4;
+const MAX_UNCERTAIN_TRIES: u32 = 4;
 
 impl World {
     /// Handles a response to a caller; responses on connections that it has closed are dropped.
-    pub(crate) fn caller_hears(&mut self, name: Try, word: CallerWord) {
-        let number = self.tries[name.0 as usize];
+    pub(crate) fn caller_receives(&mut self, try_id: TryId, response: Response) {
+        let caller_index = self.tries[try_id.0 as usize];
         let now = self.now;
-        let caller = &mut self.callers[number];
+        let caller = &mut self.callers[caller_index];
         let Some((open, node)) = caller.open else {
             return;
         };
-        if open != name || caller.done {
+        if open != try_id || caller.done {
             return;
         }
-        caller.heard = now;
-        let ask = caller.ask;
-        match word {
-            CallerWord::Head { token } => {
+        caller.last_received = now;
+        let request = caller.request;
+        match response {
+            Response::Head { token } => {
                 caller.token = token;
                 caller.headed = true;
-                self.note(Fact::Head { ask });
+                self.record(Fact::Head { request });
             }
-            CallerWord::Chunk {
+            Response::Chunk {
                 offset,
                 owner,
                 index,
             } => {
-                caller.next = caller.next.max(offset + 1);
-                self.note(Fact::Chunk {
-                    ask,
-                    number: name,
+                caller.next_offset = caller.next_offset.max(offset + 1);
+                self.record(Fact::Chunk {
+                    request,
+                    try_id,
                     offset,
                     owner,
                     index,
                 });
             }
-            CallerWord::Done { owner } => {
+            Response::Done { owner } => {
                 caller.done = true;
                 caller.open = None;
-                self.note(Fact::Whole {
-                    ask,
-                    number: name,
+                self.record(Fact::Completed {
+                    request,
+                    try_id,
                     owner,
                 });
-                self.probe_ended(number, None);
+                self.finish_probe(caller_index, None);
             }
-            CallerWord::Refused(refusal) => self.refused(number, name, &refusal),
-            CallerWord::Continue { address, token } => {
+            Response::Refused(refusal) => self.receive_refusal(caller_index, try_id, &refusal),
+            Response::Redirect { address, token } => {
                 caller.open = None;
                 if token.is_some() {
                     caller.token = token;
                 }
                 let nodes = &self.nodes;
-                caller.told = nodes
+                caller.target = nodes
                     .iter()
                     .position(|node| node.identity.caller_address == address);
-                self.note(Fact::Continued { ask });
-                self.after(HOP, Happening::CallerActs(number));
+                self.record(Fact::Redirected { request });
+                self.after(NETWORK_DELAY, Occurrence::CallerSends(caller_index));
             }
-            CallerWord::Cut(cause) => {
+            Response::Disconnected(cause) => {
                 caller.open = None;
                 caller.uncertain += 1;
-                let life = World::life(node);
-                self.note(Fact::Cut { ask, life, cause });
-                self.come_back(number, PAUSE);
+                let process = World::process(node);
+                self.record(Fact::Disconnected {
+                    request,
+                    process,
+                    cause,
+                });
+                self.retry(caller_index, RETRY_DELAY);
             }
         }
     }
 
-    fn refused(&mut self, number: usize, name: Try, refusal: &Refusal) {
+    fn receive_refusal(&mut self, caller_index: usize, try_id: TryId, refusal: &Refusal) {
         let (mut verdict, reason) = (refusal.verdict, refusal.reason);
-        if self.bug == Bug::SayNotRun {
+        if self.bug == Bug::ClaimNotRun {
             verdict = Verdict::NotRun;
         }
-        let caller = &mut self.callers[number];
+        let caller = &mut self.callers[caller_index];
         caller.open = None;
-        let ask = caller.ask;
+        let request = caller.request;
         let certain = verdict == Verdict::NotRun;
         if !certain {
             caller.uncertain += 1;
@@ -105,60 +109,60 @@
         if certain && caller.uncertain == 0 {
             caller.ticket = None;
         }
-        self.note(Fact::Refused {
-            ask,
-            number: name,
+        self.record(Fact::Refused {
+            request,
+            try_id,
             verdict,
             reason,
         });
-        if self.probe_ended(number, Some(reason)) {
+        if self.finish_probe(caller_index, Some(reason)) {
             return;
         }
         let elsewhere = matches!(reason, Reason::Leaving | Reason::NotReady);
         match refusal.retry_after {
-            Some(after) if !elsewhere => self.come_back(number, after),
+            Some(after) if !elsewhere => self.retry(caller_index, after),
             _ if elsewhere => {
-                let sent = u64::from(self.callers[number].sent);
-                self.come_back(number, PAUSE.times(sent).min(LONGEST_PAUSE));
+                let sent = u64::from(self.callers[caller_index].sent);
+                self.retry(caller_index, RETRY_DELAY.times(sent).min(MAX_RETRY_DELAY));
             }
-            _ => match self.callers[number].kind {
+            _ => match self.callers[caller_index].kind {
                 Kind::Plain {
                     non_idempotent: true,
-                } => self.come_back(number, PAUSE),
-                _ => self.callers[number].done = true,
+                } => self.retry(caller_index, RETRY_DELAY),
+                _ => self.callers[caller_index].done = true,
             },
         }
     }
 
-    /// Schedules a retry, unless a non-idempotent call could run twice because no key or ticket identifies it.
-    fn come_back(&mut self, number: usize, after: Span) {
-        let caller = &mut self.callers[number];
+    /// Schedules a retry, unless it could run a non-idempotent call twice for lack of a key or ticket.
+    fn retry(&mut self, caller_index: usize, after: Span) {
+        let caller = &mut self.callers[caller_index];
         let non_idempotent = matches!(
             caller.kind,
             Kind::Plain {
                 non_idempotent: true
             }
         );
-        let unnamed = caller.once == Once::No;
-        if caller.watched.is_some()
-            || (non_idempotent && caller.uncertain > 0 && unnamed)
-            || (non_idempotent && caller.uncertain >= STUBBORN)
+        let unprotected = caller.dedup == Dedup::None;
+        if caller.probe.is_some()
+            || (non_idempotent && caller.uncertain > 0 && unprotected)
+            || (non_idempotent && caller.uncertain >= MAX_UNCERTAIN_TRIES)
         {
             caller.done = true;
             return;
         }
-        self.after(after + HOP, Happening::CallerActs(number));
+        self.after(after + NETWORK_DELAY, Occurrence::CallerSends(caller_index));
     }
 
     /// Finishes the probe of a watched key; returns whether the request was one.
-    fn probe_ended(&mut self, number: usize, reason: Option<Reason>) -> bool {
-        let Some((account, key, sent)) = self.callers[number].watched.clone() else {
+    fn finish_probe(&mut self, caller_index: usize, reason: Option<Reason>) -> bool {
+        let Some((account, key, sent)) = self.callers[caller_index].probe.clone() else {
             return false;
         };
-        self.callers[number].done = true;
-        let unused = [Reason::Unauthorized, Reason::NotReady, Reason::Leaving];
-        if reason.is_none_or(|reason| !unused.contains(&reason)) {
-            self.note(Fact::Admitted { account, key, sent });
+        self.callers[caller_index].done = true;
+        let unadmitted = [Reason::Unauthorized, Reason::NotReady, Reason::Leaving];
+        if reason.is_none_or(|reason| !unadmitted.contains(&reason)) {
+            self.record(Fact::Admitted { account, key, sent });
         }
         true
     }
--- a/crates/matrix/src/world/backend.rs
+++ b/crates/matrix/src/world/backend.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
 
-use crate::world::Happening;
+use crate::world::Occurrence;
 use crate::world::World;
 use crate::world::engine::Streams;
 use crate::world::node::ZONES;
@@ -31,9 +31,9 @@
     pub zone: &'static str,
     pub pool: &'static str,
     pub incarnation: SmolStr,
-    lives: u32,
+    starts: u32,
     pub alive: bool,
-    pub born: Time,
+    pub started: Time,
     /// Times of the reclaim's announcement and of the reclaim itself.
     pub leaving: Option<(Time, Time)>,
     /// Ended instances, shown by the lagging list for a while.
@@ -55,9 +55,9 @@
                 zone: ZONES[slot % ZONES.len()],
                 pool,
                 incarnation: format_smolstr!("i-{slot}.1"),
-                lives: 1,
+                starts: 1,
                 alive: true,
-                born: Time::ZERO,
+                started: Time::ZERO,
                 leaving: None,
                 ended: Vec::new(),
                 streams: Streams::new(),
@@ -73,7 +73,7 @@
     }
 
     /// Ends a backend server, if it is still the given incarnation.
-    pub(crate) fn backend_dies(&mut self, slot: usize, incarnation: &str) {
+    pub(crate) fn end_backend(&mut self, slot: usize, incarnation: &str) {
         let now = self.now;
         let backend = &mut self.backends[slot];
         if !backend.alive || backend.incarnation != incarnation {
@@ -83,36 +83,36 @@
         let last = instance_of(backend, true);
         backend.ended.push((now, last));
         self.end_streams(slot);
-        self.after(START_TIME, Happening::BackendBorn(slot));
+        self.after(START_TIME, Occurrence::BackendStarts(slot));
     }
 
     /// Starts a new instance in a slot, unless the cloud refuses.
-    pub(crate) fn backend_born(&mut self, slot: usize) {
+    pub(crate) fn restart_backend(&mut self, slot: usize) {
         if self.refusing_instances {
-            return self.after(START_TIME, Happening::BackendBorn(slot));
+            return self.after(START_TIME, Occurrence::BackendStarts(slot));
         }
         let now = self.now;
         let backend = &mut self.backends[slot];
-        backend.lives += 1;
-        backend.incarnation = format_smolstr!("i-{slot}.{}", backend.lives);
+        backend.starts += 1;
+        backend.incarnation = format_smolstr!("i-{slot}.{}", backend.starts);
         backend.alive = true;
-        backend.born = now;
+        backend.started = now;
         backend.leaving = None;
     }
 
     /// Returns the instance list as it is shown now; it lags.
-    pub(crate) fn instance_list(&self, tell_leaves: bool) -> Vec<Instance> {
+    pub(crate) fn instance_list(&self, show_leaving: bool) -> Vec<Instance> {
         let mut list = Vec::new();
         for backend in &self.backends {
             let ended = backend.ended.iter();
             let shown = ended.filter(|(at, _)| self.now.since(*at) < LIST_LAG);
             list.extend(shown.map(|(_, instance)| instance.clone()));
-            let first = backend.born == Time::ZERO;
-            if backend.alive && (first || self.now.since(backend.born) >= LIST_LAG) {
-                let told = backend
+            let first = backend.started == Time::ZERO;
+            if backend.alive && (first || self.now.since(backend.started) >= LIST_LAG) {
+                let listed = backend
                     .leaving
                     .is_some_and(|(at, _)| self.now.since(at) >= LIST_LAG);
-                list.push(instance_of(backend, told && tell_leaves));
+                list.push(instance_of(backend, listed && show_leaving));
             }
         }
         list
--- a/crates/matrix/src/world/cloud.rs
+++ b/crates/matrix/src/world/cloud.rs
@@ -8,7 +8,7 @@
 
 use crate::history::Cause;
 use crate::history::Fact;
-use crate::world::Happening;
+use crate::world::Occurrence;
 use crate::world::World;
 use crate::world::backend::LIST_LAG;
 
@@ -42,8 +42,8 @@
     pub(crate) fn entry_list(&self) -> Vec<SmolStr> {
         let shown = self.nodes.iter().filter(|node| {
             let since = node.ended.unwrap_or(self.now);
-            let first = node.born == Time::ZERO;
-            let appeared = first || self.now.since(node.born) >= LIST_LAG;
+            let first = node.started == Time::ZERO;
+            let appeared = first || self.now.since(node.started) >= LIST_LAG;
             appeared && self.now.since(since) < LIST_LAG
         });
         shown
@@ -52,7 +52,7 @@
     }
 
     /// Announces the reclaim of a backend server's instance.
-    pub(crate) fn reclaim_backend(&mut self, slot: usize, left: Span) {
+    pub(crate) fn reclaim_backend(&mut self, slot: usize, time_left: Span) {
         let now = self.now;
         let Some(backend) = self.backends.get_mut(slot) else {
             return;
@@ -60,50 +60,50 @@
         if !backend.alive || backend.leaving.is_some() {
             return;
         }
-        backend.leaving = Some((now, now + left));
+        backend.leaving = Some((now, now + time_left));
         let server = backend.incarnation.clone();
-        self.note(Fact::Noticed {
+        self.record(Fact::ReclaimAnnounced {
             server: server.clone(),
         });
-        self.after(left, Happening::BackendDies(slot, server));
+        self.after(time_left, Occurrence::BackendEnds(slot, server));
     }
 
     /// Announces the reclaim of an entry's instance.
-    pub(crate) fn reclaim_entry(&mut self, slot: usize, left: Span) {
+    pub(crate) fn reclaim_entry(&mut self, slot: usize, time_left: Span) {
         let Some(node) = self.slots.get(slot).copied() else {
             return;
         };
-        let end = self.now + left;
-        let life = &mut self.nodes[node];
-        if !life.alive || life.leaving.is_some() {
+        let end = self.now + time_left;
+        let process = &mut self.nodes[node];
+        if !process.alive || process.leaving.is_some() {
             return;
         }
-        life.leaving = Some(end);
-        life.stopping = true;
-        self.after(left, Happening::EntryDies(node));
+        process.leaving = Some(end);
+        process.stopping = true;
+        self.after(time_left, Occurrence::EntryReclaimed(node));
     }
 
     /// Takes an entry's instance away at the end of its notice.
-    pub(crate) fn entry_dies(&mut self, node: usize) {
+    pub(crate) fn end_reclaimed_entry(&mut self, node: usize) {
         if !self.nodes[node].alive {
             return;
         }
         self.end_entry(node, Cause::Reclaim);
-        self.entry_replaced(self.nodes[node].slot);
+        self.schedule_entry_start(self.nodes[node].slot);
     }
 
     /// Schedules the start of a new process in an entry slot.
-    pub(crate) fn entry_replaced(&mut self, slot: usize) {
-        self.after(ENTRY_START_TIME, Happening::EntryBorn(slot));
+    pub(crate) fn schedule_entry_start(&mut self, slot: usize) {
+        self.after(ENTRY_START_TIME, Occurrence::EntryStarts(slot));
     }
 
     /// Starts a new process of an entry, unless one runs or the cloud refuses.
-    pub(crate) fn entry_born(&mut self, slot: usize) {
+    pub(crate) fn restart_entry(&mut self, slot: usize) {
         if self.nodes[self.slots[slot]].alive {
             return;
         }
         if self.refusing_instances {
-            return self.entry_replaced(slot);
+            return self.schedule_entry_start(slot);
         }
         self.start_entry(slot);
     }
@@ -115,7 +115,7 @@
         };
         if self.nodes[node].alive {
             self.nodes[node].stopping = true;
-            self.tell(node, Event::StopRequested { immediate: false });
+            self.send_event(node, Event::StopRequested { immediate: false });
         }
     }
 }
--- a/crates/matrix/src/world/effects.rs
+++ b/crates/matrix/src/world/effects.rs
@@ -10,51 +10,61 @@
 
 use crate::history::Cause;
 use crate::history::Fact;
-use crate::history::Try;
-use crate::world::HOP;
-use crate::world::Happening;
+use crate::history::TryId;
+use crate::world::NETWORK_DELAY;
+use crate::world::Occurrence;
 use crate::world::World;
-use crate::world::callers::CallerWord;
+use crate::world::callers::Response;
 use crate::world::input::Input;
-use crate::world::node::Asker;
+use crate::world::node::Requester;
 
 /// Time after which a call to a peer without an answer fails.
-const PEER_WAIT: Span = Span::from_millis(800);
+const PEER_TIMEOUT: Span = Span::from_millis(800);
 
 /// Largest extra delay of a slow link, in milliseconds.
-const SLOW: u64 = 1_500;
+const SLOW_LINK_MILLIS: u64 = 1_500;
 
 impl World {
     /// Performs one effect.
     pub(crate) fn perform(&mut self, node: usize, effect: Effect) {
         match effect {
-            Effect::Flight { serial, command } => self.flight_commanded(node, serial, command),
-            Effect::Addresses { call, answer } => self.addresses_given(node, call, answer),
+            Effect::Flight { serial, command } => self.command_flight(node, serial, command),
+            Effect::Addresses { call, answer } => self.receive_addresses(node, call, answer),
             Effect::CancelAnswer { .. } | Effect::Log(_) => {}
-            Effect::Operator { call, reply } => self.operator_answered(node, call, reply),
-            Effect::Store { id, call } => self.store_asked(node, id, call),
+            Effect::Operator { call, reply } => self.receive_operator_answer(node, call, reply),
+            Effect::Store { id, call } => self.call_store(node, id, call),
             Effect::RequestSpend {
                 serial,
                 address,
                 ticket,
             } => {
-                let asker = Asker::Spend { from: node, serial };
+                let requester = Requester::Spend { from: node, serial };
                 let event = move |call| Event::SpendRequested { call, ticket };
                 let lost = Event::SpendAnswered {
                     serial,
                     answer: None,
                 };
-                self.call_peer(node, &address, Input::Asked(asker, Box::new(event)), lost);
+                self.call_peer(
+                    node,
+                    &address,
+                    Input::Call(requester, Box::new(event)),
+                    lost,
+                );
             }
             Effect::OfferEstates { address, estates } => {
                 self.handovers += 1;
-                let asker = Asker::Heir { from: node };
+                let requester = Requester::Heir { from: node };
                 let event = move |call| Event::EstatesOffered { call, estates };
                 let lost = Event::EstatesAccepted { heir: None };
-                self.call_peer(node, &address, Input::Asked(asker, Box::new(event)), lost);
+                self.call_peer(
+                    node,
+                    &address,
+                    Input::Call(requester, Box::new(event)),
+                    lost,
+                );
             }
-            Effect::SpendAnswer { call, answer } => self.spend_answer(node, call, answer),
-            Effect::EstatesAccepted { call, heir } => self.heir_answer(node, call, heir),
+            Effect::SpendAnswer { call, answer } => self.answer_spend(node, call, answer),
+            Effect::EstatesAccepted { call, heir } => self.answer_heir(node, call, heir),
             Effect::SendDigest { address, digest } => {
                 let event = Event::DigestReceived(digest);
                 self.send_peer(node, &address, Input::Event(event));
@@ -64,7 +74,7 @@
                 let event = Event::ConfigureReceived { from, message };
                 self.send_peer(node, &address, Input::Event(event));
             }
-            Effect::Exit => self.exits(node),
+            Effect::Exit => self.exit_entry(node),
             // Fleet control is covered by the tests of its own crate.
             Effect::ReadEngine { .. }
             | Effect::OrderEngine { .. }
@@ -74,56 +84,64 @@
     }
 
     /// Queues an event of the process itself for its loop.
-    pub(crate) fn tell(&mut self, node: usize, event: Event) {
-        self.after(HOP, Happening::Input(node, Input::Event(event)));
+    pub(crate) fn send_event(&mut self, node: usize, event: Event) {
+        self.after(NETWORK_DELAY, Occurrence::Input(node, Input::Event(event)));
     }
 
     /// Queues the report of a request's task on an attempt.
-    pub(crate) fn tell_attempt(&mut self, node: usize, serial: u64, attempt: u32, report: Report) {
+    pub(crate) fn send_report(&mut self, node: usize, serial: u64, attempt: u32, report: Report) {
         let event = Event::Attempt {
             serial,
             attempt,
             report,
         };
-        self.tell(node, event);
+        self.send_event(node, event);
     }
 
     /// Returns the live node at a peer address, unless messages to it are lost.
-    fn peer_at(&self, from: usize, address: &SmolStr) -> Option<usize> {
+    fn reachable_peer(&self, from: usize, address: &SmolStr) -> Option<usize> {
         let to = self
             .nodes
             .iter()
             .position(|node| node.identity.peer_address == *address)?;
         let slots = (self.nodes[from].slot, self.nodes[to].slot);
-        (self.nodes[to].alive && !self.cut.contains(&slots)).then_some(to)
+        (self.nodes[to].alive && !self.lost_links.contains(&slots)).then_some(to)
     }
 
     /// Returns the delay of a message to a peer.
-    fn peer_time(&mut self, from: usize, to: usize) -> Span {
+    fn peer_delay(&mut self, from: usize, to: usize) -> Span {
         let slots = [self.nodes[from].slot, self.nodes[to].slot];
-        let slow = slots.iter().any(|slot| self.slow.contains(slot));
-        let more = if slow { self.draw(SLOW) } else { self.draw(2) };
-        HOP + Span::from_millis(more)
+        let slow = slots.iter().any(|slot| self.slow_slots.contains(slot));
+        let extra = if slow {
+            self.random_below(SLOW_LINK_MILLIS)
+        } else {
+            self.random_below(2)
+        };
+        NETWORK_DELAY + Span::from_millis(extra)
     }
 
     /// Sends a message that may get lost.
     fn send_peer(&mut self, from: usize, address: &SmolStr, input: Input) {
-        if let Some(to) = self.peer_at(from, address) {
-            let time = self.peer_time(from, to);
-            self.after(time, Happening::Input(to, input));
+        if let Some(to) = self.reachable_peer(from, address) {
+            let time = self.peer_delay(from, to);
+            self.after(time, Occurrence::Input(to, input));
         }
     }
 
     /// Calls a peer; a call whose answer is lost or late ends with `lost`.
     fn call_peer(&mut self, from: usize, address: &SmolStr, input: Input, lost: Event) {
-        let to = self.peer_at(from, address);
-        let wait = if to.is_some() { PEER_WAIT } else { HOP };
+        let to = self.reachable_peer(from, address);
+        let wait = if to.is_some() {
+            PEER_TIMEOUT
+        } else {
+            NETWORK_DELAY
+        };
         if let Some(to) = to {
-            let time = self.peer_time(from, to);
-            self.after(time, Happening::Input(to, input));
+            let time = self.peer_delay(from, to);
+            self.after(time, Occurrence::Input(to, input));
         }
         // If the answer came in time, the reducer ignores this event.
-        self.after(wait, Happening::Input(from, Input::Event(lost)));
+        self.after(wait, Occurrence::Input(from, Input::Event(lost)));
     }
 
     /// Answers a peer's call; the answer may get lost.
@@ -132,37 +150,37 @@
         self.send_peer(node, &address, Input::Event(event));
     }
 
-    fn spend_answer(&mut self, node: usize, call: u64, answer: Answer) {
-        if let Some(Asker::Spend { from, serial }) = self.nodes[node].askers.remove(&call) {
+    fn answer_spend(&mut self, node: usize, call: u64, answer: Answer) {
+        if let Some(Requester::Spend { from, serial }) = self.nodes[node].requesters.remove(&call) {
             let answer = Some(answer);
             self.answer_peer(node, from, Event::SpendAnswered { serial, answer });
         }
     }
 
-    fn heir_answer(&mut self, node: usize, call: u64, heir: Option<Incarnation>) {
-        if let Some(Asker::Heir { from }) = self.nodes[node].askers.remove(&call) {
+    fn answer_heir(&mut self, node: usize, call: u64, heir: Option<Incarnation>) {
+        if let Some(Requester::Heir { from }) = self.nodes[node].requesters.remove(&call) {
             self.answer_peer(node, from, Event::EstatesAccepted { heir });
         }
     }
 
     /// Ends the process after an orderly stop.
-    fn exits(&mut self, node: usize) {
+    fn exit_entry(&mut self, node: usize) {
         let slot = self.nodes[node].slot;
         self.end_entry(node, Cause::Exit);
-        self.entry_replaced(slot);
+        self.schedule_entry_start(slot);
     }
 
     /// Sends a response to the caller of a try.
-    pub(crate) fn tell_caller(&mut self, number: Try, word: CallerWord) {
-        self.after(HOP, Happening::ToCaller(number, word));
+    pub(crate) fn send_to_caller(&mut self, try_id: TryId, response: Response) {
+        self.after(NETWORK_DELAY, Occurrence::CallerReceives(try_id, response));
     }
 
     /// Records that a backend server began to run a request.
-    pub(crate) fn note_ran(&mut self, number: Try, server: SmolStr) {
-        let ask = self.ask_of(number);
-        self.note(Fact::Ran {
-            ask,
-            number,
+    pub(crate) fn record_run(&mut self, try_id: TryId, server: SmolStr) {
+        let request = self.request_of(try_id);
+        self.record(Fact::Started {
+            request,
+            try_id,
             server,
         });
     }
--- a/crates/matrix/src/world/engine.rs
+++ b/crates/matrix/src/world/engine.rs
@@ -10,10 +10,10 @@
 
 use entry::attempt::Endpoint;
 
-use crate::history::Ask;
-use crate::history::Try;
-use crate::world::HOP;
-use crate::world::Happening;
+use crate::history::RequestId;
+use crate::history::TryId;
+use crate::world::NETWORK_DELAY;
+use crate::world::Occurrence;
 use crate::world::World;
 use crate::world::input::Input;
 
@@ -24,14 +24,14 @@
 const RESUME_WINDOW: Span = Span::from_seconds(30);
 
 /// Time to the first token of a prompt.
-const PREFILL: Span = Span::from_millis(60);
+const PREFILL_TIME: Span = Span::from_millis(60);
 
 /// Connection of an entry's task that reads a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Reader {
     pub node: usize,
     pub serial: u64,
-    pub link: u64,
+    pub connection: u64,
 }
 
 /// One order in flight.
@@ -45,8 +45,8 @@
 pub(crate) enum Order {
     Start {
         stream: Stream,
-        ask: Ask,
-        number: Try,
+        request: RequestId,
+        try_id: TryId,
         killer: bool,
         base: u64,
         end: u64,
@@ -58,30 +58,41 @@
     Cancel {
         stream: Stream,
     },
-    Export(Moving),
-    Import(Moving, EngineStream),
+    Export(Migration),
+    Import(Migration, EngineStream),
 }
 
 /// Transfer of a stream between two engines.
 #[derive(Clone)]
-pub(crate) struct Moving {
+pub(crate) struct Migration {
     pub from: Endpoint,
     pub old: Stream,
     pub to: Endpoint,
     pub new: Stream,
     pub offset: u64,
-    pub number: Try,
-    pub how: Transfer,
+    pub try_id: TryId,
+    pub transfer: Transfer,
 }
 
 /// Reply to the task of a request.
-pub(crate) enum Word {
+pub(crate) enum Reply {
     Opened(Option<Transfer>),
-    NotOpened { failure: Failure, moved: bool },
-    Token { offset: u64, ask: Ask, index: u64 },
-    Done { ask: Ask },
+    NotOpened {
+        failure: Failure,
+        moved: bool,
+    },
+    Token {
+        offset: u64,
+        request: RequestId,
+        index: u64,
+    },
+    Done {
+        request: RequestId,
+    },
     Broken,
-    PlainDone { ask: Ask },
+    PlainDone {
+        request: RequestId,
+    },
 }
 
 /// Why an attempt could not be opened.
@@ -96,13 +107,13 @@
 /// One stream of an engine.
 #[derive(Clone)]
 pub(crate) struct EngineStream {
-    ask: Ask,
+    request: RequestId,
     base: u64,
     end: u64,
-    made: u64,
+    generated: u64,
     reader: Option<Reader>,
     /// Number of tokens sent to the reader.
-    given: u64,
+    sent_tokens: u64,
     unread_since: Time,
     parked: bool,
 }
@@ -112,7 +123,7 @@
 
 impl World {
     /// Executes an order that has reached an engine's address.
-    pub(crate) fn engine_lands(&mut self, call: EngineCall) {
+    pub(crate) fn engine_receives(&mut self, call: EngineCall) {
         let EngineCall {
             reader,
             address,
@@ -122,8 +133,8 @@
         match order {
             Order::Start {
                 stream,
-                ask,
-                number,
+                request,
+                try_id,
                 killer,
                 base,
                 end,
@@ -137,30 +148,30 @@
                     Some(_) => None,
                 };
                 if let Some(failure) = failure {
-                    return self.not_opened_word(reader, failure, false);
+                    return self.reply_not_opened(reader, failure, false);
                 }
                 let Some(slot) = slot else {
                     return;
                 };
                 let server = self.backends[slot].incarnation.clone();
-                self.note_ran(number, server.clone());
+                self.record_run(try_id, server.clone());
                 if killer {
-                    let dies = Happening::BackendDies(slot, server);
+                    let dies = Occurrence::BackendEnds(slot, server);
                     self.after(Span::from_millis(5), dies);
                 }
-                let made = EngineStream {
-                    ask,
+                let generated = EngineStream {
+                    request,
                     base,
                     end,
-                    made: 0,
+                    generated: 0,
                     reader: Some(reader),
-                    given: 0,
+                    sent_tokens: 0,
                     unread_since: self.now,
                     parked: false,
                 };
-                self.backends[slot].streams.insert(stream, made);
-                self.word(reader, Word::Opened(None));
-                self.after(PREFILL, Happening::EngineStep(slot, stream));
+                self.backends[slot].streams.insert(stream, generated);
+                self.reply(reader, Reply::Opened(None));
+                self.after(PREFILL_TIME, Occurrence::EngineStep(slot, stream));
             }
             Order::Resume { stream, offset } => self.resume(slot, reader, stream, offset, None),
             Order::Cancel { stream } => {
@@ -168,8 +179,8 @@
                     self.backends[slot].streams.remove(&stream);
                 }
             }
-            Order::Export(moving) => self.export(slot, reader, moving),
-            Order::Import(moving, stream) => self.import(slot, reader, moving, stream),
+            Order::Export(migration) => self.export(slot, reader, migration),
+            Order::Import(migration, stream) => self.import(slot, reader, migration, stream),
         }
     }
 
@@ -185,67 +196,70 @@
             None => Failure::NotSent,
             Some(_) => Failure::Answered,
         };
-        let held = slot.and_then(|slot| self.backends[slot].streams.get_mut(&stream));
-        let Some(held) = held else {
-            return self.not_opened_word(reader, failure, moved.is_some());
+        let found = slot.and_then(|slot| self.backends[slot].streams.get_mut(&stream));
+        let Some(found) = found else {
+            return self.reply_not_opened(reader, failure, moved.is_some());
         };
-        held.reader = Some(reader);
-        held.given = offset;
-        held.parked = false;
-        self.word(reader, Word::Opened(moved));
+        found.reader = Some(reader);
+        found.sent_tokens = offset;
+        found.parked = false;
+        self.reply(reader, Reply::Opened(moved));
         if let Some(slot) = slot {
-            self.give(slot, stream);
-            self.after(TOKEN_TIME, Happening::EngineStep(slot, stream));
+            self.send_tokens(slot, stream);
+            self.after(TOKEN_TIME, Occurrence::EngineStep(slot, stream));
         }
     }
 
-    fn export(&mut self, slot: Option<usize>, reader: Reader, moving: Moving) {
-        let held = slot.and_then(|slot| self.backends[slot].streams.get_mut(&moving.old));
-        let Some(held) = held.filter(|_| moving.how == Transfer::Kv) else {
-            return self.move_failed(reader, moving);
+    fn export(&mut self, slot: Option<usize>, reader: Reader, migration: Migration) {
+        let found = slot.and_then(|slot| self.backends[slot].streams.get_mut(&migration.old));
+        let Some(found) = found.filter(|_| migration.transfer == Transfer::Kv) else {
+            return self.move_failed(reader, migration);
         };
-        held.parked = true;
-        held.reader = None;
-        let stream = held.clone();
-        let address = moving.to.address.clone();
-        let order = Order::Import(moving, stream);
+        found.parked = true;
+        found.reader = None;
+        let stream = found.clone();
+        let address = migration.to.address.clone();
+        let order = Order::Import(migration, stream);
         let call = EngineCall {
             reader,
             address,
             order,
         };
-        self.after(Span::from_millis(20), Happening::Engine(call));
+        self.after(Span::from_millis(20), Occurrence::Engine(call));
     }
 
     fn import(
         &mut self,
         slot: Option<usize>,
         reader: Reader,
-        moving: Moving,
+        migration: Migration,
         stream: EngineStream,
     ) {
         let Some(slot) = slot else {
-            return self.move_failed(reader, moving);
+            return self.move_failed(reader, migration);
         };
         let server = self.backends[slot].incarnation.clone();
-        self.note_ran(moving.number, server);
-        self.backends[slot].streams.insert(moving.new, stream);
-        let (new, offset, how) = (moving.new, moving.offset, moving.how);
-        self.resume(Some(slot), reader, new, offset, Some(how));
+        self.record_run(migration.try_id, server);
+        self.backends[slot].streams.insert(migration.new, stream);
+        let (new, offset, transfer) = (migration.new, migration.offset, migration.transfer);
+        self.resume(Some(slot), reader, new, offset, Some(transfer));
     }
 
     /// Removes the stream from both engines and reports that the move failed.
-    fn move_failed(&mut self, reader: Reader, moving: Moving) {
-        for (endpoint, stream) in [(moving.from, moving.old), (moving.to, moving.new)] {
+    fn move_failed(&mut self, reader: Reader, migration: Migration) {
+        for (endpoint, stream) in [
+            (migration.from, migration.old),
+            (migration.to, migration.new),
+        ] {
             if let Some(slot) = self.backend_at(&endpoint.address) {
                 self.backends[slot].streams.remove(&stream);
             }
         }
-        self.not_opened_word(reader, Failure::Broken, true);
+        self.reply_not_opened(reader, Failure::Broken, true);
     }
 
     /// Generates the next token of a stream.
-    pub(crate) fn engine_steps(&mut self, slot: usize, name: Stream) {
+    pub(crate) fn step_engine(&mut self, slot: usize, name: Stream) {
         let now = self.now;
         let Some(stream) = self.backends[slot].streams.get_mut(&name) else {
             return;
@@ -255,34 +269,46 @@
             self.backends[slot].streams.remove(&name);
             return;
         }
-        let whole = stream.base + stream.made >= stream.end;
-        if stream.parked || (whole && stream.reader.is_some()) {
+        let complete = stream.base + stream.generated >= stream.end;
+        if stream.parked || (complete && stream.reader.is_some()) {
             return;
         }
-        if !whole {
-            stream.made += 1;
+        if !complete {
+            stream.generated += 1;
         }
-        self.give(slot, name);
-        self.after(TOKEN_TIME, Happening::EngineStep(slot, name));
+        self.send_tokens(slot, name);
+        self.after(TOKEN_TIME, Occurrence::EngineStep(slot, name));
     }
 
     /// Sends a stream's reader the tokens that it lacks.
-    fn give(&mut self, slot: usize, name: Stream) {
+    fn send_tokens(&mut self, slot: usize, name: Stream) {
         let Some(stream) = self.backends[slot].streams.get_mut(&name) else {
             return;
         };
         let Some(reader) = stream.reader else {
             return;
         };
-        let (ask, base, given, made) = (stream.ask, stream.base, stream.given, stream.made);
-        let whole = base + made >= stream.end;
-        stream.given = given.max(made);
-        for offset in given..made {
+        let (request, base, sent_tokens, generated) = (
+            stream.request,
+            stream.base,
+            stream.sent_tokens,
+            stream.generated,
+        );
+        let complete = base + generated >= stream.end;
+        stream.sent_tokens = sent_tokens.max(generated);
+        for offset in sent_tokens..generated {
             let index = base + offset;
-            self.word(reader, Word::Token { offset, ask, index });
+            self.reply(
+                reader,
+                Reply::Token {
+                    offset,
+                    request,
+                    index,
+                },
+            );
         }
-        if whole {
-            self.word(reader, Word::Done { ask });
+        if complete {
+            self.reply(reader, Reply::Done { request });
             if let Some(stream) = self.backends[slot].streams.get_mut(&name) {
                 stream.reader = None;
                 stream.unread_since = self.now;
@@ -290,20 +316,28 @@
             // Kept for the resume window, for a caller that lost the end.
             self.after(
                 RESUME_WINDOW + TOKEN_TIME,
-                Happening::EngineStep(slot, name),
+                Occurrence::EngineStep(slot, name),
             );
         }
     }
 
     /// Sends a reply to an entry's task; the connection may be broken by the time it arrives.
-    pub(crate) fn word(&mut self, reader: Reader, word: Word) {
-        let Reader { node, serial, link } = reader;
-        let input = Input::Word { serial, link, word };
-        self.after(HOP, Happening::Input(node, input));
+    pub(crate) fn reply(&mut self, reader: Reader, reply: Reply) {
+        let Reader {
+            node,
+            serial,
+            connection,
+        } = reader;
+        let input = Input::Reply {
+            serial,
+            connection,
+            reply,
+        };
+        self.after(NETWORK_DELAY, Occurrence::Input(node, input));
     }
 
-    pub(crate) fn not_opened_word(&mut self, reader: Reader, failure: Failure, moved: bool) {
-        self.word(reader, Word::NotOpened { failure, moved });
+    pub(crate) fn reply_not_opened(&mut self, reader: Reader, failure: Failure, moved: bool) {
+        self.reply(reader, Reply::NotOpened { failure, moved });
     }
 
     /// Closes all connections of an entry to engines; their streams are kept for the resume window.
@@ -327,7 +361,7 @@
             .collect();
         self.drop_readers_of(node);
         for reader in readers {
-            self.word(reader, Word::Broken);
+            self.reply(reader, Reply::Broken);
         }
     }
 
@@ -349,7 +383,7 @@
     pub(crate) fn end_streams(&mut self, slot: usize) {
         let streams = std::mem::take(&mut self.backends[slot].streams);
         for reader in streams.into_values().filter_map(|stream| stream.reader) {
-            self.word(reader, Word::Broken);
+            self.reply(reader, Reply::Broken);
         }
     }
 }
--- a/crates/matrix/src/world/flight.rs
+++ b/crates/matrix/src/world/flight.rs
@@ -16,22 +16,22 @@
 use verdict::Reason;
 use verdict::Refusal;
 
-use crate::history::Ask;
-use crate::history::Try;
+use crate::history::RequestId;
+use crate::history::TryId;
 use crate::world::Bug;
-use crate::world::HOP;
-use crate::world::Happening;
+use crate::world::NETWORK_DELAY;
+use crate::world::Occurrence;
 use crate::world::World;
-use crate::world::callers::CallerWord;
+use crate::world::callers::Response;
 use crate::world::engine::EngineCall;
-use crate::world::engine::Moving;
+use crate::world::engine::Migration;
 use crate::world::engine::Order;
 use crate::world::engine::Reader;
 
 /// One open call.
 pub(crate) struct Flight {
-    pub(super) number: Try,
-    pub(super) ask: Ask,
+    pub(super) try_id: TryId,
+    pub(super) request: RequestId,
     pub(super) origin: Id,
     pub(super) killer: bool,
     /// Length of the whole answer in tokens; 0 for a plain call.
@@ -45,10 +45,10 @@
     pub(super) relay: Sequencer,
     pub(super) running: Option<Running>,
     /// Identifies the connection whose replies are accepted; 0 for none.
-    pub(super) link: u64,
+    pub(super) connection: u64,
     pub(super) unreported: u32,
-    pub(super) passed: u64,
-    pub(super) most: u64,
+    pub(super) relayed: u64,
+    pub(super) remaining: u64,
     pub(super) emitted: u64,
 }
 
@@ -60,30 +60,30 @@
     pub(super) endpoint: Endpoint,
     pub(super) account: SmolStr,
     pub(super) base: u64,
-    pub(super) how: Asked,
+    pub(super) opening: Opening,
 }
 
 /// How the current stream was opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Asked {
+pub(super) enum Opening {
     Fresh,
-    Again,
+    Resumed,
     Adopted,
 }
 
 impl Flight {
     /// Creates the task of a call that was received completely.
     pub fn new(
-        number: Try,
-        ask: Ask,
+        try_id: TryId,
+        request: RequestId,
         origin: Id,
         arrival: &Arrival,
         killer: bool,
         tokens: u64,
     ) -> Flight {
         Flight {
-            number,
-            ask,
+            try_id,
+            request,
             origin,
             killer,
             tokens,
@@ -93,22 +93,22 @@
             plain_attempt: 0,
             relay: Sequencer::starting_at(arrival.offset),
             running: None,
-            link: 0,
+            connection: 0,
             unreported: 0,
-            passed: 0,
-            most: tokens.saturating_sub(arrival.offset),
+            relayed: 0,
+            remaining: tokens.saturating_sub(arrival.offset),
             emitted: 0,
         }
     }
 
     /// Returns the try that this call serves.
-    pub fn number(&self) -> Try {
-        self.number
+    pub fn try_id(&self) -> TryId {
+        self.try_id
     }
 
     /// Returns the request that this call serves.
-    pub fn ask(&self) -> Ask {
-        self.ask
+    pub fn request(&self) -> RequestId {
+        self.request
     }
 
     /// Returns whether the call goes on after its caller has disconnected.
@@ -119,21 +119,21 @@
 
 impl World {
     /// Carries out a reducer's command for a request.
-    pub(crate) fn flight_commanded(&mut self, node: usize, serial: u64, command: Command) {
+    pub(crate) fn command_flight(&mut self, node: usize, serial: u64, command: Command) {
         let Some(flight) = self.nodes[node].flights.get(&serial) else {
             return;
         };
-        let number = flight.number;
+        let try_id = flight.try_id;
         if flight.plain {
-            return self.plain_commanded(node, serial, command);
+            return self.command_plain(node, serial, command);
         }
         match command {
             Command::Refuse(refusal) => {
-                self.give_up_stream(node, serial);
+                self.cancel_stream(node, serial);
                 self.nodes[node].flights.remove(&serial);
-                self.tell_caller(number, CallerWord::Refused(refusal));
+                self.send_to_caller(try_id, Response::Refused(refusal));
             }
-            Command::Stop => self.give_up_stream(node, serial),
+            Command::Stop => self.cancel_stream(node, serial),
             Command::Drop => {
                 self.drop_reader(node, serial);
                 self.nodes[node].flights.remove(&serial);
@@ -144,9 +144,9 @@
                 self.nodes[node].flights.remove(&serial);
                 if self.bug == Bug::LoseHandedOff {
                     let refusal = Refusal::may_have_run(Reason::BackendFailed, "lost");
-                    return self.tell_caller(number, CallerWord::Refused(refusal));
+                    return self.send_to_caller(try_id, Response::Refused(refusal));
                 }
-                self.tell_caller(number, CallerWord::Continue { address, token });
+                self.send_to_caller(try_id, Response::Redirect { address, token });
             }
             Command::Start {
                 stream,
@@ -161,14 +161,14 @@
                 base,
                 account,
             } => {
-                let how = Asked::Adopted;
+                let opening = Opening::Adopted;
                 let running = Running {
                     attempt,
                     stream,
                     endpoint,
                     account,
                     base,
-                    how,
+                    opening,
                 };
                 self.attach(node, serial, running);
             }
@@ -194,37 +194,37 @@
         endpoint: Endpoint,
         account: SmolStr,
     ) {
-        let link = self.new_link();
+        let connection = self.new_connection();
         let Some(flight) = self.flight(node, serial) else {
             return;
         };
-        if flight.passed >= flight.most {
-            return self.whole(node, serial, stream);
+        if flight.relayed >= flight.remaining {
+            return self.finish_stream(node, serial, stream);
         }
         let base = flight.relay.next();
         flight.relay.begin_attempt(stream.attempt, base);
-        flight.link = link;
+        flight.connection = connection;
         flight.running = Some(Running {
             attempt: stream.attempt,
             stream,
             endpoint: endpoint.clone(),
             account,
             base,
-            how: Asked::Fresh,
+            opening: Opening::Fresh,
         });
         let order = Order::Start {
             stream,
-            ask: flight.ask,
-            number: flight.number,
+            request: flight.request,
+            try_id: flight.try_id,
             killer: flight.killer,
             base,
             end: flight.tokens,
         };
-        self.call_engine(node, serial, link, endpoint, order);
+        self.call_engine(node, serial, connection, endpoint, order);
     }
 
     /// Finishes an answer that was cut between its last token and its end.
-    fn whole(&mut self, node: usize, serial: u64, stream: Stream) {
+    fn finish_stream(&mut self, node: usize, serial: u64, stream: Stream) {
         let Some(flight) = self.nodes[node].flights.remove(&serial) else {
             return;
         };
@@ -233,24 +233,29 @@
             tokens: flight.unreported,
         };
         let attempt = stream.attempt;
-        self.tell_attempt(node, serial, attempt, report);
-        self.tell_caller(flight.number, CallerWord::Done { owner: flight.ask });
+        self.send_report(node, serial, attempt, report);
+        self.send_to_caller(
+            flight.try_id,
+            Response::Done {
+                owner: flight.request,
+            },
+        );
     }
 
     pub(super) fn attach(&mut self, node: usize, serial: u64, running: Running) {
-        let link = self.new_link();
+        let connection = self.new_connection();
         let Some(flight) = self.flight(node, serial) else {
             return;
         };
         flight.relay.begin_attempt(running.attempt, running.base);
-        flight.link = link;
+        flight.connection = connection;
         let offset = flight.relay.next().saturating_sub(running.base);
         let (stream, endpoint) = (running.stream, running.endpoint.clone());
         flight.running = Some(running);
         self.call_engine(
             node,
             serial,
-            link,
+            connection,
             endpoint,
             Order::Resume { stream, offset },
         );
@@ -264,7 +269,7 @@
         endpoint: Endpoint,
         transfer: Transfer,
     ) {
-        let link = self.new_link();
+        let connection = self.new_connection();
         let Some(flight) = self.flight(node, serial) else {
             return;
         };
@@ -273,32 +278,38 @@
         };
         let offset = flight.relay.next().saturating_sub(old.base);
         flight.relay.begin_attempt(stream.attempt, old.base);
-        flight.link = link;
+        flight.connection = connection;
         flight.running = Some(Running {
             attempt: stream.attempt,
             stream,
             endpoint: endpoint.clone(),
-            how: Asked::Fresh,
+            opening: Opening::Fresh,
             ..old.clone()
         });
-        let number = flight.number;
-        let moving = Moving {
+        let try_id = flight.try_id;
+        let migration = Migration {
             from: old.endpoint.clone(),
             old: old.stream,
             to: endpoint.clone(),
             new: stream,
             offset,
-            number,
-            how: transfer,
+            try_id,
+            transfer,
         };
-        self.call_engine(node, serial, link, old.endpoint, Order::Export(moving));
+        self.call_engine(
+            node,
+            serial,
+            connection,
+            old.endpoint,
+            Order::Export(migration),
+        );
     }
 
     /// Returns the signed token with which the caller can resume the running stream.
     pub(super) fn token(&mut self, node: usize, serial: u64) -> Option<SmolStr> {
         let flight = self.nodes[node].flights.get(&serial)?;
         let running = flight.running.as_ref()?;
-        let word = Resume {
+        let token = Resume {
             request: flight.origin,
             account: running.account.clone(),
             deployment: flight.account_deployment.clone(),
@@ -307,15 +318,15 @@
             incarnation: running.endpoint.incarnation.clone(),
             base: running.base,
         };
-        Some(SmolStr::from(self.seals.resume.sign(&word)))
+        Some(SmolStr::from(self.signers.resume.sign(&token)))
     }
 
     /// Cancels the engine's work on a call that nobody waits for.
-    pub(super) fn give_up_stream(&mut self, node: usize, serial: u64) {
+    pub(super) fn cancel_stream(&mut self, node: usize, serial: u64) {
         let Some(flight) = self.flight(node, serial) else {
             return;
         };
-        flight.link = 0;
+        flight.connection = 0;
         if let Some(running) = flight.running.take() {
             let stream = running.stream;
             self.call_engine(node, serial, 0, running.endpoint, Order::Cancel { stream });
@@ -327,23 +338,27 @@
         &mut self,
         node: usize,
         serial: u64,
-        link: u64,
+        connection: u64,
         endpoint: Endpoint,
         order: Order,
     ) {
-        let reader = Reader { node, serial, link };
+        let reader = Reader {
+            node,
+            serial,
+            connection,
+        };
         let call = EngineCall {
             reader,
             address: endpoint.address,
             order,
         };
-        let time = HOP + Span::from_millis(self.draw(3));
-        self.after(time, Happening::Engine(call));
+        let time = NETWORK_DELAY + Span::from_millis(self.random_below(3));
+        self.after(time, Occurrence::Engine(call));
     }
 
     /// Returns a fresh connection number.
-    pub(crate) fn new_link(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    pub(crate) fn new_connection(&mut self) -> u64 {
+        self.next_sequence += 1;
+        self.next_sequence
     }
 }
--- a/crates/matrix/src/world/input.rs
+++ b/crates/matrix/src/world/input.rs
@@ -3,36 +3,40 @@
 use entry::arrival::Arrival;
 use entry::event::Event;
 
-use crate::history::Ask;
-use crate::history::Try;
+use crate::history::RequestId;
+use crate::history::TryId;
 use crate::world::World;
-use crate::world::engine::Word;
+use crate::world::engine::Reply;
 use crate::world::flight::Flight;
-use crate::world::node::Asker;
+use crate::world::node::Requester;
 
 /// One input of an entry's process.
 pub(crate) enum Input {
     /// Event for the reducer.
     Event(Event),
     /// Event that expects an answer; the closure gets the call's number.
-    Asked(Asker, Box<dyn FnOnce(u64) -> Event>),
+    Call(Requester, Box<dyn FnOnce(u64) -> Event>),
     /// Request of a caller.
     Open {
-        number: Try,
-        ask: Ask,
+        try_id: TryId,
+        request: RequestId,
         arrival: Arrival,
         killer: bool,
         tokens: u64,
     },
     /// Reply of a backend server to the task of a request.
-    Word { serial: u64, link: u64, word: Word },
+    Reply {
+        serial: u64,
+        connection: u64,
+        reply: Reply,
+    },
     /// The caller of a request has disconnected.
-    Gone { number: Try },
+    Disconnected { try_id: TryId },
 }
 
 impl World {
     /// Delivers an input to an entry's process; a frozen one queues it until it thaws.
-    pub(crate) fn feed(&mut self, node: usize, input: Input) {
+    pub(crate) fn deliver(&mut self, node: usize, input: Input) {
         if !self.nodes[node].alive {
             return;
         }
@@ -42,15 +46,15 @@
         }
         match input {
             Input::Event(event) => self.step(node, event),
-            Input::Asked(asker, event) => {
-                let number = self.nodes[node].next_asker;
-                self.nodes[node].next_asker += 1;
-                self.nodes[node].askers.insert(number, asker);
-                self.step(node, event(number));
+            Input::Call(requester, event) => {
+                let call = self.nodes[node].next_requester;
+                self.nodes[node].next_requester += 1;
+                self.nodes[node].requesters.insert(call, requester);
+                self.step(node, event(call));
             }
             Input::Open {
-                number,
-                ask,
+                try_id,
+                request,
                 arrival,
                 killer,
                 tokens,
@@ -61,12 +65,16 @@
                     incarnation: self.nodes[node].identity.incarnation,
                     serial,
                 };
-                let flight = Flight::new(number, ask, origin, &arrival, killer, tokens);
+                let flight = Flight::new(try_id, request, origin, &arrival, killer, tokens);
                 self.nodes[node].flights.insert(serial, flight);
                 self.step(node, Event::Arrived { serial, arrival });
             }
-            Input::Word { serial, link, word } => self.flight_hears(node, serial, link, word),
-            Input::Gone { number } => self.caller_left(node, number),
+            Input::Reply {
+                serial,
+                connection,
+                reply,
+            } => self.flight_receives(node, serial, connection, reply),
+            Input::Disconnected { try_id } => self.report_disconnect(node, try_id),
         }
     }
 
@@ -74,9 +82,9 @@
     ///
     /// A plain call that runs goes on, as its outcome is still recorded. One that doesn't run stays until
     /// the reducer drops it, because the reducer may just have dispatched it.
-    fn caller_left(&mut self, node: usize, number: Try) {
+    fn report_disconnect(&mut self, node: usize, try_id: TryId) {
         let flights = &mut self.nodes[node].flights;
-        let found = flights.iter().find(|(_, flight)| flight.number() == number);
+        let found = flights.iter().find(|(_, flight)| flight.try_id() == try_id);
         let Some(serial) = found.map(|(serial, _)| *serial) else {
             return;
         };
@@ -92,6 +100,6 @@
             flights.remove(&serial);
             self.drop_reader(node, serial);
         }
-        self.tell(node, Event::CallerDisconnected { serial });
+        self.send_event(node, Event::CallerDisconnected { serial });
     }
 }
--- a/crates/matrix/src/world/mod.rs
+++ b/crates/matrix/src/world/mod.rs
@@ -31,11 +31,11 @@
 use crate::fault::Fault;
 use crate::history::Fact;
 use crate::history::History;
-use crate::history::Life;
-use crate::history::Try;
+use crate::history::ProcessId;
+use crate::history::TryId;
 use crate::world::backend::Backend;
 use crate::world::callers::Caller;
-use crate::world::callers::CallerWord;
+use crate::world::callers::Response;
 use crate::world::engine::EngineCall;
 use crate::world::input::Input;
 use crate::world::node::Node;
@@ -43,25 +43,25 @@
 use crate::world::service::ServiceCall;
 use crate::world::store::StoreState;
 
-pub use crate::world::callers::Once;
+pub use crate::world::callers::Dedup;
 
 /// Secret key shared by all entries.
 const SHARED_KEY: &str = "a key that all entries share";
 
 /// One-way network delay.
-const HOP: Span = Span::from_millis(1);
+const NETWORK_DELAY: Span = Span::from_millis(1);
 
 /// Interval between two ticks of an entry.
-const TICK: Span = Span::from_millis(50);
+const TICK_INTERVAL: Span = Span::from_millis(50);
 
 /// Interval between two reads of the instance list and the notices.
-const POLL: Span = Span::from_millis(500);
+const POLL_INTERVAL: Span = Span::from_millis(500);
 
 /// Longest time after the last fault in which every request and change has to finish.
-const CALM: Span = Span::from_seconds(150);
+const SETTLE_TIME: Span = Span::from_seconds(150);
 
 /// Time after the last request in which messages in flight are still delivered.
-const LAST_WORDS: Span = Span::from_seconds(10);
+const DELIVERY_TIME: Span = Span::from_seconds(10);
 
 /// Faulty behaviour that can be injected, to show that the checker detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -74,7 +74,7 @@
     /// Every tenth token is sent to the caller twice.
     DoubleChunk,
     /// Every refusal claims that the request did not run.
-    SayNotRun,
+    ClaimNotRun,
     /// A lost answer of a service is reported as not started.
     CallLostNotStarted,
     /// The table service applies writes to intents without their preconditions.
@@ -82,7 +82,7 @@
     /// Neither the notices nor the instance list announce that an instance is leaving.
     HideNotices,
     /// An entry that is asked to stop ends immediately.
-    StopAtOnce,
+    StopImmediately,
     /// Operators are told that a change is accepted as soon as they submit it.
     AcceptEarly,
 }
@@ -109,7 +109,7 @@
 }
 
 /// Event that the simulation dispatches at a point in time.
-pub(crate) enum Happening {
+pub(crate) enum Occurrence {
     Tick(usize),
     Poll(usize),
     Input(usize, Input),
@@ -118,23 +118,23 @@
     EngineStep(usize, request::id::Stream),
     Service(ServiceCall),
     ServiceEnds(service::Running),
-    ToCaller(Try, CallerWord),
-    CallerActs(usize),
-    CallerWaits(usize, Try),
-    OperatorActs(usize),
+    CallerReceives(TryId, Response),
+    CallerSends(usize),
+    CallerTimeout(usize, TryId),
+    OperatorSends(usize),
     Probe,
-    OldKeys(smol_str::SmolStr),
+    TryOldKeys(smol_str::SmolStr),
     Fault(Fault),
     Thaw(usize),
-    Heal(Healing),
-    BackendDies(usize, smol_str::SmolStr),
-    BackendBorn(usize),
-    EntryDies(usize),
-    EntryBorn(usize),
+    Heal(Recovery),
+    BackendEnds(usize, smol_str::SmolStr),
+    BackendStarts(usize),
+    EntryReclaimed(usize),
+    EntryStarts(usize),
 }
 
 /// Recovery from a fault that lasts.
-pub(crate) enum Healing {
+pub(crate) enum Recovery {
     Link(usize, usize),
     SlowPeers(usize),
     StoreUp,
@@ -146,8 +146,8 @@
 pub struct World {
     shape: Shape,
     now: Time,
-    queue: BTreeMap<(Time, u64), Happening>,
-    next: u64,
+    queue: BTreeMap<(Time, u64), Occurrence>,
+    next_sequence: u64,
     random: Pcg64Mcg,
     bug: Bug,
     /// Every process of every entry, ended ones included.
@@ -155,8 +155,8 @@
     /// Index of the newest process in each entry slot.
     slots: Vec<usize>,
     /// Pairs of slots (from, to) whose messages are lost.
-    cut: BTreeSet<(usize, usize)>,
-    slow: BTreeSet<usize>,
+    lost_links: BTreeSet<(usize, usize)>,
+    slow_slots: BTreeSet<usize>,
     store: StoreState,
     backends: Vec<Backend>,
     refusing_instances: bool,
@@ -166,11 +166,11 @@
     /// Index of the caller behind each try.
     tries: Vec<usize>,
     operators: Operators,
-    seals: Seals,
+    signers: Signers,
     /// Whether probes of account keys are still sent.
     probing: bool,
     /// Time at which the last fault is over.
-    calm_from: Time,
+    faults_end: Time,
     /// Number of reducer steps taken so far.
     steps: u64,
     /// Number of ledger hand-overs offered so far.
@@ -179,7 +179,7 @@
 }
 
 /// Signers of the tokens and tickets that the shell issues.
-struct Seals {
+struct Signers {
     resume: Signer,
     ticket: Signer,
 }
@@ -191,13 +191,13 @@
             shape,
             now: Time::ZERO,
             queue: BTreeMap::new(),
-            next: 0,
+            next_sequence: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
             bug,
             nodes: Vec::new(),
             slots: Vec::new(),
-            cut: BTreeSet::new(),
-            slow: BTreeSet::new(),
+            lost_links: BTreeSet::new(),
+            slow_slots: BTreeSet::new(),
             store: StoreState::default(),
             backends: Vec::new(),
             refusing_instances: false,
@@ -206,12 +206,12 @@
             callers: Vec::new(),
             tries: Vec::new(),
             operators: Operators::default(),
-            seals: Seals {
+            signers: Signers {
                 resume: Signer::new(SHARED_KEY, RESUME_PURPOSE),
                 ticket: Signer::new(SHARED_KEY, TICKET_PURPOSE),
             },
             probing: true,
-            calm_from: Time::ZERO,
+            faults_end: Time::ZERO,
             steps: 0,
             handovers: 0,
             history: History::default(),
@@ -236,35 +236,35 @@
     }
 
     /// Schedules a fault.
-    pub fn fault_in(&mut self, after: Span, fault: Fault) {
-        self.after(after, Happening::Fault(fault));
+    pub fn schedule_fault(&mut self, after: Span, fault: Fault) {
+        self.after(after, Occurrence::Fault(fault));
     }
 
     /// Advances the simulation by `span`.
     pub fn run_for(&mut self, span: Span) {
         let end = self.now + span;
-        self.run_until(end, |_| false);
+        self.advance(end, |_| false);
     }
 
     /// Runs until `holds` returns true, for at most `most`; returns whether it does.
-    pub fn run_to(&mut self, most: Span, holds: impl Fn(&World) -> bool) -> bool {
-        let end = self.now + most;
-        self.run_until(end, &holds);
+    pub fn run_until(&mut self, limit: Span, holds: impl Fn(&World) -> bool) -> bool {
+        let end = self.now + limit;
+        self.advance(end, &holds);
         holds(self)
     }
 
     /// Runs until every request and change has finished after the last fault; returns the history and the
     /// number of reducer steps.
     pub fn finish(mut self) -> (History, u64) {
-        let last = self.calm_from;
-        self.run_until(last, |_| false);
+        let last = self.faults_end;
+        self.advance(last, |_| false);
         self.run_for(Span::from_seconds(10));
         self.change_last();
-        self.run_to(CALM, |world| {
-            world.operators.last_done() && world.callers_done()
+        self.run_until(SETTLE_TIME, |world| {
+            world.operators.is_last_done() && world.callers_done()
         });
         self.probing = false;
-        self.run_for(LAST_WORDS);
+        self.run_for(DELIVERY_TIME);
         (self.history, self.steps)
     }
 
@@ -275,8 +275,8 @@
 
     /// Returns whether a write to `table` is in flight to the table service.
     pub fn is_writing(&self, table: &str) -> bool {
-        self.queue.values().any(|happening| match happening {
-            Happening::Store(arrival) => arrival.writes_to(table),
+        self.queue.values().any(|occurrence| match occurrence {
+            Occurrence::Store(arrival) => arrival.writes_to(table),
             _ => false,
         })
     }
@@ -286,64 +286,64 @@
         &self.history
     }
 
-    fn run_until(&mut self, end: Time, holds: impl Fn(&World) -> bool) {
+    fn advance(&mut self, end: Time, holds: impl Fn(&World) -> bool) {
         while let Some(((at, _), _)) = self.queue.first_key_value() {
             if *at > end || holds(self) {
                 break;
             }
-            let Some(((at, _), happening)) = self.queue.pop_first() else {
+            let Some(((at, _), occurrence)) = self.queue.pop_first() else {
                 break;
             };
             self.now = at;
-            self.happen(happening);
+            self.dispatch(occurrence);
         }
         if !holds(self) {
             self.now = self.now.max(end);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick(node) => self.tick(node),
-            Happening::Poll(node) => self.poll(node),
-            Happening::Input(node, input) => self.feed(node, input),
-            Happening::Store(arrival) => self.store_lands(arrival),
-            Happening::Engine(call) => self.engine_lands(call),
-            Happening::EngineStep(engine, stream) => self.engine_steps(engine, stream),
-            Happening::Service(call) => self.service_lands(call),
-            Happening::ServiceEnds(running) => self.service_ends(running),
-            Happening::ToCaller(number, word) => self.caller_hears(number, word),
-            Happening::CallerActs(caller) => self.caller_acts(caller),
-            Happening::CallerWaits(caller, number) => self.caller_waits(caller, number),
-            Happening::OperatorActs(change) => self.operator_acts(change),
-            Happening::Probe => self.probe(),
-            Happening::OldKeys(account) => self.try_old_keys(&account),
-            Happening::Fault(fault) => self.strike(fault),
-            Happening::Thaw(node) => self.thaw(node),
-            Happening::Heal(healing) => self.heal(healing),
-            Happening::BackendDies(slot, incarnation) => self.backend_dies(slot, &incarnation),
-            Happening::BackendBorn(slot) => self.backend_born(slot),
-            Happening::EntryDies(node) => self.entry_dies(node),
-            Happening::EntryBorn(slot) => self.entry_born(slot),
+    fn dispatch(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Tick(node) => self.tick(node),
+            Occurrence::Poll(node) => self.poll(node),
+            Occurrence::Input(node, input) => self.deliver(node, input),
+            Occurrence::Store(arrival) => self.store_receives(arrival),
+            Occurrence::Engine(call) => self.engine_receives(call),
+            Occurrence::EngineStep(engine, stream) => self.step_engine(engine, stream),
+            Occurrence::Service(call) => self.service_receives(call),
+            Occurrence::ServiceEnds(running) => self.finish_service_call(running),
+            Occurrence::CallerReceives(try_id, response) => self.caller_receives(try_id, response),
+            Occurrence::CallerSends(caller) => self.send_request(caller),
+            Occurrence::CallerTimeout(caller, try_id) => self.check_caller_timeout(caller, try_id),
+            Occurrence::OperatorSends(change) => self.send_change(change),
+            Occurrence::Probe => self.probe(),
+            Occurrence::TryOldKeys(account) => self.try_old_keys(&account),
+            Occurrence::Fault(fault) => self.inject(fault),
+            Occurrence::Thaw(node) => self.thaw(node),
+            Occurrence::Heal(recovery) => self.recover(recovery),
+            Occurrence::BackendEnds(slot, incarnation) => self.end_backend(slot, &incarnation),
+            Occurrence::BackendStarts(slot) => self.restart_backend(slot),
+            Occurrence::EntryReclaimed(node) => self.end_reclaimed_entry(node),
+            Occurrence::EntryStarts(slot) => self.restart_entry(slot),
         }
     }
 
-    fn after(&mut self, span: Span, happening: Happening) {
+    fn after(&mut self, span: Span, occurrence: Occurrence) {
         let at = self.now + span;
-        self.next += 1;
-        self.queue.insert((at, self.next), happening);
+        self.next_sequence += 1;
+        self.queue.insert((at, self.next_sequence), occurrence);
     }
 
-    fn note(&mut self, fact: Fact) {
-        self.history.note(self.now, fact);
+    fn record(&mut self, fact: Fact) {
+        self.history.record(self.now, fact);
     }
 
     /// Returns a seeded random number below `limit`.
-    fn draw(&mut self, limit: u64) -> u64 {
+    fn random_below(&mut self, limit: u64) -> u64 {
         self.random.next_u64() % limit.max(1)
     }
 
-    fn life(node: usize) -> Life {
-        Life(node as u32)
+    fn process(node: usize) -> ProcessId {
+        ProcessId(node as u32)
     }
 }
--- a/crates/matrix/src/world/node.rs
+++ b/crates/matrix/src/world/node.rs
@@ -15,13 +15,13 @@
 use crate::history::Cause;
 use crate::history::Fact;
 use crate::world::Bug;
-use crate::world::HOP;
-use crate::world::Happening;
-use crate::world::POLL;
+use crate::world::NETWORK_DELAY;
+use crate::world::Occurrence;
+use crate::world::POLL_INTERVAL;
 use crate::world::SHARED_KEY;
-use crate::world::TICK;
+use crate::world::TICK_INTERVAL;
 use crate::world::World;
-use crate::world::callers::CallerWord;
+use crate::world::callers::Response;
 use crate::world::flight::Flight;
 use crate::world::input::Input;
 
@@ -36,7 +36,7 @@
     /// Name of its instance on the platform.
     pub instance: SmolStr,
     /// Simulated time at which its own clock read zero.
-    pub born: Time,
+    pub started: Time,
     pub alive: bool,
     pub ended: Option<Time>,
     pub frozen: bool,
@@ -44,15 +44,15 @@
     pub inbox: Vec<Input>,
     pub flights: BTreeMap<u64, Flight>,
     pub next_serial: u64,
-    pub askers: BTreeMap<u64, Asker>,
-    pub next_asker: u64,
+    pub requesters: BTreeMap<u64, Requester>,
+    pub next_requester: u64,
     /// Time at which its instance will be reclaimed.
     pub leaving: Option<Time>,
     pub stopping: bool,
 }
 
 /// Party that waits for an answer of a reducer.
-pub(crate) enum Asker {
+pub(crate) enum Requester {
     /// Caller that asks for addresses and tickets.
     Addresses(usize),
     /// Operator that submits a change.
@@ -71,7 +71,7 @@
     /// Starts a new process in an entry slot.
     pub(crate) fn start_entry(&mut self, slot: usize) {
         let node = self.nodes.len();
-        let seed = self.draw(u64::MAX);
+        let seed = self.random_below(u64::MAX);
         let identity = Identity {
             name: format_smolstr!("entry-{slot}"),
             incarnation: Incarnation(seed | 1),
@@ -91,21 +91,21 @@
             entry: Entry::new(identity.clone(), settings, SHARED_KEY, seed),
             identity,
             instance: format_smolstr!("e-{slot}.{node}"),
-            born: self.now,
+            started: self.now,
             alive: true,
             ended: None,
             frozen: false,
             inbox: Vec::new(),
             flights: BTreeMap::new(),
             next_serial: 1,
-            askers: BTreeMap::new(),
-            next_asker: 1,
+            requesters: BTreeMap::new(),
+            next_requester: 1,
             leaving: None,
             stopping: false,
         });
-        let first = Span::from_millis(self.draw(TICK.as_millis()));
-        self.after(first, Happening::Tick(node));
-        self.after(first, Happening::Poll(node));
+        let first = Span::from_millis(self.random_below(TICK_INTERVAL.as_millis()));
+        self.after(first, Occurrence::Tick(node));
+        self.after(first, Occurrence::Poll(node));
     }
 
     /// Runs one tick of an entry's loop and schedules the next.
@@ -113,7 +113,7 @@
         if !self.nodes[node].alive {
             return;
         }
-        self.after(TICK, Happening::Tick(node));
+        self.after(TICK_INTERVAL, Occurrence::Tick(node));
         if !self.nodes[node].frozen {
             self.step(node, Event::Tick);
         }
@@ -124,7 +124,7 @@
         if !self.nodes[node].alive {
             return;
         }
-        self.after(POLL, Happening::Poll(node));
+        self.after(POLL_INTERVAL, Occurrence::Poll(node));
         if self.nodes[node].frozen || self.bug == Bug::HideNotices {
             if !self.nodes[node].frozen {
                 let list = self.instance_list(false);
@@ -147,11 +147,11 @@
             Event::NoticesRead(notices),
             entries,
         ];
-        if self.draw(2) == 0 {
+        if self.random_below(2) == 0 {
             events.swap(1, 2);
         }
         for event in events {
-            self.after(HOP, Happening::Input(node, Input::Event(event)));
+            self.after(NETWORK_DELAY, Occurrence::Input(node, Input::Event(event)));
         }
     }
 
@@ -171,8 +171,8 @@
 
     /// Returns the time on the entry's own clock.
     pub(crate) fn local(&self, node: usize) -> Time {
-        let born = self.nodes[node].born;
-        Time::ZERO + self.now.since(born)
+        let started = self.nodes[node].started;
+        Time::ZERO + self.now.since(started)
     }
 
     /// Returns whether an entry accepts connections.
@@ -186,9 +186,9 @@
             return;
         }
         self.nodes[node].frozen = true;
-        let (life, over) = (World::life(node), false);
-        self.note(Fact::Paused { life, over });
-        self.after(span, Happening::Thaw(node));
+        let (process, resumed) = (World::process(node), false);
+        self.record(Fact::Paused { process, resumed });
+        self.after(span, Occurrence::Thaw(node));
     }
 
     /// Thaws an entry; its queued inputs are delivered before or after the first tick.
@@ -197,13 +197,13 @@
             return;
         }
         self.nodes[node].frozen = false;
-        let (life, over) = (World::life(node), true);
-        self.note(Fact::Paused { life, over });
-        if self.draw(2) == 0 {
+        let (process, resumed) = (World::process(node), true);
+        self.record(Fact::Paused { process, resumed });
+        if self.random_below(2) == 0 {
             self.step(node, Event::Tick);
         }
         for input in std::mem::take(&mut self.nodes[node].inbox) {
-            self.feed(node, input);
+            self.deliver(node, input);
         }
     }
 
@@ -218,8 +218,8 @@
         let flights = std::mem::take(&mut self.nodes[node].flights);
         for flight in flights.into_values() {
             self.after(
-                HOP,
-                Happening::ToCaller(flight.number(), CallerWord::Cut(cause)),
+                NETWORK_DELAY,
+                Occurrence::CallerReceives(flight.try_id(), Response::Disconnected(cause)),
             );
         }
         self.drop_readers_of(node);
--- a/crates/matrix/src/world/operators.rs
+++ b/crates/matrix/src/world/operators.rs
@@ -21,13 +21,13 @@
 
 use crate::history::Fact;
 use crate::world::Bug;
-use crate::world::HOP;
-use crate::world::Happening;
+use crate::world::NETWORK_DELAY;
+use crate::world::Occurrence;
 use crate::world::World;
 use crate::world::backend::MODEL_POOL;
 use crate::world::backend::SERVICE_POOL;
 use crate::world::input::Input;
-use crate::world::node::Asker;
+use crate::world::node::Requester;
 
 /// Key of the account that callers use.
 pub(crate) const CALLER_KEY: &str = "key-of-the-callers";
@@ -39,31 +39,31 @@
 const WATCHED: [&str; 2] = ["branch", "society"];
 
 /// Time that an operator allows for a change to be accepted.
-const CHANGE_WAIT: Span = Span::from_seconds(15);
+const CHANGE_TIMEOUT: Span = Span::from_seconds(15);
 
 /// Time after which an operator retries its change under the same id, possibly at another entry.
-const PATIENCE: Span = Span::from_seconds(20);
+const RETRY_TIMEOUT: Span = Span::from_seconds(20);
 
 /// Interval between two probes.
-const PROBE_TIME: Span = Span::from_millis(400);
+const PROBE_INTERVAL: Span = Span::from_millis(400);
 
 /// All changes, finished and in progress.
 #[derive(Default)]
 pub(crate) struct Operators {
-    changes: Vec<Asked>,
+    changes: Vec<Submission>,
     /// Watched accounts and their keys, oldest first.
     keys: Vec<(SmolStr, SmolStr)>,
     last: Option<usize>,
 }
 
 /// One change of an operator.
-struct Asked {
+struct Submission {
     account: SmolStr,
     key: SmolStr,
     edit: Edit,
     done: bool,
     accepted: bool,
-    asked: Time,
+    submitted: Time,
     tries: u32,
     base: u64,
     /// Index of the change that has to finish first.
@@ -72,7 +72,7 @@
 
 impl Operators {
     /// Returns whether the last change has finished.
-    pub(crate) fn last_done(&self) -> bool {
+    pub(crate) fn is_last_done(&self) -> bool {
         self.last.is_some_and(|last| self.changes[last].done)
     }
 }
@@ -96,14 +96,14 @@
         for change in 0..=last {
             self.operators.changes[change].after = change.checked_sub(1);
         }
-        self.after(Span::from_millis(500), Happening::OperatorActs(0));
-        self.run_to(Span::from_seconds(120), |world| {
+        self.after(Span::from_millis(500), Occurrence::OperatorSends(0));
+        self.run_until(Span::from_seconds(120), |world| {
             world.operators.changes[last].done
         });
-        self.run_to(Span::from_seconds(20), World::all_ready);
+        self.run_until(Span::from_seconds(20), World::all_ready);
         self.run_for(Span::from_seconds(3));
-        self.calm_from = self.now;
-        self.after(PROBE_TIME, Happening::Probe);
+        self.faults_end = self.now;
+        self.after(PROBE_INTERVAL, Occurrence::Probe);
     }
 
     /// Returns whether every entry admits requests.
@@ -116,11 +116,11 @@
 
     /// Lets two operators change the same account concurrently.
     pub(crate) fn race_operators(&mut self) {
-        let account = WATCHED[self.draw(2) as usize];
+        let account = WATCHED[self.random_below(2) as usize];
         for _ in 0..2 {
             let key = format_smolstr!("{account}-{}", self.operators.changes.len());
             let change = self.put_account(account, key);
-            self.after(HOP, Happening::OperatorActs(change));
+            self.after(NETWORK_DELAY, Occurrence::OperatorSends(change));
         }
     }
 
@@ -129,7 +129,7 @@
         let key = format_smolstr!("{}-last", WATCHED[0]);
         let change = self.put_account(WATCHED[0], key);
         self.operators.last = Some(change);
-        self.after(HOP, Happening::OperatorActs(change));
+        self.after(NETWORK_DELAY, Occurrence::OperatorSends(change));
     }
 
     fn put_account(&mut self, account: &'static str, key: SmolStr) -> usize {
@@ -149,13 +149,13 @@
     }
 
     fn add_change(&mut self, account: SmolStr, key: SmolStr, edit: Edit) -> usize {
-        self.operators.changes.push(Asked {
+        self.operators.changes.push(Submission {
             account,
             key,
             edit,
             done: false,
             accepted: false,
-            asked: self.now,
+            submitted: self.now,
             tries: 0,
             base: self.newest_shown(),
             after: None,
@@ -168,7 +168,7 @@
         let facts = self.history.records.iter().rev();
         facts
             .filter_map(|(_, fact)| match fact {
-                Fact::Showed { version, .. }
+                Fact::VersionReported { version, .. }
                 | Fact::Accepted { version, .. }
                 | Fact::Committed { version, .. } => Some(*version),
                 _ => None,
@@ -178,70 +178,78 @@
     }
 
     /// Submits a change, or retries it under the same id.
-    pub(crate) fn operator_acts(&mut self, number: usize) {
-        if self.operators.changes[number].done || self.operators.changes[number].tries > 12 {
-            self.operators.changes[number].done = true;
+    pub(crate) fn send_change(&mut self, change_index: usize) {
+        if self.operators.changes[change_index].done
+            || self.operators.changes[change_index].tries > 12
+        {
+            self.operators.changes[change_index].done = true;
             return;
         }
-        let slot = self.draw(self.slots.len() as u64) as usize;
+        let slot = self.random_below(self.slots.len() as u64) as usize;
         let node = self.slots[slot];
-        let asked = &mut self.operators.changes[number];
-        asked.tries += 1;
-        asked.asked = self.now;
+        let submission = &mut self.operators.changes[change_index];
+        submission.tries += 1;
+        submission.submitted = self.now;
         let change = Change {
-            id: format_smolstr!("change-{number}"),
-            expected_version: asked.base,
-            wait: CHANGE_WAIT,
-            edit: asked.edit.clone(),
+            id: format_smolstr!("change-{change_index}"),
+            expected_version: submission.base,
+            wait: CHANGE_TIMEOUT,
+            edit: submission.edit.clone(),
         };
         if self.bug == Bug::AcceptEarly {
-            let asked = &self.operators.changes[number];
+            let submission = &self.operators.changes[change_index];
             let early = Fact::Accepted {
-                account: asked.account.clone(),
-                key: asked.key.clone(),
-                version: asked.base + 1,
+                account: submission.account.clone(),
+                key: submission.key.clone(),
+                version: submission.base + 1,
             };
-            let account = asked.account.clone();
-            self.note(early);
-            self.after(HOP, Happening::OldKeys(account));
+            let account = submission.account.clone();
+            self.record(early);
+            self.after(NETWORK_DELAY, Occurrence::TryOldKeys(account));
         }
-        self.after(PATIENCE, Happening::OperatorActs(number));
-        self.ask_entry(node, Asker::Operator(number), Request::Change(change));
+        self.after(RETRY_TIMEOUT, Occurrence::OperatorSends(change_index));
+        self.call_entry(
+            node,
+            Requester::Operator(change_index),
+            Request::Change(change),
+        );
     }
 
-    fn ask_entry(&mut self, node: usize, asker: Asker, request: Request) {
+    fn call_entry(&mut self, node: usize, requester: Requester, request: Request) {
         let event = move |call| Event::Operator { call, request };
-        let input = Input::Asked(asker, Box::new(event));
-        self.after(HOP, Happening::Input(node, input));
+        let input = Input::Call(requester, Box::new(event));
+        self.after(NETWORK_DELAY, Occurrence::Input(node, input));
     }
 
     /// Handles an entry's answer to an operator or a version probe.
-    pub(crate) fn operator_answered(
+    pub(crate) fn receive_operator_answer(
         &mut self,
         node: usize,
         call: u64,
         reply: Result<Reply, Fault>,
     ) {
-        match self.nodes[node].askers.remove(&call) {
-            Some(Asker::Operator(number)) => self.change_answered(number, reply),
-            Some(Asker::Version) => {
+        match self.nodes[node].requesters.remove(&call) {
+            Some(Requester::Operator(change_index)) => {
+                self.receive_change_answer(change_index, reply)
+            }
+            Some(Requester::Version) => {
                 if let Ok(Reply::Configuration { version, .. }) = reply {
-                    let life = World::life(node);
-                    self.note(Fact::Showed { life, version });
+                    let process = World::process(node);
+                    self.record(Fact::VersionReported { process, version });
                 }
             }
             _ => {}
         }
     }
 
-    fn change_answered(&mut self, number: usize, reply: Result<Reply, Fault>) {
-        let asked = &mut self.operators.changes[number];
-        let (account, key) = (asked.account.clone(), asked.key.clone());
+    fn receive_change_answer(&mut self, change_index: usize, reply: Result<Reply, Fault>) {
+        let submission = &mut self.operators.changes[change_index];
+        let (account, key) = (submission.account.clone(), submission.key.clone());
         let fact = match reply {
             Ok(Reply::Changed(Changed::Accepted { version })) => {
-                asked.done = true;
-                asked.accepted = true;
-                self.after(HOP, Happening::OldKeys(account.clone()));
+                submission.done = true;
+                submission.accepted = true;
+                self.after(NETWORK_DELAY, Occurrence::TryOldKeys(account.clone()));
                 Some(Fact::Accepted {
                     account,
                     key,
@@ -249,7 +257,7 @@
                 })
             }
             Ok(Reply::Changed(Changed::Committed { version, .. })) => {
-                self.after(HOP, Happening::OperatorActs(number));
+                self.after(NETWORK_DELAY, Occurrence::OperatorSends(change_index));
                 Some(Fact::Committed {
                     account,
                     key,
@@ -258,41 +266,44 @@
             }
             Ok(Reply::Changed(Changed::Conflict { version, .. })) => {
                 // The last change is retried until it is made; a racing one has lost.
-                match self.operators.last == Some(number) {
+                match self.operators.last == Some(change_index) {
                     true => {
-                        self.operators.changes[number].base = version;
-                        self.after(HOP, Happening::OperatorActs(number));
+                        self.operators.changes[change_index].base = version;
+                        self.after(NETWORK_DELAY, Occurrence::OperatorSends(change_index));
                     }
-                    false => self.operators.changes[number].done = true,
+                    false => self.operators.changes[change_index].done = true,
                 }
                 None
             }
             Err(Fault::Precondition(_) | Fault::AlreadyExists(_)) => {
-                asked.done = true;
+                submission.done = true;
                 None
             }
             _ => {
-                self.after(Span::from_seconds(1), Happening::OperatorActs(number));
+                self.after(
+                    Span::from_seconds(1),
+                    Occurrence::OperatorSends(change_index),
+                );
                 None
             }
         };
         if let Some(fact) = fact {
-            self.note(fact);
+            self.record(fact);
         }
-        if self.operators.changes[number].done {
-            self.change_done(number);
+        if self.operators.changes[change_index].done {
+            self.finish_change(change_index);
         }
     }
 
-    fn change_done(&mut self, number: usize) {
-        if self.operators.last == Some(number) {
-            let accepted = self.operators.changes[number].accepted;
-            self.note(Fact::LastChange { accepted });
+    fn finish_change(&mut self, change_index: usize) {
+        if self.operators.last == Some(change_index) {
+            let accepted = self.operators.changes[change_index].accepted;
+            self.record(Fact::LastChange { accepted });
         }
-        let next = number + 1;
-        let follows = self.operators.changes.get(next);
-        if follows.is_some_and(|follows| follows.after == Some(number)) {
-            self.after(HOP, Happening::OperatorActs(next));
+        let next = change_index + 1;
+        let following = self.operators.changes.get(next);
+        if following.is_some_and(|following| following.after == Some(change_index)) {
+            self.after(NETWORK_DELAY, Occurrence::OperatorSends(next));
         }
     }
 
@@ -303,7 +314,7 @@
         }
         let keys = self.operators.keys.iter();
         let mut own: Vec<SmolStr> = keys
-            .filter(|(whose, _)| whose == account)
+            .filter(|(owner, _)| owner == account)
             .map(|(_, key)| key.clone())
             .collect();
         own.pop();
@@ -319,14 +330,14 @@
         if !self.probing {
             return;
         }
-        self.after(PROBE_TIME, Happening::Probe);
-        let which = self.draw(self.operators.keys.len() as u64) as usize;
-        let (account, key) = self.operators.keys[which].clone();
-        let slot = self.draw(self.slots.len() as u64) as usize;
+        self.after(PROBE_INTERVAL, Occurrence::Probe);
+        let index = self.random_below(self.operators.keys.len() as u64) as usize;
+        let (account, key) = self.operators.keys[index].clone();
+        let slot = self.random_below(self.slots.len() as u64) as usize;
         let node = self.slots[slot];
         self.send_probe(node, account, key);
-        if self.draw(4) == 0 {
-            self.ask_entry(node, Asker::Version, Request::ListDeployments);
+        if self.random_below(4) == 0 {
+            self.call_entry(node, Requester::Version, Request::ListDeployments);
         }
     }
 }
--- a/crates/matrix/src/world/plain.rs
+++ b/crates/matrix/src/world/plain.rs
@@ -5,22 +5,22 @@
 use policy::job::End;
 
 use crate::world::Bug;
-use crate::world::HOP;
-use crate::world::Happening;
+use crate::world::NETWORK_DELAY;
+use crate::world::Occurrence;
 use crate::world::World;
-use crate::world::callers::CallerWord;
+use crate::world::callers::Response;
 use crate::world::engine::Failure;
 use crate::world::engine::Reader;
-use crate::world::engine::Word;
+use crate::world::engine::Reply;
 use crate::world::service::ServiceCall;
 
 impl World {
     /// Carries out a reducer's command for a plain call.
-    pub(crate) fn plain_commanded(&mut self, node: usize, serial: u64, command: Command) {
+    pub(crate) fn command_plain(&mut self, node: usize, serial: u64, command: Command) {
         match command {
             Command::Refuse(refusal) => {
                 if let Some(flight) = self.nodes[node].flights.remove(&serial) {
-                    self.tell_caller(flight.number(), CallerWord::Refused(refusal));
+                    self.send_to_caller(flight.try_id(), Response::Refused(refusal));
                 }
             }
             Command::HandOff { .. } | Command::Drop => {
@@ -29,54 +29,64 @@
             Command::Start {
                 stream, endpoint, ..
             } => {
-                let link = u64::from(stream.attempt);
+                let connection = u64::from(stream.attempt);
                 let Some(flight) = self.nodes[node].flights.get_mut(&serial) else {
                     return;
                 };
                 flight.plain_attempt = stream.attempt;
-                let (ask, number) = (flight.ask(), flight.number());
-                let reader = Reader { node, serial, link };
+                let (request, try_id) = (flight.request(), flight.try_id());
+                let reader = Reader {
+                    node,
+                    serial,
+                    connection,
+                };
                 let call = ServiceCall {
                     reader,
                     address: endpoint.address,
-                    ask,
-                    number,
+                    request,
+                    try_id,
                 };
-                self.after(HOP, Happening::Service(call));
+                self.after(NETWORK_DELAY, Occurrence::Service(call));
             }
             Command::Attach { .. } | Command::Move { .. } | Command::Stop => {}
         }
     }
 
     /// Handles the reply to a plain attempt.
-    pub(crate) fn plain_hears(&mut self, node: usize, serial: u64, link: u64, word: Word) {
+    pub(crate) fn plain_receives(
+        &mut self,
+        node: usize,
+        serial: u64,
+        connection: u64,
+        reply: Reply,
+    ) {
         let Some(flight) = self.nodes[node].flights.get(&serial) else {
             return;
         };
         let attempt = flight.plain_attempt;
-        if u64::from(attempt) != link {
+        if u64::from(attempt) != connection {
             return;
         }
-        let number = flight.number();
-        let end = match word {
-            Word::PlainDone { ask } => {
+        let try_id = flight.try_id();
+        let end = match reply {
+            Reply::PlainDone { request } => {
                 self.nodes[node].flights.remove(&serial);
-                self.tell_attempt(node, serial, attempt, Report::Head);
+                self.send_report(node, serial, attempt, Report::Head);
                 let (end, tokens) = (End::Finished, 0);
-                self.tell_attempt(node, serial, attempt, Report::Ended { end, tokens });
-                return self.tell_caller(number, CallerWord::Done { owner: ask });
+                self.send_report(node, serial, attempt, Report::Ended { end, tokens });
+                return self.send_to_caller(try_id, Response::Done { owner: request });
             }
-            Word::NotOpened {
+            Reply::NotOpened {
                 failure: Failure::NotSent | Failure::NotStarted,
                 ..
             } => End::NotStarted,
-            Word::NotOpened {
+            Reply::NotOpened {
                 failure: Failure::Answered,
                 ..
             } => End::Failed,
             _ if self.bug == Bug::CallLostNotStarted => End::NotStarted,
             _ => End::Crashed,
         };
-        self.tell_attempt(node, serial, attempt, Report::Ended { end, tokens: 0 });
+        self.send_report(node, serial, attempt, Report::Ended { end, tokens: 0 });
     }
 }
--- a/crates/matrix/src/world/store.rs
+++ b/crates/matrix/src/world/store.rs
@@ -9,16 +9,16 @@
 use store::fake::Table;
 
 use crate::world::Bug;
-use crate::world::HOP;
-use crate::world::Happening;
+use crate::world::NETWORK_DELAY;
+use crate::world::Occurrence;
 use crate::world::World;
 use crate::world::input::Input;
 
 /// Time after which the sender of a call stops waiting.
-const WAIT: Span = Span::from_millis(1_000);
+const CALL_TIMEOUT: Span = Span::from_millis(1_000);
 
 /// Largest extra delay of a slow service in each direction, in milliseconds.
-const SLOW: u64 = 2_500;
+const SLOW_STORE_MILLIS: u64 = 2_500;
 
 /// The service and its state.
 #[derive(Default)]
@@ -33,8 +33,8 @@
     id: Id,
     call: Call,
     /// Whether its sender times out before the answer arrives.
-    late: bool,
-    back: Span,
+    timed_out: bool,
+    answer_delay: Span,
 }
 
 impl Arrival {
@@ -52,36 +52,36 @@
 
 impl World {
     /// Sends a reducer's call to the service.
-    pub(crate) fn store_asked(&mut self, node: usize, id: Id, call: Call) {
+    pub(crate) fn call_store(&mut self, node: usize, id: Id, call: Call) {
         let slow = self.store.slow;
-        let most = if slow { SLOW } else { 4 };
-        let there = HOP + Span::from_millis(self.draw(most));
-        let back = HOP + Span::from_millis(self.draw(most));
-        let late = there + back > WAIT;
-        if late {
-            let outcome = given_up(&call);
+        let limit = if slow { SLOW_STORE_MILLIS } else { 4 };
+        let request_delay = NETWORK_DELAY + Span::from_millis(self.random_below(limit));
+        let answer_delay = NETWORK_DELAY + Span::from_millis(self.random_below(limit));
+        let timed_out = request_delay + answer_delay > CALL_TIMEOUT;
+        if timed_out {
+            let outcome = timeout_outcome(&call);
             let input = Input::Event(Event::Store { id, outcome });
-            self.after(WAIT, Happening::Input(node, input));
+            self.after(CALL_TIMEOUT, Occurrence::Input(node, input));
         }
         let arrival = Arrival {
             node,
             id,
             call,
-            late,
-            back,
+            timed_out,
+            answer_delay,
         };
-        self.after(there, Happening::Store(arrival));
+        self.after(request_delay, Occurrence::Store(arrival));
     }
 
     /// Applies a call that has reached the service, even if its sender no longer waits.
-    pub(crate) fn store_lands(&mut self, arrival: Arrival) {
+    pub(crate) fn store_receives(&mut self, arrival: Arrival) {
         let call = match (self.bug, arrival.call) {
             (Bug::IgnoreChecks, Call::Transact(mut transaction)) => {
-                let intent = transaction
+                let checks_intent = transaction
                     .checks
                     .iter()
                     .any(|check| check.address.table == "intents");
-                if intent {
+                if checks_intent {
                     transaction.checks.clear();
                 }
                 Call::Transact(transaction)
@@ -89,20 +89,27 @@
             (_, call) => call,
         };
         let outcome = self.store.table.apply(&call);
-        if arrival.late {
+        if arrival.timed_out {
             return;
         }
         let unknown = outcome == Outcome::Unknown;
-        let back = if unknown { WAIT } else { arrival.back };
+        let answer_delay = if unknown {
+            CALL_TIMEOUT
+        } else {
+            arrival.answer_delay
+        };
         let event = Event::Store {
             id: arrival.id,
             outcome,
         };
-        self.after(back, Happening::Input(arrival.node, Input::Event(event)));
+        self.after(
+            answer_delay,
+            Occurrence::Input(arrival.node, Input::Event(event)),
+        );
     }
 
     /// Queues `count` faults of the service.
-    pub(crate) fn store_faults(&mut self, count: u32, fault: Fault) {
+    pub(crate) fn push_store_faults(&mut self, count: u32, fault: Fault) {
         for _ in 0..count {
             self.store.table.push_fault(fault);
         }
@@ -110,7 +117,7 @@
 }
 
 /// Returns the outcome that the sender of a timed-out call assumes.
-fn given_up(call: &Call) -> Outcome {
+fn timeout_outcome(call: &Call) -> Outcome {
     match call {
         Call::Transact(_) => Outcome::Unknown,
         _ => Outcome::Unavailable,
--- a/crates/matrix/src/world/stream.rs
+++ b/crates/matrix/src/world/stream.rs
@@ -6,52 +6,64 @@
 use policy::job::End;
 use request::sequencer::Decision;
 
-use crate::history::Ask;
+use crate::history::RequestId;
 use crate::world::Bug;
 use crate::world::World;
-use crate::world::callers::CallerWord;
+use crate::world::callers::Response;
 use crate::world::engine::Failure;
-use crate::world::engine::Word;
-use crate::world::flight::Asked;
+use crate::world::engine::Reply;
+use crate::world::flight::Opening;
 use crate::world::flight::Running;
 
 /// Number of tokens in one report to the reducer.
-const REPORT_EACH: u32 = 8;
+const TOKENS_PER_REPORT: u32 = 8;
 
 impl World {
     /// Handles a reply of an engine; replies on closed connections are dropped.
-    pub(crate) fn flight_hears(&mut self, node: usize, serial: u64, link: u64, word: Word) {
+    pub(crate) fn flight_receives(
+        &mut self,
+        node: usize,
+        serial: u64,
+        connection: u64,
+        reply: Reply,
+    ) {
         let Some(flight) = self.flight(node, serial) else {
             return;
         };
         if flight.plain {
-            return self.plain_hears(node, serial, link, word);
+            return self.plain_receives(node, serial, connection, reply);
         }
-        if flight.link != link {
+        if flight.connection != connection {
             return;
         }
-        match word {
-            Word::Opened(moved) => self.opened(node, serial, moved),
-            Word::NotOpened { failure, moved } => self.not_opened(node, serial, failure, moved),
-            Word::Token { offset, ask, index } => {
-                self.token_came(node, serial, offset, ask, index);
+        match reply {
+            Reply::Opened(moved) => self.handle_opened(node, serial, moved),
+            Reply::NotOpened { failure, moved } => {
+                self.handle_not_opened(node, serial, failure, moved)
             }
-            Word::Done { ask } => {
+            Reply::Token {
+                offset,
+                request,
+                index,
+            } => {
+                self.receive_token(node, serial, offset, request, index);
+            }
+            Reply::Done { request } => {
                 self.report_end(node, serial, End::Finished);
                 if let Some(flight) = self.nodes[node].flights.remove(&serial) {
-                    self.tell_caller(flight.number, CallerWord::Done { owner: ask });
+                    self.send_to_caller(flight.try_id, Response::Done { owner: request });
                 }
             }
-            Word::Broken => self.broken(node, serial, End::Crashed),
-            Word::PlainDone { .. } => {}
+            Reply::Broken => self.handle_broken(node, serial, End::Crashed),
+            Reply::PlainDone { .. } => {}
         }
     }
 
-    fn opened(&mut self, node: usize, serial: u64, moved: Option<Transfer>) {
+    fn handle_opened(&mut self, node: usize, serial: u64, moved: Option<Transfer>) {
         let token = self.token(node, serial);
         if let Some(flight) = self.flight(node, serial) {
-            let number = flight.number;
-            self.tell_caller(number, CallerWord::Head { token });
+            let try_id = flight.try_id;
+            self.send_to_caller(try_id, Response::Head { token });
         }
         match moved {
             Some(transfer) => self.report(
@@ -66,16 +78,16 @@
         }
     }
 
-    fn not_opened(&mut self, node: usize, serial: u64, failure: Failure, moved: bool) {
+    fn handle_not_opened(&mut self, node: usize, serial: u64, failure: Failure, moved: bool) {
         let Some(flight) = self.flight(node, serial) else {
             return;
         };
-        flight.link = 0;
+        flight.connection = 0;
         let Some(running) = flight.running.clone() else {
             return;
         };
         if moved {
-            let recomputed = flight.passed as u32;
+            let recomputed = flight.relayed as u32;
             let transfer = Transfer::Rerun;
             self.report(
                 node,
@@ -93,40 +105,47 @@
             } = running;
             return self.start_stream(node, serial, stream, endpoint, account);
         }
-        match (running.how, failure) {
-            (Asked::Adopted, _) => self.report(node, serial, Report::AttachFailed),
-            (Asked::Again, Failure::NotSent | Failure::Broken) => {
+        match (running.opening, failure) {
+            (Opening::Adopted, _) => self.report(node, serial, Report::AttachFailed),
+            (Opening::Resumed, Failure::NotSent | Failure::Broken) => {
                 self.report_end(node, serial, End::Crashed);
             }
-            (Asked::Again, _) => self.report_end(node, serial, End::Failed),
-            (Asked::Fresh, Failure::NotSent | Failure::NotStarted) => {
+            (Opening::Resumed, _) => self.report_end(node, serial, End::Failed),
+            (Opening::Fresh, Failure::NotSent | Failure::NotStarted) => {
                 self.report_end(node, serial, End::NotStarted);
             }
-            (Asked::Fresh, Failure::Broken) => self.report_end(node, serial, End::Crashed),
-            (Asked::Fresh, Failure::Answered) => self.report_end(node, serial, End::Failed),
+            (Opening::Fresh, Failure::Broken) => self.report_end(node, serial, End::Crashed),
+            (Opening::Fresh, Failure::Answered) => self.report_end(node, serial, End::Failed),
         }
     }
 
     /// Handles a broken stream: the same engine is asked to resume it, but only once.
-    fn broken(&mut self, node: usize, serial: u64, end: End) {
+    fn handle_broken(&mut self, node: usize, serial: u64, end: End) {
         let Some(flight) = self.flight(node, serial) else {
             return;
         };
-        flight.link = 0;
+        flight.connection = 0;
         let Some(mut running) = flight.running.clone() else {
             return;
         };
-        match running.how {
-            Asked::Adopted => self.report(node, serial, Report::AttachFailed),
-            Asked::Again => self.report_end(node, serial, end),
-            Asked::Fresh => {
-                running.how = Asked::Again;
+        match running.opening {
+            Opening::Adopted => self.report(node, serial, Report::AttachFailed),
+            Opening::Resumed => self.report_end(node, serial, end),
+            Opening::Fresh => {
+                running.opening = Opening::Resumed;
                 self.attach(node, serial, running);
             }
         }
     }
 
-    fn token_came(&mut self, node: usize, serial: u64, engine: u64, owner: Ask, index: u64) {
+    fn receive_token(
+        &mut self,
+        node: usize,
+        serial: u64,
+        engine: u64,
+        owner: RequestId,
+        index: u64,
+    ) {
         let twice = self.bug == Bug::DoubleChunk;
         let Some(flight) = self.flight(node, serial) else {
             return;
@@ -137,23 +156,23 @@
         let offset = flight.relay.next();
         match flight.relay.accept(running.attempt, engine) {
             Decision::Drop => {}
-            Decision::Gap => self.broken(node, serial, End::Crashed),
+            Decision::Gap => self.handle_broken(node, serial, End::Crashed),
             Decision::Emit => {
-                running.how = Asked::Fresh;
+                running.opening = Opening::Fresh;
                 flight.unreported += 1;
-                flight.passed += 1;
+                flight.relayed += 1;
                 flight.emitted += 1;
-                let (number, tenth) = (flight.number, flight.emitted % 10 == 0);
-                let word = CallerWord::Chunk {
+                let (try_id, tenth) = (flight.try_id, flight.emitted % 10 == 0);
+                let response = Response::Chunk {
                     offset,
                     owner,
                     index,
                 };
                 if twice && tenth {
-                    self.tell_caller(number, word.clone());
+                    self.send_to_caller(try_id, response.clone());
                 }
-                self.tell_caller(number, word);
-                self.report_tokens(node, serial, REPORT_EACH);
+                self.send_to_caller(try_id, response);
+                self.report_tokens(node, serial, TOKENS_PER_REPORT);
             }
         }
     }
@@ -179,6 +198,6 @@
             .flight(node, serial)
             .and_then(|flight| flight.running.as_ref());
         let attempt = running.map_or(0, |running| running.attempt);
-        self.tell_attempt(node, serial, attempt, report);
+        self.send_report(node, serial, attempt, report);
     }
 }
--- a/crates/matrix/tests/broken.rs
+++ b/crates/matrix/tests/broken.rs
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_false_not_run_is_caught() {
-    assert!(is_caught(Bug::SayNotRun, Point::NotRunIsTrue));
+    assert!(is_caught(Bug::ClaimNotRun, Point::NotRunIsTrue));
 }
 
 #[test]
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_stop_that_cuts_is_caught() {
-    assert!(is_caught(Bug::StopAtOnce, Point::StopsGracefully));
+    assert!(is_caught(Bug::StopImmediately, Point::StopsGracefully));
 }
 
 #[test]
--- a/crates/matrix/tests/cells.rs
+++ b/crates/matrix/tests/cells.rs
@@ -30,24 +30,24 @@
 #[test]
 fn every_cell_is_proved_or_impossible() {
     let (cells, outcomes) = outcomes();
-    let open: Vec<String> = cells
+    let unproved: Vec<String> = cells
         .iter()
         .zip(outcomes)
         .filter_map(|(cell, outcome)| match outcome {
-            Outcome::NotProved(why) => Some(format!("{cell:?} {why}")),
+            Outcome::NotProved(reason) => Some(format!("{cell:?} {reason}")),
             _ => None,
         })
         .collect();
-    assert!(open.is_empty(), "{}", open.join("\n"));
+    assert!(unproved.is_empty(), "{}", unproved.join("\n"));
 }
 
 #[test]
 fn the_page_is_current() {
     let (cells, outcomes) = outcomes();
     let page = fs::read_to_string(root().join("docs/FAULTS.md")).unwrap();
-    let drawn = page::draw(cells, outcomes);
+    let rendered = page::render(cells, outcomes);
     assert!(
-        page == drawn,
+        page == rendered,
         "run: cargo run --release -p matrix --example faults > docs/FAULTS.md"
     );
 }
--- a/crates/matrix/tests/histories.rs
+++ b/crates/matrix/tests/histories.rs
@@ -43,7 +43,7 @@
 }
 
 /// Runs seeds that breached a guarantee before.
-fn kept(seeds: &[u64], counts: impl Fn(&Plan, &Breach) -> bool) {
+fn check_seeds(seeds: &[u64], counts: impl Fn(&Plan, &Breach) -> bool) {
     for seed in seeds {
         let plan = Plan::new(*seed);
         let mut breaches = plan.run(Bug::None).breaches;
@@ -72,7 +72,7 @@
 #[test]
 fn a_stream_beside_a_killer_request_is_answered_whole() {
     let counts = |plan: &Plan, breach: &Breach| breach.point == Point::Survives && has_killer(plan);
-    kept(&[1_092, 4_934], counts);
+    check_seeds(&[1_092, 4_934], counts);
     run(2, FEW_CASES, counts);
 }
 
@@ -81,6 +81,6 @@
 #[test]
 fn a_change_is_accepted_once_all_is_calm() {
     let counts = |_: &Plan, breach: &Breach| breach.point == Point::InForce;
-    kept(&[756, 924], counts);
+    check_seeds(&[756, 924], counts);
     run(3, FEW_CASES, counts);
 }
--- a/crates/matrix/tests/seeds.rs
+++ b/crates/matrix/tests/seeds.rs
@@ -6,7 +6,7 @@
 use matrix::world::Bug;
 use matrix::world::Shape;
 
-fn holds(seed: u64, shape: Shape, requests: u64, faults: &[(u64, Fault)]) {
+fn check_plan(seed: u64, shape: Shape, requests: u64, faults: &[(u64, Fault)]) {
     let faults = faults.iter();
     let plan = Plan {
         seed,
@@ -37,5 +37,5 @@
         (17_678, Fault::ReclaimZone(1, millis(19_060))),
         (18_251, Fault::LoseServiceAnswers(1)),
     ];
-    holds(3_445, shape, 11, &faults);
+    check_plan(3_445, shape, 11, &faults);
 }
