--- a/crates/matrix/src/world/answers.rs
+++ b/crates/matrix/src/world/answers.rs
@@ -39,7 +39,7 @@
         match response {
             Response::Head { token } => {
                 caller.token = token;
-                caller.headed = true;
+                caller.has_head = true;
                 self.record(Fact::Head { request });
             }
             Response::Chunk {
@@ -118,10 +118,10 @@
         if self.finish_probe(caller_index, Some(reason)) {
             return;
         }
-        let elsewhere = matches!(reason, Reason::Leaving | Reason::NotReady);
+        let try_elsewhere = matches!(reason, Reason::Leaving | Reason::NotReady);
         match refusal.retry_after {
-            Some(after) if !elsewhere => self.retry(caller_index, after),
-            _ if elsewhere => {
+            Some(after) if !try_elsewhere => self.retry(caller_index, after),
+            _ if try_elsewhere => {
                 let sent = u64::from(self.callers[caller_index].sent);
                 self.retry(caller_index, RETRY_DELAY.times(sent).min(MAX_RETRY_DELAY));
             }
--- a/crates/matrix/src/world/backend.rs
+++ b/crates/matrix/src/world/backend.rs
@@ -105,8 +105,8 @@
         let mut list = Vec::new();
         for backend in &self.backends {
             let ended = backend.ended.iter();
-            let shown = ended.filter(|(at, _)| self.now.since(*at) < LIST_LAG);
-            list.extend(shown.map(|(_, instance)| instance.clone()));
+            let still_listed = ended.filter(|(at, _)| self.now.since(*at) < LIST_LAG);
+            list.extend(still_listed.map(|(_, instance)| instance.clone()));
             let first = backend.started == Time::ZERO;
             if backend.alive && (first || self.now.since(backend.started) >= LIST_LAG) {
                 let listed = backend
--- a/crates/matrix/src/world/callers.rs
+++ b/crates/matrix/src/world/callers.rs
@@ -83,7 +83,7 @@
     pub(super) sent: u32,
     pub(super) uncertain: u32,
     /// Whether the caller has received the head of its answer.
-    pub(super) headed: bool,
+    pub(super) has_head: bool,
     pub(super) done: bool,
 }
 
@@ -145,7 +145,7 @@
 
     /// Returns whether a request's caller has received the head of its answer.
     pub fn has_head(&self, request: RequestId) -> bool {
-        self.callers[request.0 as usize].headed
+        self.callers[request.0 as usize].has_head
     }
 
     /// Returns whether a request has finished.
@@ -193,7 +193,7 @@
             last_received: self.now,
             sent: 0,
             uncertain: 0,
-            headed: false,
+            has_head: false,
             done: false,
         });
         self.record(Fact::Requested {
@@ -340,8 +340,8 @@
         if for_good {
             self.abandon_request(caller_index);
         } else if waited < RESPONSE_TIMEOUT {
-            let rest = RESPONSE_TIMEOUT - waited;
-            return self.after(rest, Occurrence::CallerTimeout(caller_index, try_id));
+            let remaining = RESPONSE_TIMEOUT - waited;
+            return self.after(remaining, Occurrence::CallerTimeout(caller_index, try_id));
         }
         self.after(
             NETWORK_DELAY,
--- a/crates/matrix/src/world/cloud.rs
+++ b/crates/matrix/src/world/cloud.rs
@@ -40,13 +40,13 @@
 
     /// Returns the addresses of the entries in the instance list, which lags.
     pub(crate) fn entry_list(&self) -> Vec<SmolStr> {
-        let shown = self.nodes.iter().filter(|node| {
+        let listed = self.nodes.iter().filter(|node| {
             let since = node.ended.unwrap_or(self.now);
             let first = node.started == Time::ZERO;
             let appeared = first || self.now.since(node.started) >= LIST_LAG;
             appeared && self.now.since(since) < LIST_LAG
         });
-        shown
+        listed
             .map(|node| node.identity.caller_address.clone())
             .collect()
     }
--- a/crates/matrix/src/world/faults.rs
+++ b/crates/matrix/src/world/faults.rs
@@ -98,7 +98,7 @@
 
     fn recover_after(&mut self, span: Span, recovery: Recovery) {
         self.extend_faults(span);
-        self.after(span, Occurrence::Heal(recovery));
+        self.after(span, Occurrence::Recover(recovery));
     }
 
     /// Extends the time until which faults last.
--- a/crates/matrix/src/world/flight.rs
+++ b/crates/matrix/src/world/flight.rs
@@ -39,7 +39,7 @@
     pub(super) account_deployment: SmolStr,
     pub plain: bool,
     /// Whether the reducer knows that the caller has disconnected.
-    pub left: bool,
+    pub caller_gone: bool,
     /// Number of the running plain attempt; 0 before the first.
     pub plain_attempt: u32,
     pub(super) relay: Sequencer,
@@ -48,7 +48,7 @@
     pub(super) connection: u64,
     pub(super) unreported: u32,
     pub(super) relayed: u64,
-    pub(super) remaining: u64,
+    pub(super) relay_limit: u64,
     pub(super) emitted: u64,
 }
 
@@ -89,14 +89,14 @@
             tokens,
             account_deployment: arrival.deployment.clone(),
             plain: matches!(arrival.work, Work::Plain { .. }),
-            left: false,
+            caller_gone: false,
             plain_attempt: 0,
             relay: Sequencer::starting_at(arrival.offset),
             running: None,
             connection: 0,
             unreported: 0,
             relayed: 0,
-            remaining: tokens.saturating_sub(arrival.offset),
+            relay_limit: tokens.saturating_sub(arrival.offset),
             emitted: 0,
         }
     }
@@ -113,7 +113,7 @@
 
     /// Returns whether the call goes on after its caller has disconnected.
     pub fn outlives_caller(&self) -> bool {
-        self.plain && (self.left || self.plain_attempt > 0)
+        self.plain && (self.caller_gone || self.plain_attempt > 0)
     }
 }
 
@@ -198,7 +198,7 @@
         let Some(flight) = self.flight(node, serial) else {
             return;
         };
-        if flight.relayed >= flight.remaining {
+        if flight.relayed >= flight.relay_limit {
             return self.finish_stream(node, serial, stream);
         }
         let base = flight.relay.next();
--- a/crates/matrix/src/world/input.rs
+++ b/crates/matrix/src/world/input.rs
@@ -95,7 +95,7 @@
             return;
         }
         if flight.plain {
-            flight.left = true;
+            flight.caller_gone = true;
         } else {
             flights.remove(&serial);
             self.drop_reader(node, serial);
--- a/crates/matrix/src/world/mod.rs
+++ b/crates/matrix/src/world/mod.rs
@@ -126,7 +126,7 @@
     TryOldKeys(smol_str::SmolStr),
     Fault(Fault),
     Thaw(usize),
-    Heal(Recovery),
+    Recover(Recovery),
     BackendEnds(usize, smol_str::SmolStr),
     BackendStarts(usize),
     EntryReclaimed(usize),
@@ -246,7 +246,7 @@
         self.advance(end, |_| false);
     }
 
-    /// Runs until `holds` returns true, for at most `most`; returns whether it does.
+    /// Runs until `holds` returns true, for at most `limit`; returns whether it does.
     pub fn run_until(&mut self, limit: Span, holds: impl Fn(&World) -> bool) -> bool {
         let end = self.now + limit;
         self.advance(end, &holds);
@@ -259,7 +259,7 @@
         let last = self.faults_end;
         self.advance(last, |_| false);
         self.run_for(Span::from_seconds(10));
-        self.change_last();
+        self.make_last_change();
         self.run_until(SETTLE_TIME, |world| {
             world.operators.is_last_done() && world.callers_done()
         });
@@ -320,7 +320,7 @@
             Occurrence::TryOldKeys(account) => self.try_old_keys(&account),
             Occurrence::Fault(fault) => self.inject(fault),
             Occurrence::Thaw(node) => self.thaw(node),
-            Occurrence::Heal(recovery) => self.recover(recovery),
+            Occurrence::Recover(recovery) => self.recover(recovery),
             Occurrence::BackendEnds(slot, incarnation) => self.end_backend(slot, &incarnation),
             Occurrence::BackendStarts(slot) => self.restart_backend(slot),
             Occurrence::EntryReclaimed(node) => self.end_reclaimed_entry(node),
--- a/crates/matrix/src/world/operators.rs
+++ b/crates/matrix/src/world/operators.rs
@@ -65,7 +65,7 @@
     accepted: bool,
     submitted: Time,
     tries: u32,
-    base: u64,
+    expected_version: u64,
     /// Index of the change that has to finish first.
     after: Option<usize>,
 }
@@ -125,7 +125,7 @@
     }
 
     /// Changes a key after all faults are over.
-    pub(crate) fn change_last(&mut self) {
+    pub(crate) fn make_last_change(&mut self) {
         let key = format_smolstr!("{}-last", WATCHED[0]);
         let change = self.put_account(WATCHED[0], key);
         self.operators.last = Some(change);
@@ -157,14 +157,14 @@
             accepted: false,
             submitted: self.now,
             tries: 0,
-            base: self.newest_shown(),
+            expected_version: self.newest_reported(),
             after: None,
         });
         self.operators.changes.len() - 1
     }
 
     /// Returns the newest version that any entry has reported.
-    fn newest_shown(&self) -> u64 {
+    fn newest_reported(&self) -> u64 {
         let facts = self.history.records.iter().rev();
         facts
             .filter_map(|(_, fact)| match fact {
@@ -192,7 +192,7 @@
         submission.submitted = self.now;
         let change = Change {
             id: format_smolstr!("change-{change_index}"),
-            expected_version: submission.base,
+            expected_version: submission.expected_version,
             wait: CHANGE_TIMEOUT,
             edit: submission.edit.clone(),
         };
@@ -201,7 +201,7 @@
             let early = Fact::Accepted {
                 account: submission.account.clone(),
                 key: submission.key.clone(),
-                version: submission.base + 1,
+                version: submission.expected_version + 1,
             };
             let account = submission.account.clone();
             self.record(early);
@@ -268,7 +268,7 @@
                 // The last change is retried until it is made; a racing one has lost.
                 match self.operators.last == Some(change_index) {
                     true => {
-                        self.operators.changes[change_index].base = version;
+                        self.operators.changes[change_index].expected_version = version;
                         self.after(NETWORK_DELAY, Occurrence::OperatorSends(change_index));
                     }
                     false => self.operators.changes[change_index].done = true,
@@ -313,12 +313,12 @@
             return;
         }
         let keys = self.operators.keys.iter();
-        let mut own: Vec<SmolStr> = keys
+        let mut replaced_keys: Vec<SmolStr> = keys
             .filter(|(owner, _)| owner == account)
             .map(|(_, key)| key.clone())
             .collect();
-        own.pop();
-        for key in own {
+        replaced_keys.pop();
+        for key in replaced_keys {
             for node in self.slots.clone() {
                 self.send_probe(node, account.clone(), key.clone());
             }
