--- a/crates/matrix/src/check.rs
+++ b/crates/matrix/src/check.rs
@@ -226,18 +226,18 @@
 
 /// Checks that no server starts new work later than the limit after its reclaim notice.
 fn leaves_alone(history: &History, breaches: &mut Vec<Breach>) {
-    let mut noticed: BTreeMap<&SmolStr, Time> = BTreeMap::new();
+    let mut announced: BTreeMap<&SmolStr, Time> = BTreeMap::new();
     for (at, fact) in &history.records {
         match fact {
             Fact::ReclaimAnnounced { server } => {
-                noticed.insert(server, *at);
+                announced.insert(server, *at);
             }
             Fact::Started {
                 request, server, ..
             } => {
-                let late = noticed
+                let late = announced
                     .get(server)
-                    .is_some_and(|from| at.since(*from) > LEAVE_LIMIT);
+                    .is_some_and(|announced_at| at.since(*announced_at) > LEAVE_LIMIT);
                 if late {
                     let what = format!("{request:?} was begun at {server}, which is leaving");
                     breach(breaches, Point::LeavesAlone, *at, what);
--- a/crates/matrix/src/plan.rs
+++ b/crates/matrix/src/plan.rs
@@ -47,24 +47,24 @@
 impl Plan {
     /// Generates the run of a seed.
     pub fn new(seed: u64) -> Plan {
-        let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
+        let mut generator = Generator(Pcg64Mcg::seed_from_u64(seed));
         let shape = Shape {
-            entries: 2 + draw.below(7) as usize,
-            engines: 3 + draw.below(4) as usize,
-            services: 2 + draw.below(2) as usize,
+            entries: 2 + generator.below(7) as usize,
+            engines: 3 + generator.below(4) as usize,
+            services: 2 + generator.below(2) as usize,
         };
-        let count = draw.below(9);
+        let count = generator.below(9);
         let mut faults: Vec<(Span, Fault)> = (0..count)
             .map(|_| {
-                let at = Span::from_millis(draw.below(BUSY_MILLIS));
-                (at, draw.fault(shape))
+                let at = Span::from_millis(generator.below(BUSY_MILLIS));
+                (at, generator.fault(shape))
             })
             .collect();
         faults.sort_by_key(|(at, _)| *at);
         Plan {
             seed,
             shape,
-            requests: 4 + draw.below(8),
+            requests: 4 + generator.below(8),
             faults,
         }
     }
@@ -72,9 +72,9 @@
     /// Runs to completion and checks the history.
     pub fn run(&self, bug: Bug) -> Run {
         let mut world = World::new(self.seed, self.shape, bug);
-        let mut draw = Draw(Pcg64Mcg::seed_from_u64(!self.seed));
+        let mut generator = Generator(Pcg64Mcg::seed_from_u64(!self.seed));
         for _ in 0..self.requests {
-            draw.requests(&mut world);
+            generator.requests(&mut world);
         }
         for (after, fault) in &self.faults {
             world.schedule_fault(*after, *fault);
@@ -114,9 +114,9 @@
 }
 
 /// Seeded random generator.
-struct Draw(Pcg64Mcg);
+struct Generator(Pcg64Mcg);
 
-impl Draw {
+impl Generator {
     fn below(&mut self, limit: u64) -> u64 {
         self.0.next_u64() % limit.max(1)
     }
@@ -131,7 +131,7 @@
 
     /// Schedules one request of each kind; a few callers disconnect.
     fn requests(&mut self, world: &mut World) {
-        let start = |draw: &mut Draw| draw.span(0, BUSY_MILLIS);
+        let start = |generator: &mut Generator| generator.span(0, BUSY_MILLIS);
         let tokens = 1 + self.below(400);
         let after = start(self);
         let model = world.schedule_model(after, tokens);
@@ -143,10 +143,10 @@
         world.schedule_plain(after, true, Dedup::None);
         let after = start(self);
         let plain = world.schedule_plain(after, false, Dedup::None);
-        self.drop_some(world, &[model, plain]);
+        self.disconnect_some(world, &[model, plain]);
     }
 
-    fn drop_some(&mut self, world: &mut World, requests: &[RequestId]) {
+    fn disconnect_some(&mut self, world: &mut World, requests: &[RequestId]) {
         for request in requests {
             if self.below(8) == 0 {
                 let after = self.span(0, BUSY_MILLIS);
--- a/crates/matrix/src/run.rs
+++ b/crates/matrix/src/run.rs
@@ -87,68 +87,72 @@
     fn reach(&mut self, step: Step) -> bool {
         self.background();
         match step {
-            Step::Arrived => self.plain(false, Dedup::None) && self.sent(),
-            Step::LeaveByTicket => self.plain(true, Dedup::Ticket) && self.sent_then_wait(2),
-            Step::LeaveByRow => self.plain(true, Dedup::Key) && self.sent_then_wait(3),
+            Step::Arrived => self.send_plain(false, Dedup::None) && self.sent(),
+            Step::LeaveByTicket => self.send_plain(true, Dedup::Ticket) && self.sent_then_wait(2),
+            Step::LeaveByRow => self.send_plain(true, Dedup::Key) && self.sent_then_wait(3),
             Step::Queued => {
                 self.world
                     .schedule_fault(Span::ZERO, Fault::RefuseStarts(3));
-                self.model(20) && self.sent_then_wait(3)
+                self.send_model(20) && self.sent_then_wait(3)
             }
-            Step::PlainRuns => self.plain(true, Dedup::Key) && self.started(1),
-            Step::Started => self.model(LONG_STREAM_TOKENS) && self.started(1),
-            Step::Head => self.model(LONG_STREAM_TOKENS) && self.head_received(),
-            Step::Streaming => self.model(LONG_STREAM_TOKENS) && self.chunks(10),
+            Step::PlainRuns => self.send_plain(true, Dedup::Key) && self.started(1),
+            Step::Started => self.send_model(LONG_STREAM_TOKENS) && self.started(1),
+            Step::Head => self.send_model(LONG_STREAM_TOKENS) && self.head_received(),
+            Step::Streaming => self.send_model(LONG_STREAM_TOKENS) && self.chunks(10),
             Step::Moved => {
-                self.model(LONG_STREAM_TOKENS)
+                self.send_model(LONG_STREAM_TOKENS)
                     && self.chunks(10)
                     && self.reclaim_backend()
                     && self.started(2)
             }
-            Step::Ended => self.model(30) && self.chunks(30),
+            Step::Ended => self.send_model(30) && self.chunks(30),
             Step::Resumed => {
-                self.model(LONG_STREAM_TOKENS)
+                self.send_model(LONG_STREAM_TOKENS)
                     && self.chunks(10)
                     && self.cut_callers()
                     && self.tries(2)
             }
             Step::HandedOff => {
-                self.model(LONG_STREAM_TOKENS)
+                self.send_model(LONG_STREAM_TOKENS)
                     && self.chunks(10)
                     && self.stop_entry()
                     && self.redirected()
             }
-            Step::Cancelled => self.model(LONG_STREAM_TOKENS) && self.chunks(10) && self.cancel(),
+            Step::Cancelled => {
+                self.send_model(LONG_STREAM_TOKENS) && self.chunks(10) && self.cancel()
+            }
             Step::LeaseRenewal => {
-                self.model(LONG_STREAM_TOKENS) && self.chunks(10) && self.write_in_flight("members")
+                self.send_model(LONG_STREAM_TOKENS)
+                    && self.chunks(10)
+                    && self.write_in_flight("members")
             }
             Step::ConfigCommit => {
-                self.model(LONG_STREAM_TOKENS)
+                self.send_model(LONG_STREAM_TOKENS)
                     && self.chunks(10)
-                    && self.change()
+                    && self.change_account()
                     && self.write_in_flight("config")
             }
             Step::ConfigApply => {
-                self.model(LONG_STREAM_TOKENS)
+                self.send_model(LONG_STREAM_TOKENS)
                     && self.chunks(10)
-                    && self.change()
+                    && self.change_account()
                     && self.write_in_flight("config")
                     && self.wait(6)
             }
             Step::Drain => {
-                self.model(LONG_STREAM_TOKENS)
+                self.send_model(LONG_STREAM_TOKENS)
                     && self.chunks(10)
                     && self.stop_entry()
                     && self.wait(100)
             }
             Step::LedgerHandover => {
-                self.plain(true, Dedup::Ticket)
+                self.send_plain(true, Dedup::Ticket)
                     && self.sent()
                     && self.stop_entry()
                     && self.handed_over()
             }
             Step::InstanceLeave => {
-                self.model(LONG_STREAM_TOKENS)
+                self.send_model(LONG_STREAM_TOKENS)
                     && self.chunks(10)
                     && self.reclaim_backend()
                     && self.wait(700)
@@ -214,12 +218,12 @@
         }
     }
 
-    fn model(&mut self, tokens: u64) -> bool {
+    fn send_model(&mut self, tokens: u64) -> bool {
         self.subject = self.world.schedule_model(Span::from_millis(1_500), tokens);
         true
     }
 
-    fn plain(&mut self, non_idempotent: bool, dedup: Dedup) -> bool {
+    fn send_plain(&mut self, non_idempotent: bool, dedup: Dedup) -> bool {
         let after = Span::from_millis(1_500);
         self.subject = self.world.schedule_plain(after, non_idempotent, dedup);
         true
@@ -291,7 +295,7 @@
             .run_until(STEP_TIME, |world| world.handovers() > 0)
     }
 
-    fn change(&mut self) -> bool {
+    fn change_account(&mut self) -> bool {
         self.world.schedule_fault(Span::ZERO, Fault::RaceOperators);
         self.wait(1)
     }
