--- a/crates/matrix/examples/faults.rs
+++ b/crates/matrix/examples/faults.rs
@@ -1,4 +1,4 @@
-//! Draws docs/FAULTS.md: `cargo run --release -p matrix --example faults > docs/FAULTS.md`.
+//! Prints docs/FAULTS.md: `cargo run --release -p matrix --example faults > docs/FAULTS.md`.
 
 use matrix::page;
 use matrix::run;
@@ -7,5 +7,5 @@
 fn main() {
     let cells = table::cells();
     let outcomes = run::run_all(&cells);
-    print!("{}", page::draw(&cells, &outcomes));
+    print!("{}", page::render(&cells, &outcomes));
 }
--- a/crates/matrix/src/check.rs
+++ b/crates/matrix/src/check.rs
@@ -1,4 +1,4 @@
-//! Judges a history against the seven points; knows nothing of the reducer.
+//! Checks a history for breaches of the system's guarantees, independently of the reducer.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,49 +8,49 @@
 use smol_str::SmolStr;
 use verdict::Verdict;
 
-use crate::history::Ask;
 use crate::history::Cause;
 use crate::history::Fact;
 use crate::history::History;
 use crate::history::Kind;
-use crate::history::Try;
+use crate::history::RequestId;
+use crate::history::TryId;
 
-/// Within this a leaving server must be out of use everywhere.
+/// Time after a reclaim notice within which no entry may send new work to the leaving server any more.
 pub const LEAVE_LIMIT: Span = Span::from_seconds(5);
 
-/// One of the seven points.
+/// Guarantee of the system to its callers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Point {
-    /// An accepted request is answered whole.
+    /// An accepted request is answered completely.
     Survives,
-    /// Each caller gets its own whole answer, each token once and in order.
+    /// Each caller gets its own complete answer, each token exactly once and in order.
     OwnAnswer,
-    /// A request said to be "not run" did not run.
+    /// A request refused as "not run" did not run.
     NotRunIsTrue,
     /// A non-idempotent request runs at most once.
     AtMostOnce,
     /// A leaving backend server gets no new work.
     LeavesAlone,
-    /// A planned stop cuts nothing.
+    /// A planned stop cuts no connection.
     StopsGracefully,
-    /// An accepted configuration never reverts, and nobody admits under an older one.
+    /// An accepted configuration is never reverted, and no entry admits under an older one.
     NeverReverts,
-    /// A change is in force everywhere soon, once all faults are over.
+    /// A change comes into force everywhere once all faults are over.
     InForce,
 }
 
-/// One breach of a point.
+/// Breach of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which point.
+    /// The breached guarantee.
     pub point: Point,
-    /// When it was seen.
+    /// Time of the observation.
     pub at: Time,
-    /// What was seen.
+    /// Description of the observation.
     pub what: String,
 }
 
-/// All breaches in a history that ran to its end.
+/// Returns all breaches in a history that ran to completion, by time.
 pub fn check(history: &History) -> Vec<Breach> {
     let mut breaches = Vec::new();
     survives(history, &mut breaches);
@@ -68,92 +68,100 @@
     breaches.push(Breach { point, at, what });
 }
 
-/// Every request whose caller holds the head of its answer ends whole, unless its caller leaves it or
-/// it crashes its servers; and every sending of any other has a last word.
+/// Checks that every request with a head is answered completely, unless its caller disconnected or it
+/// crashes engines, and that every other try gets a final response.
 fn survives(history: &History, breaches: &mut Vec<Breach>) {
     let mut headed = BTreeMap::new();
     let mut excused = BTreeSet::new();
-    let mut open: BTreeMap<Ask, Time> = BTreeMap::new();
-    let mut last = BTreeMap::new();
+    let mut unanswered: BTreeMap<RequestId, Time> = BTreeMap::new();
+    let mut last_reason = BTreeMap::new();
     for (at, fact) in &history.records {
         match fact {
-            Fact::Asked {
-                ask, killer: true, ..
+            Fact::Requested {
+                request,
+                killer: true,
+                ..
             }
-            | Fact::Dropped { ask } => {
-                excused.insert(*ask);
-                open.remove(ask);
+            | Fact::Abandoned { request } => {
+                excused.insert(*request);
+                unanswered.remove(request);
             }
-            Fact::Sent { ask, .. } => {
-                open.insert(*ask, *at);
+            Fact::Sent { request, .. } => {
+                unanswered.insert(*request, *at);
             }
-            Fact::Head { ask } => {
-                headed.insert(*ask, *at);
+            Fact::Head { request } => {
+                headed.insert(*request, *at);
             }
-            Fact::Whole { ask, .. } => {
-                headed.remove(ask);
-                open.remove(ask);
+            Fact::Completed { request, .. } => {
+                headed.remove(request);
+                unanswered.remove(request);
             }
-            Fact::Refused { ask, reason, .. } => {
-                open.remove(ask);
-                last.insert(*ask, reason.as_str());
+            Fact::Refused {
+                request, reason, ..
+            } => {
+                unanswered.remove(request);
+                last_reason.insert(*request, reason.as_str());
             }
-            Fact::Cut { ask, .. } | Fact::Continued { ask } => {
-                open.remove(ask);
+            Fact::Disconnected { request, .. } | Fact::Redirected { request } => {
+                unanswered.remove(request);
             }
             _ => {}
         }
     }
-    for (ask, at) in headed {
-        if !excused.contains(&ask) {
-            let reason = last.get(&ask).unwrap_or(&"nothing");
+    for (request, at) in headed {
+        if !excused.contains(&request) {
+            let reason = last_reason.get(&request).unwrap_or(&"nothing");
             let what =
-                format!("{ask:?} was accepted and never answered whole; last heard: {reason}");
+                format!("{request:?} was accepted and never answered whole; last heard: {reason}");
             breach(breaches, Point::Survives, at, what);
         }
     }
-    for (ask, at) in open {
-        let what = format!("{ask:?} has no last word");
+    for (request, at) in unanswered {
+        let what = format!("{request:?} has no last word");
         breach(breaches, Point::Survives, at, what);
     }
 }
 
-/// On each sending tokens come in order from the offset that was wanted, and are the caller's own.
+/// Checks that the tokens of each try are the caller's own and come in order from the wanted offset.
 fn own_answer(history: &History, breaches: &mut Vec<Breach>) {
     let mut kinds = BTreeMap::new();
-    let mut next: BTreeMap<Try, u64> = BTreeMap::new();
+    let mut next: BTreeMap<TryId, u64> = BTreeMap::new();
     for (at, fact) in &history.records {
         match fact {
-            Fact::Asked { ask, kind, .. } => {
-                kinds.insert(*ask, *kind);
+            Fact::Requested { request, kind, .. } => {
+                kinds.insert(*request, *kind);
             }
-            Fact::Sent { number, offset, .. } => {
-                next.insert(*number, *offset);
+            Fact::Sent { try_id, offset, .. } => {
+                next.insert(*try_id, *offset);
             }
             Fact::Chunk {
-                ask,
-                number,
+                request,
+                try_id,
                 offset,
                 owner,
                 index,
             } => {
-                let wanted = next.get(number).copied().unwrap_or(0);
-                if *offset != wanted || *index != wanted || owner != ask {
+                let wanted = next.get(try_id).copied().unwrap_or(0);
+                if *offset != wanted || *index != wanted || owner != request {
                     let what = format!(
-                        "{ask:?} got offset {offset} (token {index} of {owner:?}) and not {wanted}"
+                        "{request:?} got offset {offset} (token {index} of {owner:?}) and not {wanted}"
                     );
                     breach(breaches, Point::OwnAnswer, *at, what);
                 }
-                next.insert(*number, wanted + 1);
+                next.insert(*try_id, wanted + 1);
             }
-            Fact::Whole { ask, number, owner } => {
-                let got = next.get(number).copied().unwrap_or(0);
-                let whole = match kinds.get(ask) {
+            Fact::Completed {
+                request,
+                try_id,
+                owner,
+            } => {
+                let got = next.get(try_id).copied().unwrap_or(0);
+                let whole = match kinds.get(request) {
                     Some(Kind::Model { tokens }) => got == *tokens,
                     _ => true,
                 };
-                if !whole || owner != ask {
-                    let what = format!("{ask:?} ended at {got} with the end of {owner:?}");
+                if !whole || owner != request {
+                    let what = format!("{request:?} ended at {got} with the end of {owner:?}");
                     breach(breaches, Point::OwnAnswer, *at, what);
                 }
             }
@@ -162,51 +170,53 @@
     }
 }
 
-/// No sending that was refused as "not run" ran, before or after; nor is that said of a request whose
-/// caller came back for the rest of its answer.
+/// Checks that no try refused as "not run" ran, before or after, and that no request whose caller had
+/// received the head of its answer was refused so.
 fn not_run_is_true(history: &History, breaches: &mut Vec<Breach>) {
     let mut ran = BTreeSet::new();
     for (_, fact) in &history.records {
-        if let Fact::Ran { number, .. } = fact {
-            ran.insert(*number);
+        if let Fact::Started { try_id, .. } = fact {
+            ran.insert(*try_id);
         }
     }
     let mut headed = BTreeSet::new();
     for (at, fact) in &history.records {
-        if let Fact::Head { ask } = fact {
-            headed.insert(*ask);
+        if let Fact::Head { request } = fact {
+            headed.insert(*request);
         }
         if let Fact::Refused {
-            ask,
-            number,
+            request,
+            try_id,
             verdict: Verdict::NotRun,
             reason,
         } = fact
-            && (ran.contains(number) || headed.contains(ask))
+            && (ran.contains(try_id) || headed.contains(request))
         {
-            let what = format!("{ask:?} was refused as not run ({reason}) and ran");
+            let what = format!("{request:?} was refused as not run ({reason}) and ran");
             breach(breaches, Point::NotRunIsTrue, *at, what);
         }
     }
 }
 
-/// A non-idempotent request is begun once at most, over all its sendings.
+/// Checks that a non-idempotent request starts at most once across all its tries.
 fn at_most_once(history: &History, breaches: &mut Vec<Breach>) {
-    let mut once = BTreeSet::new();
+    let mut non_idempotent = BTreeSet::new();
     let mut ran = BTreeSet::new();
     for (at, fact) in &history.records {
         match fact {
-            Fact::Asked {
-                ask,
+            Fact::Requested {
+                request,
                 kind: Kind::Plain {
                     non_idempotent: true,
                 },
                 ..
             } => {
-                once.insert(*ask);
+                non_idempotent.insert(*request);
             }
-            Fact::Ran { ask, server, .. } if once.contains(ask) && !ran.insert(*ask) => {
-                let what = format!("{ask:?} ran again, at {server}");
+            Fact::Started {
+                request, server, ..
+            } if non_idempotent.contains(request) && !ran.insert(*request) => {
+                let what = format!("{request:?} ran again, at {server}");
                 breach(breaches, Point::AtMostOnce, *at, what);
             }
             _ => {}
@@ -214,20 +224,22 @@
     }
 }
 
-/// No server begins anything later than the limit after its end was announced.
+/// Checks that no server starts new work later than the limit after its reclaim notice.
 fn leaves_alone(history: &History, breaches: &mut Vec<Breach>) {
-    let mut noticed: BTreeMap<&SmolStr, Time> = BTreeMap::new();
+    let mut announced: BTreeMap<&SmolStr, Time> = BTreeMap::new();
     for (at, fact) in &history.records {
         match fact {
-            Fact::Noticed { server } => {
-                noticed.insert(server, *at);
+            Fact::ReclaimAnnounced { server } => {
+                announced.insert(server, *at);
             }
-            Fact::Ran { ask, server, .. } => {
-                let late = noticed
+            Fact::Started {
+                request, server, ..
+            } => {
+                let late = announced
                     .get(server)
-                    .is_some_and(|from| at.since(*from) > LEAVE_LIMIT);
+                    .is_some_and(|announced_at| at.since(*announced_at) > LEAVE_LIMIT);
                 if late {
-                    let what = format!("{ask:?} was begun at {server}, which is leaving");
+                    let what = format!("{request:?} was begun at {server}, which is leaving");
                     breach(breaches, Point::LeavesAlone, *at, what);
                 }
             }
@@ -236,25 +248,29 @@
     }
 }
 
-/// No connection ends because its entry stopped as planned.
+/// Checks that no planned stop of an entry cuts a connection.
 ///
-/// An instance that is taken away while its entry stands still, or stood still during the notice,
-/// could not be cleared in time.
+/// A reclaim of an entry that was frozen at any time before is exempt: it may not have had the time to
+/// drain.
 fn stops_gracefully(history: &History, breaches: &mut Vec<Breach>) {
     let mut paused = BTreeSet::new();
     for (at, fact) in &history.records {
         match fact {
-            Fact::Paused { life, .. } => {
-                paused.insert(*life);
+            Fact::Paused { process, .. } => {
+                paused.insert(*process);
             }
-            Fact::Cut { ask, life, cause } => {
+            Fact::Disconnected {
+                request,
+                process,
+                cause,
+            } => {
                 let planned = match cause {
                     Cause::Exit => true,
-                    Cause::Reclaim => !paused.contains(life),
-                    Cause::Kill | Cause::Link | Cause::Patience => false,
+                    Cause::Reclaim => !paused.contains(process),
+                    Cause::Kill | Cause::Link | Cause::Timeout => false,
                 };
                 if planned {
-                    let what = format!("{ask:?} was cut by the planned stop of {life:?}");
+                    let what = format!("{request:?} was cut by the planned stop of {process:?}");
                     breach(breaches, Point::StopsGracefully, *at, what);
                 }
             }
@@ -263,23 +279,23 @@
     }
 }
 
-/// Versions shown by an entry only rise; no key admits that was replaced by an accepted change before
-/// the request was sent; and once all faults are over, a change is accepted.
+/// Checks that the versions reported by an entry only rise, that no key admits a request sent after an
+/// accepted change replaced the key, and that the last change is accepted.
 fn never_reverts(history: &History, breaches: &mut Vec<Breach>) {
-    let mut shown = BTreeMap::new();
-    let mut set_by: BTreeMap<&SmolStr, u64> = BTreeMap::new();
+    let mut newest = BTreeMap::new();
+    let mut version_by_key: BTreeMap<&SmolStr, u64> = BTreeMap::new();
     let mut accepted: Vec<(Time, &SmolStr, u64)> = Vec::new();
     for (_, fact) in &history.records {
         if let Fact::Accepted { key, version, .. } | Fact::Committed { key, version, .. } = fact {
-            set_by.insert(key, *version);
+            version_by_key.insert(key, *version);
         }
     }
     for (at, fact) in &history.records {
         match fact {
-            Fact::Showed { life, version } => {
-                let before = shown.insert(*life, *version).unwrap_or(0);
+            Fact::VersionReported { process, version } => {
+                let before = newest.insert(*process, *version).unwrap_or(0);
                 if *version < before {
-                    let what = format!("{life:?} went back from {before} to {version}");
+                    let what = format!("{process:?} went back from {before} to {version}");
                     breach(breaches, Point::NeverReverts, *at, what);
                 }
             }
@@ -287,9 +303,11 @@
                 account, version, ..
             } => accepted.push((*at, account, *version)),
             Fact::Admitted { account, key, sent } => {
-                let version = set_by.get(key).copied();
-                let newer = accepted.iter().find(|(when, whose, newer)| {
-                    when < sent && *whose == account && version.is_some_and(|old| *newer > old)
+                let version = version_by_key.get(key).copied();
+                let newer = accepted.iter().find(|(accepted_at, changed, newer)| {
+                    accepted_at < sent
+                        && *changed == account
+                        && version.is_some_and(|old| *newer > old)
                 });
                 if let Some((_, _, newer)) = newer {
                     let what = format!("{key} admitted though version {newer} replaced it");
--- a/crates/matrix/src/history.rs
+++ b/crates/matrix/src/history.rs
@@ -1,28 +1,28 @@
-//! What a run recorded, as callers, backend servers, operators and the cloud saw it.
+//! Record of a run, as callers, backend servers, operators and the cloud observed it.
 
 use clock::Time;
 use smol_str::SmolStr;
 use verdict::Reason;
 use verdict::Verdict;
 
-/// Names one request of one caller over all its tries.
+/// Identifies one request of one caller across all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ask(pub u32);
+pub struct RequestId(pub u32);
 
-/// Names one sending of a request; never used again.
+/// Identifies one try of a request; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Try(pub u32);
+pub struct TryId(pub u32);
 
-/// Names one life of an entry.
+/// Identifies one process of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life(pub u32);
+pub struct ProcessId(pub u32);
 
-/// What a caller asks for.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A streamed answer of so many tokens.
+    /// Request for a streamed answer.
     Model {
-        /// Length of the whole answer.
+        /// Length of the whole answer in tokens.
         tokens: u64,
     },
     /// A plain call.
@@ -32,174 +32,173 @@
     },
 }
 
-/// Why a connection ended without a last word.
+/// Why a connection ended without a final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The entry's process ended in good order.
+    /// The entry's process exited after an orderly stop.
     Exit,
-    /// The entry's instance was taken away at the end of its notice.
+    /// The entry's instance was reclaimed at the end of its notice.
     Reclaim,
     /// The entry was killed.
     Kill,
     /// The connection broke.
     Link,
-    /// The caller waited too long for a word.
-    Patience,
+    /// The caller timed out waiting for a response.
+    Timeout,
 }
 
-/// One thing that was seen.
+/// One observation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fact {
-    /// A caller has a request; `killer` crashes each model engine that runs it.
-    Asked {
-        /// Its name.
-        ask: Ask,
-        /// What it asks for.
+    /// A caller created a request.
+    Requested {
+        /// The new request.
+        request: RequestId,
+        /// Kind of the request.
         kind: Kind,
-        /// Whether it crashes model engines.
+        /// Whether it crashes each model engine that runs it.
         killer: bool,
     },
-    /// It was sent; the caller wants `offset` first.
+    /// A try of a request was sent.
     Sent {
-        /// Which request.
-        ask: Ask,
-        /// Which sending.
-        number: Try,
-        /// To which entry.
-        life: Life,
-        /// Offset of the first token wanted.
+        /// The request.
+        request: RequestId,
+        /// The new try.
+        try_id: TryId,
+        /// Entry that it was sent to.
+        process: ProcessId,
+        /// Offset of the first token that the caller lacks.
         offset: u64,
     },
-    /// The caller got the head of its stream.
+    /// The caller received the head of its answer.
     Head {
-        /// Which request.
-        ask: Ask,
+        /// The request.
+        request: RequestId,
     },
-    /// The caller got a token.
+    /// The caller received a token.
     Chunk {
-        /// Which request.
-        ask: Ask,
-        /// On which sending.
-        number: Try,
-        /// Its offset as told.
+        /// The request.
+        request: RequestId,
+        /// Try on which the token came.
+        try_id: TryId,
+        /// Offset that the entry gave the token.
         offset: u64,
-        /// Whose answer it belongs to.
-        owner: Ask,
-        /// Its place in that answer.
+        /// Request whose answer the token belongs to.
+        owner: RequestId,
+        /// Position of the token in that answer.
         index: u64,
     },
-    /// The caller got the end of a whole answer.
-    Whole {
-        /// Which request.
-        ask: Ask,
-        /// On which sending.
-        number: Try,
-        /// Whose answer it was.
-        owner: Ask,
+    /// The caller received the end of a whole answer.
+    Completed {
+        /// The request.
+        request: RequestId,
+        /// Try on which the end came.
+        try_id: TryId,
+        /// Request whose answer ended.
+        owner: RequestId,
     },
-    /// The caller got a refusal.
+    /// The caller received a refusal.
     Refused {
-        /// Which request.
-        ask: Ask,
-        /// Which sending.
-        number: Try,
-        /// What is said of its execution.
+        /// The request.
+        request: RequestId,
+        /// The refused try.
+        try_id: TryId,
+        /// Whether the request may have run.
         verdict: Verdict,
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
     },
-    /// The caller was told to go on at another entry.
-    Continued {
-        /// Which request.
-        ask: Ask,
-    },
-    /// The caller's connection ended without a last word.
-    Cut {
-        /// Which request.
-        ask: Ask,
-        /// At which entry.
-        life: Life,
-        /// Why.
+    /// The caller was redirected to another entry.
+    Redirected {
+        /// The request.
+        request: RequestId,
+    },
+    /// The caller's connection ended without a final response.
+    Disconnected {
+        /// The request.
+        request: RequestId,
+        /// Entry at the other end of the connection.
+        process: ProcessId,
+        /// Why the connection ended.
         cause: Cause,
     },
-    /// The caller went away or cancelled for good.
-    Dropped {
-        /// Which request.
-        ask: Ask,
+    /// The caller disconnected for good or cancelled.
+    Abandoned {
+        /// The request.
+        request: RequestId,
     },
     /// A backend server began to run a request.
-    Ran {
-        /// Which request.
-        ask: Ask,
-        /// Which sending led to it.
-        number: Try,
+    Started {
+        /// The request.
+        request: RequestId,
+        /// Try on whose behalf it runs.
+        try_id: TryId,
         /// Incarnation of the server.
         server: SmolStr,
     },
-    /// The cloud announced the end of a backend server's instance.
-    Noticed {
+    /// The cloud announced the reclaim of a backend server's instance.
+    ReclaimAnnounced {
         /// Incarnation of the server.
         server: SmolStr,
     },
-    /// An operator was told that a change of an account's key is in force everywhere.
+    /// An operator's change of an account's key was reported to be in force everywhere.
     Accepted {
-        /// Which account.
+        /// The changed account.
         account: SmolStr,
-        /// Its only key from now on.
+        /// The account's only key from this version on.
         key: SmolStr,
-        /// The version that holds it.
+        /// Configuration version that contains the change.
         version: u64,
     },
-    /// An operator was told that a change is committed, not yet in force everywhere.
+    /// An operator's change was reported as committed, but not yet in force everywhere.
     Committed {
-        /// Which account.
+        /// The changed account.
         account: SmolStr,
-        /// Its only key from then on.
+        /// The account's only key from this version on.
         key: SmolStr,
-        /// The version that holds it.
+        /// Configuration version that contains the change.
         version: u64,
     },
-    /// A request with a key of an account that operators change was sent at `sent`, and not refused
-    /// for its key or for the entry's state.
+    /// A probe with a key of a watched account was not refused because of its key or of the entry's state.
     Admitted {
-        /// Which account.
+        /// The watched account.
         account: SmolStr,
-        /// The key that came along.
+        /// The key that the probe presented.
         key: SmolStr,
-        /// When it was sent.
+        /// Time at which the probe was sent.
         sent: Time,
     },
-    /// An entry showed its configuration.
-    Showed {
-        /// Which entry.
-        life: Life,
-        /// Its version.
+    /// An entry reported its configuration version.
+    VersionReported {
+        /// The entry.
+        process: ProcessId,
+        /// The reported version.
         version: u64,
     },
-    /// The last change, made when all faults were over, and how it went.
+    /// The last change, made after all faults were over, finished.
     LastChange {
         /// Whether it was accepted.
         accepted: bool,
     },
-    /// An entry stopped running or ran on.
+    /// An entry was frozen or thawed.
     Paused {
-        /// Which entry.
-        life: Life,
-        /// Whether it runs again.
-        over: bool,
+        /// The entry.
+        process: ProcessId,
+        /// Whether it was thawed.
+        resumed: bool,
     },
 }
 
-/// All that was seen, in order.
+/// All observations in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
-    /// Facts with the true time.
+    /// Observations with their simulated time.
     pub records: Vec<(Time, Fact)>,
 }
 
 impl History {
-    /// Adds what is seen now.
-    pub fn note(&mut self, at: Time, fact: Fact) {
+    /// Appends an observation.
+    pub fn record(&mut self, at: Time, fact: Fact) {
         self.records.push((at, fact));
     }
 }
--- a/crates/matrix/src/plan.rs
+++ b/crates/matrix/src/plan.rs
@@ -1,4 +1,4 @@
-//! Random runs: what callers ask and which faults happen, drawn from a seed.
+//! Random runs: requests and faults, generated from a seed.
 
 use clock::Span;
 use rand::Rng;
@@ -8,78 +8,78 @@
 use crate::check;
 use crate::check::Breach;
 use crate::fault::Fault;
-use crate::history::Ask;
 use crate::history::History;
+use crate::history::RequestId;
 use crate::world::Bug;
-use crate::world::Once;
+use crate::world::Dedup;
 use crate::world::Shape;
 use crate::world::World;
 
-/// Time in which callers ask and faults begin, milliseconds.
-const BUSY: u64 = 20_000;
+/// Time during which requests and faults start, in milliseconds.
+const BUSY_MILLIS: u64 = 20_000;
 
-/// Zones of every world.
+/// Number of availability zones of every world.
 const ZONES: u64 = 3;
 
-/// One random run.
+/// Description of one random run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Feeds all else.
+    /// Seed of the world and its requests.
     pub seed: u64,
-    /// How large the world is.
+    /// Number of simulated processes of each kind.
     pub shape: Shape,
-    /// Requests of each kind.
+    /// Number of requests of each kind.
     pub requests: u64,
-    /// Faults and when they begin.
+    /// Faults and their start times.
     pub faults: Vec<(Span, Fault)>,
 }
 
-/// How a run went.
+/// Result of a run.
 pub struct Run {
-    /// What was seen.
+    /// Everything that was observed.
     pub history: History,
-    /// What the checker found.
+    /// Breaches that the checker found.
     pub breaches: Vec<Breach>,
-    /// Steps of reducers that it took.
+    /// Number of reducer steps taken.
     pub steps: u64,
 }
 
 impl Plan {
-    /// The run of a seed.
+    /// Generates the run of a seed.
     pub fn new(seed: u64) -> Plan {
-        let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
+        let mut generator = Generator(Pcg64Mcg::seed_from_u64(seed));
         let shape = Shape {
-            entries: 2 + draw.below(7) as usize,
-            engines: 3 + draw.below(4) as usize,
-            services: 2 + draw.below(2) as usize,
+            entries: 2 + generator.below(7) as usize,
+            engines: 3 + generator.below(4) as usize,
+            services: 2 + generator.below(2) as usize,
         };
-        let count = draw.below(9);
+        let count = generator.below(9);
         let mut faults: Vec<(Span, Fault)> = (0..count)
             .map(|_| {
-                let at = Span::from_millis(draw.below(BUSY));
-                (at, draw.fault(shape))
+                let at = Span::from_millis(generator.below(BUSY_MILLIS));
+                (at, generator.fault(shape))
             })
             .collect();
         faults.sort_by_key(|(at, _)| *at);
         Plan {
             seed,
             shape,
-            requests: 4 + draw.below(8),
+            requests: 4 + generator.below(8),
             faults,
         }
     }
 
-    /// Runs it to its end.
+    /// Runs to completion and checks the history.
     pub fn run(&self, bug: Bug) -> Run {
         let mut world = World::new(self.seed, self.shape, bug);
-        let mut draw = Draw(Pcg64Mcg::seed_from_u64(!self.seed));
+        let mut generator = Generator(Pcg64Mcg::seed_from_u64(!self.seed));
         for _ in 0..self.requests {
-            draw.requests(&mut world);
+            generator.requests(&mut world);
         }
         for (after, fault) in &self.faults {
-            world.fault_in(*after, *fault);
+            world.schedule_fault(*after, *fault);
         }
-        world.run_for(Span::from_millis(BUSY));
+        world.run_for(Span::from_millis(BUSY_MILLIS));
         let (history, steps) = world.finish();
         let breaches = check::check(&history);
         Run {
@@ -89,34 +89,34 @@
         }
     }
 
-    /// The same run with as few faults as still breach the same point first, in the same way.
-    pub fn shrunk(&self, bug: Bug) -> Plan {
-        let mut least = self.clone();
-        let point = |plan: &Plan| {
+    /// Removes every fault without which the run still starts with the same breach.
+    pub fn shrink(&self, bug: Bug) -> Plan {
+        let mut smallest = self.clone();
+        let first_breach = |plan: &Plan| {
             let run = plan.run(bug);
             let first = run.breaches.first()?;
             let way = first.what.rsplit(';').next()?.to_owned();
             Some((first.point, way))
         };
-        let wanted = point(self);
+        let expected = first_breach(self);
         let mut at = 0;
-        while at < least.faults.len() {
-            let mut fewer = least.clone();
+        while at < smallest.faults.len() {
+            let mut fewer = smallest.clone();
             fewer.faults.remove(at);
-            if point(&fewer) == wanted {
-                least = fewer;
+            if first_breach(&fewer) == expected {
+                smallest = fewer;
             } else {
                 at += 1;
             }
         }
-        least
+        smallest
     }
 }
 
-/// Draws from a seed.
-struct Draw(Pcg64Mcg);
+/// Seeded random generator.
+struct Generator(Pcg64Mcg);
 
-impl Draw {
+impl Generator {
     fn below(&mut self, limit: u64) -> u64 {
         self.0.next_u64() % limit.max(1)
     }
@@ -129,28 +129,28 @@
         self.below(slots as u64) as usize
     }
 
-    /// One request of each kind; a few callers go away.
+    /// Schedules one request of each kind; a few callers disconnect.
     fn requests(&mut self, world: &mut World) {
-        let when = |draw: &mut Draw| draw.span(0, BUSY);
+        let start = |generator: &mut Generator| generator.span(0, BUSY_MILLIS);
         let tokens = 1 + self.below(400);
-        let after = when(self);
-        let model = world.ask_model(after, tokens);
-        let after = when(self);
-        world.ask_plain(after, true, Once::Ticket);
-        let after = when(self);
-        world.ask_plain(after, true, Once::Key);
-        let after = when(self);
-        world.ask_plain(after, true, Once::No);
-        let after = when(self);
-        let plain = world.ask_plain(after, false, Once::No);
-        self.drop_some(world, &[model, plain]);
+        let after = start(self);
+        let model = world.schedule_model(after, tokens);
+        let after = start(self);
+        world.schedule_plain(after, true, Dedup::Ticket);
+        let after = start(self);
+        world.schedule_plain(after, true, Dedup::Key);
+        let after = start(self);
+        world.schedule_plain(after, true, Dedup::None);
+        let after = start(self);
+        let plain = world.schedule_plain(after, false, Dedup::None);
+        self.disconnect_some(world, &[model, plain]);
     }
 
-    fn drop_some(&mut self, world: &mut World, asks: &[Ask]) {
-        for ask in asks {
+    fn disconnect_some(&mut self, world: &mut World, requests: &[RequestId]) {
+        for request in requests {
             if self.below(8) == 0 {
-                let after = self.span(0, BUSY);
-                world.drop_later(after, *ask);
+                let after = self.span(0, BUSY_MILLIS);
+                world.schedule_disconnect(after, *request);
             }
         }
     }
--- a/crates/matrix/src/world/cloud.rs
+++ b/crates/matrix/src/world/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: notices, ends of instances, and new ones.
+//! The cloud: reclaim notices, and ends and starts of instances.
 
 use clock::Span;
 use clock::Time;
@@ -8,15 +8,15 @@
 
 use crate::history::Cause;
 use crate::history::Fact;
-use crate::world::Happening;
+use crate::world::Occurrence;
 use crate::world::World;
 use crate::world::backend::LIST_LAG;
 
-/// Time until a new life of an entry starts.
+/// Time to start a new process of an entry.
 const ENTRY_START_TIME: Span = Span::from_millis(3_000);
 
 impl World {
-    /// All notices that hold now.
+    /// Returns all reclaim notices in force.
     pub(crate) fn notices(&self) -> Vec<Notice> {
         let mut notices = Vec::new();
         for backend in self.backends.iter().filter(|backend| backend.alive) {
@@ -38,21 +38,21 @@
         notices
     }
 
-    /// Addresses of entries as the list shows them now: it lags.
+    /// Returns the addresses of the entries in the instance list, which lags.
     pub(crate) fn entry_list(&self) -> Vec<SmolStr> {
-        let shown = self.nodes.iter().filter(|node| {
+        let listed = self.nodes.iter().filter(|node| {
             let since = node.ended.unwrap_or(self.now);
-            let first = node.born == Time::ZERO;
-            let appeared = first || self.now.since(node.born) >= LIST_LAG;
+            let first = node.started == Time::ZERO;
+            let appeared = first || self.now.since(node.started) >= LIST_LAG;
             appeared && self.now.since(since) < LIST_LAG
         });
-        shown
+        listed
             .map(|node| node.identity.caller_address.clone())
             .collect()
     }
 
-    /// Announces the end of a backend server's instance.
-    pub(crate) fn reclaim_backend(&mut self, slot: usize, left: Span) {
+    /// Announces the reclaim of a backend server's instance.
+    pub(crate) fn reclaim_backend(&mut self, slot: usize, time_left: Span) {
         let now = self.now;
         let Some(backend) = self.backends.get_mut(slot) else {
             return;
@@ -60,62 +60,62 @@
         if !backend.alive || backend.leaving.is_some() {
             return;
         }
-        backend.leaving = Some((now, now + left));
+        backend.leaving = Some((now, now + time_left));
         let server = backend.incarnation.clone();
-        self.note(Fact::Noticed {
+        self.record(Fact::ReclaimAnnounced {
             server: server.clone(),
         });
-        self.after(left, Happening::BackendDies(slot, server));
+        self.after(time_left, Occurrence::BackendEnds(slot, server));
     }
 
-    /// Announces the end of an entry's instance.
-    pub(crate) fn reclaim_entry(&mut self, slot: usize, left: Span) {
+    /// Announces the reclaim of an entry's instance.
+    pub(crate) fn reclaim_entry(&mut self, slot: usize, time_left: Span) {
         let Some(node) = self.slots.get(slot).copied() else {
             return;
         };
-        let end = self.now + left;
-        let life = &mut self.nodes[node];
-        if !life.alive || life.leaving.is_some() {
+        let end = self.now + time_left;
+        let process = &mut self.nodes[node];
+        if !process.alive || process.leaving.is_some() {
             return;
         }
-        life.leaving = Some(end);
-        life.stopping = true;
-        self.after(left, Happening::EntryDies(node));
+        process.leaving = Some(end);
+        process.stopping = true;
+        self.after(time_left, Occurrence::EntryReclaimed(node));
     }
 
-    /// An entry's instance is taken away.
-    pub(crate) fn entry_dies(&mut self, node: usize) {
+    /// Takes an entry's instance away at the end of its notice.
+    pub(crate) fn end_reclaimed_entry(&mut self, node: usize) {
         if !self.nodes[node].alive {
             return;
         }
         self.end_entry(node, Cause::Reclaim);
-        self.entry_replaced(self.nodes[node].slot);
+        self.schedule_entry_start(self.nodes[node].slot);
     }
 
-    /// A new life of an entry is ordered.
-    pub(crate) fn entry_replaced(&mut self, slot: usize) {
-        self.after(ENTRY_START_TIME, Happening::EntryBorn(slot));
+    /// Schedules the start of a new process in an entry slot.
+    pub(crate) fn schedule_entry_start(&mut self, slot: usize) {
+        self.after(ENTRY_START_TIME, Occurrence::EntryStarts(slot));
     }
 
-    /// A new life of an entry starts, unless the cloud refuses or one runs.
-    pub(crate) fn entry_born(&mut self, slot: usize) {
+    /// Starts a new process of an entry, unless one runs or the cloud refuses.
+    pub(crate) fn restart_entry(&mut self, slot: usize) {
         if self.nodes[self.slots[slot]].alive {
             return;
         }
         if self.refusing_instances {
-            return self.entry_replaced(slot);
+            return self.schedule_entry_start(slot);
         }
         self.start_entry(slot);
     }
 
-    /// An entry is asked to stop.
+    /// Asks an entry to stop.
     pub(crate) fn stop_entry(&mut self, slot: usize) {
         let Some(node) = self.slots.get(slot).copied() else {
             return;
         };
         if self.nodes[node].alive {
             self.nodes[node].stopping = true;
-            self.tell(node, Event::StopRequested { immediate: false });
+            self.send_event(node, Event::StopRequested { immediate: false });
         }
     }
 }
--- a/crates/matrix/src/world/mod.rs
+++ b/crates/matrix/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! Several entries and small fakes of all that is around them, in virtual time.
+//! Simulates several entries and fakes of their surroundings in virtual time.
 
 mod answers;
 mod backend;
@@ -31,11 +31,11 @@
 use crate::fault::Fault;
 use crate::history::Fact;
 use crate::history::History;
-use crate::history::Life;
-use crate::history::Try;
+use crate::history::ProcessId;
+use crate::history::TryId;
 use crate::world::backend::Backend;
 use crate::world::callers::Caller;
-use crate::world::callers::CallerWord;
+use crate::world::callers::Response;
 use crate::world::engine::EngineCall;
 use crate::world::input::Input;
 use crate::world::node::Node;
@@ -43,27 +43,27 @@
 use crate::world::service::ServiceCall;
 use crate::world::store::StoreState;
 
-pub use crate::world::callers::Once;
+pub use crate::world::callers::Dedup;
 
-/// The entries' common key.
+/// Secret key shared by all entries.
 const SHARED_KEY: &str = "a key that all entries share";
 
-/// One way over the network.
-const HOP: Span = Span::from_millis(1);
+/// One-way network delay.
+const NETWORK_DELAY: Span = Span::from_millis(1);
 
-/// Time between two ticks of an entry.
-const TICK: Span = Span::from_millis(50);
+/// Interval between two ticks of an entry.
+const TICK_INTERVAL: Span = Span::from_millis(50);
 
-/// Time between two readings of the instance list and the notices.
-const POLL: Span = Span::from_millis(500);
+/// Interval between two reads of the instance list and the notices.
+const POLL_INTERVAL: Span = Span::from_millis(500);
 
-/// Time after the last fault in which everything has to come to its end.
-const CALM: Span = Span::from_seconds(150);
+/// Longest time after the last fault in which every request and change has to finish.
+const SETTLE_TIME: Span = Span::from_seconds(150);
 
-/// Time for the last words of what is on its way.
-const LAST_WORDS: Span = Span::from_seconds(10);
+/// Time after the last request in which messages in flight are still delivered.
+const DELIVERY_TIME: Span = Span::from_seconds(10);
 
-/// Wrong behaviour that can be switched on, to show that the checker catches it.
+/// Faulty behaviour that can be injected, to show that the checker detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Bug {
     /// None.
@@ -71,23 +71,23 @@
     None,
     /// Streams that should be handed off end with an error.
     LoseHandedOff,
-    /// Each tenth token is given to the caller twice.
+    /// Every tenth token is sent to the caller twice.
     DoubleChunk,
-    /// Each refusal says "not run".
-    SayNotRun,
+    /// Every refusal claims that the request did not run.
+    ClaimNotRun,
     /// A lost answer of a service is reported as not started.
     CallLostNotStarted,
-    /// The table service takes every row of a key, whatever is there.
+    /// The table service applies writes to intents without their preconditions.
     IgnoreChecks,
-    /// Neither notices nor list tell of a leave.
+    /// Neither the notices nor the instance list announce that an instance is leaving.
     HideNotices,
-    /// An entry asked to stop ends at once.
-    StopAtOnce,
-    /// Operators are told "accepted" as soon as they ask.
+    /// An entry that is asked to stop ends immediately.
+    StopImmediately,
+    /// Operators are told that a change is accepted as soon as they submit it.
     AcceptEarly,
 }
 
-/// How large a world is.
+/// Number of simulated processes of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
     /// Entries.
@@ -108,8 +108,8 @@
     }
 }
 
-/// Something that happens at a point in time.
-pub(crate) enum Happening {
+/// Event that the simulation dispatches at a point in time.
+pub(crate) enum Occurrence {
     Tick(usize),
     Poll(usize),
     Input(usize, Input),
@@ -118,23 +118,23 @@
     EngineStep(usize, request::id::Stream),
     Service(ServiceCall),
     ServiceEnds(service::Running),
-    ToCaller(Try, CallerWord),
-    CallerActs(usize),
-    CallerWaits(usize, Try),
-    OperatorActs(usize),
+    CallerReceives(TryId, Response),
+    CallerSends(usize),
+    CallerTimeout(usize, TryId),
+    OperatorSends(usize),
     Probe,
-    OldKeys(smol_str::SmolStr),
+    TryOldKeys(smol_str::SmolStr),
     Fault(Fault),
     Thaw(usize),
-    Heal(Healing),
-    BackendDies(usize, smol_str::SmolStr),
-    BackendBorn(usize),
-    EntryDies(usize),
-    EntryBorn(usize),
+    Recover(Recovery),
+    BackendEnds(usize, smol_str::SmolStr),
+    BackendStarts(usize),
+    EntryReclaimed(usize),
+    EntryStarts(usize),
 }
 
-/// The end of a fault that lasts.
-pub(crate) enum Healing {
+/// Recovery from a fault that lasts.
+pub(crate) enum Recovery {
     Link(usize, usize),
     SlowPeers(usize),
     StoreUp,
@@ -142,62 +142,62 @@
     Instances,
 }
 
-/// The whole run.
+/// State of one simulation run.
 pub struct World {
     shape: Shape,
     now: Time,
-    queue: BTreeMap<(Time, u64), Happening>,
-    next: u64,
+    queue: BTreeMap<(Time, u64), Occurrence>,
+    next_sequence: u64,
     random: Pcg64Mcg,
     bug: Bug,
-    /// All lives of all entries.
+    /// Every process of every entry, ended ones included.
     nodes: Vec<Node>,
-    /// The newest life in each entry slot.
+    /// Index of the newest process in each entry slot.
     slots: Vec<usize>,
-    /// Directed losses between slots.
-    cut: BTreeSet<(usize, usize)>,
-    slow: BTreeSet<usize>,
+    /// Pairs of slots (from, to) whose messages are lost.
+    lost_links: BTreeSet<(usize, usize)>,
+    slow_slots: BTreeSet<usize>,
     store: StoreState,
     backends: Vec<Backend>,
     refusing_instances: bool,
     refuse_starts: u32,
     lose_service_answers: u32,
     callers: Vec<Caller>,
-    /// The caller of each sending.
+    /// Index of the caller behind each try.
     tries: Vec<usize>,
     operators: Operators,
-    seals: Seals,
-    /// Whether old keys are tried.
+    signers: Signers,
+    /// Whether probes of account keys are still sent.
     probing: bool,
-    /// When the last fault is over.
-    calm_from: Time,
-    /// Steps of reducers taken so far.
+    /// Time at which the last fault is over.
+    faults_end: Time,
+    /// Number of reducer steps taken so far.
     steps: u64,
-    /// Ledgers offered so far.
+    /// Number of ledger hand-overs offered so far.
     handovers: u64,
     history: History,
 }
 
-/// Seals as the shells use them.
-struct Seals {
+/// Signers of the tokens and tickets that the shell issues.
+struct Signers {
     resume: Signer,
     ticket: Signer,
 }
 
 impl World {
-    /// A world that has just been started; its entries have to find each other.
+    /// Creates a world and runs it until its entries have found each other and admit requests.
     pub fn new(seed: u64, shape: Shape, bug: Bug) -> World {
         let mut world = World {
             shape,
             now: Time::ZERO,
             queue: BTreeMap::new(),
-            next: 0,
+            next_sequence: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
             bug,
             nodes: Vec::new(),
             slots: Vec::new(),
-            cut: BTreeSet::new(),
-            slow: BTreeSet::new(),
+            lost_links: BTreeSet::new(),
+            slow_slots: BTreeSet::new(),
             store: StoreState::default(),
             backends: Vec::new(),
             refusing_instances: false,
@@ -206,12 +206,12 @@
             callers: Vec::new(),
             tries: Vec::new(),
             operators: Operators::default(),
-            seals: Seals {
+            signers: Signers {
                 resume: Signer::new(SHARED_KEY, RESUME_PURPOSE),
                 ticket: Signer::new(SHARED_KEY, TICKET_PURPOSE),
             },
             probing: true,
-            calm_from: Time::ZERO,
+            faults_end: Time::ZERO,
             steps: 0,
             handovers: 0,
             history: History::default(),
@@ -225,125 +225,125 @@
         world
     }
 
-    /// The true time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Steps of reducers taken so far.
+    /// Returns the number of reducer steps taken so far.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// Lets a fault happen later.
-    pub fn fault_in(&mut self, after: Span, fault: Fault) {
-        self.after(after, Happening::Fault(fault));
+    /// Schedules a fault.
+    pub fn schedule_fault(&mut self, after: Span, fault: Fault) {
+        self.after(after, Occurrence::Fault(fault));
     }
 
-    /// Runs for some time.
+    /// Advances the simulation by `span`.
     pub fn run_for(&mut self, span: Span) {
         let end = self.now + span;
-        self.run_until(end, |_| false);
+        self.advance(end, |_| false);
     }
 
-    /// Runs until something holds, but no longer than `most`; gives whether it holds.
-    pub fn run_to(&mut self, most: Span, holds: impl Fn(&World) -> bool) -> bool {
-        let end = self.now + most;
-        self.run_until(end, &holds);
+    /// Runs until `holds` returns true, for at most `limit`; returns whether it does.
+    pub fn run_until(&mut self, limit: Span, holds: impl Fn(&World) -> bool) -> bool {
+        let end = self.now + limit;
+        self.advance(end, &holds);
         holds(self)
     }
 
-    /// Lets everything come to its end after the last fault; gives what was seen, and the steps of
-    /// reducers.
+    /// Runs until every request and change has finished after the last fault; returns the history and the
+    /// number of reducer steps.
     pub fn finish(mut self) -> (History, u64) {
-        let last = self.calm_from;
-        self.run_until(last, |_| false);
+        let last = self.faults_end;
+        self.advance(last, |_| false);
         self.run_for(Span::from_seconds(10));
-        self.change_last();
-        self.run_to(CALM, |world| {
-            world.operators.last_done() && world.callers_done()
+        self.make_last_change();
+        self.run_until(SETTLE_TIME, |world| {
+            world.operators.is_last_done() && world.callers_done()
         });
         self.probing = false;
-        self.run_for(LAST_WORDS);
+        self.run_for(DELIVERY_TIME);
         (self.history, self.steps)
     }
 
-    /// Ledgers offered so far.
+    /// Returns the number of ledger hand-overs offered so far.
     pub fn handovers(&self) -> u64 {
         self.handovers
     }
 
-    /// Whether a write to a table of the service is on its way.
+    /// Returns whether a write to `table` is in flight to the table service.
     pub fn is_writing(&self, table: &str) -> bool {
-        self.queue.values().any(|happening| match happening {
-            Happening::Store(arrival) => arrival.writes_to(table),
+        self.queue.values().any(|occurrence| match occurrence {
+            Occurrence::Store(arrival) => arrival.writes_to(table),
             _ => false,
         })
     }
 
-    /// What was seen so far.
+    /// Returns the history recorded so far.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    fn run_until(&mut self, end: Time, holds: impl Fn(&World) -> bool) {
+    fn advance(&mut self, end: Time, holds: impl Fn(&World) -> bool) {
         while let Some(((at, _), _)) = self.queue.first_key_value() {
             if *at > end || holds(self) {
                 break;
             }
-            let Some(((at, _), happening)) = self.queue.pop_first() else {
+            let Some(((at, _), occurrence)) = self.queue.pop_first() else {
                 break;
             };
             self.now = at;
-            self.happen(happening);
+            self.dispatch(occurrence);
         }
         if !holds(self) {
             self.now = self.now.max(end);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick(node) => self.tick(node),
-            Happening::Poll(node) => self.poll(node),
-            Happening::Input(node, input) => self.feed(node, input),
-            Happening::Store(arrival) => self.store_lands(arrival),
-            Happening::Engine(call) => self.engine_lands(call),
-            Happening::EngineStep(engine, stream) => self.engine_steps(engine, stream),
-            Happening::Service(call) => self.service_lands(call),
-            Happening::ServiceEnds(running) => self.service_ends(running),
-            Happening::ToCaller(number, word) => self.caller_hears(number, word),
-            Happening::CallerActs(caller) => self.caller_acts(caller),
-            Happening::CallerWaits(caller, number) => self.caller_waits(caller, number),
-            Happening::OperatorActs(change) => self.operator_acts(change),
-            Happening::Probe => self.probe(),
-            Happening::OldKeys(account) => self.try_old_keys(&account),
-            Happening::Fault(fault) => self.strike(fault),
-            Happening::Thaw(node) => self.thaw(node),
-            Happening::Heal(healing) => self.heal(healing),
-            Happening::BackendDies(slot, incarnation) => self.backend_dies(slot, &incarnation),
-            Happening::BackendBorn(slot) => self.backend_born(slot),
-            Happening::EntryDies(node) => self.entry_dies(node),
-            Happening::EntryBorn(slot) => self.entry_born(slot),
+    fn dispatch(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Tick(node) => self.tick(node),
+            Occurrence::Poll(node) => self.poll(node),
+            Occurrence::Input(node, input) => self.deliver(node, input),
+            Occurrence::Store(arrival) => self.store_receives(arrival),
+            Occurrence::Engine(call) => self.engine_receives(call),
+            Occurrence::EngineStep(engine, stream) => self.step_engine(engine, stream),
+            Occurrence::Service(call) => self.service_receives(call),
+            Occurrence::ServiceEnds(running) => self.finish_service_call(running),
+            Occurrence::CallerReceives(try_id, response) => self.caller_receives(try_id, response),
+            Occurrence::CallerSends(caller) => self.send_request(caller),
+            Occurrence::CallerTimeout(caller, try_id) => self.check_caller_timeout(caller, try_id),
+            Occurrence::OperatorSends(change) => self.send_change(change),
+            Occurrence::Probe => self.probe(),
+            Occurrence::TryOldKeys(account) => self.try_old_keys(&account),
+            Occurrence::Fault(fault) => self.inject(fault),
+            Occurrence::Thaw(node) => self.thaw(node),
+            Occurrence::Recover(recovery) => self.recover(recovery),
+            Occurrence::BackendEnds(slot, incarnation) => self.end_backend(slot, &incarnation),
+            Occurrence::BackendStarts(slot) => self.restart_backend(slot),
+            Occurrence::EntryReclaimed(node) => self.end_reclaimed_entry(node),
+            Occurrence::EntryStarts(slot) => self.restart_entry(slot),
         }
     }
 
-    fn after(&mut self, span: Span, happening: Happening) {
+    fn after(&mut self, span: Span, occurrence: Occurrence) {
         let at = self.now + span;
-        self.next += 1;
-        self.queue.insert((at, self.next), happening);
+        self.next_sequence += 1;
+        self.queue.insert((at, self.next_sequence), occurrence);
     }
 
-    fn note(&mut self, fact: Fact) {
-        self.history.note(self.now, fact);
+    fn record(&mut self, fact: Fact) {
+        self.history.record(self.now, fact);
     }
 
-    /// A number below `limit`, from the seed.
-    fn draw(&mut self, limit: u64) -> u64 {
+    /// Returns a seeded random number below `limit`.
+    fn random_below(&mut self, limit: u64) -> u64 {
         self.random.next_u64() % limit.max(1)
     }
 
-    fn life(node: usize) -> Life {
-        Life(node as u32)
+    fn process(node: usize) -> ProcessId {
+        ProcessId(node as u32)
     }
 }
--- a/crates/matrix/src/world/node.rs
+++ b/crates/matrix/src/world/node.rs
@@ -1,4 +1,4 @@
-//! One life of an entry: its reducer, its own clock, and what its shell holds.
+//! One process of an entry: its reducer, its clock and the state of its shell.
 
 use std::collections::BTreeMap;
 
@@ -15,63 +15,63 @@
 use crate::history::Cause;
 use crate::history::Fact;
 use crate::world::Bug;
-use crate::world::HOP;
-use crate::world::Happening;
-use crate::world::POLL;
+use crate::world::NETWORK_DELAY;
+use crate::world::Occurrence;
+use crate::world::POLL_INTERVAL;
 use crate::world::SHARED_KEY;
-use crate::world::TICK;
+use crate::world::TICK_INTERVAL;
 use crate::world::World;
-use crate::world::callers::CallerWord;
+use crate::world::callers::Response;
 use crate::world::flight::Flight;
 use crate::world::input::Input;
 
-/// Zones of every world.
+/// Availability zones of every world.
 pub(crate) const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// One life of an entry.
+/// One process of an entry.
 pub(crate) struct Node {
     pub slot: usize,
     pub entry: Entry,
     pub identity: Identity,
-    /// Its platform name.
+    /// Name of its instance on the platform.
     pub instance: SmolStr,
-    /// When its own clock read zero.
-    pub born: Time,
+    /// Simulated time at which its own clock read zero.
+    pub started: Time,
     pub alive: bool,
     pub ended: Option<Time>,
     pub frozen: bool,
-    /// What came while it stood still.
+    /// Inputs that arrived while it was frozen.
     pub inbox: Vec<Input>,
     pub flights: BTreeMap<u64, Flight>,
     pub next_serial: u64,
-    pub askers: BTreeMap<u64, Asker>,
-    pub next_asker: u64,
-    /// When its instance will be taken away.
+    pub requesters: BTreeMap<u64, Requester>,
+    pub next_requester: u64,
+    /// Time at which its instance will be reclaimed.
     pub leaving: Option<Time>,
     pub stopping: bool,
 }
 
-/// Who waits for an answer of a reducer.
-pub(crate) enum Asker {
-    /// A caller for addresses.
+/// Party that waits for an answer of a reducer.
+pub(crate) enum Requester {
+    /// Caller that asks for addresses and tickets.
     Addresses(usize),
-    /// An operator.
+    /// Operator that submits a change.
     Operator(usize),
-    /// A caller that cancels.
+    /// Caller that cancels a request.
     Cancel,
-    /// A look at the version.
+    /// Probe of the configuration version.
     Version,
-    /// A peer for leave to spend a ticket.
+    /// Peer that asks for permission to spend a ticket.
     Spend { from: usize, serial: u64 },
-    /// A peer that hands its ledger on.
+    /// Peer that hands over its ledger.
     Heir { from: usize },
 }
 
 impl World {
-    /// Starts a new life in an entry slot.
+    /// Starts a new process in an entry slot.
     pub(crate) fn start_entry(&mut self, slot: usize) {
         let node = self.nodes.len();
-        let seed = self.draw(u64::MAX);
+        let seed = self.random_below(u64::MAX);
         let identity = Identity {
             name: format_smolstr!("entry-{slot}"),
             incarnation: Incarnation(seed | 1),
@@ -91,40 +91,40 @@
             entry: Entry::new(identity.clone(), settings, SHARED_KEY, seed),
             identity,
             instance: format_smolstr!("e-{slot}.{node}"),
-            born: self.now,
+            started: self.now,
             alive: true,
             ended: None,
             frozen: false,
             inbox: Vec::new(),
             flights: BTreeMap::new(),
             next_serial: 1,
-            askers: BTreeMap::new(),
-            next_asker: 1,
+            requesters: BTreeMap::new(),
+            next_requester: 1,
             leaving: None,
             stopping: false,
         });
-        let first = Span::from_millis(self.draw(TICK.as_millis()));
-        self.after(first, Happening::Tick(node));
-        self.after(first, Happening::Poll(node));
+        let first = Span::from_millis(self.random_below(TICK_INTERVAL.as_millis()));
+        self.after(first, Occurrence::Tick(node));
+        self.after(first, Occurrence::Poll(node));
     }
 
-    /// One tick of an entry's loop.
+    /// Runs one tick of an entry's loop and schedules the next.
     pub(crate) fn tick(&mut self, node: usize) {
         if !self.nodes[node].alive {
             return;
         }
-        self.after(TICK, Happening::Tick(node));
+        self.after(TICK_INTERVAL, Occurrence::Tick(node));
         if !self.nodes[node].frozen {
             self.step(node, Event::Tick);
         }
     }
 
-    /// An entry reads list and notices.
+    /// Reads the instance list and the notices for an entry.
     pub(crate) fn poll(&mut self, node: usize) {
         if !self.nodes[node].alive {
             return;
         }
-        self.after(POLL, Happening::Poll(node));
+        self.after(POLL_INTERVAL, Occurrence::Poll(node));
         if self.nodes[node].frozen || self.bug == Bug::HideNotices {
             if !self.nodes[node].frozen {
                 let list = self.instance_list(false);
@@ -139,7 +139,7 @@
             incarnation: instance,
             leaving: false,
         };
-        // Answers come in any order.
+        // The answers may arrive in any order.
         let entries = Event::EntriesRead(self.entry_list());
         let mut events = vec![
             own,
@@ -147,15 +147,15 @@
             Event::NoticesRead(notices),
             entries,
         ];
-        if self.draw(2) == 0 {
+        if self.random_below(2) == 0 {
             events.swap(1, 2);
         }
         for event in events {
-            self.after(HOP, Happening::Input(node, Input::Event(event)));
+            self.after(NETWORK_DELAY, Occurrence::Input(node, Input::Event(event)));
         }
     }
 
-    /// Takes one event into a reducer and carries out what follows.
+    /// Passes one event to a reducer and performs its effects.
     pub(crate) fn step(&mut self, node: usize, event: Event) {
         let mut effects = Vec::new();
         let now = self.local(node);
@@ -169,45 +169,45 @@
         }
     }
 
-    /// The entry's own time.
+    /// Returns the time on the entry's own clock.
     pub(crate) fn local(&self, node: usize) -> Time {
-        let born = self.nodes[node].born;
-        Time::ZERO + self.now.since(born)
+        let started = self.nodes[node].started;
+        Time::ZERO + self.now.since(started)
     }
 
-    /// Whether an entry can take a connection.
+    /// Returns whether an entry accepts connections.
     pub(crate) fn is_up(&self, node: usize) -> bool {
         self.nodes[node].alive
     }
 
-    /// Stops an entry without its knowing.
+    /// Freezes an entry; its clock runs on meanwhile.
     pub(crate) fn freeze(&mut self, node: usize, span: Span) {
         if !self.nodes[node].alive || self.nodes[node].frozen {
             return;
         }
         self.nodes[node].frozen = true;
-        let (life, over) = (World::life(node), false);
-        self.note(Fact::Paused { life, over });
-        self.after(span, Happening::Thaw(node));
+        let (process, resumed) = (World::process(node), false);
+        self.record(Fact::Paused { process, resumed });
+        self.after(span, Occurrence::Thaw(node));
     }
 
-    /// Lets it run on: it takes in what came meanwhile, before or after the first tick.
+    /// Thaws an entry; its queued inputs are delivered before or after the first tick.
     pub(crate) fn thaw(&mut self, node: usize) {
         if !self.nodes[node].alive || !self.nodes[node].frozen {
             return;
         }
         self.nodes[node].frozen = false;
-        let (life, over) = (World::life(node), true);
-        self.note(Fact::Paused { life, over });
-        if self.draw(2) == 0 {
+        let (process, resumed) = (World::process(node), true);
+        self.record(Fact::Paused { process, resumed });
+        if self.random_below(2) == 0 {
             self.step(node, Event::Tick);
         }
         for input in std::mem::take(&mut self.nodes[node].inbox) {
-            self.feed(node, input);
+            self.deliver(node, input);
         }
     }
 
-    /// Ends a life, and with it all its connections.
+    /// Ends a process and closes all its connections.
     pub(crate) fn end_entry(&mut self, node: usize, cause: Cause) {
         if !self.nodes[node].alive {
             return;
@@ -218,8 +218,8 @@
         let flights = std::mem::take(&mut self.nodes[node].flights);
         for flight in flights.into_values() {
             self.after(
-                HOP,
-                Happening::ToCaller(flight.number(), CallerWord::Cut(cause)),
+                NETWORK_DELAY,
+                Occurrence::CallerReceives(flight.try_id(), Response::Disconnected(cause)),
             );
         }
         self.drop_readers_of(node);
--- a/crates/matrix/tests/broken.rs
+++ b/crates/matrix/tests/broken.rs
@@ -1,4 +1,4 @@
-//! Each point of the checker catches a world that breaks it: a check that can't fail proves nothing.
+//! The checker detects a violation of each guarantee that is injected into the world.
 
 use clock::Span;
 use matrix::check::Point;
@@ -7,10 +7,10 @@
 use matrix::world::Bug;
 use matrix::world::Shape;
 
-/// Seeds within which a broken world must be caught.
+/// Number of seeds, at least one of which must detect an injected bug.
 const SEEDS: u64 = 20;
 
-/// Faults that bring about what the points speak of.
+/// Returns a plan whose faults exercise every guarantee.
 fn plan(seed: u64) -> Plan {
     let at = Span::from_millis;
     Plan {
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_false_not_run_is_caught() {
-    assert!(is_caught(Bug::SayNotRun, Point::NotRunIsTrue));
+    assert!(is_caught(Bug::ClaimNotRun, Point::NotRunIsTrue));
 }
 
 #[test]
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_stop_that_cuts_is_caught() {
-    assert!(is_caught(Bug::StopAtOnce, Point::StopsGracefully));
+    assert!(is_caught(Bug::StopImmediately, Point::StopsGracefully));
 }
 
 #[test]
--- a/crates/matrix/tests/cells.rs
+++ b/crates/matrix/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Runs every cell of the fault matrix and compares docs/FAULTS.md with how they went.
+//! Runs every cell of the fault matrix and compares the outcomes with docs/FAULTS.md.
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use matrix::run::Outcome;
 use matrix::table;
 
-/// Every cell with its outcome; run once for all tests.
+/// Returns every cell with its outcome; they run only once for all tests.
 fn outcomes() -> &'static (Vec<Cell>, Vec<Outcome>) {
     static OUTCOMES: OnceLock<(Vec<Cell>, Vec<Outcome>)> = OnceLock::new();
     OUTCOMES.get_or_init(|| {
@@ -30,24 +30,24 @@
 #[test]
 fn every_cell_is_proved_or_impossible() {
     let (cells, outcomes) = outcomes();
-    let open: Vec<String> = cells
+    let unproved: Vec<String> = cells
         .iter()
         .zip(outcomes)
         .filter_map(|(cell, outcome)| match outcome {
-            Outcome::NotProved(why) => Some(format!("{cell:?} {why}")),
+            Outcome::NotProved(reason) => Some(format!("{cell:?} {reason}")),
             _ => None,
         })
         .collect();
-    assert!(open.is_empty(), "{}", open.join("\n"));
+    assert!(unproved.is_empty(), "{}", unproved.join("\n"));
 }
 
 #[test]
 fn the_page_is_current() {
     let (cells, outcomes) = outcomes();
     let page = fs::read_to_string(root().join("docs/FAULTS.md")).unwrap();
-    let drawn = page::draw(cells, outcomes);
+    let rendered = page::render(cells, outcomes);
     assert!(
-        page == drawn,
+        page == rendered,
         "run: cargo run --release -p matrix --example faults > docs/FAULTS.md"
     );
 }
