--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -39,7 +39,7 @@
 }
 
 impl Callers {
-    /// Creates a handler for this incarnation; `tickets` seals the tickets that it issues.
+    /// Creates a handler for this incarnation; `tickets` signs the tickets that it issues.
     pub fn new(shared: Rc<Shared>, incarnation: Incarnation, tickets: Signer) -> Callers {
         Callers {
             shared,
@@ -102,10 +102,10 @@
         self.shared
             .link
             .send(Message::Addresses { key, prefix, reply });
-        let seal = Rc::clone(&self.tickets);
+        let signer = Rc::clone(&self.tickets);
         Box::pin(async move {
             match answer.await {
-                Ok(addresses) => addresses_answer(&addresses, &seal),
+                Ok(addresses) => addresses_answer(&addresses, &signer),
                 Err(_) => stopped_response(),
             }
         })
@@ -200,7 +200,7 @@
 }
 
 /// Creates the response with addresses and tickets.
-fn addresses_answer(addresses: &Addresses, seal: &Signer) -> Response<Payload> {
+fn addresses_answer(addresses: &Addresses, signer: &Signer) -> Response<Payload> {
     let entries: Vec<_> = addresses
         .entries
         .iter()
@@ -215,7 +215,7 @@
     let tickets: Vec<String> = addresses
         .tickets
         .iter()
-        .map(|ticket| seal.sign(ticket))
+        .map(|ticket| signer.sign(ticket))
         .collect();
     response::json(&json ! ( {
         "addresses": entries,
--- a/crates/daemon/src/flight.rs
+++ b/crates/daemon/src/flight.rs
@@ -46,8 +46,8 @@
     /// HTTP client for backend servers.
     pub client: HttpClient,
 
-    /// Seals resume tokens.
-    pub seal: Signer,
+    /// Signs resume tokens.
+    pub signer: Signer,
 }
 
 /// One open model call.
@@ -58,7 +58,7 @@
     chat: Chat,
     commands: mpsc::UnboundedReceiver<Command>,
     output: Output,
-    relay: Sequencer,
+    sequencer: Sequencer,
     phase: Phase,
     running: Option<Attempt>,
     /// Tokens forwarded since the last report.
@@ -138,7 +138,7 @@
             chat,
             commands,
             output,
-            relay: Sequencer::starting_at(next),
+            sequencer: Sequencer::starting_at(next),
             phase: Phase::Idle,
             running: None,
             unreported: 0,
@@ -243,12 +243,12 @@
         Flow::Break
     }
 
-    /// Returns the sealed token with which the caller can resume the running stream.
+    /// Returns the signed token with which the caller can resume the running stream.
     fn resume_token(&self) -> String {
         let Some(running) = &self.running else {
             return String::new();
         };
-        self.shared.seal.sign(&Resume {
+        self.shared.signer.sign(&Resume {
             request: self.origin,
             account: running.account.clone(),
             deployment: self.chat.deployment.clone(),
--- a/crates/daemon/src/flight/engine_events.rs
+++ b/crates/daemon/src/flight/engine_events.rs
@@ -125,8 +125,8 @@
         let Some(running) = &mut self.running else {
             return Flow::Continue;
         };
-        let offset = self.relay.next();
-        match self.relay.accept(running.attempt, engine_offset) {
+        let offset = self.sequencer.next();
+        match self.sequencer.accept(running.attempt, engine_offset) {
             Decision::Drop => {}
             Decision::Gap => self.handle_broken_stream(&Failure::Broken),
             Decision::Emit => {
--- a/crates/daemon/src/flight/opening.rs
+++ b/crates/daemon/src/flight/opening.rs
@@ -24,8 +24,8 @@
         priority: u8,
         account: SmolStr,
     ) {
-        let base = self.relay.next();
-        self.relay.begin_attempt(stream.attempt, base);
+        let base = self.sequencer.next();
+        self.sequencer.begin_attempt(stream.attempt, base);
         self.running = Some(Attempt {
             attempt: stream.attempt,
             stream,
@@ -48,8 +48,8 @@
 
     /// Resumes reading a stream that an engine holds.
     pub(super) fn attach(&mut self, running: Attempt) {
-        self.relay.begin_attempt(running.attempt, running.base);
-        let offset = self.relay.next().saturating_sub(running.base);
+        self.sequencer.begin_attempt(running.attempt, running.base);
+        let offset = self.sequencer.next().saturating_sub(running.base);
         let stream = running.stream;
         let address = running.endpoint.address.clone();
         let client = self.shared.client.clone();
@@ -69,8 +69,8 @@
             return;
         };
         let base = old.base;
-        let offset = self.relay.next().saturating_sub(base);
-        self.relay.begin_attempt(stream.attempt, base);
+        let offset = self.sequencer.next().saturating_sub(base);
+        self.sequencer.begin_attempt(stream.attempt, base);
         self.running = Some(Attempt {
             attempt: stream.attempt,
             stream,
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -29,7 +29,7 @@
 }
 
 impl Peers {
-    /// Creates a client for `incarnation`; `tickets` seals the tickets that it sends.
+    /// Creates a client for `incarnation`; `tickets` signs the tickets that it sends.
     pub fn new(
         link: Rc<Link>,
         client: client::Peers,
@@ -48,9 +48,9 @@
     pub fn request_spend(&self, serial: u64, address: SmolStr, ticket: Ticket) {
         let client = self.client.clone();
         let link = Rc::clone(&self.link);
-        let sealed = self.tickets.sign(&ticket);
+        let signed = self.tickets.sign(&ticket);
         tokio::task::spawn_local(async move {
-            let answer = client.spend(&address, &sealed).await.ok();
+            let answer = client.spend(&address, &signed).await.ok();
             link.send_event(Event::SpendAnswered { serial, answer });
         });
     }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -115,7 +115,7 @@
     let shared = Rc::new(Shared {
         link: Rc::clone(&link),
         client: client.clone(),
-        seal: Signer::new(shared_key, RESUME_PURPOSE),
+        signer: Signer::new(shared_key, RESUME_PURPOSE),
     });
     let ready = Rc::new(Cell::new(false));
     let entry = Entry::new(
--- a/crates/entry/src/arrival.rs
+++ b/crates/entry/src/arrival.rs
@@ -15,9 +15,9 @@
     pub fingerprint: u64,
     /// The caller's idempotency key.
     pub idempotency_key: Option<SmolStr>,
-    /// Sealed ticket.
+    /// Signed ticket.
     pub ticket: Option<SmolStr>,
-    /// Sealed resume token.
+    /// Signed resume token.
     pub resume: Option<SmolStr>,
     /// Offset of the next token that the caller wants.
     pub offset: u64,
--- a/crates/entry/src/arrivals.rs
+++ b/crates/entry/src/arrivals.rs
@@ -47,8 +47,8 @@
                 return self.refuse_arrival(serial, refusal, effects);
             }
         };
-        if let Some(sealed) = &arrival.resume {
-            return self.resume_flight(now, flight, sealed, arrival.offset, effects);
+        if let Some(signed) = &arrival.resume {
+            return self.resume_flight(now, flight, signed, arrival.offset, effects);
         }
         self.begin_journal(now, &flight);
         let non_idempotent = !flight.job.idempotent;
@@ -223,12 +223,12 @@
         &mut self,
         now: Time,
         mut flight: Flight,
-        sealed: &str,
+        signed: &str,
         offset: u64,
         effects: &mut Vec<Effect>,
     ) {
         let serial = flight.id.serial;
-        let token: Option<Resume> = self.seals.resume.verify(sealed);
+        let token: Option<Resume> = self.signers.resume.verify(signed);
         let token = token.filter(|token| {
             token.account == flight.account && token.deployment == flight.deployment
         });
--- a/crates/entry/src/effect.rs
+++ b/crates/entry/src/effect.rs
@@ -166,7 +166,7 @@
         endpoint: Endpoint,
         /// Priority at the engine, from 0 (first) to 9 (last).
         priority: u8,
-        /// Account for the resume token, which the shell seals.
+        /// Account for the resume token, which the shell signs.
         account: SmolStr,
     },
     /// Continue reading a stream that an engine still holds.
@@ -209,7 +209,7 @@
     pub entries: Vec<Address>,
     /// How long the answer may be cached.
     pub ttl: Span,
-    /// Unsealed tickets; the shell seals them.
+    /// Unsigned tickets; the shell signs them.
     pub tickets: Vec<Ticket>,
 }
 
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -30,7 +30,7 @@
 use crate::identity::Identity;
 use crate::leaders::Leaders;
 use crate::members;
-use crate::permits::Seals;
+use crate::permits::Signers;
 use crate::stop::Stop;
 use crate::store_calls::Waiter;
 
@@ -39,7 +39,7 @@
     pub(crate) identity: Identity,
     pub(crate) settings: Settings,
     pub(crate) random: Pcg64Mcg,
-    pub(crate) seals: Seals,
+    pub(crate) signers: Signers,
     pub(crate) catalog: Catalog,
     pub(crate) backends: Backends,
     pub(crate) scheduler: Scheduler,
@@ -95,7 +95,7 @@
 impl Entry {
     /// Returns an entry in its initial state.
     ///
-    /// `shared_key` is the key that all entries share to seal tickets and resume tokens; `seed`
+    /// `shared_key` is the key that all entries share to sign tickets and resume tokens; `seed`
     /// seeds every random choice.
     pub fn new(identity: Identity, settings: Settings, shared_key: &str, seed: u64) -> Entry {
         let me = holder::Id(identity.incarnation.0);
@@ -115,7 +115,7 @@
             identity,
             settings,
             random: Pcg64Mcg::seed_from_u64(seed),
-            seals: Seals::new(shared_key),
+            signers: Signers::new(shared_key),
             catalog: Catalog::default(),
             backends: Backends::default(),
             scheduler: Scheduler::new(seed),
--- a/crates/entry/src/permits.rs
+++ b/crates/entry/src/permits.rs
@@ -43,18 +43,18 @@
 /// Retry delay for callers while the table service is unavailable.
 const STORE_RETRY_DELAY: Span = Span::from_seconds(2);
 
-/// Seals for the tokens that callers hold.
-pub struct Seals {
-    /// Seals resume tokens.
+/// Signers of the tokens that callers hold.
+pub struct Signers {
+    /// Signs resume tokens.
     pub resume: Signer,
-    /// Seals tickets.
+    /// Signs tickets.
     pub ticket: Signer,
 }
 
-impl Seals {
-    /// Creates the seals from the key that all entries share.
-    pub fn new(shared_key: &str) -> Seals {
-        Seals {
+impl Signers {
+    /// Creates the signers from the key that all entries share.
+    pub fn new(shared_key: &str) -> Signers {
+        Signers {
             resume: Signer::new(shared_key, RESUME_PURPOSE),
             ticket: Signer::new(shared_key, TICKET_PURPOSE),
         }
@@ -72,8 +72,8 @@
         effects: &mut Vec<Effect>,
     ) {
         self.awaiting_permit.insert(serial);
-        if let Some(sealed) = &arrival.ticket {
-            self.request_by_ticket(now, serial, sealed, effects);
+        if let Some(token) = &arrival.ticket {
+            self.request_by_ticket(now, serial, token, effects);
         } else if let Some(key) = &arrival.idempotency_key {
             self.request_by_row(now, serial, key, effects);
         } else {
@@ -86,10 +86,10 @@
         &mut self,
         now: Time,
         serial: u64,
-        sealed: &str,
+        token: &str,
         effects: &mut Vec<Effect>,
     ) {
-        let ticket: Option<Ticket> = self.seals.ticket.verify(sealed);
+        let ticket: Option<Ticket> = self.signers.ticket.verify(token);
         let account = self.flights.get(&serial).map(|flight| &flight.account);
         let Some(ticket) = ticket.filter(|ticket| Some(&ticket.account) == account) else {
             let refusal = Refusal::not_run(Reason::Malformed, "the ticket isn't yours");
--- a/crates/front/src/call.rs
+++ b/crates/front/src/call.rs
@@ -47,9 +47,9 @@
     pub key: Option<SmolStr>,
     /// Idempotency key of the caller.
     pub idempotency_key: Option<SmolStr>,
-    /// Sealed ticket.
+    /// Signed ticket.
     pub ticket: Option<SmolStr>,
-    /// Sealed resume token.
+    /// Signed resume token.
     pub resume: Option<SmolStr>,
     /// Offset of the next chunk wanted, used with a resume token.
     pub offset: u64,
--- a/crates/front/src/response.rs
+++ b/crates/front/src/response.rs
@@ -25,11 +25,11 @@
 pub const REQUEST_HEADER: &str = "x-dogwoodspur-request";
 /// Header with the verdict.
 pub const VERDICT_HEADER: &str = "x-dogwoodspur-verdict";
-/// Header with the sealed resume token.
+/// Header with the signed resume token.
 pub const RESUME_HEADER: &str = "x-dogwoodspur-resume";
 /// Header with the offset of the next chunk wanted.
 pub const OFFSET_HEADER: &str = "x-dogwoodspur-offset";
-/// Header with a sealed ticket.
+/// Header with a signed ticket.
 pub const TICKET_HEADER: &str = "x-dogwoodspur-ticket";
 /// Header with the retry delay, milliseconds.
 pub const RETRY_AFTER_MS_HEADER: &str = "x-dogwoodspur-retry-after-ms";
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -111,7 +111,7 @@
     pub(crate) stop_requested_at: Option<Time>,
 
     /// Whether the table service answers.
-    pub(crate) contact: Health,
+    pub(crate) store_health: Health,
     /// When a call of the table service last failed.
     pub(crate) store_failed_at: Option<Time>,
     /// Whether reading the list of servers has failed since the last successful read.
@@ -201,7 +201,7 @@
             next_quarantine: Time::ZERO,
             item_version: 0,
             stop_requested_at: None,
-            contact: Health::default(),
+            store_health: Health::default(),
             store_failed_at: None,
             list_unavailable: false,
             next_store_call: 0,
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -72,11 +72,11 @@
     pub(crate) fn apply_reported_changes(
         &mut self,
         now: Time,
-        news: Update,
+        update: Update,
         effects: &mut Vec<Effect>,
     ) {
         self.distrust_after_store_failure();
-        let Update::Changes { written, removed } = news else {
+        let Update::Changes { written, removed } = update else {
             return;
         };
         for server in written {
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -25,7 +25,7 @@
                 id: self.identity.incarnation,
                 zone: self.identity.zone.clone(),
                 capacity: self.settings.capacity,
-                store_lost: self.contact.is_unavailable(),
+                store_lost: self.store_health.is_unavailable(),
             });
         }
         self.roster = Roster::new(&candidates);
--- a/crates/gateway/src/store_calls.rs
+++ b/crates/gateway/src/store_calls.rs
@@ -62,17 +62,17 @@
         effects: &mut Vec<Effect>,
     ) {
         let failed = matches!(outcome, Outcome::Unavailable | Outcome::Unknown);
-        let was_lost = self.contact.is_unavailable();
+        let was_lost = self.store_health.is_unavailable();
         if failed {
             self.store_failed_at = Some(now);
-            if self.contact.record_failure(now) {
+            if self.store_health.record_failure(now) {
                 self.log_connectivity(Line::warn("dependency_lost"), id, &outcome, effects);
             }
-        } else if let Some(since) = self.contact.record_answer() {
+        } else if let Some(since) = self.store_health.record_answer() {
             self.refresh_after_outage(since, effects);
             self.log_connectivity(Line::info("dependency_regained"), id, &outcome, effects);
         }
-        let lost = self.contact.is_unavailable();
+        let lost = self.store_health.is_unavailable();
         if lost != was_lost {
             self.step_membership(now, member::event::Event::StoreLost(lost), effects);
         }
--- a/crates/matrix/src/world/flight.rs
+++ b/crates/matrix/src/world/flight.rs
@@ -42,7 +42,7 @@
     pub caller_gone: bool,
     /// Number of the running plain attempt; 0 before the first.
     pub plain_attempt: u32,
-    pub(super) relay: Sequencer,
+    pub(super) sequencer: Sequencer,
     pub(super) running: Option<Running>,
     /// Identifies the connection whose replies are accepted; 0 for none.
     pub(super) connection: u64,
@@ -91,7 +91,7 @@
             plain: matches!(arrival.work, Work::Plain { .. }),
             caller_gone: false,
             plain_attempt: 0,
-            relay: Sequencer::starting_at(arrival.offset),
+            sequencer: Sequencer::starting_at(arrival.offset),
             running: None,
             connection: 0,
             unreported: 0,
@@ -201,8 +201,8 @@
         if flight.relayed >= flight.relay_limit {
             return self.finish_stream(node, serial, stream);
         }
-        let base = flight.relay.next();
-        flight.relay.begin_attempt(stream.attempt, base);
+        let base = flight.sequencer.next();
+        flight.sequencer.begin_attempt(stream.attempt, base);
         flight.connection = connection;
         flight.running = Some(Running {
             attempt: stream.attempt,
@@ -247,9 +247,11 @@
         let Some(flight) = self.flight(node, serial) else {
             return;
         };
-        flight.relay.begin_attempt(running.attempt, running.base);
+        flight
+            .sequencer
+            .begin_attempt(running.attempt, running.base);
         flight.connection = connection;
-        let offset = flight.relay.next().saturating_sub(running.base);
+        let offset = flight.sequencer.next().saturating_sub(running.base);
         let (stream, endpoint) = (running.stream, running.endpoint.clone());
         flight.running = Some(running);
         self.call_engine(
@@ -276,8 +278,8 @@
         let Some(old) = flight.running.clone() else {
             return;
         };
-        let offset = flight.relay.next().saturating_sub(old.base);
-        flight.relay.begin_attempt(stream.attempt, old.base);
+        let offset = flight.sequencer.next().saturating_sub(old.base);
+        flight.sequencer.begin_attempt(stream.attempt, old.base);
         flight.connection = connection;
         flight.running = Some(Running {
             attempt: stream.attempt,
--- a/crates/matrix/src/world/stream.rs
+++ b/crates/matrix/src/world/stream.rs
@@ -153,8 +153,8 @@
         let Some(running) = &mut flight.running else {
             return;
         };
-        let offset = flight.relay.next();
-        match flight.relay.accept(running.attempt, engine) {
+        let offset = flight.sequencer.next();
+        match flight.sequencer.accept(running.attempt, engine) {
             Decision::Drop => {}
             Decision::Gap => self.handle_broken(node, serial, End::Crashed),
             Decision::Emit => {
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Asks the peer at `address` to spend a sealed ticket.
+    /// Asks the peer at `address` to spend a signed ticket.
     pub async fn spend(&self, address: &SmolStr, ticket: &str) -> Result<Answer, Error> {
         let entry = self.entry(address).await?;
         let mut request = entry.spend_request();
--- a/crates/peer/src/receiver.rs
+++ b/crates/peer/src/receiver.rs
@@ -30,7 +30,7 @@
 
 /// Handles calls from authenticated peers.
 pub trait Receiver {
-    /// Spends a sealed ticket if it is unspent.
+    /// Spends a signed ticket if it is unspent.
     fn spend(&self, ticket: SmolStr) -> Pending<Answer>;
 
     /// Accepts ledgers; returns the incarnation that holds them from now on.
