--- a/crates/entry/src/decisions.rs
+++ b/crates/entry/src/decisions.rs
@@ -20,10 +20,7 @@
             Decision::Start { job, replica } => self.start_attempt(now, job, replica, effects),
             Decision::Refuse { job, refusal } => self.refuse(now, job.0, refusal, effects),
             Decision::Move {
-                job,
-                to,
-                how: transfer,
-                ..
+                job, to, transfer, ..
             } => self.move_flight(job, to, transfer, effects),
             Decision::Cancel { job, .. } => {
                 self.catch_up.forget(job);
--- a/crates/entry/src/leaders.rs
+++ b/crates/entry/src/leaders.rs
@@ -156,15 +156,15 @@
             self.leaders.by_deployment.remove(&name);
         }
         for deployment in deployments {
-            let mission = self
+            let assignment = self
                 .should_lead(now, &deployment.name)
-                .then(|| mission_of(&deployment))
-                .filter(|mission| mission.target.is_some() || mission.bounds.is_some());
-            self.create_leader(now, &deployment.name, mission.is_some(), effects);
+                .then(|| assignment_of(&deployment))
+                .filter(|assignment| assignment.target.is_some() || assignment.bounds.is_some());
+            self.create_leader(now, &deployment.name, assignment.is_some(), effects);
             self.step_leader(
                 now,
                 &deployment.name,
-                FleetEvent::Assigned(mission),
+                FleetEvent::Assigned(assignment),
                 effects,
             );
         }
@@ -326,7 +326,7 @@
     }
 
     /// Releases an instance: all entries stop dispatching to it and move its requests; the cloud is
-    /// told after the grace period.
+    /// notified after the grace period.
     fn release_instance(
         &mut self,
         now: Time,
@@ -355,8 +355,8 @@
     }
 }
 
-/// Returns the mission of a deployment's leader: what its engines serve and the fleet's size.
-fn mission_of(deployment: &Deployment) -> Assignment {
+/// Returns the assignment of a deployment's leader: what its engines serve and the fleet's size.
+fn assignment_of(deployment: &Deployment) -> Assignment {
     let target = match &deployment.kind {
         Kind::Model {
             model,
@@ -370,15 +370,15 @@
         }),
         Kind::Service => None,
     };
-    let bounds = deployment.fleet;
-    let size = Bounds {
-        capacity: bounds.capacity,
-        least: bounds.least,
-        most: bounds.most,
+    let fleet = deployment.fleet;
+    let bounds = Bounds {
+        capacity: fleet.capacity,
+        least: fleet.least,
+        most: fleet.most,
     };
     Assignment {
         target,
         checks_fencing: deployment.checks_fencing,
-        bounds: (bounds.most > 0).then_some(size),
+        bounds: (fleet.most > 0).then_some(bounds),
     }
 }
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -47,7 +47,7 @@
         let engines = catalog
             .services
             .iter()
-            .filter_map(|one| one.engine.as_ref());
+            .filter_map(|service| service.engine.as_ref());
         let speeds = engines.filter_map(|engine| engine.transfer_tokens_per_ms);
         self.scheduler.set_transfer_speed(speeds.reduce(f64::min));
         self.document = document;
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -36,7 +36,9 @@
                 serial: job.0,
                 command: Command::Stop,
             }),
-            Decision::Move { job, to, how, .. } => self.move_run(now, job, to, how, effects),
+            Decision::Move {
+                job, to, transfer, ..
+            } => self.move_run(now, job, to, transfer, effects),
         }
     }
 
@@ -50,14 +52,14 @@
         now: Time,
         job: job::Id,
         to: replica::Key,
-        how: Transfer,
+        transfer: Transfer,
         effects: &mut Vec<Effect>,
     ) {
         let (Some(open), Some(endpoint)) = (self.requests.get_mut(&job.0), self.servers.place(to))
         else {
             return;
         };
-        if how != Transfer::Kv || open.replica.is_none() {
+        if transfer != Transfer::Kv || open.replica.is_none() {
             return;
         }
         open.move_target = Some(to);
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -263,7 +263,7 @@
                 claim::Effect::Gained(fence) => {
                     self.duties.reports = Reports::default();
                     self.duties.progress = Writer::default();
-                    self.rollouts.reset_leads();
+                    self.rollouts.reset_leaderships();
                     let settled = now.since(self.servers_known_since) > LIST_SETTLED;
                     self.duties.fleet.gained(now, settled);
                     effects.push(Effect::Log(Line::info("duty_gained").with("fence", fence)));
--- a/crates/gateway/src/following.rs
+++ b/crates/gateway/src/following.rs
@@ -119,7 +119,7 @@
                 self.remove_missing(now, Source::Peer, effects);
             }
         }
-        self.servers_tick(now, effects);
+        self.remove_missing_if_trusted(now, effects);
     }
 
     /// Starts or stops reading, and publishes changes.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -343,7 +343,7 @@
     /// Advances all parts to the time `now`.
     fn tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.peers_tick(now, effects);
-        self.servers_tick(now, effects);
+        self.remove_missing_if_trusted(now, effects);
         self.following_tick(now, effects);
         self.charges_tick(now, effects);
         self.timeouts_tick(now, effects);
--- a/crates/gateway/src/hubs.rs
+++ b/crates/gateway/src/hubs.rs
@@ -268,7 +268,8 @@
         }
         for (service, work) in &mut total.work {
             let contributions = self.hub.contributions.values();
-            let speeds = contributions.filter_map(|one| Some(one.counts.work.get(service)?.speed));
+            let speeds = contributions
+                .filter_map(|contribution| Some(contribution.counts.work.get(service)?.speed));
             work.speed = work::median_speed(speeds);
         }
         total
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -99,7 +99,7 @@
     /// Applies a complete read of the list: after the start, and after each gap.
     fn apply_snapshot(&mut self, now: Time, servers: Vec<Server>, effects: &mut Vec<Effect>) {
         let mut absent = self.servers.incarnations();
-        absent.retain(|known| servers.iter().all(|one| one.incarnation != *known));
+        absent.retain(|known| servers.iter().all(|server| server.incarnation != *known));
         let line = Line::info("servers_read")
             .with("list", self.servers.position().revision)
             .with("rows", servers.len())
@@ -158,7 +158,7 @@
     }
 
     /// Removes servers whose rows are missing once missing rows are trusted.
-    pub(crate) fn servers_tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub(crate) fn remove_missing_if_trusted(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if !self.servers.is_trusted(now) {
             return;
         }
@@ -315,7 +315,7 @@
         }
         // If missing rows are trusted, the servers are removed instead.
         if self.servers.is_trusted(now) {
-            return self.servers_tick(now, effects);
+            return self.remove_missing_if_trusted(now, effects);
         }
         for key in doubted {
             self.set_doubted(now, key, true, effects);
--- a/crates/gateway/src/rollout_lead.rs
+++ b/crates/gateway/src/rollout_lead.rs
@@ -80,23 +80,23 @@
 impl Gateway {
     /// Advances all roll-outs, as the holder of the duties.
     pub(crate) fn rollouts_tick(&mut self, now: Time, lease: Lease, effects: &mut Vec<Effect>) {
-        self.sync_leads(now);
-        let services: Vec<SmolStr> = self.rollouts.leads.keys().cloned().collect();
+        self.sync_leaderships(now);
+        let services: Vec<SmolStr> = self.rollouts.leaderships.keys().cloned().collect();
         for service in services {
             self.lead_rollout(now, &service, lease, effects);
         }
     }
 
     /// Starts leading new orders, and stops leading those withdrawn or replaced.
-    fn sync_leads(&mut self, now: Time) {
+    fn sync_leaderships(&mut self, now: Time) {
         let active = &self.rollouts.active;
-        self.rollouts.leads.retain(|service, led| {
+        self.rollouts.leaderships.retain(|service, leadership| {
             let known = active.get(service);
-            known.is_some_and(|known| *known.split.order() == led.order)
+            known.is_some_and(|known| *known.split.order() == leadership.order)
         });
         for (service, known) in active {
             self.rollouts
-                .leads
+                .leaderships
                 .entry(service.clone())
                 .or_insert(Leadership {
                     order: known.split.order().clone(),
@@ -120,13 +120,13 @@
     ) {
         let fleet = self.rollout_fleet(service);
         let tally = self.total_tally(service);
-        let Some(led) = self.rollouts.leads.get_mut(service) else {
+        let Some(leadership) = self.rollouts.leaderships.get_mut(service) else {
             return;
         };
-        let may_call = led.pending.is_none() && now >= led.next_call;
-        let Some(leader) = &mut led.leader else {
+        let may_call = leadership.pending.is_none() && now >= leadership.next_call;
+        let Some(leader) = &mut leadership.leader else {
             if may_call {
-                led.pending = Some(Pending::ReadStage);
+                leadership.pending = Some(Pending::ReadStage);
                 let at = Address::new(status::STAGES, service.clone());
                 self.call_store(Waiter::Stage(service.clone()), Call::Get { address: at });
             }
@@ -142,14 +142,14 @@
             false => leader.announcement_interval(),
         };
         if may_call {
-            led.pending = led.next_write(stage.phase);
+            leadership.pending = leadership.next_write(stage.phase);
         }
-        let call = led.pending.filter(|_| may_call);
+        let call = leadership.pending.filter(|_| may_call);
         let call = call.and_then(|pending| write_call(service, &stage, pending));
-        if changed || now >= led.next_announcement {
-            led.next_announcement = now + pause;
-            led.announcements += 1;
-            let number = lease.fence << SEQUENCE_BITS | led.announcements;
+        if changed || now >= leadership.next_announcement {
+            leadership.next_announcement = now + pause;
+            leadership.announcements += 1;
+            let number = lease.fence << SEQUENCE_BITS | leadership.announcements;
             self.publish_stage(now, service, number, &stage, effects);
         }
         if let Some(call) = call {
@@ -183,32 +183,33 @@
             .active
             .get(service)
             .map(|known| known.ordered_at);
-        let (Some(led), Some(since)) = (self.rollouts.leads.get_mut(service), since) else {
+        let (Some(leadership), Some(since)) = (self.rollouts.leaderships.get_mut(service), since)
+        else {
             return;
         };
-        let pending = led.pending.take();
+        let pending = leadership.pending.take();
         match (outcome, pending) {
             (Outcome::Row(row), _) => {
                 let stage = row.and_then(|row| serde_json::from_value::<Stage>(row.value).ok());
                 let elapsed = stage.as_ref().map_or(0, |stage| stage.elapsed_ms);
                 let elapsed = Span::from_millis(elapsed).max(now.since(since));
                 let begun = Time::from_millis(now.as_millis().saturating_sub(elapsed.as_millis()));
-                led.saved_phase = stage.as_ref().map(|stage| stage.phase);
-                led.leader = Some(Leader::new(
+                leadership.saved_phase = stage.as_ref().map(|stage| stage.phase);
+                leadership.leader = Some(Leader::new(
                     configs::leader::Config::default(),
                     configs::judge::Config::default(),
-                    led.order.clone(),
+                    leadership.order.clone(),
                     begun,
                     stage.as_ref(),
                 ));
             }
             (Outcome::Committed(_), Some(Pending::SaveStage(phase))) => {
-                led.saved_phase = Some(phase)
+                leadership.saved_phase = Some(phase)
             }
             (Outcome::Committed(_), Some(Pending::PublishStatus(phase))) => {
-                led.published_phase = Some(phase)
+                leadership.published_phase = Some(phase)
             }
-            _ => led.next_call = now + RETRY_INTERVAL,
+            _ => leadership.next_call = now + RETRY_INTERVAL,
         }
     }
 
@@ -237,7 +238,7 @@
         for known in self
             .servers
             .iter()
-            .filter(|one| one.server.service == *service)
+            .filter(|known| known.server.service == *service)
         {
             let server = &known.server;
             match self.rollouts.generation(server) {
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -48,7 +48,7 @@
     /// Answers that peers have counted, by sender and service.
     pub peer_tallies: BTreeMap<lease::holder::Id, BTreeMap<SmolStr, Tally>>,
     /// Roll-outs that this entry leads, by service.
-    pub leads: BTreeMap<SmolStr, Leadership>,
+    pub leaderships: BTreeMap<SmolStr, Leadership>,
 }
 
 /// The roll-out of one service.
@@ -96,8 +96,8 @@
     }
 
     /// Drops the led roll-outs, so that a new holder of the duties reads what former leaders saved.
-    pub fn reset_leads(&mut self) {
-        self.leads.clear();
+    pub fn reset_leaderships(&mut self) {
+        self.leaderships.clear();
     }
 
     /// Returns whether a replica's version is the one to keep.
@@ -227,14 +227,14 @@
         }
         let of_service = || {
             let servers = self.servers.iter().map(|record| &record.server);
-            servers.filter(|one| one.service == server.service)
+            servers.filter(|other| other.service == server.service)
         };
-        let old = of_service().filter(|one| self.rollouts.generation(one) == Generation::Old);
+        let old = of_service().filter(|other| self.rollouts.generation(other) == Generation::Old);
         let needed =
             (old.count() as f64 * configs::leader::Config::default().canary_share).ceil() as usize;
-        let rank = |one: &Server| rendezvous::identity(&one.incarnation);
-        let preceding = of_service().filter(|one| {
-            self.rollouts.generation(one) == Generation::New && rank(one) < rank(server)
+        let rank = |server: &Server| rendezvous::identity(&server.incarnation);
+        let preceding = of_service().filter(|other| {
+            self.rollouts.generation(other) == Generation::New && rank(other) < rank(server)
         });
         preceding.count() >= needed.max(1)
     }
@@ -242,7 +242,9 @@
     /// Moves each replica of a service to its present pool. Running requests go on.
     fn reassign_pools(&mut self, now: Time, service: &SmolStr, effects: &mut Vec<Effect>) {
         let servers = self.servers.iter().map(|known| known.server.clone());
-        let servers: Vec<Server> = servers.filter(|one| one.service == *service).collect();
+        let servers: Vec<Server> = servers
+            .filter(|server| server.service == *service)
+            .collect();
         for server in servers {
             let pool = self.replica_pool(&server);
             if self.replica_pools.get(&server.incarnation) == Some(&pool) {
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -81,7 +81,7 @@
 
 /// A pending charge that one entry asked another for.
 #[derive(Clone, Copy)]
-struct Asker {
+struct Requester {
     entry: usize,
     serial: u64,
     charge: Charge,
@@ -143,8 +143,8 @@
     delayed_charges: Vec<(usize, Event)>,
     /// Number of charges that each entry decided for others.
     pub charges_decided: BTreeMap<usize, u32>,
-    /// Pending charges by asker number.
-    askers: Vec<Asker>,
+    /// Pending charges by requester number.
+    requesters: Vec<Requester>,
     pub version: u64,
     /// Closed servers with the entry that closed each.
     pub closed_servers: Vec<(usize, SmolStr)>,
@@ -200,7 +200,7 @@
             delay_charges: false,
             delayed_charges: Vec::new(),
             charges_decided: BTreeMap::new(),
-            askers: Vec::new(),
+            requesters: Vec::new(),
             version: 3,
             closed_servers: Vec::new(),
             servers: initial_servers(),
@@ -661,13 +661,13 @@
                         },
                     ));
                 };
-                self.askers.push(Asker {
+                self.requesters.push(Requester {
                     entry,
                     serial,
                     charge,
                     home,
                 });
-                let requester = self.askers.len() as u64 - 1;
+                let requester = self.requesters.len() as u64 - 1;
                 let event = Event::ChargeRequested { requester, charge };
                 if self.delay_charges {
                     self.delayed_charges.push((to, event));
@@ -677,7 +677,7 @@
             }
             Effect::ChargeAnswer { requester, answer } => {
                 *self.charges_decided.entry(entry).or_default() += 1;
-                let requester = self.askers[requester as usize];
+                let requester = self.requesters[requester as usize];
                 let event = Event::ChargeAnswered {
                     serial: requester.serial,
                     charge: requester.charge,
--- a/crates/policy/benches/routing/main.rs
+++ b/crates/policy/benches/routing/main.rs
@@ -25,7 +25,7 @@
 fn main() {
     let mut arguments = std::env::args()
         .skip(1)
-        .filter(|word| !word.starts_with('-'));
+        .filter(|argument| !argument.starts_with('-'));
     let section = arguments.next().unwrap_or_default();
     if section.is_empty() || section == "affinity" {
         print_affinity();
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -31,7 +31,7 @@
         /// Replica that takes the job over.
         to: replica::Key,
         /// Transfer method.
-        how: Transfer,
+        transfer: Transfer,
     },
     /// Stop an attempt that was cancelled or replaced.
     Cancel {
--- a/crates/policy/src/scheduler/moves.rs
+++ b/crates/policy/src/scheduler/moves.rs
@@ -201,10 +201,7 @@
     }
 
     fn make_move(&mut self, now: Time, step: wave::Step, out: &mut Vec<Decision>) {
-        let Action::Move {
-            to, transfer: how, ..
-        } = step.action
-        else {
+        let Action::Move { to, transfer, .. } = step.action else {
             return;
         };
         let is_usable =
@@ -227,7 +224,7 @@
             job: step.job,
             from,
             to,
-            how,
+            transfer,
         });
     }
 }
--- a/crates/policy/tests/charge.rs
+++ b/crates/policy/tests/charge.rs
@@ -265,7 +265,7 @@
 
     /// Returns the first home of the account.
     fn home(&self) -> usize {
-        let asker = (0..self.quotas.len()).find_map(|entry| {
+        let requester = (0..self.quotas.len()).find_map(|entry| {
             let charge = Charge {
                 name: ACCOUNT,
                 cost: 1,
@@ -276,7 +276,7 @@
                 _ => None,
             }
         });
-        asker.expect("one entry isn't the home")
+        requester.expect("one entry isn't the home")
     }
 
     /// Returns the most tokens that were served in any eight seconds.
--- a/crates/policy/tests/support/world/attempts.rs
+++ b/crates/policy/tests/support/world/attempts.rs
@@ -25,7 +25,12 @@
         match decision {
             Decision::Start { job, replica } => self.start(entry, job, replica),
             Decision::Refuse { job, refusal } => self.record_refusal(job, &refusal),
-            Decision::Move { job, from, to, how } => self.transfer(entry, job, from, to, how),
+            Decision::Move {
+                job,
+                from,
+                to,
+                transfer,
+            } => self.transfer(entry, job, from, to, transfer),
             Decision::Cancel { job, replica } => {
                 let engine = self.engines_by_key[entry][&replica];
                 let removed = self.engines[engine].remove(entry, job);
@@ -152,7 +157,7 @@
         id: job::Id,
         from: replica::Key,
         to: replica::Key,
-        how: Transfer,
+        transfer: Transfer,
     ) {
         let source = self.engines_by_key[entry][&from];
         let target = self.engines_by_key[entry][&to];
@@ -160,7 +165,7 @@
             return;
         };
         let computed = sequence.prompt - sequence.prompt_remaining;
-        if how == Transfer::Rerun {
+        if transfer == Transfer::Rerun {
             sequence.prompt += sequence.generated;
             sequence.prompt_remaining = sequence.prompt;
             self.tally.recomputed += u64::from(computed);
--- a/crates/relay/src/flight.rs
+++ b/crates/relay/src/flight.rs
@@ -38,7 +38,7 @@
     pub tokens: u32,
     /// Longest pause between two events.
     pub longest_pause: Span,
-    /// Whether the attempt's server was told to stop the run and move it.
+    /// Whether the attempt's server was ordered to stop the run and move it.
     pub migrating: Rc<Cell<bool>>,
 }
 
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -211,12 +211,12 @@
 
 /// Returns how long a connection may be reused after this answer; `None` if it may not.
 fn idle_timeout(headers: &HeaderMap) -> Option<Span> {
-    let has_token = |name: &str, word: &str| {
+    let has_token = |name: &str, token: &str| {
         let mut values = headers.get_all(name).iter();
         values.any(|value| {
             let text = value.to_str().unwrap_or_default();
             text.split(',')
-                .any(|part| part.trim().eq_ignore_ascii_case(word))
+                .any(|part| part.trim().eq_ignore_ascii_case(token))
         })
     };
     if has_token(CONNECTION.as_str(), "close") {
